--- a/crates/accord/src/calls.rs
+++ b/crates/accord/src/calls.rs
@@ -116,7 +116,7 @@
             let _ = writeln!(out, "member {} hall={} state={:?}", m.member, m.hall, m.state);
         }
         let (figures, counts) = (&view.figures, self.node.counts());
-        let _ = writeln!(out, "membership {figures:?}");
+        let _ = writeln!(out, "membership {figures}");
         let _ = writeln!(out, "frames {:?}", self.counts);
         let _ = writeln!(
             out,
@@ -125,7 +125,7 @@
             self.ledger.unread
         );
         for (subject, verdict) in &view.doubts {
-            let _ = writeln!(out, "doubt {subject:?} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
+            let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
         }
         for (name, _) in self.ledger.desk.open() {
             if let Some(status) = self.ledger.desk.status(name) {
--- /dev/null
+++ b/crates/envelope/tests/golden.rs
@@ -0,0 +1,113 @@
+//! Holds the bytes of signed messages: each file under `golden/` is one message under a fixed key.
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+use envelope::{life, Keys, Opened, Opener, Refusal, Sealer, FRAME};
+use fleet::MemberId;
+use rstest::rstest;
+use std::path::Path;
+use std::time::Duration;
+
+const KEY: [u8; 32] = *b"a key of 32 bytes for the golden";
+const NEXT_KEY: [u8; 32] = *b"another key, likewise of 32 byte";
+const SENDER_INCARNATION: u64 = 1_800_000_000_000 << 20;
+const RECEIVER_INCARNATION: u64 = (1_800_000_000_000 << 20) + 1;
+
+fn golden(name: &str) -> Vec<u8> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    std::fs::read(path).unwrap()
+}
+
+fn keys() -> Keys {
+    Keys::new(KEY, None)
+}
+
+fn receiver() -> MemberId {
+    "front-2".into()
+}
+
+fn sealer() -> Sealer {
+    Sealer::new(keys(), "front-1".into(), SENDER_INCARNATION)
+}
+
+fn opener() -> Opener {
+    Opener::new(keys(), receiver()).living(RECEIVER_INCARNATION)
+}
+
+/// What the receiver reads from a file.
+fn opened(number: u64, fresh: bool, body: &[u8]) -> Opened {
+    let from = "front-1".into();
+    Opened { from, life: SENDER_INCARNATION, number, fresh, body: body.to_vec() }
+}
+
+#[test]
+fn holds_bytes_of_broadcast() {
+    let bytes = golden("broadcast.bin");
+    assert_eq!(sealer().seal(None, b"body").unwrap(), bytes);
+    assert_eq!(opener().open(&bytes), Ok(opened(1, false, b"body")));
+    assert_eq!(bytes[..3], *b"LR\x01");
+}
+
+#[rstest]
+#[case("addressed_any_incarnation.bin", None, false)]
+#[case("addressed_known_incarnation.bin", Some(RECEIVER_INCARNATION), true)]
+fn holds_bytes_of_addressed_message(#[case] name: &str, #[case] to: Option<u64>, #[case] fresh: bool) {
+    let bytes = golden(name);
+    assert_eq!(sealer().seal_to(&receiver(), to, b"body").unwrap(), bytes);
+    let mut learnt = sealer();
+    if let Some(incarnation) = to {
+        learnt.learn(&receiver(), incarnation);
+    }
+    assert_eq!(learnt.seal(Some(&receiver()), b"body").unwrap(), bytes);
+    assert_eq!(opener().open(&bytes), Ok(opened(1, fresh, b"body")));
+}
+
+#[test]
+fn holds_bytes_of_frame_on_each_end_of_the_channels() {
+    for (name, channel) in [("stream_channel_1.bin", 1), ("stream_channel_15.bin", 15)] {
+        let bytes = golden(name);
+        let mut sealer = sealer().channel(channel).bound(FRAME);
+        sealer.learn(&receiver(), RECEIVER_INCARNATION);
+        assert_eq!(sealer.seal(Some(&receiver()), &[0xab; 1_500]).unwrap(), bytes);
+        let mut opener = opener().bound(FRAME);
+        assert_eq!(opener.open_on(channel, &bytes), Ok(opened(1, true, &[0xab; 1_500])));
+    }
+}
+
+#[test]
+fn holds_bytes_of_empty_body_and_of_a_number_of_two_bytes() {
+    let bytes = golden("empty_body_number_200.bin");
+    let mut sealer = sealer();
+    let sealed = (0..200).map(|_| sealer.seal(Some(&receiver()), b"").unwrap()).last().unwrap();
+    assert_eq!(sealed, bytes);
+    assert_eq!(opener().open(&bytes), Ok(opened(200, false, b"")));
+}
+
+#[test]
+fn holds_bytes_under_each_key_of_a_rotation() {
+    let expecting = keys().expect(NEXT_KEY);
+    let rotated = expecting.rotate();
+    for (name, keys) in [("broadcast.bin", &expecting), ("rotated_key.bin", &rotated)] {
+        let bytes = golden(name);
+        let mut sealer = Sealer::new(keys.clone(), "front-1".into(), SENDER_INCARNATION);
+        assert_eq!(sealer.seal(None, b"body").unwrap(), bytes);
+        for keys in [&expecting, &rotated] {
+            let mut opener = Opener::new(keys.clone(), receiver());
+            assert_eq!(opener.open(&bytes), Ok(opened(1, false, b"body")));
+        }
+    }
+    let mut retired = Opener::new(rotated.retire(), receiver());
+    assert_eq!(retired.open(&golden("broadcast.bin")), Err(Refusal::Forged));
+}
+
+#[test]
+fn holds_layout_of_an_incarnation() {
+    assert_eq!(life(Duration::from_millis(1_800_000_000_123), 0), 1_800_000_000_123 << 20);
+    assert_eq!(life(Duration::from_secs(1), SENDER_INCARNATION), SENDER_INCARNATION + 1);
+    assert_eq!(life(Duration::MAX, 0), (u64::MAX >> 20) << 20);
+}
+
+#[test]
+fn holds_names_of_refusal_counters() {
+    let names: Vec<&str> = Refusal::ALL.iter().map(|reason| reason.name()).collect();
+    let expected = ["foreign", "forged", "replayed", "stale", "oversized", "version", "malformed", "crowded"];
+    assert_eq!(names, expected);
+}
--- a/crates/members/src/digest.rs
+++ b/crates/members/src/digest.rs
@@ -52,7 +52,7 @@
 
 impl Digest {
     /// Adds a member, if it is live.
-    pub(crate) fn add(&mut self, record: &Record) {
+    pub fn add(&mut self, record: &Record) {
         if record.state.live() {
             let tail = record.incarnation().to_le_bytes().into_iter().chain([record.state as u8]);
             self.members[part(&record.member)].add(hash(record.member.0.bytes().chain(tail)));
@@ -60,7 +60,7 @@
     }
 
     /// Adds a claim.
-    pub(crate) fn claim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
+    pub fn claim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
         self.claims[hash(label(subject)) as usize % PARTS].add(claim_hash(subject, source, number));
     }
 
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -24,7 +24,7 @@
 mod settings;
 mod table;
 mod verdict;
-mod wire;
+pub mod wire;
 
 pub use digest::Digest;
 pub use machine::Members;
--- a/crates/members/src/names.rs
+++ b/crates/members/src/names.rs
@@ -3,6 +3,7 @@
 use fleet::{BoxId, Hall, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -46,6 +47,16 @@
     Hall(Hall),
 }
 
+/// The form of the status text that operators read: it stays as it is, whatever the types are called.
+impl fmt::Display for Subject {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Subject::Box(name) => write!(f, "Box(Box\x49d({:?}))", name.0),
+            Subject::Hall(name) => write!(f, "\x48all(\x48all({:?}))", name.0),
+        }
+    }
+}
+
 /// What is claimed of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
@@ -192,3 +203,10 @@
     /// Times at which this process was found to have stood still.
     pub stood_still: u64,
 }
+
+/// The form of the status text that operators read: it stays as it is, whatever the type is called.
+impl fmt::Display for Figures {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        fmt::Debug::fmt(self, f)
+    }
+}
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -1,4 +1,5 @@
-//! What members tell each other, and its bounds.
+//! The packets that members exchange, and the bounds of their fields. Encoded with postcard: the order of variants and fields is
+//! part of the form.
 use crate::digest::Digest;
 use crate::names::{Kind, State, Subject};
 use envelope::NAME;
@@ -12,37 +13,61 @@
 /// A box's or hall's name is no longer.
 pub const LABEL: usize = 128;
 
+/// What a packet is sent for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you there?
-    Ping { number: u32 },
-    /// I am.
-    Ack { number: u32 },
-    /// Is that one there?
-    Ask { number: u32, whom: MemberId },
-    /// It is.
-    Heard { number: u32 },
-    /// I am here, but it did not answer me.
-    Deaf { number: u32 },
-    /// Nothing but news.
+    /// A direct probe.
+    Ping {
+        /// Matches the answer to the probe.
+        number: u32,
+    },
+    /// The answer to a ping.
+    Ack {
+        /// The ping's number.
+        number: u32,
+    },
+    /// Asks the receiver to probe another member (SWIM's ping-req).
+    Ask {
+        /// The asking member's number of the probe.
+        number: u32,
+        /// The member to probe.
+        whom: MemberId,
+    },
+    /// The member that was to be probed answered.
+    Heard {
+        /// The request's number.
+        number: u32,
+    },
+    /// The member that was to be probed did not answer in time (Lifeguard's nack).
+    Deaf {
+        /// The request's number.
+        number: u32,
+    },
+    /// Carries updates only.
     News,
-    /// I leave.
+    /// The sender leaves the group.
     Leave,
 }
 
-/// What is held of a member.
+/// The state of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
+    /// Its name.
     pub member: MemberId,
+    /// Its zone.
     pub hall: Hall,
+    /// Its datagram address.
     pub at: SocketAddr,
+    /// When its process started, see `envelope::life`; 0: never heard from.
     pub life: u64,
     /// By how much the incarnation is above the life: a few bytes less on the wire.
     pub ahead: u64,
+    /// Its state.
     pub state: State,
 }
 
 impl Record {
+    /// The SWIM incarnation.
     pub fn incarnation(&self) -> u64 {
         self.life.wrapping_add(self.ahead)
     }
@@ -61,14 +86,19 @@
 /// A claim about a box or hall.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
+    /// The member that made the claim.
     pub source: MemberId,
     /// Counted by its source, from its life on.
     pub number: u64,
+    /// What the claim is about.
     pub subject: Subject,
+    /// What is claimed.
     pub kind: Kind,
-    /// 255 is sure.
+    /// How certain the source is: 255 is certain.
     pub weight: u8,
+    /// The claim's age when the packet is sent, in milliseconds.
     pub age_ms: u32,
+    /// How long the claim counts from its making, in milliseconds.
     pub lasts_ms: u32,
 }
 
@@ -83,9 +113,12 @@
     }
 }
 
+/// An update that packets carry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum News {
+    /// About a member.
     Member(Record),
+    /// About a backend or a zone.
     Claim(Told),
 }
 
@@ -106,17 +139,22 @@
 /// A whole message: what it is for, how its sender stands, and news.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
+    /// What it is sent for.
     pub message: Message,
+    /// The sender's zone.
     pub hall: Hall,
+    /// The sender's datagram address.
     pub at: SocketAddr,
     /// The sender's incarnation above its life.
     pub ahead: u64,
     /// Of all live members as the sender holds them.
     pub digest: Digest,
+    /// Updates that the receiver may not have.
     pub news: Vec<News>,
 }
 
 impl Packet {
+    /// Encodes the packet.
     pub fn write(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
