--- a/crates/accord/src/calls.rs
+++ b/crates/accord/src/calls.rs
@@ -162,12 +162,12 @@
     for m in of.members {
         let _ = writeln!(out, "member {} hall={} state={:?}", m.member, m.hall, m.state);
     }
-    let _ = writeln!(out, "membership {:?}", of.figures);
+    let _ = writeln!(out, "membership {}", of.figures);
     let _ = writeln!(out, "frames {:?}", of.frames);
     let (refused, desk) = (&of.refused, &of.ledger.desk);
     let _ = writeln!(out, "refused {refused:?} commands={} unread={}", desk.refused(), of.ledger.unread);
     for (subject, verdict) in of.doubts {
-        let _ = writeln!(out, "doubt {subject:?} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
+        let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
     }
     for (name, _) in desk.open() {
         if let Some(status) = desk.status(name) {
