--- a/crates/changes/src/lib.rs
+++ b/crates/changes/src/lib.rs
@@ -22,7 +22,7 @@
 mod report;
 mod scope;
 mod settings;
-mod stored;
+pub mod stored;
 mod subscriber;
 
 pub use admission::Admission;
--- a/crates/changes/src/stored.rs
+++ b/crates/changes/src/stored.rs
@@ -1,4 +1,7 @@
-//! What a front keeps on its disk: all that it holds of its scope, as of a version.
+//! The form in which a subscriber's state is stored (`changes.kept.*`): the values of its scope, as of a version.
+//!
+//! A file is the magic `chgs`, the number of the form (two bytes, big endian), a [`Stored`] in postcard, and the XXH3 sum
+//! over all bytes before it (eight bytes, big endian).
 use crate::message::Refusal;
 use crate::names::Change;
 use crate::scope::Scope;
@@ -34,19 +37,23 @@
 
 /// What is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Stored {
+pub struct Stored {
+    /// The log that it follows.
     pub lineage: u64,
     /// Of which scope it is all.
     pub scope: Scope,
+    /// The version up to which everything in the scope was decided on.
     pub upto: Index,
     /// The greatest that `upto` ever was.
     pub highest: Index,
+    /// The values that are in force, in the order of their keys.
     pub entries: Vec<Change>,
+    /// The newest values of keys that were refused, and why.
     pub refused: Vec<Refusal>,
 }
 
 /// As bytes, with a sum over them.
-pub(crate) fn encode(stored: &Stored) -> Vec<u8> {
+pub fn encode(stored: &Stored) -> Vec<u8> {
     let body = postcard::to_stdvec(stored).unwrap_or_default();
     let mut bytes = Vec::with_capacity(body.len() + 14);
     bytes.extend(MAGIC);
@@ -57,7 +64,10 @@
 }
 
 /// From bytes; whole or not at all.
-pub(crate) fn decode(bytes: &[u8]) -> Result<Stored, StoredFault> {
+///
+/// # Errors
+/// Says why the bytes count for nothing: another program's, another form's, or damaged.
+pub fn decode(bytes: &[u8]) -> Result<Stored, StoredFault> {
     let rest = bytes.strip_prefix(MAGIC.as_slice()).ok_or(match bytes.len() {
         0..4 => StoredFault::Torn,
         _ => StoredFault::Foreign,
