--- a/crates/fleet/src/lib.rs
+++ b/crates/cluster-types/src/lib.rs
@@ -32,11 +32,11 @@
 );
 name!(
     /// A disk box, by discovery's `instanceId`.
-    BoxId
+    BackendId
 );
 name!(
     /// A hall: discovery's `zone`.
-    Hall
+    Zone
 );
 name!(
     /// A volume, 16 hex digits.
@@ -76,14 +76,14 @@
 
 /// Blocks of a volume, from the first up to but without the last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Blocks {
+pub struct BlockRange {
     /// The first.
     pub first: u64,
     /// The one after the last.
     pub end: u64,
 }
 
-impl Blocks {
+impl BlockRange {
     /// How many.
     pub fn len(&self) -> u64 {
         self.end.saturating_sub(self.first)
@@ -95,17 +95,17 @@
     }
 
     /// Whether some blocks are in both.
-    pub fn overlaps(&self, other: &Blocks) -> bool {
+    pub fn overlaps(&self, other: &BlockRange) -> bool {
         self.first < other.end && other.first < self.end
     }
 
     /// Whether all of the other's blocks are in this.
-    pub fn holds(&self, other: &Blocks) -> bool {
+    pub fn holds(&self, other: &BlockRange) -> bool {
         self.first <= other.first && other.end <= self.end
     }
 }
 
-impl fmt::Display for Blocks {
+impl fmt::Display for BlockRange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}..{}", self.first, self.end)
     }
--- a/crates/changes/examples/full_size.rs
+++ b/crates/config-distribution/examples/full_size.rs
@@ -3,7 +3,7 @@
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 
-use changes::{Class, Settings};
+use config_distribution::{Class, Settings};
 use sim::build::Size;
 use sim::plan::Trouble;
 use sim::World;
--- a/crates/changes/src/admission.rs
+++ b/crates/config-distribution/src/admission.rs
@@ -1,5 +1,5 @@
 //! How much a relay sends to those who subscribe: tokens, in bytes.
-use fleet::Time;
+use cluster_types::Time;
 
 /// A store of tokens.
 #[derive(Clone, Debug)]
--- a/crates/changes/src/catalogue.rs
+++ b/crates/config-distribution/src/catalogue.rs
@@ -4,7 +4,7 @@
 use crate::digest::part;
 use crate::names::{Change, Class, Key, Order, Topic};
 use crate::scope::Scope;
-use fleet::Index;
+use cluster_types::Index;
 pub(crate) use pieces::Place;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
--- a/crates/changes/src/catalogue/pieces.rs
+++ b/crates/config-distribution/src/catalogue/pieces.rs
@@ -2,7 +2,7 @@
 use super::{Catalogue, Entry, Shelf};
 use crate::names::{Change, Key, Topic};
 use crate::scope::Scope;
-use fleet::Index;
+use cluster_types::Index;
 use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::sync::Arc;
--- a/crates/changes/src/digest.rs
+++ b/crates/config-distribution/src/digest.rs
@@ -1,6 +1,6 @@
 //! Sums that tell whether two hold the same.
 use crate::names::{Key, Topic};
-use fleet::Index;
+use cluster_types::Index;
 use xxhash_rust::xxh3::Xxh3;
 
 /// The part of one key in a sum. Sums are parts joined by exclusive or: a key's part is taken out by adding it again.
--- a/crates/changes/src/message.rs
+++ b/crates/config-distribution/src/message.rs
@@ -2,7 +2,7 @@
 use crate::names::{Change, Key};
 use crate::report::Report;
 use crate::scope::Scope;
-use fleet::Index;
+use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/changes/src/names.rs
+++ b/crates/config-distribution/src/names.rs
@@ -1,5 +1,5 @@
 //! Keys, values, and what an operator orders.
-use fleet::Index;
+use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
--- a/crates/changes/src/relay.rs
+++ b/crates/config-distribution/src/relay.rs
@@ -12,7 +12,7 @@
 use crate::names::{Change, Class};
 use crate::report::Fleet;
 use crate::settings::Settings;
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use subscription::{State, Subscription};
--- a/crates/changes/src/relay/flush.rs
+++ b/crates/config-distribution/src/relay/flush.rs
@@ -3,7 +3,7 @@
 use super::{Cut, Relay, RelayAction};
 use crate::catalogue::{Catalogue, Since};
 use crate::message::FromRelay;
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 
 /// The fewest bytes that a piece is counted as.
 const LEAST: usize = 128;
--- a/crates/changes/src/relay/reports.rs
+++ b/crates/config-distribution/src/relay/reports.rs
@@ -4,7 +4,7 @@
 use crate::message::FromRelay;
 use crate::report::{Lag, Report, WORST};
 use crate::scope::Scope;
-use fleet::Time;
+use cluster_types::Time;
 use std::time::Duration;
 
 /// Reports that were not renewed for so long belong to relays that are gone.
--- a/crates/changes/src/relay/subscribe.rs
+++ b/crates/config-distribution/src/relay/subscribe.rs
@@ -5,7 +5,7 @@
 use crate::message::{FromRelay, Refusal, ToRelay};
 use crate::report::WORST;
 use crate::scope::Scope;
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 
 /// What a subscription takes beside what it is sent, in bytes.
 const BESIDE: usize = 256;
--- a/crates/changes/src/relay/subscription.rs
+++ b/crates/config-distribution/src/relay/subscription.rs
@@ -4,7 +4,7 @@
 use crate::names::Key;
 use crate::scope::Scope;
 use crate::settings::Settings;
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/changes/src/report.rs
+++ b/crates/config-distribution/src/report.rs
@@ -1,7 +1,7 @@
 //! Where changes are in force, in reports whose size does not grow with the fleet.
 use crate::message::{Refusal, WHY};
 use crate::names::NAME;
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/changes/src/stored.rs
+++ b/crates/config-distribution/src/stored.rs
@@ -5,7 +5,7 @@
 use crate::message::Refusal;
 use crate::names::Change;
 use crate::scope::Scope;
-use fleet::Index;
+use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/changes/src/subscriber/calls.rs
+++ b/crates/config-distribution/src/subscriber/calls.rs
@@ -2,7 +2,7 @@
 use super::{Action, Subscriber};
 use crate::message::ToRelay;
 use backoff::{Failure, LIVENESS};
-use fleet::Time;
+use cluster_types::Time;
 use std::time::Duration;
 
 impl Subscriber {
--- a/crates/changes/src/subscriber/decide.rs
+++ b/crates/config-distribution/src/subscriber/decide.rs
@@ -2,7 +2,7 @@
 use super::{Action, Subscriber};
 use crate::message::ToRelay;
 use crate::names::{Change, Class, Key};
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 use std::collections::BTreeSet;
 
 /// What is being decided.
--- a/crates/changes/src/subscriber/follow.rs
+++ b/crates/config-distribution/src/subscriber/follow.rs
@@ -4,7 +4,7 @@
 use crate::message::{FromRelay, ToRelay};
 use crate::names::{Change, Key};
 use backoff::Failure;
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 use std::collections::BTreeMap;
 
 /// The most keys that a snapshot may have.
--- a/crates/changes/src/subscriber/held.rs
+++ b/crates/config-distribution/src/subscriber/held.rs
@@ -5,7 +5,7 @@
 use crate::report::WORST;
 use crate::scope::Scope;
 use crate::stored::{encode, Stored};
-use fleet::Index;
+use cluster_types::Index;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/changes/tests/admission.rs
+++ b/crates/config-distribution/tests/admission.rs
@@ -1,8 +1,8 @@
 //! How much a relay sends for subscriptions: what comes all at once is spread, and a second wave is no higher than the first.
 mod common;
-use changes::{Admission, RelayAction, Settings};
+use cluster_types::Time;
 use common::served::{closed, shard, Served};
-use fleet::Time;
+use config_distribution::{Admission, RelayAction, Settings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/changes/tests/anything.rs
+++ b/crates/config-distribution/tests/anything.rs
@@ -1,9 +1,9 @@
 //! Nothing that comes from outside makes a subscriber or a relay panic, or put in force what is older.
 mod common;
 use backoff::Failure;
-use changes::*;
+use cluster_types::{Index, Time};
 use common::{change, Front};
-use fleet::{Index, Time};
+use config_distribution::*;
 use proptest::prelude::*;
 
 fn key() -> impl Strategy<Value = Key> {
--- a/crates/changes/tests/calls.rs
+++ b/crates/config-distribution/tests/calls.rs
@@ -1,9 +1,9 @@
 //! Which relay a subscriber calls, when it leaves one, and what it knows of its age.
 mod common;
 use backoff::{Failure, LIVENESS};
-use changes::{Action, Event, FromRelay};
+use cluster_types::Index;
 use common::{change, Front};
-use fleet::Index;
+use config_distribution::{Action, Event, FromRelay};
 
 #[test]
 fn a_relay_that_says_nothing_is_left_for_the_next_and_the_age_of_what_is_held_can_be_seen() {
--- a/crates/changes/tests/catalogue.rs
+++ b/crates/config-distribution/tests/catalogue.rs
@@ -1,6 +1,6 @@
 //! What a catalogue holds, tells, and leaves out.
-use changes::{Catalogue, Change, Class, Key, Order, Put, Scope, Since, Topic};
-use fleet::Index;
+use cluster_types::Index;
+use config_distribution::{Catalogue, Change, Class, Key, Order, Put, Scope, Since, Topic};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/changes/tests/common/mod.rs
+++ b/crates/config-distribution/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod served;
 
 use backoff::Failure;
-use changes::{Action, Change, Class, Event, FromRelay, Key, Scope, Subscriber, ToRelay, Topic};
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
+use config_distribution::{Action, Change, Class, Event, FromRelay, Key, Scope, Subscriber, ToRelay, Topic};
 
 pub fn scope() -> Scope {
     Scope::of([Topic::Shard(1), Topic::Zone("zone-a".into())])
@@ -157,8 +157,8 @@
 }
 
 /// A relay's report of fronts that have all decided.
-pub fn report(relay: &str, number: u64, applied: u64) -> changes::Report {
-    changes::Report {
+pub fn report(relay: &str, number: u64, applied: u64) -> config_distribution::Report {
+    config_distribution::Report {
         relay: relay.into(),
         number,
         applied: Index(applied),
--- a/crates/changes/tests/common/served.rs
+++ b/crates/config-distribution/tests/common/served.rs
@@ -1,9 +1,9 @@
 //! One relay by hand: the test is its subscribers and its log.
-use changes::{
+use cluster_types::{Index, Time};
+use config_distribution::{
     Catalogue, Class, Cut, FromRelay, Key, Order, Put, Refusal, Relay, RelayAction, RelayEvent, Scope,
     Settings, ToRelay, Topic,
 };
-use fleet::{Index, Time};
 use std::time::Duration;
 
 pub struct Served {
--- a/crates/changes/tests/costs.rs
+++ b/crates/config-distribution/tests/costs.rs
@@ -1,10 +1,10 @@
 //! What one change costs: a front by its own size, a relay by its subscribers. Spans are the least of five, and compared
 //! with a wide margin, for the machine may be busy.
 mod common;
-use changes::{Class, FromRelay, Topic};
+use cluster_types::Index;
 use common::served::{shard, Served};
 use common::{change, Front};
-use fleet::Index;
+use config_distribution::{Class, FromRelay, Topic};
 use std::time::{Duration, Instant};
 
 #[test]
--- a/crates/changes/tests/first.rs
+++ b/crates/config-distribution/tests/first.rs
@@ -1,6 +1,6 @@
 //! One order through a relay into force at three subscribers.
-use changes::*;
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
+use config_distribution::*;
 use std::collections::BTreeMap;
 
 const MS: u64 = 1_000;
--- a/crates/changes/tests/golden.rs
+++ b/crates/config-distribution/tests/golden.rs
@@ -6,13 +6,13 @@
 #![allow(clippy::unwrap_used)]
 mod common;
 
-use changes::stored::{decode, encode, Stored};
-use changes::{
+use cluster_types::{Index, Time};
+use common::{change, Front};
+use config_distribution::stored::{decode, encode, Stored};
+use config_distribution::{
     Catalogue, Change, Class, FromRelay, Key, Lag, Order, Put, Refusal, Report, Scope, Subscriber, ToRelay,
     Topic, Where,
 };
-use common::{change, Front};
-use fleet::{Index, Time};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
--- a/crates/changes/tests/nonsense.rs
+++ b/crates/config-distribution/tests/nonsense.rs
@@ -1,8 +1,8 @@
 //! Messages that make no sense, are old, or are somebody else's: they change nothing at a subscriber, and are counted.
 mod common;
-use changes::{Change, FromRelay, Key, Topic, VALUE};
+use cluster_types::Index;
 use common::{change, Front};
-use fleet::Index;
+use config_distribution::{Change, FromRelay, Key, Topic, VALUE};
 use rstest::rstest;
 
 fn changes(from: u64, upto: u64, changes: Vec<Change>) -> FromRelay {
--- a/crates/changes/tests/pieces.rs
+++ b/crates/config-distribution/tests/pieces.rs
@@ -1,7 +1,7 @@
 //! Snapshots in pieces.
 mod common;
-use changes::{Change, Class, FromRelay, RelayAction, Settings, ToRelay, Topic};
 use common::served::{changes, pieces, shard, told, Served};
+use config_distribution::{Change, Class, FromRelay, RelayAction, Settings, ToRelay, Topic};
 use std::collections::BTreeMap;
 
 /// What all pieces and what made them whole come to.
--- a/crates/changes/tests/relay.rs
+++ b/crates/config-distribution/tests/relay.rs
@@ -1,10 +1,10 @@
 //! What a relay sends to whom, and whom it cuts off.
 mod common;
-use changes::{
+use cluster_types::Index;
+use common::served::{changes, closed, pieces, shard, told, Served};
+use config_distribution::{
     Catalogue, Cut, FromRelay, Key, Refusal, RelayAction, RelayEvent, Scope, Settings, ToRelay, Topic,
 };
-use common::served::{changes, closed, pieces, shard, told, Served};
-use fleet::Index;
 use rstest::rstest;
 
 /// One live subscriber for shard 1 on link 1, as of version 1.
@@ -114,7 +114,8 @@
 #[test]
 fn a_relay_that_holds_nothing_yet_asks_to_come_later() {
     let mut served = Served::new();
-    served.relay = changes::Relay::new(Settings::default(), "relay-1", Catalogue::new(0), served.now);
+    served.relay =
+        config_distribution::Relay::new(Settings::default(), "relay-1", Catalogue::new(0), served.now);
     let out = served.join(1, shard(1), 0);
     assert_eq!(closed(&out, 1), Some(Cut::Later));
 }
@@ -122,8 +123,12 @@
 #[test]
 fn it_serves_so_many_and_no_more() {
     let mut served = live();
-    served.relay =
-        changes::Relay::new(Settings { most: 3, ..Settings::default() }, "r", Catalogue::new(7), served.now);
+    served.relay = config_distribution::Relay::new(
+        Settings { most: 3, ..Settings::default() },
+        "r",
+        Catalogue::new(7),
+        served.now,
+    );
     let closed: Vec<_> = (1..=5).map(|link| closed(&served.join(link, shard(1), 1), link)).collect();
     assert_eq!(closed, [None, None, None, Some(Cut::Later), Some(Cut::Later)]);
     served.event(RelayEvent::Left { link: 2 });
--- a/crates/changes/tests/reports.rs
+++ b/crates/config-distribution/tests/reports.rs
@@ -1,12 +1,12 @@
 //! Where changes are in force, and why not: by reports whose size does not grow with the fleet.
 mod common;
-use changes::{
-    Fleet, FromRelay, Lag, Refusal, RelayAction, RelayEvent, Report, Scope, ToRelay, Where, WORST,
-};
-use changes::{Key, Topic};
+use cluster_types::{Index, Time};
 use common::report;
 use common::served::{shard, Served};
-use fleet::{Index, Time};
+use config_distribution::{
+    Fleet, FromRelay, Lag, Refusal, RelayAction, RelayEvent, Report, Scope, ToRelay, Where, WORST,
+};
+use config_distribution::{Key, Topic};
 use std::time::Duration;
 
 const SILENCE: Duration = Duration::from_secs(5);
--- a/crates/changes/tests/sim/build.rs
+++ b/crates/config-distribution/tests/sim/build.rs
@@ -2,8 +2,8 @@
 use super::log::{region_name, volume_name, zone_name};
 use super::seen::Seen;
 use super::{Broken, Front, Log, Machine, Universe, World};
-use changes::{Event, Relay, RelayEvent, Scope, Settings, Subscriber, Topic};
-use fleet::Time;
+use cluster_types::Time;
+use config_distribution::{Event, Relay, RelayEvent, Scope, Settings, Subscriber, Topic};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/changes/tests/sim/check.rs
+++ b/crates/config-distribution/tests/sim/check.rs
@@ -1,7 +1,7 @@
 //! What has to hold after each step, and at the end.
 use super::{Broken, Node, World};
-use changes::{Change, Scope};
-use fleet::Index;
+use cluster_types::Index;
+use config_distribution::{Change, Scope};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -108,7 +108,7 @@
         more.map(|key| format!("{key} withdrawn"))
     }
 
-    fn withdrawal_falls(&self, n: usize, key: &changes::Key) -> bool {
+    fn withdrawal_falls(&self, n: usize, key: &config_distribution::Key) -> bool {
         let last = self.log.story.get(key).and_then(|s| s.last());
         self.fronts[n].refuses && last.is_some_and(|(v, gone)| *gone && self.falls(n, *v))
     }
--- a/crates/changes/tests/sim/front.rs
+++ b/crates/config-distribution/tests/sim/front.rs
@@ -1,8 +1,8 @@
 //! A front and its host: what is in force there.
 use super::log::REFUSED;
 use super::{Ev, Node, World};
-use changes::{Action, Change, Event, Key, Scope, Subscriber};
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
+use config_distribution::{Action, Change, Event, Key, Scope, Subscriber};
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -115,7 +115,7 @@
             let value: Arc<[u8]> = b"old".as_slice().into();
             changes.extend(old.map(|(key, version)| Change {
                 version,
-                class: changes::Class::Configuration,
+                class: config_distribution::Class::Configuration,
                 key,
                 value: Some(value),
             }));
--- a/crates/changes/tests/sim/log.rs
+++ b/crates/config-distribution/tests/sim/log.rs
@@ -1,6 +1,6 @@
 //! The one log, as the voters agreed on it, and what is put into it.
-use changes::{Catalogue, Change, Class, Key, Order, Put, Topic};
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
+use config_distribution::{Catalogue, Change, Class, Key, Order, Put, Topic};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/changes/tests/sim/machine.rs
+++ b/crates/config-distribution/tests/sim/machine.rs
@@ -1,9 +1,9 @@
 //! Control machines: voters apply the log, relays without a vote follow a voter.
 use super::{Broken, Ev, Node, World};
-use changes::{
+use cluster_types::Time;
+use config_distribution::{
     Action, Catalogue, Event, FromRelay, Relay, RelayAction, RelayEvent, Report, Scope, Subscriber, ToRelay,
 };
-use fleet::Time;
 use rand::Rng;
 use std::sync::Arc;
 use std::time::Duration;
@@ -174,7 +174,7 @@
         self.machines[m].relay.set_alone(None);
         let mut changed = vec![];
         for n in self.machines[m].relay.catalogue().applied().0..self.log.orders.len() as u64 {
-            let version = fleet::Index(n + 1);
+            let version = cluster_types::Index(n + 1);
             let (at, order) = self.log.order(version);
             if *at + self.machines[m].late > self.now {
                 break;
--- a/crates/changes/tests/sim/mod.rs
+++ b/crates/config-distribution/tests/sim/mod.rs
@@ -11,8 +11,8 @@
 pub mod seen;
 
 use backoff::Failure;
-use changes::{Change, Event, FromRelay, Order, RelayEvent, Report, Settings, ToRelay};
-use fleet::Time;
+use cluster_types::Time;
+use config_distribution::{Change, Event, FromRelay, Order, RelayEvent, Report, Settings, ToRelay};
 pub use front::{Broken, Front};
 pub use log::{Log, Universe};
 pub use machine::Machine;
--- a/crates/changes/tests/sim/net.rs
+++ b/crates/config-distribution/tests/sim/net.rs
@@ -1,8 +1,8 @@
 //! Links between nodes: delays, order, cuts.
 use super::{Ev, Node, World};
 use backoff::Failure;
-use changes::{FromRelay, ToRelay};
-use fleet::Time;
+use cluster_types::Time;
+use config_distribution::{FromRelay, ToRelay};
 use rand::Rng;
 use serde::Serialize;
 use std::time::Duration;
--- a/crates/changes/tests/sim/plan.rs
+++ b/crates/config-distribution/tests/sim/plan.rs
@@ -1,8 +1,8 @@
 //! Random schedules: orders, and what befalls a fleet; and troubles of one kind.
 use super::build::Size;
 use super::{Broken, World};
-use changes::Settings;
-use fleet::Time;
+use cluster_types::Time;
+use config_distribution::Settings;
 use rand::Rng;
 use std::time::Duration;
 
@@ -36,13 +36,13 @@
     /// Puts a box for each shard, and settings for each volume.
     pub fn fill_boxes(&mut self, size: &Size) {
         let shards: Vec<u32> = (0..size.universe.boxes).collect();
-        for some in shards.chunks(changes::ORDER) {
-            let put = |shard: &u32| changes::Put {
-                class: changes::Class::Primary,
-                key: changes::Key::new(changes::Topic::Shard(*shard), "box"),
+        for some in shards.chunks(config_distribution::ORDER) {
+            let put = |shard: &u32| config_distribution::Put {
+                class: config_distribution::Class::Primary,
+                key: config_distribution::Key::new(config_distribution::Topic::Shard(*shard), "box"),
                 value: Some(format!("box-{shard}-0").as_bytes().into()),
             };
-            self.order(changes::Order { puts: some.iter().map(put).collect() });
+            self.order(config_distribution::Order { puts: some.iter().map(put).collect() });
         }
         self.fill(size, 2_000);
     }
--- a/crates/changes/tests/sim/seen.rs
+++ b/crates/config-distribution/tests/sim/seen.rs
@@ -1,7 +1,7 @@
 //! What was measured.
 use super::Node;
-use changes::{Class, FromRelay};
-use fleet::Time;
+use cluster_types::Time;
+use config_distribution::{Class, FromRelay};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/changes/tests/simulation.rs
+++ b/crates/config-distribution/tests/simulation.rs
@@ -1,7 +1,7 @@
 //! A fleet in simulated time, by hundreds of seeds; `SEEDS=5000` runs more.
 #![allow(clippy::unwrap_used)]
 mod sim;
-use changes::{Class, Settings};
+use config_distribution::{Class, Settings};
 use rstest::rstest;
 use sim::build::Size;
 use sim::plan::{play, with_one, One, Trouble};
--- a/crates/changes/tests/stored.rs
+++ b/crates/config-distribution/tests/stored.rs
@@ -1,9 +1,9 @@
 //! What a front keeps: read again whole, or said to be at fault and dropped.
 #![allow(clippy::unwrap_used)]
 mod common;
-use changes::{Action, Event, FromRelay, Key, Scope, StoredFault, Subscriber, ToRelay, Topic};
+use cluster_types::{Index, Time};
 use common::{change, scope, Front};
-use fleet::{Index, Time};
+use config_distribution::{Action, Event, FromRelay, Key, Scope, StoredFault, Subscriber, ToRelay, Topic};
 use proptest::prelude::*;
 
 fn kept() -> Vec<u8> {
--- a/crates/changes/tests/subscriber.rs
+++ b/crates/config-distribution/tests/subscriber.rs
@@ -1,8 +1,8 @@
 //! What a subscriber takes, refuses, and leaves alone.
 mod common;
-use changes::{Action, Change, Event, FromRelay, Key, Scope, ToRelay, Topic};
+use cluster_types::Index;
 use common::{change, sent, Front};
-use fleet::Index;
+use config_distribution::{Action, Change, Event, FromRelay, Key, Scope, ToRelay, Topic};
 
 fn changes(from: u64, upto: u64, changes: Vec<Change>) -> FromRelay {
     FromRelay::Changes { from: Index(from), upto: Index(upto), changes }
--- a/crates/config/src/changes.rs
+++ b/crates/config/src/changes.rs
@@ -1,7 +1,7 @@
 //! The section `[changes]` of an operator's file: how changes of configuration reach this machine, and whom it serves with them.
 use crate::accord::keys;
 use crate::{fault, Fault};
-use changes::proper;
+use config_distribution::proper;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -4,7 +4,7 @@
 use crate::{
     gathers, targets, Accord, Changes, Class, Clients, Config, Fault, Iscsi, Limits, Listen, Targets,
 };
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     #[serde(default)]
     pub changes: Option<Changes>,
     #[serde(default)]
-    pub gather: Vec<gather::Policy>,
+    pub gather: Vec<scatter_gather::Policy>,
 }
 
 #[derive(Deserialize)]
@@ -172,9 +172,9 @@
         // Defaults for an operator who runs one front of his own.
         object.entry("FleetSize").or_insert(1.into());
     }
-    let settings = oxbowhill::wire::read_settings(setup.clone())
+    let settings = scheduler::wire::read_settings(setup.clone())
         .map_err(|reason| Fault { key: "settings".into(), reason })?;
-    oxbowhill::Scheduler::new(settings.clone(), 0)
+    scheduler::Scheduler::new(settings.clone(), 0)
         .map_err(|e| Fault { key: format!("settings ({})", e.field), reason: e.reason.into() })?;
     let names: NamesIn = section(setup, "settings")?;
     let shards = Some(names.family_info.slots_total).filter(|n| *n > 0);
--- a/crates/config/src/gathers.rs
+++ b/crates/config/src/gathers.rs
@@ -2,8 +2,8 @@
 //! checked by `gather`; here it is checked against the rest of the file.
 use crate::file::FileIn;
 use crate::{fault, Class, Fault, Iscsi};
-use fleet::{Blocks, Volume};
-use gather::Policy;
+use cluster_types::{BlockRange, Volume};
+use scatter_gather::Policy;
 use std::time::Duration;
 
 /// So much of the memory may be held by parts, as a divisor.
@@ -49,13 +49,13 @@
     beside: &Beside<'_>,
 ) -> Result<(), Fault> {
     let gathers: Vec<Policy> = gathers.into_iter().cloned().collect();
-    let class = |c: &Class| gather::Class {
+    let class = |c: &Class| scatter_gather::Class {
         name: c.name.clone(),
         write: c.write,
         deadline: Duration::from_micros(u64::try_from(c.deadline.0).unwrap_or(0)),
     };
-    let classes: Vec<gather::Class> = beside.classes.iter().map(class).collect();
-    gather::check_all(&gathers, beside.says_in_part, &classes)
+    let classes: Vec<scatter_gather::Class> = beside.classes.iter().map(class).collect();
+    scatter_gather::check_all(&gathers, beside.says_in_part, &classes)
         .map_err(|f| Fault { key: f.key, reason: f.reason })?;
     for (i, policy) in gathers.iter().enumerate() {
         // Guards the program's memory, of which all gathers together have a share.
@@ -87,7 +87,12 @@
 }
 
 /// Guards against blocks that no box would know from a piece: only a LUN says how blocks lie on its volume.
-fn check_blocks(key: String, iscsi: Option<&Iscsi>, volume: &Volume, blocks: &Blocks) -> Result<(), Fault> {
+fn check_blocks(
+    key: String,
+    iscsi: Option<&Iscsi>,
+    volume: &Volume,
+    blocks: &BlockRange,
+) -> Result<(), Fault> {
     let lun = iscsi.and_then(|iscsi| iscsi.luns.iter().find(|l| *l.volume == *volume.0));
     match lun {
         None => fault(key, "the volume has no LUN under iscsi.lun: say piece instead"),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -27,7 +27,7 @@
 
 use fault::fault;
 use file::Source;
-use oxbowhill::interface::{Micros, Settings};
+use scheduler::interface::{Micros, Settings};
 use shape::Shape;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
     /// The file, where changes may be laid over it.
     source: Option<Arc<Source>>,
     /// Answers that are gathered from parts.
-    pub gathers: Vec<Arc<gather::Policy>>,
+    pub gathers: Vec<Arc<scatter_gather::Policy>>,
     /// The keys that a file of the platform had; a later one must have them too.
     shape: Shape,
 }
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -1,5 +1,5 @@
 //! Sections of a file that are read as they stand, and their defaults.
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/config/src/targets.rs
+++ b/crates/config/src/targets.rs
@@ -1,6 +1,6 @@
 //! The list of disk boxes: discovery's messages, and the fixed list of a file.
 use crate::{fault, Fault};
-use oxbowhill::interface::{Micros, NodeEntry, NodeId, NodeState, ShardId};
+use scheduler::interface::{Micros, NodeEntry, NodeId, NodeState, ShardId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/config/tests/platform.rs
+++ b/crates/config/tests/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's JSON: keys that are not known are passed over, the environment has the last word, and times of
 //! discovery become the clock's.
 #![allow(clippy::unwrap_used)]
-use oxbowhill::interface::{Micros, NodeState};
+use scheduler::interface::{Micros, NodeState};
 
 const FILE: &str = r#"{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","novelty":{"a":1},
  "limits":{"cores":0.5,"memory_mb":24,"sockets":40,"novelty":2},
--- a/crates/consensus/examples/figures.rs
+++ b/crates/consensus/examples/figures.rs
@@ -1,7 +1,7 @@
 //! How long it takes to elect and to commit, and what an idle group says, in simulated time: messages take
 //! 0.2 to 2 ms, a write 0.5 to 3 ms. Spread over seeds as least, middle, greatest.
+use cluster_types::{MemberId, Time};
 use consensus::{Action, Batch, Config, Event, Message, Node, Role, Stored};
-use fleet::{MemberId, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/consensus/src/admission.rs
+++ b/crates/consensus/src/admission.rs
@@ -1,7 +1,7 @@
 //! Members whose disk was lost are admitted again.
 use crate::message::Payload;
 use crate::node::Node;
-use fleet::MemberId;
+use cluster_types::MemberId;
 
 impl Node {
     /// Proposes to admit a follower's new life once it has all that is committed. The entry can't be committed by the
--- a/crates/consensus/src/append.rs
+++ b/crates/consensus/src/append.rs
@@ -4,7 +4,7 @@
 use crate::message::{Entry, Message, Outcome, Payload, Position, FAR};
 use crate::node::Node;
 use crate::progress::Way;
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use std::sync::Arc;
 
 impl Node {
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told about the group and its bounds.
 use crate::fault::Fault;
-use fleet::MemberId;
+use cluster_types::MemberId;
 use std::time::Duration;
 
 /// The group, its times and its bounds. Members and times must be the same everywhere.
--- a/crates/consensus/src/disk.rs
+++ b/crates/consensus/src/disk.rs
@@ -2,7 +2,7 @@
 use crate::event::{Action, Batch, Hard, Role};
 use crate::message::Message;
 use crate::node::Node;
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -3,7 +3,7 @@
 use crate::event::Role;
 use crate::message::{Message, Position};
 use crate::node::Node;
-use fleet::MemberId;
+use cluster_types::MemberId;
 
 impl Node {
     /// Whether the log is known to be founded for good.
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,7 +1,7 @@
 //! What comes in and what goes out.
 use crate::log::Snapshot;
 use crate::message::{Entry, Message};
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/consensus/src/fault.rs
+++ b/crates/consensus/src/fault.rs
@@ -1,5 +1,5 @@
 //! Why a node can't start.
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use std::fmt;
 
 /// What is wrong with the settings or with what was read from disk. Nothing is guessed: an operator has to look.
--- a/crates/consensus/src/founding.rs
+++ b/crates/consensus/src/founding.rs
@@ -2,7 +2,7 @@
 use crate::event::Role;
 use crate::message::{Lives, Message, Payload};
 use crate::node::Node;
-use fleet::MemberId;
+use cluster_types::MemberId;
 
 impl Node {
     /// Only one asks, so that no two stand in each other's way; all are needed anyhow.
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -3,7 +3,7 @@
 use crate::message::{Entry, Payload};
 use crate::node::Node;
 use crate::progress::{Lead, Progress};
-use fleet::Time;
+use cluster_types::Time;
 use std::sync::Arc;
 
 impl Node {
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -2,7 +2,7 @@
 use crate::event::{Action, Role, Why};
 use crate::node::Node;
 use crate::progress::{Barrier, Lead};
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
 
 /// So many rounds' beginnings are remembered.
 const ROUNDS: usize = 256;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,6 +1,6 @@
 //! The log in memory: a snapshot, the entries after it, and the lives that they admit.
 use crate::message::{Entry, Lives, Payload, Position};
-use fleet::Index;
+use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,5 +1,5 @@
 //! What members say to each other. The sender and its life come with each message from outside.
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -9,7 +9,7 @@
 use crate::progress::Lead;
 use crate::stored::Stored;
 use crate::transfer::Incoming;
-use fleet::{Index, MemberId, Time};
+use cluster_types::{Index, MemberId, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,6 +1,6 @@
 //! What a leader knows of each follower.
 use crate::message::Lives;
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How entries are sent to a follower.
--- a/crates/consensus/src/replicate.rs
+++ b/crates/consensus/src/replicate.rs
@@ -3,7 +3,7 @@
 use crate::message::{Message, Outcome, Position};
 use crate::node::Node;
 use crate::progress::{Progress, Way};
-use fleet::MemberId;
+use cluster_types::MemberId;
 
 impl Node {
     /// A new round: each follower gets entries, a piece of the snapshot, or a heartbeat.
--- a/crates/consensus/src/stored.rs
+++ b/crates/consensus/src/stored.rs
@@ -4,7 +4,7 @@
 use crate::fault::Fault;
 use crate::log::{Log, Snapshot};
 use crate::message::{Entry, Payload, FAR};
-use fleet::Index;
+use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 
 /// What is on disk.
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/transfer.rs
@@ -3,7 +3,7 @@
 use crate::message::{Lives, Message, Outcome, Position, FAR};
 use crate::node::Node;
 use crate::progress::{Progress, Way};
-use fleet::MemberId;
+use cluster_types::MemberId;
 
 /// What a follower has of a snapshot so far.
 #[derive(Clone, Debug, Hash)]
--- a/crates/consensus/src/view.rs
+++ b/crates/consensus/src/view.rs
@@ -3,7 +3,7 @@
 use crate::event::Role;
 use crate::message::{Lives, Position};
 use crate::node::Node;
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use std::hash::{Hash, Hasher};
 
 impl Node {
--- a/crates/consensus/tests/exhaust/group.rs
+++ b/crates/consensus/tests/exhaust/group.rs
@@ -1,6 +1,6 @@
 //! Three members whose clocks move only so that every wait is over when it matters.
+use cluster_types::{MemberId, Time};
 use consensus::{Action, Batch, Config, Event, Message, Node, Role, Stored};
-use fleet::{MemberId, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
--- a/crates/consensus/tests/exhaust/main.rs
+++ b/crates/consensus/tests/exhaust/main.rs
@@ -4,8 +4,8 @@
 mod group;
 mod model;
 
+use cluster_types::Index;
 use consensus::{Message, Role};
-use fleet::Index;
 use group::Group;
 use model::{Budget, Search};
 use stateright::{Checker, Model};
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -3,8 +3,8 @@
 //! Each file below `tests/golden/` is one value in postcard's encoding. Members of different versions run side by side and open
 //! stores of earlier versions, so neither the encoding nor the meaning of these bytes may change.
 #![allow(clippy::unwrap_used)]
+use cluster_types::Index;
 use consensus::{Entry, Hard, Lives, Message, Outcome, Payload, Position, Snapshot, Stored};
-use fleet::Index;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
--- a/crates/consensus/tests/rules/lives.rs
+++ b/crates/consensus/tests/rules/lives.rs
@@ -1,7 +1,7 @@
 //! Lost disks and the founding.
 use crate::trio::{config, name, Trio};
+use cluster_types::Index;
 use consensus::{Message, Node, Payload, Role};
-use fleet::Index;
 
 /// A store that was lost counts for nothing until the others have admitted it, then as before.
 #[test]
--- a/crates/consensus/tests/rules/main.rs
+++ b/crates/consensus/tests/rules/main.rs
@@ -138,7 +138,7 @@
     let mut trio = Trio::led(3);
     let before = (trio.node(1).last(), trio.node(1).commit(), trio.stored[1].clone());
     let prev = trio.node(1).last();
-    let entry = |index, term, payload| consensus::Entry { index: fleet::Index(index), term, payload };
+    let entry = |index, term, payload| consensus::Entry { index: cluster_types::Index(index), term, payload };
     let stranger = Payload::Readmit { member: "x".into(), life: 9 };
     let bad = [
         vec![entry(9, 1, Payload::Noop)],
--- a/crates/consensus/tests/rules/noise.rs
+++ b/crates/consensus/tests/rules/noise.rs
@@ -1,7 +1,7 @@
 //! Whatever comes from outside, a member neither panics nor loses what is committed.
 use crate::trio::{name, Trio};
+use cluster_types::Index;
 use consensus::{Entry, Event, Lives, Message, Outcome, Payload, Position};
-use fleet::Index;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
--- a/crates/consensus/tests/rules/trio.rs
+++ b/crates/consensus/tests/rules/trio.rs
@@ -1,6 +1,6 @@
 //! Members on one clock, a millisecond a step: every message takes one, disks are prompt unless held.
+use cluster_types::{Index, MemberId, Time};
 use consensus::{Action, Batch, Config, Event, Message, Node, Role, Stored};
-use fleet::{Index, MemberId, Time};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
--- a/crates/consensus/tests/sim/host.rs
+++ b/crates/consensus/tests/sim/host.rs
@@ -1,6 +1,6 @@
 //! One member's process: its node, its disk and its clock.
+use cluster_types::{MemberId, Time};
 use consensus::{Batch, Config, Event, Node, Stored};
-use fleet::{MemberId, Time};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/accord/src/apply.rs
+++ b/crates/coordination/src/apply.rs
@@ -4,8 +4,8 @@
 use crate::ledger::{Cataloged, Ledger, What};
 use crate::mail::ToFront;
 use crate::store::Write;
+use cluster_types::{Index, Time};
 use consensus::{Action, Event, Why};
-use fleet::{Index, Time};
 use maintenance::{Command, Effect, Report};
 use std::sync::mpsc::TrySendError;
 
@@ -91,7 +91,7 @@
 
     /// A line of the log for what operators wait for.
     fn tell(&self, effect: &Effect) {
-        let names = |boxes: &std::collections::BTreeSet<fleet::BoxId>| {
+        let names = |boxes: &std::collections::BTreeSet<cluster_types::BackendId>| {
             boxes.iter().map(|b| b.0.to_string()).collect::<Vec<_>>().join(",")
         };
         let line = match effect {
--- a/crates/accord/src/calls.rs
+++ b/crates/coordination/src/calls.rs
@@ -2,8 +2,8 @@
 use crate::core::Core;
 use crate::ledger::{Ledger, What};
 use crate::mail::{Call, Told};
+use cluster_types::{Index, MemberId, Time};
 use consensus::Role;
-use fleet::{Index, MemberId, Time};
 use maintenance::{Command, Effect, Status, Why};
 use std::fmt::Write;
 use std::time::Duration;
@@ -140,11 +140,11 @@
     /// Whether its lease runs.
     pub leased: bool,
     /// All members as they are held.
-    pub members: &'a [members::Member],
+    pub members: &'a [membership::Member],
     /// What membership did and refused.
-    pub figures: &'a members::Figures,
+    pub figures: &'a membership::Figures,
     /// What is doubted.
-    pub doubts: &'a [(members::Subject, members::Verdict)],
+    pub doubts: &'a [(membership::Subject, membership::Verdict)],
     /// What was bad on the links.
     pub frames: &'a crate::links::Counts,
     /// What the log refused.
--- a/crates/accord/src/changes/host.rs
+++ b/crates/coordination/src/changes/host.rs
@@ -8,8 +8,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use changes::{FromRelay, Relay, RelayEvent, Subscriber, ToRelay};
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
+use config_distribution::{FromRelay, Relay, RelayEvent, Subscriber, ToRelay};
 use futures_lite::future;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -113,7 +113,7 @@
                 Woken::Came(Some(came)) => self.came(came),
                 Woken::Time => {
                     self.serve(RelayEvent::Tick);
-                    self.follow(changes::Event::Tick);
+                    self.follow(config_distribution::Event::Tick);
                 }
             }
             // Guards the connections against a queue that never runs dry.
@@ -129,7 +129,7 @@
                 self.serve(RelayEvent::Applied(changes.unwrap_or_default()));
             }
             Letter::Reports(reports) => self.serve(RelayEvent::Reports(reports)),
-            Letter::Decided(refused) => self.follow(changes::Event::Decided { refused }),
+            Letter::Decided(refused) => self.follow(config_distribution::Event::Decided { refused }),
             Letter::Ask(query, to) => drop(to.try_send(self.answer(query))),
             Letter::Rekey(keys) => {
                 self.shared.sealer.borrow_mut().rekey(keys.clone());
--- a/crates/accord/src/changes/log.rs
+++ b/crates/coordination/src/changes/log.rs
@@ -4,8 +4,8 @@
 use crate::core::Core;
 use crate::ledger::{Cataloged, What};
 use crate::mail::Told;
-use changes::{Order, Report};
-use fleet::{Index, Time};
+use cluster_types::{Index, Time};
+use config_distribution::{Order, Report};
 use std::time::Duration;
 
 /// A catalogue that is not there yet is asked for again after that.
--- a/crates/accord/src/changes/mail.rs
+++ b/crates/coordination/src/changes/mail.rs
@@ -1,8 +1,8 @@
 //! Letters between the host, the log's thread and the front.
 use async_channel::{Receiver, Sender};
-use changes::{Catalogue, Change, Key, Order, Refusal, Report, Where};
-use envelope::Keys;
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
+use config_distribution::{Catalogue, Change, Key, Order, Refusal, Report, Where};
+use message_auth::Keys;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/accord/src/changes/relay.rs
+++ b/crates/coordination/src/changes/relay.rs
@@ -3,8 +3,8 @@
 use super::host::Host;
 use crate::core::Inbox;
 use crate::{frames, links};
-use changes::{Catalogue, Cut, FromRelay, RelayAction, RelayEvent, Report, ToRelay};
-use fleet::MemberId;
+use cluster_types::MemberId;
+use config_distribution::{Catalogue, Cut, FromRelay, RelayAction, RelayEvent, Report, ToRelay};
 
 impl Host {
     /// Tells the machine something and does what it says.
--- a/crates/accord/src/changes/settings.rs
+++ b/crates/coordination/src/changes/settings.rs
@@ -1,6 +1,6 @@
 //! What the host of changes is told at its start.
-use changes::Scope;
-use fleet::MemberId;
+use cluster_types::MemberId;
+use config_distribution::Scope;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -38,7 +38,7 @@
     /// The key that signs, and another one that is accepted.
     pub keys: ([u8; 32], Option<[u8; 32]>),
     /// Bounds and spans.
-    pub machine: changes::Settings,
+    pub machine: config_distribution::Settings,
     /// How many fronts there are: from it follows how far calls are spread.
     pub fleet: u32,
     /// A number drawn by chance.
--- a/crates/accord/src/changes/start.rs
+++ b/crates/coordination/src/changes/start.rs
@@ -9,9 +9,9 @@
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use changes::{Catalogue, Relay, Scope, Subscriber};
-use envelope::{Keys, Opener, Sealer};
+use config_distribution::{Catalogue, Relay, Scope, Subscriber};
 use futures_lite::future;
+use message_auth::{Keys, Opener, Sealer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -82,7 +82,7 @@
     let work = move || {
         let me = settings.me.clone();
         let keys = Keys::new(settings.keys.0, settings.keys.1);
-        let life = envelope::life(unix(), 0);
+        let life = message_auth::life(unix(), 0);
         let sealer = Sealer::new(keys.clone(), me.clone(), life);
         let sealer = Rc::new(RefCell::new(sealer.channel(CHANNEL).bound(LONGEST)));
         let opener = Opener::new(keys, me.clone()).living(life).bound(LONGEST).most(NAMES);
--- a/crates/accord/src/changes/subscriber.rs
+++ b/crates/coordination/src/changes/subscriber.rs
@@ -4,7 +4,7 @@
 use super::mail::Decide;
 use crate::{frames, links};
 use backoff::Failure;
-use changes::{Action, Change, Event, FromRelay, RelayEvent, ToRelay};
+use config_distribution::{Action, Change, Event, FromRelay, RelayEvent, ToRelay};
 
 impl Host {
     /// What was kept is in force before anything is heard.
--- a/crates/accord/src/clock.rs
+++ b/crates/coordination/src/clock.rs
@@ -1,5 +1,5 @@
 //! The hosts' clocks: a steady one with an origin of its own, and Unix time for operators.
-use fleet::Time;
+use cluster_types::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The steady clock.
--- a/crates/accord/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -8,8 +8,8 @@
 use crate::net::View;
 use crate::settings::Settings;
 use crate::store::{Write, Wrote};
+use cluster_types::{Index, MemberId, Time};
 use consensus::{Node, Role};
-use fleet::{Index, MemberId, Time};
 use maintenance::{FrontSide, Watch};
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
     /// From the disk.
     Disk(Wrote),
     /// From this front's server of changes: for the others'.
-    Reports(Vec<changes::Report>),
+    Reports(Vec<config_distribution::Report>),
 }
 
 /// What a front measured, as of when it came here.
--- a/crates/accord/src/frames.rs
+++ b/crates/coordination/src/frames.rs
@@ -1,7 +1,7 @@
 //! What fronts say to each other over TCP: one frame a message, sealed, with a version.
 use crate::ledger::What;
 use crate::mail::Measures;
-use fleet::Index;
+use cluster_types::Index;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -44,7 +44,7 @@
         span: u64,
     },
     /// Where changes of configuration are in force, as control machines tell each other.
-    Reports(Vec<changes::Report>),
+    Reports(Vec<config_distribution::Report>),
 }
 
 /// A message as bytes.
--- a/crates/accord/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -1,7 +1,7 @@
 //! What the replicated log comes to: every front applies the same entries in the same order and has the same state. No clock
 //! and no chance in here.
-use changes::{Catalogue, Change, Order, Scope};
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
+use config_distribution::{Catalogue, Change, Order, Scope};
 use maintenance::{Command, Desk, Effect, Rules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -158,7 +158,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use changes::{Class, Key, Put, Topic};
+    use config_distribution::{Class, Key, Put, Topic};
 
     fn entry(ticket: u64, what: What) -> Vec<u8> {
         postcard::to_stdvec(&Entry { at_ms: 1_000, by: "front-1".into(), ticket, what }).unwrap()
--- a/crates/accord/src/mail.rs
+++ b/crates/coordination/src/mail.rs
@@ -1,6 +1,6 @@
 //! Letters between the hosts and the front. Neither waits for the other: mailboxes are bounded, and what finds one full is
 //! counted and said again by its next turn.
-use fleet::{BoxId, Hall, Index, MemberId, Time, Volume};
+use cluster_types::{BackendId, Index, MemberId, Time, Volume, Zone};
 use maintenance::Share;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
     /// The hall in which it stands.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Whether the list has it, draining or not.
     pub listed: bool,
     /// Whether this front finds it dead: it failed, and has answered nothing since.
@@ -32,12 +32,12 @@
     /// Whether the list of boxes is known.
     pub whole: bool,
     /// All boxes.
-    pub boxes: BTreeMap<BoxId, Seen>,
+    pub boxes: BTreeMap<BackendId, Seen>,
     /// The largest reservation of a plan, in thousandths of a unit a second.
     pub reserved: u64,
     /// What each volume uses here, and for each box what it could serve of that: the box that did, and any other that holds
     /// the same shard. In the same unit.
-    pub volumes: BTreeMap<Volume, (u64, BTreeMap<BoxId, u64>)>,
+    pub volumes: BTreeMap<Volume, (u64, BTreeMap<BackendId, u64>)>,
 }
 
 /// An operator's call.
@@ -50,7 +50,7 @@
         /// Its name.
         name: String,
         /// The boxes.
-        boxes: BTreeSet<BoxId>,
+        boxes: BTreeSet<BackendId>,
         /// For how long each may be out, in milliseconds.
         work_ms: u64,
         /// The Unix time in milliseconds after which nothing of it begins.
@@ -73,7 +73,7 @@
         /// The wish.
         name: String,
         /// The box.
-        id: BoxId,
+        id: BackendId,
     },
     /// All boxes of a wish are in their places again.
     Done {
@@ -86,7 +86,7 @@
         member: MemberId,
     },
     /// Changes of configuration; the answer is their version.
-    Change(changes::Order),
+    Change(config_distribution::Order),
 }
 
 /// The answer to a call.
@@ -118,14 +118,14 @@
     /// Send nothing new to that box.
     Drain {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// The grant or step; none for what only an operator ends.
         grant: Option<Index>,
     },
     /// Send there again, so far.
     Undrain {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// How far.
         share: Share,
     },
--- a/crates/accord/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -6,10 +6,10 @@
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use envelope::{Keys, Opener, Sealer};
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
 use futures_lite::future;
-use members::{Action, Event, Members};
+use membership::{Action, Event, Members};
+use message_auth::{Keys, Opener, Sealer};
 use parking_lot::Mutex;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,11 +25,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// All members as they are held.
-    pub members: Vec<members::Member>,
+    pub members: Vec<membership::Member>,
     /// What is doubted now.
-    pub doubts: Vec<(members::Subject, members::Verdict)>,
+    pub doubts: Vec<(membership::Subject, membership::Verdict)>,
     /// What was done and refused.
-    pub figures: members::Figures,
+    pub figures: membership::Figures,
 }
 
 /// The sockets, bound before anything is started, so that a fault ends the start.
@@ -75,8 +75,8 @@
     let executor = Rc::new(LocalExecutor::new());
     let keys = Keys::new(net.settings.keys.0, net.settings.keys.1);
     let sealer = Sealer::new(keys.clone(), net.settings.me.clone(), net.start);
-    let sealer = Rc::new(RefCell::new(sealer.channel(CHANNEL).bound(envelope::FRAME)));
-    let opener = Opener::new(keys.clone(), net.settings.me.clone()).bound(envelope::FRAME);
+    let sealer = Rc::new(RefCell::new(sealer.channel(CHANNEL).bound(message_auth::FRAME)));
+    let opener = Opener::new(keys.clone(), net.settings.me.clone()).bound(message_auth::FRAME);
     let opener = Rc::new(RefCell::new(opener));
     let rekey = {
         let (sealer, opener) = (sealer.clone(), opener.clone());
@@ -104,19 +104,19 @@
 }
 
 /// The settings of membership, from those of the hosts.
-fn settings(net: &Net) -> members::Settings {
+fn settings(net: &Net) -> membership::Settings {
     let all = &net.settings.members;
-    let seed = |(member, fellow): (&MemberId, &crate::settings::Fellow)| members::Seed {
+    let seed = |(member, fellow): (&MemberId, &crate::settings::Fellow)| membership::Seed {
         member: member.clone(),
         hall: fellow.hall.clone(),
         at: fellow.at,
     };
-    let me = members::Seed {
+    let me = membership::Seed {
         member: net.settings.me.clone(),
         hall: net.settings.hall.clone(),
         at: net.settings.listen,
     };
-    let mut settings = members::Settings::new(me, net.start, all.iter().map(seed).collect());
+    let mut settings = membership::Settings::new(me, net.start, all.iter().map(seed).collect());
     settings.bytes = u64::from(net.settings.bytes_s);
     settings
 }
@@ -138,7 +138,7 @@
             return;
         }
     };
-    let mut buffer = vec![0; 2 * envelope::DATAGRAM];
+    let mut buffer = vec![0; 2 * message_auth::DATAGRAM];
     let mut actions = Vec::new();
     let mut shown = Time(0);
     loop {
--- a/crates/accord/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,5 +1,5 @@
 //! What the hosts are told at their start.
-use fleet::{Hall, MemberId};
+use cluster_types::{MemberId, Zone};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
     /// Where this front reaches it, over UDP and TCP.
     pub at: SocketAddr,
     /// The hall in which it stands.
-    pub hall: Hall,
+    pub hall: Zone,
 }
 
 /// Everything that the hosts need.
@@ -20,7 +20,7 @@
     /// This front.
     pub me: MemberId,
     /// The hall in which it stands.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Where it hears the others, over UDP and TCP.
     pub listen: SocketAddr,
     /// The folder of its store.
--- a/crates/accord/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -8,8 +8,8 @@
 use crate::net::{self, Net, Sockets, View};
 use crate::settings::Settings;
 use crate::{links, store};
+use cluster_types::Time;
 use consensus::{Config, Node};
-use fleet::Time;
 use maintenance::{FrontSide, Watch};
 use parking_lot::Mutex;
 use std::collections::{BTreeMap, VecDeque};
@@ -34,7 +34,7 @@
     inbox: SyncSender<Inbox>,
     full: Arc<AtomicU64>,
     // Closed with the last handle: membership says goodbye then.
-    members: async_channel::Sender<members::Event>,
+    members: async_channel::Sender<membership::Event>,
 }
 
 impl Handle {
@@ -46,13 +46,13 @@
     }
 
     /// What this front saw of a box or a hall, for the others.
-    pub fn observed(&self, observation: members::Observation) {
-        let _ = self.members.try_send(members::Event::Observed(observation));
+    pub fn observed(&self, observation: membership::Observation) {
+        let _ = self.members.try_send(membership::Event::Observed(observation));
     }
 
     /// Signs with the first of these keys from now on, and opens under either.
     pub fn rekey(&self, keys: ([u8; 32], Option<[u8; 32]>)) {
-        let _ = self.members.try_send(members::Event::Keys(envelope::Keys::new(keys.0, keys.1)));
+        let _ = self.members.try_send(membership::Event::Keys(message_auth::Keys::new(keys.0, keys.1)));
     }
 
     /// Where this front's server of changes tells what the others' are to know.
--- a/crates/accord/src/turn.rs
+++ b/crates/coordination/src/turn.rs
@@ -5,8 +5,8 @@
 use crate::frames::Frame;
 use crate::ledger::What;
 use crate::mail::{ago, Measures};
+use cluster_types::{BackendId, Time};
 use consensus::Role;
-use fleet::{BoxId, Time};
 use maintenance::{BoxFact, Command, Presence, Seat, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -113,11 +113,11 @@
         }
     }
 
-    fn fresh(&self, now: Time) -> impl Iterator<Item = (&fleet::MemberId, &Measured)> {
+    fn fresh(&self, now: Time) -> impl Iterator<Item = (&cluster_types::MemberId, &Measured)> {
         self.measured.iter().filter(move |(_, m)| now.since(m.came) < FRESH)
     }
 
-    fn failing(&self, now: Time) -> BTreeSet<BoxId> {
+    fn failing(&self, now: Time) -> BTreeSet<BackendId> {
         let failed = |m: &'_ Measured| {
             m.measures.boxes.iter().filter(|(_, s)| s.failed).map(|(b, _)| b.clone()).collect::<Vec<_>>()
         };
@@ -128,7 +128,7 @@
     /// of them find it so, cold where any does.
     fn collected(&self, now: Time) -> View {
         let mut view = View { well_ms: self.watch.well_ms(now), ..View::default() };
-        let mut found: BTreeMap<BoxId, (usize, usize)> = BTreeMap::new();
+        let mut found: BTreeMap<BackendId, (usize, usize)> = BTreeMap::new();
         let mut fresh = BTreeSet::new();
         view.seen = self.ledger.applied;
         let (mut whole, mut most) = (true, 0);
--- a/crates/accord/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -5,14 +5,14 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 mod golden_support;
 
-use accord::ledger::{Entry, Ledger, What};
-use accord::{frames, links, Measures, Seen};
-use changes::{FromRelay, Key, Lag, Refusal, Report, ToRelay, Topic};
-use envelope::{Keys, Opener, Sealer};
-use fleet::Index;
+use cluster_types::Index;
+use config_distribution::{FromRelay, Key, Lag, Refusal, Report, ToRelay, Topic};
+use coordination::ledger::{Entry, Ledger, What};
+use coordination::{frames, links, Measures, Seen};
 use frames::Frame;
 use golden_support::entries::{entries, order};
 use golden_support::{golden, member};
+use message_auth::{Keys, Opener, Sealer};
 use std::cell::RefCell;
 
 /// The channel of frames between members.
@@ -29,7 +29,7 @@
 /// What a link carries: a length and a sealed envelope around `body`.
 fn sent(channel: u8, body: &[u8]) -> Vec<u8> {
     let sealer =
-        Sealer::new(Keys::new(KEY, None), member(1), 1 << 60).channel(channel).bound(envelope::FRAME);
+        Sealer::new(Keys::new(KEY, None), member(1), 1 << 60).channel(channel).bound(message_auth::FRAME);
     let mut out = Vec::new();
     assert!(links::put(&mut out, Some(&member(2)), body, &RefCell::new(sealer)));
     out
@@ -39,7 +39,7 @@
 fn received(channel: u8, bytes: &[u8]) -> Vec<u8> {
     let (length, sealed) = bytes.split_at(4);
     assert_eq!(u32::from_be_bytes(length.try_into().unwrap()) as usize, sealed.len());
-    let mut opener = Opener::new(Keys::new(KEY, None), member(2)).bound(envelope::FRAME);
+    let mut opener = Opener::new(Keys::new(KEY, None), member(2)).bound(message_auth::FRAME);
     let opened = opener.open_on(channel, sealed).unwrap();
     assert_eq!((opened.from, opened.life), (member(1), 1 << 60));
     opened.body.to_vec()
--- a/crates/accord/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -2,9 +2,9 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 mod golden_support;
 
-use accord::ledger::Ledger;
-use accord::{calls, links};
-use fleet::Index;
+use cluster_types::Index;
+use coordination::ledger::Ledger;
+use coordination::{calls, links};
 use golden_support::entries::entries;
 use golden_support::golden;
 use maintenance::{Fate, Status, Why, Wish};
@@ -21,7 +21,7 @@
         ledger.apply(Index(number), &file(&format!("entry.{name}")));
     }
     ledger.unread = 3;
-    let member = |number, state| members::Member {
+    let member = |number, state| membership::Member {
         member: golden_support::member(number),
         hall: "h-1".into(),
         at: "127.0.0.1:9".parse().unwrap(),
@@ -30,12 +30,12 @@
         state,
     };
     let all = [
-        member(1, members::State::Alive),
-        member(2, members::State::Suspect),
-        member(3, members::State::Dead),
-        member(4, members::State::Left),
+        member(1, membership::State::Alive),
+        member(2, membership::State::Suspect),
+        member(3, membership::State::Dead),
+        member(4, membership::State::Left),
     ];
-    let figures = members::Figures {
+    let figures = membership::Figures {
         probes: 1,
         failed: 2,
         refuted: 3,
@@ -52,10 +52,10 @@
         claims_disowned: 14,
         stood_still: 15,
     };
-    let verdict = members::Verdict { doubt: 0.456, sources: 2, newest: None, kinds: Default::default() };
+    let verdict = membership::Verdict { doubt: 0.456, sources: 2, newest: None, kinds: Default::default() };
     let doubts = [
-        (members::Subject::Box("b-1".into()), verdict.clone()),
-        (members::Subject::Hall("h-1".into()), verdict),
+        (membership::Subject::Box("b-1".into()), verdict.clone()),
+        (membership::Subject::Zone("h-1".into()), verdict),
     ];
     let frames = links::Counts::default();
     let counters = [&frames.refused, &frames.unread, &frames.full, &frames.lost, &frames.crowded];
--- a/crates/accord/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -5,10 +5,10 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 mod golden_support;
 
-use accord::disk::{Change, Content, Disk};
-use accord::store;
+use cluster_types::Index;
 use consensus::{Batch, Entry, Hard, Payload, Position, Snapshot};
-use fleet::Index;
+use coordination::disk::{Change, Content, Disk};
+use coordination::store;
 use golden_support::{golden, kept};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write;
--- a/crates/accord/tests/golden_support/entries.rs
+++ b/crates/coordination/tests/golden_support/entries.rs
@@ -1,8 +1,8 @@
 //! Entries of the replicated state machine, one of each kind.
 use super::member;
-use accord::ledger::What;
-use changes::{Class, Key, Order, Put, Topic};
-use fleet::{BoxId, Index};
+use cluster_types::{BackendId, Index};
+use config_distribution::{Class, Key, Order, Put, Topic};
+use coordination::ledger::What;
 use maintenance::{BoxFact, Command, Presence, Rules, VolumeFact};
 
 /// An order with a key of each topic.
@@ -24,8 +24,8 @@
 
 /// One entry of each kind, in an order in which applying them makes the state hold something of everything.
 pub fn entries() -> Vec<(&'static str, u8, What)> {
-    let boxes: std::collections::BTreeSet<BoxId> = ["b-1".into()].into();
-    let (name, id): (String, BoxId) = ("w-1".into(), "b-1".into());
+    let boxes: std::collections::BTreeSet<BackendId> = ["b-1".into()].into();
+    let (name, id): (String, BackendId) = ("w-1".into(), "b-1".into());
     let rules = Rules { out: 2, out_hall: 1, out_volume: 1, ..Rules::default() };
     let fact = BoxFact { hall: "h-1".into(), listed: true, died: false, cold: false };
     let volume = VolumeFact { reserved: 100, boxes: [("b-1".into(), 400), ("b-2".into(), 300)].into() };
--- a/crates/accord/tests/golden_support/mod.rs
+++ b/crates/coordination/tests/golden_support/mod.rs
@@ -2,7 +2,7 @@
 #[allow(dead_code, reason = "the tests of the store need none")]
 pub mod entries;
 
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use maintenance::{Action, Event, FrontSide, Kept, Order};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 #[allow(dead_code, reason = "used by the tests of the store alone")]
 pub fn kept() -> Kept {
     let mut actions = Vec::new();
-    let now = fleet::Time(1_000_000);
+    let now = cluster_types::Time(1_000_000);
     let mut front = FrontSide::new(Duration::from_millis(250), None, now, &mut actions);
     front.handle(now, Event::Lease { until: now + Duration::from_secs(9) }, &mut actions);
     let orders = [
--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts and their ends, and what else the program has to do.
 use crate::{Answer, Bytes, Request};
-use oxbowhill::interface::{Ending, Micros, NodeId, RequestId};
+use scheduler::interface::{Ending, Micros, NodeId, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -1,5 +1,5 @@
 //! What is counted.
-use oxbowhill::interface::Ending;
+use scheduler::interface::Ending;
 use std::fmt;
 
 /// Counts since the start.
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,5 +1,5 @@
 //! What clients ask for, and what they are answered.
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use std::rc::Rc;
 
 /// Bytes that are passed on without being copied.
--- a/crates/dispatch/src/table.rs
+++ b/crates/dispatch/src/table.rs
@@ -1,11 +1,11 @@
 //! The core itself: its table of requests, and what happens to them.
 use crate::counters::position;
 use crate::{Answer, Attempt, Bytes, Counters, Effect, Ended, Request};
-use oxbowhill::interface::{
+use scheduler::interface::{
     Action, Ending, Event, KeyId, ListNews, Micros, NodeId, Outcome, RequestId, Settings, SettingsError,
     ShardId, VolumeId,
 };
-use oxbowhill::Scheduler;
+use scheduler::Scheduler;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -100,7 +100,7 @@
             self.effects.push_back(Effect::Answer(ticket, fault));
             return;
         }
-        let event = Event::Arrived(oxbowhill::interface::Request {
+        let event = Event::Arrived(scheduler::interface::Request {
             id,
             class: request.class,
             plan: request.plan,
--- a/crates/dispatch/tests/core.rs
+++ b/crates/dispatch/tests/core.rs
@@ -1,7 +1,7 @@
 //! The core without any wire: exactly one final answer, whatever comes in whatever order.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use dispatch::{Answer, Attempt, Bound, Bytes, Core, Effect, Ended, Request};
-use oxbowhill::interface::*;
+use scheduler::interface::*;
 
 const BOUND: Bound = Bound { requests: 4, bytes: 1 << 20 };
 
--- a/crates/lichenrudder/src/arrivals.rs
+++ b/crates/gateway/src/arrivals.rs
@@ -1,5 +1,5 @@
 //! When the bytes of a connection have come. A command's time runs from then on, also while it waits behind others unread.
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use std::collections::VecDeque;
 
 /// Bytes that come within this time of others count as come with them.
--- a/crates/lichenrudder/src/ban_files.rs
+++ b/crates/gateway/src/ban_files.rs
@@ -1,7 +1,7 @@
 //! The files under `TMPDIR` in which a front writes down which chunk servers operators have taken out. Each state is a file of
 //! its own, numbered: written under another name, synced, then renamed. A kill between any two steps leaves the state before.
 use crate::files;
-use oxbowhill::interface::NodeId;
+use scheduler::interface::NodeId;
 use std::collections::BTreeSet;
 use std::fs::{self, File};
 use std::io::{self, Write};
--- a/crates/lichenrudder/src/bans.rs
+++ b/crates/gateway/src/bans.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future;
-use oxbowhill::interface::{NodeEntry, NodeId, NodeState};
+use scheduler::interface::{NodeEntry, NodeId, NodeState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
 use std::path::PathBuf;
--- a/crates/lichenrudder/src/blocks.rs
+++ b/crates/gateway/src/blocks.rs
@@ -11,7 +11,7 @@
 use iscsi::initiator::{Initiator, Told};
 use iscsi::scsi::{self, status};
 use iscsi::BLOCK;
-use oxbowhill::interface::Ending;
+use scheduler::interface::Ending;
 
 /// The LUN and the blocks that a request is about; none where its volume has no LUN.
 fn extent(context: &Context, attempt: &Attempt) -> Option<(u8, Extent)> {
--- a/crates/lichenrudder/src/boxes.rs
+++ b/crates/gateway/src/boxes.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use config::{Target, Targets};
 use dispatch::Attempt;
-use oxbowhill::interface::{ListNews, Micros, NodeEntry, NodeId, NodeState};
+use scheduler::interface::{ListNews, Micros, NodeEntry, NodeId, NodeState};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/lichenrudder/src/change_orders.rs
+++ b/crates/gateway/src/change_orders.rs
@@ -1,11 +1,11 @@
 //! Operators' calls about changes of configuration.
 use crate::changing::Changing;
 use crate::in_force::bytes;
-use accord::changes::{Query, State, Told};
-use accord::{Call, ToAccord};
 use async_io::Timer;
-use changes::{Class, Key, Order, Put, Refusal, Topic, Where};
-use fleet::Index;
+use cluster_types::Index;
+use config_distribution::{Class, Key, Order, Put, Refusal, Topic, Where};
+use coordination::changes::{Query, State, Told};
+use coordination::{Call, ToAccord};
 use futures_lite::future;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -77,7 +77,7 @@
 /// The answer to a call under the folder.
 pub async fn answer(
     changing: Option<&Changing>,
-    accord: Option<&accord::Handle>,
+    accord: Option<&coordination::Handle>,
     method: &str,
     target: &str,
     body: &[u8],
@@ -111,7 +111,7 @@
     future::or(answer, late).await
 }
 
-async fn order(accord: &accord::Handle, body: &[u8]) -> Vec<u8> {
+async fn order(accord: &coordination::Handle, body: &[u8]) -> Vec<u8> {
     let order = match read(body) {
         Ok(order) => order,
         Err(why) => return http::answer(400, "Bad Request", &format!("{why}\n")),
@@ -121,10 +121,12 @@
         return http::answer(503, "Service Unavailable", "too many calls wait\n");
     }
     match within(async { from.recv().await.ok() }).await {
-        Some(accord::Told::Yes(version)) => http::answer(200, "OK", &format!("{{\"version\":{version}}}\n")),
-        Some(accord::Told::Unknown(why)) => http::answer(400, "Bad Request", &why),
-        Some(accord::Told::No(why)) => http::answer(409, "Conflict", &why),
-        Some(accord::Told::Late(_)) | None => {
+        Some(coordination::Told::Yes(version)) => {
+            http::answer(200, "OK", &format!("{{\"version\":{version}}}\n"))
+        }
+        Some(coordination::Told::Unknown(why)) => http::answer(400, "Bad Request", &why),
+        Some(coordination::Told::No(why)) => http::answer(409, "Conflict", &why),
+        Some(coordination::Told::Late(_)) | None => {
             let why = "no majority of the voters could be reached: it may come yet; ordering it again does no harm\n";
             http::answer(503, "Service Unavailable", why)
         }
@@ -152,7 +154,8 @@
 }
 
 fn not_yet(told: &Where) -> Value {
-    let lag = |lag: &changes::Lag| json!({ "front": lag.front, "owes": lag.owes.0, "why": lag.why });
+    let lag =
+        |lag: &config_distribution::Lag| json!({ "front": lag.front, "owes": lag.owes.0, "why": lag.why });
     let refused = |(front, told): &(Arc<str>, Refusal)| {
         let mut value = refusal(told);
         value["front"] = json!(front);
--- a/crates/lichenrudder/src/changing.rs
+++ b/crates/gateway/src/changing.rs
@@ -1,15 +1,15 @@
 //! Changes of configuration at this front: what relays tell is put in force whole or not at all, over the file. An actor that
-//! meets the host (`accord::changes`) through mailboxes; without the section `[changes]` it is never started.
+//! meets the host (`coordination::changes`) through mailboxes; without the section `[changes]` it is never started.
 use crate::boxes::Boxes;
 use crate::context::Context;
 use crate::fellows::chance;
 use crate::in_force::{InForce, Next, Refused};
 use crate::mail::{Mail, Module};
 use crate::operators::Operators;
-use accord::changes::{Decide, Handle, Mailbox, Role, Settings, Upstream};
-use changes::{Scope, Topic};
+use cluster_types::MemberId;
 use config::{Changes, Config};
-use fleet::MemberId;
+use config_distribution::{Scope, Topic};
+use coordination::changes::{Decide, Handle, Mailbox, Role, Settings, Upstream};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -57,11 +57,11 @@
         Some(at) => Role::Relay(at),
         None => Role::Front(Scope::of(topics), section.state.clone()),
     };
-    let machine = changes::Settings {
+    let machine = config_distribution::Settings {
         batch: Duration::from_secs_f64(section.batch_s),
         most: section.most as usize,
         admission: (section.admission_bytes_s, section.admission_bytes_s),
-        ..changes::Settings::default()
+        ..config_distribution::Settings::default()
     };
     let voters = config.accord.iter().flat_map(|accord| &accord.members).map(|member| &member.name);
     let expects = voters.chain(section.relays.iter().map(|relay| &relay.name));
@@ -85,7 +85,7 @@
     let settings = settings(&config, section)?;
     let votes = matches!(settings.role, Role::Voter(_));
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let started = accord::changes::start(settings, mailbox, accord.as_ref(), log)?;
+    let started = coordination::changes::start(settings, mailbox, accord.as_ref(), log)?;
     let changing = Rc::new(Changing {
         context: context.clone(),
         module: module.clone(),
@@ -150,7 +150,7 @@
         self.handle.decided(refused).await;
     }
 
-    fn next(&self, whole: bool, changes: &[changes::Change]) -> Result<Next, Refused> {
+    fn next(&self, whole: bool, changes: &[config_distribution::Change]) -> Result<Next, Refused> {
         let config = self.context.config();
         let put =
             |over: &[Value]| config.put_under(|key| std::env::var(key).ok(), over).map_err(|e| e.to_string());
--- a/crates/lichenrudder/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -12,8 +12,8 @@
 use crate::wire::Wire;
 use async_channel::Sender;
 use dispatch::Request;
-use oxbowhill::interface::{Micros, RequestId};
-use ring::Ring;
+use ring_buffer::Ring;
+use scheduler::interface::{Micros, RequestId};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
--- a/crates/lichenrudder/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,6 +1,6 @@
 //! The program's one clock: microseconds that begin at Unix time and run on with the monotonic clock. It tells real spans;
 //! what time of day it is may be off, for the wall clock may be wrong at the start or stepped later.
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// The clock, as of the start.
--- a/crates/lichenrudder/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -1,7 +1,7 @@
 //! Commands of the platform's clients, turned into requests of the core.
 use crate::context::Context;
 use dispatch::{Bytes, Request};
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 
 /// A client's time began when it sent, and its answer has a way to go: so much of it is spent on that.
 const ON_THE_WAY: i64 = 2_000;
--- a/crates/lichenrudder/src/connect.rs
+++ b/crates/gateway/src/connect.rs
@@ -8,7 +8,7 @@
 use dispatch::Attempt;
 use futures_lite::future;
 use iscsi::initiator::Initiator;
-use oxbowhill::interface::{Ending, Micros};
+use scheduler::interface::{Ending, Micros};
 use std::io;
 use std::net::SocketAddr;
 
--- a/crates/lichenrudder/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -6,7 +6,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use config::Config;
-use oxbowhill::interface::{Micros, RequestId};
+use scheduler::interface::{Micros, RequestId};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
--- a/crates/lichenrudder/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use dispatch::Attempt;
 use futures_lite::{future, StreamExt};
-use oxbowhill::interface::Ending;
+use scheduler::interface::Ending;
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/crates/lichenrudder/src/fellows.rs
+++ b/crates/gateway/src/fellows.rs
@@ -4,13 +4,13 @@
 use crate::boxes::Boxes;
 use crate::context::Context;
 use crate::mail::{Mail, Module};
-use accord::{Fellow, Handle, Measures, Seen, Settings, ToAccord, ToFront};
 use async_channel::Receiver;
 use async_io::Timer;
-use fleet::{BoxId, Hall, MemberId, Volume};
+use cluster_types::{BackendId, MemberId, Volume, Zone};
+use coordination::{Fellow, Handle, Measures, Seen, Settings, ToAccord, ToFront};
 use futures_lite::future;
 use maintenance::{Rules, Share};
-use oxbowhill::interface::{Micros, NodeId, NodeState};
+use scheduler::interface::{Micros, NodeId, NodeState};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 fn settings(context: &Context, section: &config::Accord) -> Result<Settings, String> {
     let keys = section.keys().map_err(|e| e.to_string())?;
     let fellow = |m: &config::Fellow| {
-        (MemberId(m.name.as_str().into()), Fellow { at: m.at, hall: Hall(m.hall.as_str().into()) })
+        (MemberId(m.name.as_str().into()), Fellow { at: m.at, hall: Zone(m.hall.as_str().into()) })
     };
     let ms = |s: f64| (s * 1000.0) as u64;
     let stage = ms(section.out.stage_s).max(1);
@@ -44,7 +44,7 @@
     rules.check().map_err(|e| format!("accord.out.{e}"))?;
     Ok(Settings {
         me: MemberId(context.config().name.as_str().into()),
-        hall: Hall(section.hall.as_str().into()),
+        hall: Zone(section.hall.as_str().into()),
         listen: section.listen,
         state: section.state.clone(),
         keys,
@@ -71,13 +71,13 @@
     context: &Rc<Context>,
     module: &Module,
     boxes: &Rc<Boxes>,
-    serves: Option<accord::changes::Mailbox>,
+    serves: Option<coordination::changes::Mailbox>,
 ) -> Result<Option<Handle>, String> {
     let config = context.config();
     let Some(section) = &config.accord else { return Ok(None) };
     let (to_front, letters) = async_channel::bounded(LETTERS);
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let handle = accord::start(settings(context, section)?, to_front, serves, log)?;
+    let handle = coordination::start(settings(context, section)?, to_front, serves, log)?;
     context.executor.spawn(follow(context.clone(), boxes.clone(), letters)).detach();
     let measuring = measure(context.clone(), module.clone(), boxes.clone(), handle.clone());
     context.executor.spawn(measuring).detach();
@@ -135,7 +135,7 @@
     for place in &places {
         place.tally.on.set(true);
         let entry = place.entry.borrow();
-        let id = BoxId(entry.node.0.clone());
+        let id = BackendId(entry.node.0.clone());
         let (out, sent) = place.tally.out();
         let rates = place.tally.rates(now);
         let silent = place.tally.answered().is_none_or(|at| now.0 - at.0 > SILENT);
@@ -160,7 +160,7 @@
                 let other = other.entry.borrow();
                 other.shard == entry.shard && other.state == NodeState::Ready && other.node != entry.node
             });
-            let ids = others.map(|other| BoxId(other.entry.borrow().node.0.clone()));
+            let ids = others.map(|other| BackendId(other.entry.borrow().node.0.clone()));
             ids.chain([id.clone()]).for_each(|id| *all.1.entry(id).or_default() += rate);
         }
         measures.boxes.insert(id, seen);
--- a/crates/lichenrudder/src/gathering_actor.rs
+++ b/crates/gateway/src/gathering_actor.rs
@@ -9,11 +9,11 @@
 use crate::value::Answer;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
+use cluster_types::{Time, Zone};
 use dispatch::Bytes;
-use fleet::{Hall, Time};
 use futures_lite::{future, StreamExt};
-use gather::{Action, Budget, Ended, Event, GatherId, Gathers, Halls, Rules};
-use oxbowhill::interface::{Micros, RequestId};
+use scatter_gather::{Action, Budget, Ended, Event, GatherId, Gathers, Halls, Rules};
+use scheduler::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -48,8 +48,8 @@
 }
 
 /// The hall in which this front stands, where that is known.
-fn own_hall(context: &Context) -> Option<Hall> {
-    context.config().accord.as_ref().map(|accord| Hall(accord.hall.as_str().into()))
+fn own_hall(context: &Context) -> Option<Zone> {
+    context.config().accord.as_ref().map(|accord| Zone(accord.hall.as_str().into()))
 }
 
 enum Woken {
@@ -144,7 +144,7 @@
                 let parts = vec![None; begin.policy.parts.len()];
                 self.open.insert(id, Open { begin, parts });
             }
-            Err(gather::Full) => {
+            Err(scatter_gather::Full) => {
                 self.context.tallies.answer(begin.request.class, 1);
                 put(&begin, worded(Answer::Refused(Some(AGAIN))));
             }
--- a/crates/lichenrudder/src/gathering_parts.rs
+++ b/crates/gateway/src/gathering_parts.rs
@@ -3,11 +3,11 @@
 use crate::context::Context;
 use crate::gathering::Begin;
 use crate::value::{Answer, Value};
+use cluster_types::Zone;
 use config::Config;
 use dispatch::{Bytes, Extent, Request};
-use fleet::Hall;
-use gather::{Ended, GatherId};
-use oxbowhill::interface::{Micros, RequestId};
+use scatter_gather::{Ended, GatherId};
+use scheduler::interface::{Micros, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     /// Its place in the tier.
     pub place: usize,
     /// Its hall.
-    pub hall: Hall,
+    pub hall: Zone,
     /// When it was asked.
     pub asked: Micros,
     /// Until when its request may run.
--- a/crates/lichenrudder/src/gathering_reply.rs
+++ b/crates/gateway/src/gathering_reply.rs
@@ -3,8 +3,8 @@
 use crate::reply::{worded, Reply};
 use crate::value;
 use dispatch::Bytes;
-use gather::{Answer, Gathered, Held};
-use oxbowhill::interface::Micros;
+use scatter_gather::{Answer, Gathered, Held};
+use scheduler::interface::Micros;
 
 /// The one answer's words. Values keep their place in the bound on memory until they are written.
 pub fn reply(answer: Answer<Bytes>) -> Reply {
@@ -40,8 +40,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use fleet::Time;
-    use gather::{Budget, Ended, Event, Gathers, Halls, Rules};
+    use cluster_types::Time;
+    use scatter_gather::{Budget, Ended, Event, Gathers, Halls, Rules};
 
     /// What a client is sent where these two parts end so, and the budget.
     fn told(ends: [Ended<Bytes>; 2]) -> (Reply, Budget) {
@@ -59,7 +59,7 @@
             gathers.handle(now, id, Event::Ended { part, result }, &mut out);
         }
         let answer = out.into_iter().find_map(|(_, action)| match action {
-            gather::Action::Answer(answer) => Some(answer),
+            scatter_gather::Action::Answer(answer) => Some(answer),
             _ => None,
         });
         (reply(answer.unwrap()), budget)
--- a/crates/lichenrudder/src/in_force.rs
+++ b/crates/gateway/src/in_force.rs
@@ -1,7 +1,7 @@
 //! What changes of configuration come to at this front: settings that lie over the file's own, and boxes of shards.
-use changes::{Change, Key, Topic};
 use config::{Config, Target, Targets};
-use oxbowhill::interface::NodeId;
+use config_distribution::{Change, Key, Topic};
+use scheduler::interface::NodeId;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -159,7 +159,7 @@
         left.filter_map(|(node, mut target)| {
             let listed = known.targets.iter().find(|t| t.entry.node == node).cloned();
             if listed.is_none() {
-                target.entry.state = oxbowhill::interface::NodeState::Gone;
+                target.entry.state = scheduler::interface::NodeState::Gone;
             }
             config.discovery.is_none().then(|| listed.unwrap_or(target))
         })
@@ -183,9 +183,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use changes::Class;
-    use fleet::Index;
-    use oxbowhill::interface::NodeState;
+    use cluster_types::Index;
+    use config_distribution::Class;
+    use scheduler::interface::NodeState;
 
     const FILE: &str = include_str!("../../../deploy/changes-front.toml");
 
--- a/crates/lichenrudder/src/iscsi_front.rs
+++ b/crates/gateway/src/iscsi_front.rs
@@ -16,7 +16,7 @@
 use futures_lite::{future, StreamExt};
 use iscsi::scsi::Disk;
 use iscsi::target::Shown;
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
--- a/crates/lichenrudder/src/iscsi_request.rs
+++ b/crates/gateway/src/iscsi_request.rs
@@ -5,7 +5,7 @@
 use dispatch::{Bytes, Extent, Request};
 use iscsi::scsi::Sense;
 use iscsi::target::Outcome;
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 
 /// A command as a request of the core; none where the configuration does not have what it names.
 pub fn request(
--- a/crates/lichenrudder/src/iscsi_session.rs
+++ b/crates/gateway/src/iscsi_session.rs
@@ -9,7 +9,7 @@
 use async_channel::{Receiver, Sender};
 use dispatch::{Bytes, Request};
 use iscsi::target::{Event, Target};
-use oxbowhill::interface::{Micros, RequestId};
+use scheduler::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
--- a/crates/lichenrudder/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -9,7 +9,7 @@
 use backoff::{Caller, Failure, Law, LIVENESS};
 use config::Config;
 use futures_lite::{future, StreamExt};
-use oxbowhill::interface::{ListMode, ListNews, Micros};
+use scheduler::interface::{ListMode, ListNews, Micros};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/lichenrudder/src/mail.rs
+++ b/crates/gateway/src/mail.rs
@@ -2,7 +2,7 @@
 use crate::value::{Answer, Ended};
 use async_channel::Sender;
 use dispatch::Request;
-use oxbowhill::interface::{ListNews, NodeId, RequestId, Settings};
+use scheduler::interface::{ListNews, NodeId, RequestId, Settings};
 use std::rc::Rc;
 
 /// Where an answer goes: a front's connection, and the place in it.
--- a/crates/lichenrudder/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! lichenrudder: a front on real sockets round the decision module `oxbowhill`.
+//! The gateway: real sockets around the `scheduler`.
 mod accept;
 mod agent;
 mod arrivals;
@@ -67,14 +67,12 @@
             config::application(app).map(|text| say(&text)).map_err(|e| e.to_string())
         }
         ["config", "check", file] => check(file),
-        _ => {
-            Err("usage: lichenrudder | lichenrudder config write APP | lichenrudder config check FILE".into())
-        }
+        _ => Err("usage: gateway | gateway config write APP | gateway config check FILE".into()),
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            crate::log::line(format_args!("lichenrudder: {e}"));
+            crate::log::line(format_args!("gateway: {e}"));
             ExitCode::FAILURE
         }
     }
--- a/crates/lichenrudder/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use dispatch::{Bound, Core, Counters, Effect};
 use futures_lite::{future, StreamExt};
-use oxbowhill::interface::{Ending, Settings, SettingsError};
+use scheduler::interface::{Ending, Settings, SettingsError};
 use std::rc::Rc;
 
 /// The most requests that the core holds.
--- a/crates/lichenrudder/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -32,7 +32,7 @@
     /// What is taken out by hand.
     pub bans: Rc<Bans>,
     /// The hosts of what fronts settle among themselves, where there are any.
-    pub accord: Option<accord::Handle>,
+    pub accord: Option<coordination::Handle>,
     /// What is in force of changes of configuration, where any come.
     pub changing: Option<Rc<Changing>>,
     /// Answers that are gathered from parts, where there are any.
--- a/crates/lichenrudder/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,7 +1,7 @@
 //! Operators' calls about what the fronts settle among themselves.
-use accord::{Call, Handle, ToAccord, Told};
 use async_io::Timer;
-use fleet::{BoxId, MemberId};
+use cluster_types::{BackendId, MemberId};
+use coordination::{Call, Handle, ToAccord, Told};
 use futures_lite::future;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -59,7 +59,7 @@
         ["wishes", name, "withdraw"] if method == "POST" => Call::Withdraw { name: name.to_string() },
         ["wishes", name, "done"] if method == "POST" => Call::Done { name: name.to_string() },
         ["wishes", name, "returned"] if method == "POST" => match query.get("box") {
-            Some(id) => Call::Returned { name: name.to_string(), id: BoxId(id.as_str().into()) },
+            Some(id) => Call::Returned { name: name.to_string(), id: BackendId(id.as_str().into()) },
             None => return bad("box: which one is back?"),
         },
         ["members", name, "excuse"] if method == "POST" => Call::Excuse { member: MemberId((*name).into()) },
@@ -81,9 +81,9 @@
     if let Some(key) = query.keys().find(|k| !KEYS.contains(&k.as_str())) {
         return bad(format!("{key}: unknown; a wish has boxes, work_s, by_s and together"));
     }
-    let boxes: BTreeSet<BoxId> = query
+    let boxes: BTreeSet<BackendId> = query
         .get("boxes")
-        .map(|t| t.split(',').filter(|b| !b.is_empty()).map(BoxId::from).collect())
+        .map(|t| t.split(',').filter(|b| !b.is_empty()).map(BackendId::from).collect())
         .unwrap_or_default();
     if boxes.is_empty() {
         return bad("boxes: which ones? boxes=ID,ID");
--- a/crates/lichenrudder/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -13,7 +13,7 @@
 use config::Speaks;
 use dispatch::Attempt;
 use futures_lite::{future, StreamExt};
-use oxbowhill::interface::{Ending, Micros, NodeEntry};
+use scheduler::interface::{Ending, Micros, NodeEntry};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/lichenrudder/src/platform.rs
+++ b/crates/gateway/src/platform.rs
@@ -15,7 +15,7 @@
 use async_io::{Async, Timer};
 use dispatch::Bytes;
 use futures_lite::{future, StreamExt};
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
--- a/crates/lichenrudder/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use dispatch::Request;
 use futures_lite::{future, StreamExt};
-use oxbowhill::interface::{Micros, RequestId};
+use scheduler::interface::{Micros, RequestId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/lichenrudder/src/reply.rs
+++ b/crates/gateway/src/reply.rs
@@ -14,7 +14,7 @@
     /// The head of a bulk string, and its value.
     Value(Vec<u8>, Bytes),
     /// Pieces, one after the other, and what they hold of another bound until they are written.
-    Pieces(Vec<Bytes>, #[allow(dead_code, reason = "held, not read")] Vec<gather::Held>),
+    Pieces(Vec<Bytes>, #[allow(dead_code, reason = "held, not read")] Vec<scatter_gather::Held>),
 }
 
 /// An answer that waits for its client; its bytes count against the bound while it does.
--- a/crates/lichenrudder/src/restart.rs
+++ b/crates/gateway/src/restart.rs
@@ -1,5 +1,5 @@
 //! The times of a planned restart, counted from SIGTERM. Knows no clock.
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 
 /// A longer deadline counts as this long.
 const LONGEST_DEADLINE: i64 = 3_000_000;
--- a/crates/lichenrudder/src/seats.rs
+++ b/crates/gateway/src/seats.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/lichenrudder/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -13,7 +13,7 @@
 use crate::{changing, fellows, files, gathering_actor, handover, iscsi_front, list, module, platform};
 use async_channel::Receiver;
 use async_io::Timer;
-use oxbowhill::interface::ListNews;
+use scheduler::interface::ListNews;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -73,7 +73,8 @@
     context.life.serving.set(!config.known.targets.is_empty());
     let mailbox = changing::mailbox(&config);
     let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
-    on.accord = fellows::start(&context, &module, &boxes, voter.map(accord::changes::Mailbox::for_the_log))?;
+    on.accord =
+        fellows::start(&context, &module, &boxes, voter.map(coordination::changes::Mailbox::for_the_log))?;
     running.accord = on.accord.clone();
     on.changing = match mailbox {
         Some(mailbox) => Some(changing::start(&on, mailbox).await?),
--- a/crates/lichenrudder/src/start_times.rs
+++ b/crates/gateway/src/start_times.rs
@@ -3,7 +3,7 @@
 //! Discovery tells starts in Unix time. A wall clock that is ahead, here or where the server runs, would make a server that has
 //! just started pass for warm. So a start counts from when this process was first notified of it, unless it lies further back
 //! than any step of the wall clock can feign.
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The wall clock may be stepped by an hour, either way.
--- a/crates/lichenrudder/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::{future, StreamExt};
-use oxbowhill::interface::{ListNews, Micros};
+use scheduler::interface::{ListNews, Micros};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     /// The list's mailbox.
     pub watch: Sender<Ask>,
     /// The hosts of what fronts settle among themselves, where there are any.
-    pub accord: Option<accord::Handle>,
+    pub accord: Option<coordination::Handle>,
     /// What is in force of changes of configuration, where any come.
     pub changing: Option<Rc<Changing>>,
 }
@@ -113,7 +113,7 @@
         self.boxes.stop();
         if let Some(accord) = &self.accord {
             // Nothing is sent any more: those who wait for this front's word need not.
-            accord.tell(accord::ToAccord::Stopping);
+            accord.tell(coordination::ToAccord::Stopping);
             Timer::after(GOODBYE).await;
         }
         Timer::after(Duration::from_millis(5)).await;
--- a/crates/lichenrudder/src/tally.rs
+++ b/crates/gateway/src/tally.rs
@@ -1,6 +1,6 @@
 //! What a front measures of a disk box for those it acts together with: what is out there, when it was last sent to, what it
 //! served for which volume. Nothing is counted where nobody asks.
-use oxbowhill::interface::{Ending, Micros};
+use scheduler::interface::{Ending, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/lichenrudder/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -2,7 +2,7 @@
 use crate::reason::Reason;
 use crate::socket::Socket;
 use futures_lite::{Stream, StreamExt};
-use ring::Ring;
+use ring_buffer::Ring;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/lichenrudder/src/words.rs
+++ b/crates/gateway/src/words.rs
@@ -1,7 +1,7 @@
 //! The words of an attempt at a disk box that speaks RESP2: its command, and what a reply says.
 use crate::context::Context;
 use dispatch::{Attempt, Bytes};
-use oxbowhill::interface::Ending;
+use scheduler::interface::Ending;
 
 /// The command of an attempt.
 pub fn command(context: &Context, attempt: &Attempt) -> Vec<u8> {
--- a/crates/lichenrudder/tests/arrivals.rs
+++ b/crates/gateway/tests/arrivals.rs
@@ -4,7 +4,7 @@
 mod arrivals;
 
 use arrivals::Arrivals;
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 
 const MS: i64 = 1000;
 
--- a/crates/lichenrudder/tests/callers.rs
+++ b/crates/gateway/tests/callers.rs
@@ -5,10 +5,10 @@
 mod bench;
 
 use bench::{most, Bench, Time, ALL, FRONTS};
-use rig::discovery::{Manner, Refusal};
 use rstest::rstest;
 use std::thread::sleep;
 use std::time::Duration;
+use test_cluster::discovery::{Manner, Refusal};
 
 /// Until nine in ten and until all have their list, as multiples of what discovery needs for those that lost it.
 const WITHIN: (f64, f64) = (1.2, 1.35);
--- a/crates/lichenrudder/tests/callers/bench.rs
+++ b/crates/gateway/tests/callers/bench.rs
@@ -1,11 +1,11 @@
 //! Five real fronts and hollow callers beside them before one discovery that takes calls in turn.
-use rig::discovery::{Outcome, Refusal, Turns};
-use rig::hollow::Hollow;
-use rig::rig::Rig;
-use rig::setup::{Setup, BASE};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
+use test_cluster::discovery::{Outcome, Refusal, Turns};
+use test_cluster::hollow::Hollow;
+use test_cluster::rig::Rig;
+use test_cluster::setup::{Setup, BASE};
 
 pub const FRONTS: usize = 5;
 /// What discovery needs for the whole fleet, one after the other: the span measured on the day that was lost.
@@ -24,7 +24,7 @@
 
 impl Bench {
     pub fn new(fleet: usize, refusal: Refusal) -> Bench {
-        let mut setup = Setup::usual(Path::new(env!("CARGO_BIN_EXE_lichenrudder")), fleet as u64);
+        let mut setup = Setup::usual(Path::new(env!("CARGO_BIN_EXE_gateway")), fleet as u64);
         (setup.fronts, setup.boxes, setup.cells) = (FRONTS, 2, 1);
         setup.text = BASE.replace("FleetSize = @FRONTS@", "FleetSize = @FLEET@");
         assert!(setup.text.contains("@FLEET@"));
--- a/crates/lichenrudder/tests/changes/fleet.rs
+++ b/crates/gateway/tests/changes/fleet.rs
@@ -1,12 +1,12 @@
 //! A small fleet on loopback: voters, relays and fronts as processes of the program, and what operators ask of them.
 use crate::common::{address, config, spawn, Program};
-use rig::operator::call;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::Stdio;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use test_cluster::operator::call;
 
 pub const KEY: &str = "6f1d0c5ab2e94877a3c0d1f28e5b46979c2a7710e4d35f8b60a1c9e2d7f48b35";
 /// A class that the fronts' file does not have.
--- a/crates/lichenrudder/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -68,7 +68,7 @@
 
 /// The same, with a folder in which it finds what another process of the front leaves.
 pub fn spawn_in(text: &str, ip: &str, stderr: Stdio, folder: Option<&Path>) -> Program {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lichenrudder"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_gateway"));
     command.stderr(stderr).env_remove("TMPDIR");
     if let Some(folder) = folder {
         command.env("TMPDIR", folder);
@@ -78,7 +78,7 @@
 
 /// The same, with so many descriptors from the system.
 pub fn spawn_limited(text: &str, ip: &str, descriptors: usize) -> Program {
-    let run = format!("ulimit -n {descriptors} && exec {}", env!("CARGO_BIN_EXE_lichenrudder"));
+    let run = format!("ulimit -n {descriptors} && exec {}", env!("CARGO_BIN_EXE_gateway"));
     let mut command = Command::new("sh");
     command.args(["-c", &run]).stderr(Stdio::null()).env_remove("TMPDIR");
     launch(command, text, ip)
@@ -86,7 +86,7 @@
 
 /// The same, with whatever else the command needs.
 pub fn spawn_as(text: &str, ip: &str, prepare: impl FnOnce(&mut Command)) -> Program {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_lichenrudder"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_gateway"));
     command.stderr(Stdio::null()).env_remove("TMPDIR");
     prepare(&mut command);
     launch(command, text, ip)
--- a/crates/lichenrudder/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -42,11 +42,7 @@
     let file = std::env::temp_dir().join(format!("lichenrudder-check-{ip}.toml"));
     let check = |text: &str| {
         std::fs::write(&file, text).unwrap();
-        Command::new(env!("CARGO_BIN_EXE_lichenrudder"))
-            .args(["config", "check"])
-            .arg(&file)
-            .output()
-            .unwrap()
+        Command::new(env!("CARGO_BIN_EXE_gateway")).args(["config", "check"]).arg(&file).output().unwrap()
     };
     let (wrong, right) = (check(&bad), check(&good));
     std::fs::remove_file(&file).unwrap();
@@ -57,7 +53,7 @@
 
 #[test]
 fn what_the_tool_writes_is_good_and_so_is_the_operators_file() {
-    let program = env!("CARGO_BIN_EXE_lichenrudder");
+    let program = env!("CARGO_BIN_EXE_gateway");
     let run = |words: &[&str]| Command::new(program).args(words).output().unwrap();
     let written = run(&["config", "write", "label-printer"]);
     assert!(written.status.success());
@@ -78,13 +74,13 @@
 #[case("changes-front.toml")]
 fn the_files_of_changes_pass_the_check(#[case] file: &str) {
     let file = format!("{}/../../deploy/{file}", env!("CARGO_MANIFEST_DIR"));
-    let run = Command::new(env!("CARGO_BIN_EXE_lichenrudder")).args(["config", "check", &file]).output();
+    let run = Command::new(env!("CARGO_BIN_EXE_gateway")).args(["config", "check", &file]).output();
     assert!(run.unwrap().status.success());
 }
 
 #[test]
 fn without_a_configuration_it_does_not_start() {
-    let output = Command::new(env!("CARGO_BIN_EXE_lichenrudder")).env_remove("GW_CONFIG").output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_gateway")).env_remove("GW_CONFIG").output().unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&output.stderr).contains("GW_CONFIG"));
 }
--- a/crates/lichenrudder/tests/gather.rs
+++ b/crates/gateway/tests/gather.rs
@@ -4,15 +4,15 @@
 mod client;
 
 use client::{joined, value, Answer, Client, ALL, ANY, NAMED, PATIENCE, VOLUME, WAIT};
-use gather::{parse, Cause, Told};
-use rig::engine::until;
-use rig::operator::call;
-use rig::rig::Rig;
-use rig::setup::Setup;
+use scatter_gather::{parse, Cause, Told};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
+use test_cluster::engine::until;
+use test_cluster::operator::call;
+use test_cluster::rig::Rig;
+use test_cluster::setup::Setup;
 
 fn gathers() -> String {
     let mut text = String::new();
@@ -35,7 +35,7 @@
 
 /// One front and four boxes, each with a shard of its own; the boxes stand in two halls in turn.
 fn rig(gathers: &str) -> Rig {
-    let mut setup = Setup::usual(Path::new(env!("CARGO_BIN_EXE_lichenrudder")), 7).with(gathers);
+    let mut setup = Setup::usual(Path::new(env!("CARGO_BIN_EXE_gateway")), 7).with(gathers);
     (setup.fronts, setup.boxes, setup.cells) = (1, 4, 4);
     setup.text = setup.text.replacen("DeadlineS = 1.2", "DeadlineS = 3.0", 1);
     let mut rig = Rig::new(setup).unwrap();
@@ -47,8 +47,8 @@
     rig
 }
 
-fn evidence(rig: &Rig) -> rig::verdict::Evidence {
-    rig.evidence(&rig::clients::History::default())
+fn evidence(rig: &Rig) -> test_cluster::verdict::Evidence {
+    rig.evidence(&test_cluster::clients::History::default())
 }
 
 fn figure(rig: &Rig, key: &str) -> Option<u64> {
@@ -64,7 +64,7 @@
     }
 }
 
-fn places(missing: &[gather::Missing]) -> BTreeSet<usize> {
+fn places(missing: &[scatter_gather::Missing]) -> BTreeSet<usize> {
     missing.iter().map(|m| m.part[1..].parse().unwrap()).collect()
 }
 
@@ -127,7 +127,7 @@
     client.whole(ANY);
     for n in [1, 3] {
         let place = rig.place(&format!("box-{n}")).unwrap();
-        place.set(rig::boxes::Manner { service: Duration::from_millis(200), ..place.manner() });
+        place.set(test_cluster::boxes::Manner { service: Duration::from_millis(200), ..place.manner() });
     }
     until(PATIENCE, || {
         client.ask(ANY);
@@ -169,7 +169,7 @@
 #[test]
 fn a_front_that_only_speaks_iscsi_is_refused_what_it_cannot_say() {
     let file = std::env::temp_dir().join(format!("gather-iscsi-{}.toml", std::process::id()));
-    let program = env!("CARGO_BIN_EXE_lichenrudder");
+    let program = env!("CARGO_BIN_EXE_gateway");
     let written = Command::new(program).args(["config", "write", "x"]).output().unwrap().stdout;
     let text = String::from_utf8(written).unwrap();
     let listen = text.lines().find(|l| l.starts_with("listen = ")).unwrap().to_string();
--- a/crates/lichenrudder/tests/gather/client.rs
+++ b/crates/gateway/tests/gather/client.rs
@@ -1,10 +1,10 @@
 //! A client of gathers: what it asks, and what it is answered.
-use gather::{parse, Told};
-use rig::engine::until;
+use scatter_gather::{parse, Told};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
+use test_cluster::engine::until;
 
 /// How long a client waits, as it says.
 pub const WAIT: Duration = Duration::from_secs(3);
--- a/crates/lichenrudder/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -7,10 +7,10 @@
 mod fleet;
 use common::{address, call, config, spawn_in, Program};
 use fleet::{until, Fleet, Machine};
-use rig::operator;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::time::Duration;
+use test_cluster::operator;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 
--- a/crates/lichenrudder/tests/persisted.rs
+++ b/crates/gateway/tests/persisted.rs
@@ -3,10 +3,10 @@
 mod common;
 use common::server::Server;
 use common::{address, ask, call, config, spawn_as, Program};
-use rig::faults::Faults;
 use std::io::{Read, Write};
 use std::path::Path;
 use std::time::{Duration, Instant};
+use test_cluster::faults::Faults;
 
 const SUSPEND: &str = "POST /v1/chunk-servers/box-0/suspend";
 const RESUME: &str = "POST /v1/chunk-servers/box-0/resume";
--- a/crates/lichenrudder/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -4,8 +4,8 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod restart;
 
-use oxbowhill::interface::Micros;
 use restart::over;
+use scheduler::interface::Micros;
 
 #[test]
 fn clients_are_served_until_shortly_before_the_kill_which_finds_no_connection() {
--- a/crates/lichenrudder/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -4,16 +4,16 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use rig::boxes::Manner;
-use rig::clients::{Clients, End, History, Load, Volume};
-use rig::rig::Rig;
-use rig::setup::{Setup, BASE};
-use rig::verdict::{booked_once, one_answer, refused_never_ran, served, Verdict};
 use rustix::process::Signal;
 use std::net::TcpStream;
 use std::path::Path;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use test_cluster::boxes::Manner;
+use test_cluster::clients::{Clients, End, History, Load, Volume};
+use test_cluster::rig::Rig;
+use test_cluster::setup::{Setup, BASE};
+use test_cluster::verdict::{booked_once, one_answer, refused_never_ran, served, Verdict};
 
 /// Seeds that are played where none is named, and rounds of each.
 const SEEDS: u64 = 2;
@@ -118,7 +118,7 @@
 fn play(seed: u64) {
     println!("SOAK_SEED={seed}");
     let mut rng = SmallRng::seed_from_u64(seed);
-    let program = Path::new(env!("CARGO_BIN_EXE_lichenrudder"));
+    let program = Path::new(env!("CARGO_BIN_EXE_gateway"));
     let setup = Setup { fronts: 2, boxes: 4, cells: 2, text: file(1000), ..Setup::usual(program, seed) };
     let mut rig = Rig::new(setup).unwrap();
     rig.start(BACK).unwrap();
--- a/crates/lichenrudder/tests/start_times.rs
+++ b/crates/gateway/tests/start_times.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod start_times;
 
-use oxbowhill::interface::Micros;
+use scheduler::interface::Micros;
 use start_times::Start;
 
 const HOUR: i64 = 3_600_000_000;
--- a/crates/lichenrudder/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -3,12 +3,12 @@
 mod common;
 use common::server::Server;
 use common::{address, ask, book, config, spawn, spawn_as, Program};
-use rig::faults::Faults;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::process::Stdio;
 use std::time::{Duration, Instant};
+use test_cluster::faults::Faults;
 
 /// Requests of one play, each on a connection of its own.
 const REQUESTS: u64 = 120;
--- a/crates/lichenrudder/tests/tally.rs
+++ b/crates/gateway/tests/tally.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod tally;
 
-use oxbowhill::interface::{Ending, Micros};
+use scheduler::interface::{Ending, Micros};
 use std::rc::Rc;
 use tally::Tally;
 
--- a/crates/lichenrudder/tests/voter_disk.rs
+++ b/crates/gateway/tests/voter_disk.rs
@@ -2,9 +2,9 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::{address, call, config, spawn_as, Program};
-use rig::faults::Faults;
 use std::path::Path;
 use std::time::{Duration, Instant};
+use test_cluster::faults::Faults;
 
 const CALLS: &str = "pwrite64=EIO/1 write=ENOSPC/1 fsync=EIO/1 fdatasync=EIO/1";
 
--- a/crates/lichenrudder/tests/wall_clock.rs
+++ b/crates/gateway/tests/wall_clock.rs
@@ -7,11 +7,11 @@
 use common::server::Server;
 use common::{address, ask, book, call, config, spawn_as};
 use discovery::Discovery;
-use rig::faults::Faults;
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use test_cluster::faults::Faults;
 
 /// Requests a second, on some connections in turn.
 const RATE: u32 = 150;
--- a/crates/maintenance/src/back.rs
+++ b/crates/maintenance/src/back.rs
@@ -2,7 +2,7 @@
 use crate::command::Effect;
 use crate::desk::{Desk, Place};
 use crate::why::Why;
-use fleet::{BoxId, Index, MemberId};
+use cluster_types::{BackendId, Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -95,14 +95,14 @@
 
 impl Desk {
     /// The boxes that are on their way back.
-    pub fn returning(&self) -> impl Iterator<Item = (&BoxId, &Returning)> {
+    pub fn returning(&self) -> impl Iterator<Item = (&BackendId, &Returning)> {
         self.places.iter().filter_map(|(id, place)| match place {
             Place::Returning(returning) => Some((id, returning)),
             Place::Out(_) => None,
         })
     }
 
-    fn returning_mut(&mut self, id: &BoxId) -> Result<&mut Returning, Why> {
+    fn returning_mut(&mut self, id: &BackendId) -> Result<&mut Returning, Why> {
         match self.places.get_mut(id) {
             Some(Place::Returning(returning)) => Ok(returning),
             _ => Err(Why::Unknown),
@@ -111,7 +111,7 @@
 
     pub(crate) fn stage(
         &mut self,
-        id: &BoxId,
+        id: &BackendId,
         after: Index,
         stage: usize,
         parts: &BTreeMap<MemberId, u16>,
@@ -158,7 +158,7 @@
     pub(crate) fn staged(
         &mut self,
         by: &MemberId,
-        id: &BoxId,
+        id: &BackendId,
         number: Index,
         member: &MemberId,
     ) -> Result<(), Why> {
@@ -175,7 +175,7 @@
         Ok(())
     }
 
-    pub(crate) fn warm(&mut self, id: &BoxId, number: Index, out: &mut Vec<Effect>) -> Result<(), Why> {
+    pub(crate) fn warm(&mut self, id: &BackendId, number: Index, out: &mut Vec<Effect>) -> Result<(), Why> {
         let last = self.rules.last_stage();
         let warm = self.facts.fact(id).is_some_and(|f| f.listed && !f.died && !f.cold);
         let returning = self.returning_mut(id)?;
--- a/crates/maintenance/src/bounds.rs
+++ b/crates/maintenance/src/bounds.rs
@@ -1,6 +1,6 @@
 //! How many boxes are out, and whether some more may go.
 use crate::desk::{Desk, Place};
-use fleet::{BoxId, Hall, Volume};
+use cluster_types::{BackendId, Volume, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -11,7 +11,7 @@
     /// The whole.
     Whole,
     /// A hall.
-    Hall(Hall),
+    Zone(Zone),
     /// A volume's boxes.
     Volume(Volume),
     /// What is reserved for a volume.
@@ -22,7 +22,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Bound::Whole => f.write_str("as many are out as may be in the whole"),
-            Bound::Hall(hall) => write!(f, "as many are out as may be in hall {hall}"),
+            Bound::Zone(hall) => write!(f, "as many are out as may be in hall {hall}"),
             Bound::Volume(volume) => write!(f, "as many are out as may be of volume {volume}"),
             Bound::Reserve(volume) => write!(f, "volume {volume} would be left without what is reserved"),
         }
@@ -41,12 +41,12 @@
 /// The boxes that count as out.
 pub(crate) struct Tally<'a> {
     pub(crate) desk: &'a Desk,
-    pub(crate) out: BTreeMap<&'a BoxId, OutBy>,
+    pub(crate) out: BTreeMap<&'a BackendId, OutBy>,
     /// Whether only grants count.
     granted: bool,
 }
 
-pub(crate) type Step = BTreeSet<BoxId>;
+pub(crate) type Step = BTreeSet<BackendId>;
 
 impl<'a> Tally<'a> {
     pub(crate) fn new(desk: &'a Desk) -> Tally<'a> {
@@ -73,10 +73,10 @@
         Tally { desk, out, granted: true }
     }
 
-    pub(crate) fn is_in(&self, id: &BoxId, bound: &Bound) -> bool {
+    pub(crate) fn is_in(&self, id: &BackendId, bound: &Bound) -> bool {
         match bound {
             Bound::Whole => true,
-            Bound::Hall(hall) => self.desk.facts.fact(id).is_some_and(|f| f.hall == *hall),
+            Bound::Zone(hall) => self.desk.facts.fact(id).is_some_and(|f| f.hall == *hall),
             Bound::Volume(v) | Bound::Reserve(v) => {
                 self.desk.facts.volumes.get(v).is_some_and(|m| m.fact.boxes.contains_key(id))
             }
@@ -84,10 +84,10 @@
     }
 
     /// All bounds that boxes come under.
-    pub(crate) fn bounds_of<'b>(&self, boxes: impl Iterator<Item = &'b BoxId>) -> BTreeSet<Bound> {
+    pub(crate) fn bounds_of<'b>(&self, boxes: impl Iterator<Item = &'b BackendId>) -> BTreeSet<Bound> {
         let mut bounds = BTreeSet::from([Bound::Whole]);
         for id in boxes {
-            bounds.extend(self.desk.facts.fact(id).map(|f| Bound::Hall(f.hall.clone())));
+            bounds.extend(self.desk.facts.fact(id).map(|f| Bound::Zone(f.hall.clone())));
             for (volume, _) in self.desk.facts.volumes_of(id) {
                 bounds.insert(Bound::Volume(volume.clone()));
                 if !self.granted {
@@ -102,14 +102,14 @@
         let rules = &self.desk.rules;
         let cap = match bound {
             Bound::Whole => rules.out,
-            Bound::Hall(_) => rules.out_hall,
+            Bound::Zone(_) => rules.out_hall,
             Bound::Volume(_) | Bound::Reserve(_) => rules.out_volume,
         };
         cap as usize
     }
 
     /// Whether a volume has what is reserved with all those out for which `out` holds.
-    pub(crate) fn reserve_kept(&self, volume: &Volume, out: impl Fn(&BoxId) -> bool) -> bool {
+    pub(crate) fn reserve_kept(&self, volume: &Volume, out: impl Fn(&BackendId) -> bool) -> bool {
         let Some(measured) = self.desk.facts.volumes.get(volume) else { return true };
         let fact = &measured.fact;
         let rest = fact.boxes.iter().filter(|(b, _)| !out(b)).map(|(_, n)| u128::from(*n)).sum::<u128>();
@@ -119,7 +119,7 @@
     /// Whether a step may go beside those out for which `counted` holds: what it adds goes beyond no bound. What
     /// counts already adds nothing.
     pub(crate) fn fits(&self, step: &Step, counted: impl Fn(OutBy) -> bool) -> Result<(), Bound> {
-        let is_out = |b: &BoxId| self.out.get(b).is_some_and(|by| counted(*by));
+        let is_out = |b: &BackendId| self.out.get(b).is_some_and(|by| counted(*by));
         let adds: Step = step.iter().filter(|b| !is_out(b)).cloned().collect();
         if adds.is_empty() {
             return Ok(());
@@ -152,7 +152,7 @@
     }
 
     /// Whether a step counts in full already, by its fate.
-    pub(crate) fn by_fate(&self, id: &BoxId) -> bool {
+    pub(crate) fn by_fate(&self, id: &BackendId) -> bool {
         self.out.get(id) == Some(&OutBy::Fate)
     }
 }
--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -3,7 +3,7 @@
 use crate::rules::Rules;
 use crate::status::Status;
 use crate::why::Why;
-use fleet::{BoxId, Index, MemberId};
+use cluster_types::{BackendId, Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,7 +29,7 @@
         /// By this name it is withdrawn and asked for; repeated with the same content it is told how it stands.
         name: String,
         /// The boxes.
-        boxes: BTreeSet<BoxId>,
+        boxes: BTreeSet<BackendId>,
         /// How long each may be out.
         work_ms: u64,
         /// The Unix time after which nothing of it is begun.
@@ -47,7 +47,7 @@
         /// The wish.
         name: String,
         /// One box, or all that wait of a wish that goes together.
-        boxes: BTreeSet<BoxId>,
+        boxes: BTreeSet<BackendId>,
     },
     /// A front has drained all boxes of a grant. Only its own word counts.
     Drained {
@@ -61,7 +61,7 @@
         /// The wish.
         name: String,
         /// The box.
-        id: BoxId,
+        id: BackendId,
     },
     /// The operator has put all of a wish back, and what still waits is dropped.
     Done {
@@ -71,7 +71,7 @@
     /// The leader gives the fronts their parts of a returning box's cold budget.
     Stage {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// The number of the step that this follows; a late one does not count.
         after: Index,
         /// The stage.
@@ -82,7 +82,7 @@
     /// A front keeps to its part. Only its own word counts.
     Staged {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// The step.
         number: Index,
         /// The front.
@@ -91,7 +91,7 @@
     /// A returning box is warm and counts as in.
     Warm {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// The step that it was in.
         number: Index,
     },
@@ -102,9 +102,9 @@
         /// Whether, with this, all boxes and volumes are known.
         whole: bool,
         /// Boxes of which something has changed.
-        boxes: BTreeMap<BoxId, BoxFact>,
+        boxes: BTreeMap<BackendId, BoxFact>,
         /// Volumes of which something has changed, or which were measured again; one without boxes is forgotten.
-        volumes: BTreeMap<fleet::Volume, VolumeFact>,
+        volumes: BTreeMap<cluster_types::Volume, VolumeFact>,
     },
     /// A front's own word on itself.
     Roster {
@@ -139,7 +139,7 @@
         /// The grant.
         grant: Index,
         /// The boxes.
-        boxes: BTreeSet<BoxId>,
+        boxes: BTreeSet<BackendId>,
     },
     /// All fronts have drained: the operator is told "open it".
     Free {
@@ -148,12 +148,12 @@
         /// The wish.
         name: String,
         /// The boxes.
-        boxes: BTreeSet<BoxId>,
+        boxes: BTreeSet<BackendId>,
     },
     /// A box comes back, by these parts of its cold budget.
     Return {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// The step.
         number: Index,
         /// The stage; none before the first.
@@ -162,14 +162,14 @@
     /// A box counts as in.
     In {
         /// The box.
-        id: BoxId,
+        id: BackendId,
     },
     /// The deadline has passed; these boxes are not taken out.
     Missed {
         /// The wish.
         name: String,
         /// The boxes.
-        boxes: BTreeSet<BoxId>,
+        boxes: BTreeSet<BackendId>,
     },
     /// Boxes have been open for longer than stated. They go on counting as out.
     Overdue {
@@ -178,14 +178,14 @@
         /// The wish.
         name: String,
         /// The boxes.
-        boxes: BTreeSet<BoxId>,
+        boxes: BTreeSet<BackendId>,
     },
     /// A box that waited is no longer listed and is not taken out.
     Gone {
         /// The wish.
         name: String,
         /// The box.
-        id: BoxId,
+        id: BackendId,
     },
     /// Nothing of a wish is to come any more.
     Ended(Status),
--- a/crates/maintenance/src/desk.rs
+++ b/crates/maintenance/src/desk.rs
@@ -9,7 +9,7 @@
 use crate::status::Status;
 use crate::why::Why;
 use crate::wish::{Fate, Wish};
-use fleet::{BoxId, Index, MemberId, Volume};
+use cluster_types::{BackendId, Index, MemberId, Volume};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -33,7 +33,7 @@
     /// Wishes that have ended, the oldest first.
     pub(crate) ended: VecDeque<(String, Wish)>,
     pub(crate) grants: BTreeMap<Index, Grant>,
-    pub(crate) places: BTreeMap<BoxId, Place>,
+    pub(crate) places: BTreeMap<BackendId, Place>,
     pub(crate) facts: Facts,
     pub(crate) roster: BTreeMap<MemberId, Seat>,
     pub(crate) refused: u64,
@@ -124,7 +124,7 @@
             if name.is_empty() || name.len() > limits::NAME || !boxes.contains(&wish.boxes.len()) {
                 return Err(Why::Malformed);
             }
-            let listed = |b: &BoxId| self.facts.fact(b).is_some_and(|f| f.listed);
+            let listed = |b: &BackendId| self.facts.fact(b).is_some_and(|f| f.listed);
             if let Some(id) = wish.boxes.keys().find(|b| self.facts.whole_ms.is_some() && !listed(b)) {
                 return Err(Why::NotListed(id.clone()));
             }
@@ -142,7 +142,7 @@
         &mut self,
         seen: Index,
         whole: bool,
-        boxes: &BTreeMap<BoxId, BoxFact>,
+        boxes: &BTreeMap<BackendId, BoxFact>,
         volumes: &BTreeMap<Volume, VolumeFact>,
         out: &mut Vec<Effect>,
     ) -> Result<(), Why> {
@@ -167,7 +167,7 @@
     }
 
     /// A box died or is gone: what waits for it ends, and what was on its way back begins anew.
-    fn box_changed(&mut self, id: &BoxId, fact: &BoxFact, out: &mut Vec<Effect>) {
+    fn box_changed(&mut self, id: &BackendId, fact: &BoxFact, out: &mut Vec<Effect>) {
         if let Some(Place::Returning(returning)) = self.places.get_mut(id) {
             if !fact.listed {
                 self.places.remove(id);
@@ -210,7 +210,7 @@
         let gone = self.facts.boxes.iter().filter(|(id, k)| {
             k.gone_ms.is_some_and(|at| at.saturating_add(gone_ms) <= now) && !self.places.contains_key(*id)
         });
-        let gone: Vec<BoxId> = gone.map(|(id, _)| id.clone()).collect();
+        let gone: Vec<BackendId> = gone.map(|(id, _)| id.clone()).collect();
         gone.iter().for_each(|id| self.facts.forget(id));
         let ended: Vec<String> =
             self.wishes.iter().filter(|(_, w)| !w.open()).map(|(n, _)| n.clone()).collect();
@@ -242,7 +242,7 @@
         })
     }
 
-    pub(crate) fn steps_of(&self, name: &str) -> Vec<BTreeSet<BoxId>> {
+    pub(crate) fn steps_of(&self, name: &str) -> Vec<BTreeSet<BackendId>> {
         self.wishes.get(name).map(Wish::steps).unwrap_or_default()
     }
 }
--- a/crates/maintenance/src/facts.rs
+++ b/crates/maintenance/src/facts.rs
@@ -1,6 +1,6 @@
 //! What is known of boxes and volumes: replicated, so that every front checks bounds by the same facts.
 use crate::limits;
-use fleet::{BoxId, Hall, Index, Volume};
+use cluster_types::{BackendId, Index, Volume, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxFact {
     /// Its hall.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Whether discovery lists it.
     pub listed: bool,
     /// Whether it has died by itself.
@@ -24,7 +24,7 @@
     pub reserved: u64,
     /// The boxes where it lies, and what each can carry for it as the fronts measured it, in the reservation's unit. Boxes
     /// that are out stand here too as long as the volume lies there.
-    pub boxes: BTreeMap<BoxId, u64>,
+    pub boxes: BTreeMap<BackendId, u64>,
 }
 
 /// A box as held.
@@ -51,7 +51,7 @@
 /// All that is known.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Facts {
-    pub(crate) boxes: BTreeMap<BoxId, Known>,
+    pub(crate) boxes: BTreeMap<BackendId, Known>,
     pub(crate) volumes: BTreeMap<Volume, Measured>,
     /// The log's time as of which all was known.
     pub(crate) whole_ms: Option<u64>,
@@ -60,17 +60,23 @@
 }
 
 impl Facts {
-    pub(crate) fn fact(&self, id: &BoxId) -> Option<&BoxFact> {
+    pub(crate) fn fact(&self, id: &BackendId) -> Option<&BoxFact> {
         self.boxes.get(id).map(|k| &k.fact)
     }
 
-    pub(crate) fn volumes_of(&self, id: &BoxId) -> impl Iterator<Item = (&Volume, &Measured)> {
+    pub(crate) fn volumes_of(&self, id: &BackendId) -> impl Iterator<Item = (&Volume, &Measured)> {
         let names = self.boxes.get(id).into_iter().flat_map(|k| k.volumes.iter());
         names.filter_map(|v| self.volumes.get_key_value(v))
     }
 
     /// Takes in what is known of a box. What changed after `seen` stays. Tells whether anything changed.
-    pub(crate) fn learn_box(&mut self, at: (Index, u64), seen: Index, id: &BoxId, fact: &BoxFact) -> bool {
+    pub(crate) fn learn_box(
+        &mut self,
+        at: (Index, u64),
+        seen: Index,
+        id: &BackendId,
+        fact: &BoxFact,
+    ) -> bool {
         let full = self.boxes.len() >= limits::KNOWN;
         let known = match self.boxes.get_mut(id) {
             Some(known) => known,
@@ -118,7 +124,7 @@
     }
 
     /// Forgets a box altogether.
-    pub(crate) fn forget(&mut self, id: &BoxId) {
+    pub(crate) fn forget(&mut self, id: &BackendId) {
         let Some(known) = self.boxes.remove(id) else { return };
         for name in known.volumes {
             let Some(volume) = self.volumes.get_mut(&name) else { continue };
--- a/crates/maintenance/src/front.rs
+++ b/crates/maintenance/src/front.rs
@@ -5,8 +5,8 @@
 mod event;
 mod follow;
 
+use cluster_types::{BackendId, Index, Time};
 pub use event::{Action, Event};
-use fleet::{BoxId, Index, Time};
 use follow::tell;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,7 +56,7 @@
     /// It keeps to its part.
     Staged {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// The step.
         number: Index,
     },
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     seen: Index,
-    boxes: BTreeMap<BoxId, Doing>,
+    boxes: BTreeMap<BackendId, Doing>,
 }
 
 #[derive(Clone, Debug)]
@@ -95,8 +95,8 @@
 pub struct FrontSide {
     rule: Duration,
     seen: Index,
-    held: BTreeMap<BoxId, Held>,
-    pending: Option<(Index, BTreeMap<BoxId, Order>)>,
+    held: BTreeMap<BackendId, Held>,
+    pending: Option<(Index, BTreeMap<BackendId, Order>)>,
     lease: Option<Time>,
     serial: u64,
     saved: u64,
@@ -166,7 +166,7 @@
     }
 
     /// The boxes to which nothing goes.
-    pub fn drained(&self) -> BTreeSet<BoxId> {
+    pub fn drained(&self) -> BTreeSet<BackendId> {
         let drained = self.held.iter().filter(|(_, h)| h.doing.drains());
         drained.map(|(id, _)| id.clone()).collect()
     }
--- a/crates/maintenance/src/front/event.rs
+++ b/crates/maintenance/src/front/event.rs
@@ -1,6 +1,6 @@
 //! What a front's side is told, and what it says.
 use super::{Kept, Order, Report, Share};
-use fleet::{BoxId, Index, Time};
+use cluster_types::{BackendId, Index, Time};
 use std::collections::BTreeMap;
 
 /// What comes in.
@@ -13,7 +13,7 @@
         /// Where the log stands.
         index: Index,
         /// All orders.
-        orders: BTreeMap<BoxId, Order>,
+        orders: BTreeMap<BackendId, Order>,
     },
     /// The lease was renewed: a span that the host has added to when it asked.
     Lease {
@@ -23,7 +23,7 @@
     /// What the module has out at a box.
     Figures {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// Requests without an end.
         out: u32,
         /// When the last was sent there.
@@ -41,7 +41,7 @@
     /// An operator takes off a drain that the present log knows nothing of.
     Release {
         /// The box.
-        id: BoxId,
+        id: BackendId,
     },
 }
 
@@ -51,14 +51,14 @@
     /// Send nothing new there, within the drain rule. Said twice it does no harm.
     Drain {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// The grant or step; none for what only an operator ends.
         grant: Option<Index>,
     },
     /// Send there again, so far.
     Undrain {
         /// The box.
-        id: BoxId,
+        id: BackendId,
         /// How far.
         share: Share,
     },
--- a/crates/maintenance/src/front/follow.rs
+++ b/crates/maintenance/src/front/follow.rs
@@ -14,7 +14,7 @@
 }
 
 /// What the module is told.
-pub(super) fn tell(id: &BoxId, doing: Doing) -> Action {
+pub(super) fn tell(id: &BackendId, doing: Doing) -> Action {
     let id = id.clone();
     match doing {
         Doing::Part(_, part @ 1..) => Action::Undrain { id, share: Share::Part(part) },
@@ -49,7 +49,7 @@
         self.seen = index;
         let before = self.serial;
         let ended = self.held.iter().filter(|(id, h)| !orders.contains_key(*id) && h.doing != Doing::Orphan);
-        let ended: Vec<BoxId> = ended.map(|(id, _)| id.clone()).collect();
+        let ended: Vec<BackendId> = ended.map(|(id, _)| id.clone()).collect();
         let mut changed = !ended.is_empty();
         for id in ended {
             self.held.remove(&id);
@@ -77,7 +77,7 @@
     pub(super) fn figures(
         &mut self,
         now: Time,
-        id: &BoxId,
+        id: &BackendId,
         count: u32,
         last_send: Option<Time>,
         at: Time,
--- a/crates/maintenance/src/grants.rs
+++ b/crates/maintenance/src/grants.rs
@@ -5,7 +5,7 @@
 use crate::desk::{Desk, Place};
 use crate::why::Why;
 use crate::wish::Fate;
-use fleet::{BoxId, Index, MemberId};
+use cluster_types::{BackendId, Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     /// The wish.
     pub name: String,
     /// The boxes that are still out under it.
-    pub boxes: BTreeSet<BoxId>,
+    pub boxes: BTreeSet<BackendId>,
     /// The fronts that have drained them, each with the life in which it did.
     pub drained: BTreeSet<MemberId>,
     /// The log's time at which all had, and the operator was told to open.
@@ -131,7 +131,7 @@
         }
     }
 
-    pub(crate) fn returned(&mut self, name: &str, id: &BoxId, out: &mut Vec<Effect>) -> Result<(), Why> {
+    pub(crate) fn returned(&mut self, name: &str, id: &BackendId, out: &mut Vec<Effect>) -> Result<(), Why> {
         let number = self.applied;
         let held = self.wish_named(name).ok_or(Why::Unknown)?;
         let Some(Fate::Out(grant)) = held.boxes.get(id).copied() else { return Err(Why::Late) };
@@ -175,7 +175,7 @@
     ) -> Result<(), Why> {
         if let Some(wish) = self.wishes.get_mut(name) {
             wish.end_waiting(Fate::Withdrawn);
-            let outs: BTreeMap<BoxId, Fate> = wish.boxes.clone();
+            let outs: BTreeMap<BackendId, Fate> = wish.boxes.clone();
             for (id, fate) in outs {
                 if matches!(fate, Fate::Out(grant) if !stays(self, &grant)) {
                     self.returned(name, &id, out)?;
--- a/crates/maintenance/src/hold.rs
+++ b/crates/maintenance/src/hold.rs
@@ -1,7 +1,7 @@
 //! Who waits for whom: the longest-waiting goes first, and holds back only what would keep it waiting.
 use crate::bounds::{Bound, Step, Tally};
 use crate::desk::Desk;
-use fleet::{BoxId, Index};
+use cluster_types::{BackendId, Index};
 
 impl<'a> Tally<'a> {
     /// Whether `older`, which waits, holds back `younger`: once what must come back for `older` anyway is back, it could not
@@ -34,7 +34,7 @@
                 !self.reserve_kept(volume, |x| self.out.contains_key(x) || a.contains(x) || b.contains(x))
             }
             _ => {
-                let here = |x: &&BoxId| self.is_in(x, s);
+                let here = |x: &&BackendId| self.is_in(x, s);
                 let with = self.others(&a, &b).filter(here).count()
                     + a.iter().filter(here).count()
                     + b.iter().filter(here).count();
@@ -45,7 +45,7 @@
     }
 
     /// Those out that belong to neither step.
-    fn others<'s>(&'s self, a: &'s Step, b: &'s Step) -> impl Iterator<Item = &'s BoxId> {
+    fn others<'s>(&'s self, a: &'s Step, b: &'s Step) -> impl Iterator<Item = &'s BackendId> {
         self.out.keys().copied().filter(move |x| !a.contains(*x) && !b.contains(*x))
     }
 
--- a/crates/maintenance/src/propose.rs
+++ b/crates/maintenance/src/propose.rs
@@ -6,7 +6,7 @@
 use crate::facts::{BoxFact, VolumeFact};
 use crate::limits;
 use crate::share;
-use fleet::{BoxId, Index, MemberId, Volume};
+use cluster_types::{BackendId, Index, MemberId, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many `Observe` commands at once; the next call has the others.
@@ -21,13 +21,13 @@
     /// granted.
     pub whole: bool,
     /// All boxes.
-    pub boxes: BTreeMap<BoxId, BoxFact>,
+    pub boxes: BTreeMap<BackendId, BoxFact>,
     /// All volumes.
     pub volumes: BTreeMap<Volume, VolumeFact>,
     /// What each front usually sends to a box, by any measure; those not named are taken for none.
-    pub traffic: BTreeMap<BoxId, BTreeMap<MemberId, u64>>,
+    pub traffic: BTreeMap<BackendId, BTreeMap<MemberId, u64>>,
     /// For how long a returning box has done well at its stage ([`crate::Watch`]).
-    pub well_ms: BTreeMap<BoxId, u64>,
+    pub well_ms: BTreeMap<BackendId, u64>,
 }
 
 impl Desk {
@@ -47,7 +47,7 @@
 
     /// What differs from the replicated facts.
     fn observations(&self, now: u64, view: &View) -> Vec<Command> {
-        let mut boxes: Vec<(BoxId, BoxFact)> = Vec::new();
+        let mut boxes: Vec<(BackendId, BoxFact)> = Vec::new();
         for (id, fact) in &view.boxes {
             let held = self.facts.boxes.get(id);
             let room = self.facts.boxes.len() < limits::KNOWN;
@@ -102,7 +102,7 @@
     }
 
     /// The boxes whose volumes must be measured: all that a wish waits for.
-    fn concerned(&self) -> BTreeSet<&BoxId> {
+    fn concerned(&self) -> BTreeSet<&BackendId> {
         let waiting = self.wishes.values().filter(|w| w.waits());
         waiting.flat_map(|w| w.boxes.keys()).collect()
     }
@@ -113,7 +113,7 @@
         now: u64,
         id: &Volume,
         fact: &VolumeFact,
-        concerned: &BTreeSet<&BoxId>,
+        concerned: &BTreeSet<&BackendId>,
         view: &View,
     ) -> bool {
         let Some(held) = self.facts.volumes.get(id) else {
@@ -161,7 +161,7 @@
     }
 
     /// The next stage of a box, other parts at the same one, or that it is warm.
-    fn next_stage(&self, id: &BoxId, returning: &Returning, view: &View) -> Option<Command> {
+    fn next_stage(&self, id: &BackendId, returning: &Returning, view: &View) -> Option<Command> {
         let fact = self.facts.fact(id)?;
         if fact.died || !fact.listed {
             return None;
--- a/crates/maintenance/src/roster.rs
+++ b/crates/maintenance/src/roster.rs
@@ -3,7 +3,7 @@
 use crate::desk::{Desk, Place};
 use crate::limits;
 use crate::why::Why;
-use fleet::MemberId;
+use cluster_types::MemberId;
 use serde::{Deserialize, Serialize};
 
 /// How a front stands. Being silent or dead does not change it: what has not left may still send.
--- a/crates/maintenance/src/share.rs
+++ b/crates/maintenance/src/share.rs
@@ -1,5 +1,5 @@
 //! Parts of a cold budget by measured traffic.
-use fleet::MemberId;
+use cluster_types::MemberId;
 use std::collections::BTreeMap;
 
 /// Shares `total` parts by weight: their sum is never more, and is all of it as long as there is anyone. Each has one at least as
--- a/crates/maintenance/src/status.rs
+++ b/crates/maintenance/src/status.rs
@@ -4,7 +4,7 @@
 use crate::front::Order;
 use crate::why::Why;
 use crate::wish::{Fate, Wish};
-use fleet::{BoxId, Index, MemberId};
+use cluster_types::{BackendId, Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -70,7 +70,7 @@
     }
 
     /// What this front is ordered to do, as of now: its drains, and its parts of what comes back.
-    pub fn orders(&self, me: &MemberId) -> BTreeMap<BoxId, Order> {
+    pub fn orders(&self, me: &MemberId) -> BTreeMap<BackendId, Order> {
         let order = |place: &Place| match place {
             Place::Out(grant) => {
                 let held = self.grants.get(grant);
@@ -107,7 +107,7 @@
     }
 
     /// The boxes that count as out.
-    pub fn out(&self) -> BTreeSet<BoxId> {
+    pub fn out(&self) -> BTreeSet<BackendId> {
         Tally::new(self).out.into_keys().cloned().collect()
     }
 }
--- a/crates/maintenance/src/watch.rs
+++ b/crates/maintenance/src/watch.rs
@@ -1,13 +1,13 @@
 //! For how long a returning box has done well at its stage, as the leader sees it.
 use crate::desk::Desk;
-use fleet::{BoxId, Index, Time};
+use cluster_types::{BackendId, Index, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Spans on the leader's steady clock: a leader that is new, or whose Unix time jumps, waits for a stage's whole time, and
 /// never less.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
-    since: BTreeMap<BoxId, (Index, Time)>,
+    since: BTreeMap<BackendId, (Index, Time)>,
 }
 
 impl Watch {
@@ -17,7 +17,7 @@
     }
 
     /// Looks at the desk; `failing` are the boxes at which some front has seen a failure since the last look.
-    pub fn look(&mut self, now: Time, desk: &Desk, failing: &BTreeSet<BoxId>) {
+    pub fn look(&mut self, now: Time, desk: &Desk, failing: &BTreeSet<BackendId>) {
         let mut since = BTreeMap::new();
         for (id, returning) in desk.returning() {
             let held =
@@ -28,7 +28,7 @@
     }
 
     /// How long each has done well at its stage.
-    pub fn well_ms(&self, now: Time) -> BTreeMap<BoxId, u64> {
+    pub fn well_ms(&self, now: Time) -> BTreeMap<BackendId, u64> {
         let span = |at: Time| u64::try_from(now.since(at).as_millis()).unwrap_or(u64::MAX);
         self.since.iter().map(|(id, (_, at))| (id.clone(), span(*at))).collect()
     }
--- a/crates/maintenance/src/why.rs
+++ b/crates/maintenance/src/why.rs
@@ -1,7 +1,7 @@
 //! Why something did not go, in plain words.
 use crate::bounds::Bound;
 use crate::rules::Fault;
-use fleet::BoxId;
+use cluster_types::BackendId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -21,9 +21,9 @@
     /// It asks for nothing, or for too much.
     Malformed,
     /// That box is not listed.
-    NotListed(BoxId),
+    NotListed(BackendId),
     /// That box is out already, or still comes back.
-    Busy(BoxId),
+    Busy(BackendId),
     /// Measures are too old.
     Stale,
     /// No front is known to serve.
--- a/crates/maintenance/src/wish.rs
+++ b/crates/maintenance/src/wish.rs
@@ -1,5 +1,5 @@
 //! A wish of an operator, and what has become of its boxes.
-use fleet::{BoxId, Index};
+use cluster_types::{BackendId, Index};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
     /// Where it stands in the log: the lower, the longer it has waited.
     pub number: Index,
     /// Its boxes, and what has become of them.
-    pub boxes: BTreeMap<BoxId, Fate>,
+    pub boxes: BTreeMap<BackendId, Fate>,
     /// How long a box may be out, from when the operator is told to open it.
     pub work_ms: u64,
     /// The Unix time after which nothing of it is begun any more.
@@ -60,12 +60,12 @@
     }
 
     /// Boxes that share this fate.
-    pub(crate) fn with(&self, fate: impl Fn(&Fate) -> bool) -> BTreeSet<BoxId> {
+    pub(crate) fn with(&self, fate: impl Fn(&Fate) -> bool) -> BTreeSet<BackendId> {
         self.boxes.iter().filter(|(_, f)| fate(f)).map(|(b, _)| b.clone()).collect()
     }
 
     /// What may go out in one step: each waiting box by itself, or all at once.
-    pub(crate) fn steps(&self) -> Vec<BTreeSet<BoxId>> {
+    pub(crate) fn steps(&self) -> Vec<BTreeSet<BackendId>> {
         let waiting = self.with(|f| *f == Fate::Waiting);
         if self.together {
             return if waiting.is_empty() { Vec::new() } else { vec![waiting] };
@@ -74,7 +74,7 @@
     }
 
     /// Gives all that wait another fate; tells which.
-    pub(crate) fn end_waiting(&mut self, fate: Fate) -> BTreeSet<BoxId> {
+    pub(crate) fn end_waiting(&mut self, fate: Fate) -> BTreeSet<BackendId> {
         let waiting = self.with(|f| *f == Fate::Waiting);
         waiting.iter().for_each(|b| {
             self.boxes.insert(b.clone(), fate);
--- a/crates/maintenance/tests/back.rs
+++ b/crates/maintenance/tests/back.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod kit;
 
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use kit::*;
 use maintenance::{parts, Command, Effect, Presence, Why};
 use proptest::prelude::*;
--- a/crates/maintenance/tests/cases.rs
+++ b/crates/maintenance/tests/cases.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod kit;
 
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use kit::*;
 use maintenance::{Command, Desk, Effect, Fate, Seat, Status, Why};
 use std::collections::BTreeSet;
--- a/crates/maintenance/tests/explore.rs
+++ b/crates/maintenance/tests/explore.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod kit;
 
-use fleet::Index;
+use cluster_types::Index;
 use kit::law::Law;
 use kit::*;
 use maintenance::{Command, Desk, Effect, Rules, View};
--- a/crates/maintenance/tests/front.rs
+++ b/crates/maintenance/tests/front.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod kit;
 
-use fleet::{BoxId, Index, Time};
+use cluster_types::{BackendId, Index, Time};
 use kit::id;
 use maintenance::{Action, Event, FrontSide, Kept, Order, Report, Share};
 use std::time::Duration;
@@ -156,7 +156,7 @@
     side.at(10, Event::Refounded);
     assert!(side.orders(20, 3, &[]).is_empty());
     assert_eq!(side.side.drained(), kit::set("a1"));
-    let release = |b: &str| Event::Release { id: BoxId::from(b) };
+    let release = |b: &str| Event::Release { id: BackendId::from(b) };
     assert!(side.at(30, release("b1")).is_empty());
     assert_eq!(side.at(40, release("a1")), undrains(Share::Whole));
 }
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod kit;
 
-use fleet::{Index, Time, Volume};
+use cluster_types::{Index, Time, Volume};
 use kit::*;
 use maintenance::{
     Action, Bound, BoxFact, Command, Desk, Effect, Event, Fate, Fault, FrontSide, Kept, Order, Presence,
@@ -188,7 +188,7 @@
         Why::NotItsWord,
         Why::NotPresent,
         Why::Bound(Bound::Whole),
-        Why::Bound(Bound::Hall("hall-a".into())),
+        Why::Bound(Bound::Zone("hall-a".into())),
         Why::Bound(Bound::Volume(volume())),
         Why::Bound(Bound::Reserve(volume())),
         Why::Behind("rack-7".into()),
--- a/crates/maintenance/tests/kit/law.rs
+++ b/crates/maintenance/tests/kit/law.rs
@@ -5,12 +5,12 @@
 /// What was heard so far.
 #[derive(Clone, Default)]
 pub struct Law {
-    granted: BTreeMap<Index, BTreeSet<BoxId>>,
+    granted: BTreeMap<Index, BTreeSet<BackendId>>,
     reported: BTreeMap<Index, BTreeSet<MemberId>>,
     free: BTreeSet<Index>,
     present: BTreeMap<MemberId, u64>,
     /// Boxes that were taken out and are not back in.
-    pub away: BTreeSet<BoxId>,
+    pub away: BTreeSet<BackendId>,
 }
 
 impl Law {
@@ -95,9 +95,9 @@
     }
 
     /// No more out than stated, but for what counted before.
-    fn bounds(&self, view: &View, rules: &Rules, before: &BTreeSet<BoxId>, after: &BTreeSet<BoxId>) {
-        let within = |cap: u32, lies: &dyn Fn(&BoxId) -> bool| {
-            let count = |s: &BTreeSet<BoxId>| s.iter().filter(|b| lies(b)).count();
+    fn bounds(&self, view: &View, rules: &Rules, before: &BTreeSet<BackendId>, after: &BTreeSet<BackendId>) {
+        let within = |cap: u32, lies: &dyn Fn(&BackendId) -> bool| {
+            let count = |s: &BTreeSet<BackendId>| s.iter().filter(|b| lies(b)).count();
             let more = count(after) > count(before);
             assert!(count(after) <= cap as usize || !more, "{before:?} to {after:?}");
         };
@@ -109,10 +109,10 @@
     }
 
     /// No volume is left without what is reserved, but for what was so before.
-    fn reserves(&self, view: &View, before: &BTreeSet<BoxId>, after: &BTreeSet<BoxId>) {
+    fn reserves(&self, view: &View, before: &BTreeSet<BackendId>, after: &BTreeSet<BackendId>) {
         for volume in view.volumes.values() {
-            let carries = |b: &BoxId| volume.boxes.get(b).copied().unwrap_or(0);
-            let left = |s: &BTreeSet<BoxId>| {
+            let carries = |b: &BackendId| volume.boxes.get(b).copied().unwrap_or(0);
+            let left = |s: &BTreeSet<BackendId>| {
                 volume.boxes.keys().filter(|b| !s.contains(*b)).map(carries).sum::<u64>()
             };
             assert!(left(after) >= volume.reserved || left(after) == left(before), "{before:?} to {after:?}");
--- a/crates/maintenance/tests/kit/mod.rs
+++ b/crates/maintenance/tests/kit/mod.rs
@@ -1,16 +1,16 @@
 //! A small fleet and a log of one, for tests.
 #![allow(dead_code)]
-use fleet::{BoxId, Index, MemberId};
+use cluster_types::{BackendId, Index, MemberId};
 use maintenance::{BoxFact, Command, Desk, Effect, Presence, Rules, View, VolumeFact};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub mod law;
 
-pub fn set(names: &str) -> BTreeSet<BoxId> {
-    names.split_whitespace().map(BoxId::from).collect()
+pub fn set(names: &str) -> BTreeSet<BackendId> {
+    names.split_whitespace().map(BackendId::from).collect()
 }
 
-pub fn id(name: &str) -> BoxId {
+pub fn id(name: &str) -> BackendId {
     name.into()
 }
 
@@ -24,7 +24,7 @@
 
 /// Boxes, each in the hall that its first letter names.
 pub fn view(boxes: &str, volumes: &[(&str, u64, &str)]) -> View {
-    let fact = |b: &BoxId| BoxFact { hall: b.0[..1].into(), listed: true, ..BoxFact::default() };
+    let fact = |b: &BackendId| BoxFact { hall: b.0[..1].into(), listed: true, ..BoxFact::default() };
     let boxes = set(boxes).iter().map(|b| (b.clone(), fact(b))).collect();
     let carry = |names: &str| set(names).into_iter().map(|b| (b, 100)).collect();
     let volumes = volumes
@@ -135,7 +135,7 @@
         self.view.well_ms.clear();
     }
 
-    pub fn out(&self) -> BTreeMap<BoxId, String> {
+    pub fn out(&self) -> BTreeMap<BackendId, String> {
         let grants = self.desk.grants();
         grants.flat_map(|(_, g)| g.boxes.iter().map(|b| (b.clone(), g.name.clone()))).collect()
     }
--- a/crates/maintenance/tests/laws.rs
+++ b/crates/maintenance/tests/laws.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod kit;
 
-use fleet::{BoxId, Index};
+use cluster_types::{BackendId, Index};
 use kit::law::Law;
 use kit::*;
 use maintenance::{Command, Desk, Effect, Presence, Rules, View};
@@ -19,7 +19,7 @@
     from.choose(rng).unwrap()
 }
 
-fn some(rng: &mut SmallRng) -> BTreeSet<BoxId> {
+fn some(rng: &mut SmallRng) -> BTreeSet<BackendId> {
     (0..rng.random_range(1..4)).map(|_| id(pick(rng, &BOXES))).collect()
 }
 
@@ -120,7 +120,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let (rules, view) = fleet(&mut rng);
     let mut bench = Bench::new(rules, view, "f1");
-    let feasible = |boxes: &BTreeSet<BoxId>, bench: &Bench| {
+    let feasible = |boxes: &BTreeSet<BackendId>, bench: &Bench| {
         let mut empty = bench.clone();
         empty.run(
             "f1",
--- a/crates/maintenance/tests/order.rs
+++ b/crates/maintenance/tests/order.rs
@@ -75,7 +75,7 @@
     assert_eq!(why("other", "a1"), Some(Why::Unknown));
     assert_eq!(why("w-a1", "a1"), None);
     assert_eq!(why("w-a1", "a1"), Some(Why::Late));
-    assert_eq!(why("w-a2", "a2"), Some(Why::Bound(Bound::Hall("a".into()))));
+    assert_eq!(why("w-a2", "a2"), Some(Why::Bound(Bound::Zone("a".into()))));
     bench.at_ms += 60_000;
     bench.run("f1", &wish("w-c2", "c2"));
     let stale = bench.run("deposed", &grant("w-c2", "c2"));
--- a/crates/maintenance/tests/sim.rs
+++ b/crates/maintenance/tests/sim.rs
@@ -7,7 +7,7 @@
 #[path = "sim/world.rs"]
 mod world;
 
-use fleet::BoxId;
+use cluster_types::BackendId;
 use kit::*;
 use rand::seq::IndexedRandom;
 use rand::Rng;
@@ -29,7 +29,7 @@
             2 | 3 if !self.members[n].up => self.members[n].start(now, &mut self.rng),
             4 => self.members[n].stalled = now + self.rng.random_range(100..2000),
             5 => {
-                let id: BoxId = world::BOXES
+                let id: BackendId = world::BOXES
                     .split(' ')
                     .collect::<Vec<_>>()
                     .choose(&mut self.rng)
--- a/crates/maintenance/tests/sim/member.rs
+++ b/crates/maintenance/tests/sim/member.rs
@@ -1,6 +1,6 @@
 //! A front in the simulation: its place in the log, its own side, and a module that sends to boxes.
 use super::kit::*;
-use fleet::{BoxId, Index, MemberId, Time};
+use cluster_types::{BackendId, Index, MemberId, Time};
 use maintenance::{Action, Command, Desk, Event, FrontSide, Kept, Presence, Report, Watch};
 use rand::rngs::SmallRng;
 use rand::Rng;
@@ -24,11 +24,11 @@
     kept: Option<Kept>,
     saving: Vec<(u64, u64, Kept)>,
     /// From when on the module sends nothing new to a box; and when its side told so first.
-    stops: BTreeMap<BoxId, u64>,
-    told: BTreeMap<BoxId, u64>,
-    last: BTreeMap<BoxId, u64>,
+    stops: BTreeMap<BackendId, u64>,
+    told: BTreeMap<BackendId, u64>,
+    last: BTreeMap<BackendId, u64>,
     /// What is out, and when it ends.
-    pub open: Vec<(BoxId, u64)>,
+    pub open: Vec<(BackendId, u64)>,
     /// Words that the log is to have.
     pub words: Vec<Command>,
 }
@@ -131,13 +131,13 @@
     }
 
     /// Whether nothing goes to a box any more, and nothing is out there.
-    pub fn quiet(&self, now: u64, id: &BoxId) -> bool {
+    pub fn quiet(&self, now: u64, id: &BackendId) -> bool {
         !self.up
             || (self.stops.get(id).is_some_and(|at| *at <= now) && !self.open.iter().any(|(b, _)| b == id))
     }
 
     /// A turn of the process: disk, module, figures, orders. Tells what it sent.
-    pub fn turn(&mut self, now: u64, boxes: &[BoxId], rng: &mut SmallRng) -> Vec<BoxId> {
+    pub fn turn(&mut self, now: u64, boxes: &[BackendId], rng: &mut SmallRng) -> Vec<BackendId> {
         let saving = std::mem::take(&mut self.saving);
         for (due, serial, kept) in saving {
             if due <= now {
--- a/crates/maintenance/tests/sim/world.rs
+++ b/crates/maintenance/tests/sim/world.rs
@@ -2,7 +2,7 @@
 use super::kit::law::Law;
 use super::kit::*;
 use super::member::Member;
-use fleet::{BoxId, Index, MemberId};
+use cluster_types::{BackendId, Index, MemberId};
 use maintenance::{Command, Desk, Effect, Event, Fate, Presence, Rules, View};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -24,9 +24,9 @@
     rules: Rules,
     pub view: View,
     /// When a box that came back is warm.
-    warm: BTreeMap<BoxId, u64>,
+    warm: BTreeMap<BackendId, u64>,
     /// Boxes of which operators were told "open it", and when they will have put them back.
-    pub opened: BTreeMap<BoxId, (String, u64)>,
+    pub opened: BTreeMap<BackendId, (String, u64)>,
     pub wished: BTreeMap<String, Command>,
     pub most: usize,
     pub trouble: bool,
@@ -121,7 +121,7 @@
                 self.commit(at_ms, by, command);
             }
         }
-        let boxes: Vec<BoxId> = self.view.boxes.keys().cloned().collect();
+        let boxes: Vec<BackendId> = self.view.boxes.keys().cloned().collect();
         let leader = (0..5).find(|n| self.linked(*n) && self.members[*n].runs(now));
         for n in 0..self.members.len() {
             if !self.members[n].runs(now) {
--- a/crates/members/examples/figures.rs
+++ b/crates/membership/examples/figures.rs
@@ -2,7 +2,7 @@
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 
-use members::State;
+use membership::State;
 use sim::{name, Sim};
 use std::time::Duration;
 
--- a/crates/members/src/bench.rs
+++ b/crates/membership/src/bench.rs
@@ -1,8 +1,8 @@
 //! For tests: one member, and another whose messages are made up.
 use crate::wire::{Message, News, Packet, Record, Told};
 use crate::{Action, Digest, Event, Kind, Members, Seed, Settings, State, Subject};
-use envelope::{Keys, Sealer};
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
+use message_auth::{Keys, Sealer};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/members/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,5 +1,5 @@
 //! Bounded bytes a second: a token bucket over what is sent.
-use fleet::Time;
+use cluster_types::Time;
 use std::time::Duration;
 
 /// What a datagram takes on the wire besides its own bytes: IPv6 and UDP heads. It is counted for IPv4 too, where it is 28.
--- a/crates/members/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,7 +1,7 @@
 //! A digest of what a member holds: where two differ, it says in which part.
 use crate::names::Subject;
 use crate::wire::Record;
-use fleet::MemberId;
+use cluster_types::MemberId;
 use serde::{Deserialize, Serialize};
 
 /// Members fall into so many parts by their names, claims by their subjects.
@@ -41,7 +41,7 @@
 fn label(subject: &Subject) -> impl Iterator<Item = u8> + '_ {
     let (kind, text) = match subject {
         Subject::Box(name) => (0, &name.0),
-        Subject::Hall(name) => (1, &name.0),
+        Subject::Zone(name) => (1, &name.0),
     };
     text.bytes().chain([kind])
 }
--- a/crates/members/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -3,7 +3,7 @@
 use crate::gossip::About;
 use crate::names::{Kind, Subject};
 use crate::wire::Told;
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/members/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,6 +1,6 @@
 //! News to be passed on: each a bounded number of times, the least told first.
 use crate::names::Subject;
-use fleet::MemberId;
+use cluster_types::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What a piece of news is about. Members come before claims.
--- a/crates/members/src/lies_tests.rs
+++ b/crates/membership/src/lies_tests.rs
@@ -2,7 +2,7 @@
 use crate::bench::{address, claim, keys, name, record, seed, Bench, LIFE};
 use crate::wire::{Message, News, Packet, Record, CEILING};
 use crate::{Action, Digest, Event, Kind, Observation, State, Subject};
-use envelope::Opener;
+use message_auth::Opener;
 use proptest::prelude::*;
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/members/src/names.rs
+++ b/crates/membership/src/names.rs
@@ -1,6 +1,6 @@
 //! What goes in and comes out.
-use envelope::Keys;
-use fleet::{BoxId, Hall, MemberId};
+use cluster_types::{BackendId, MemberId, Zone};
+use message_auth::Keys;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,7 +13,7 @@
     /// Its name.
     pub member: MemberId,
     /// The hall it stands in.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Where it takes datagrams.
     pub at: SocketAddr,
 }
@@ -42,17 +42,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// A box.
-    Box(BoxId),
+    Box(BackendId),
     /// A hall as a whole.
-    Hall(Hall),
+    Zone(Zone),
 }
 
 /// The form of the status text that operators read: it stays as it is, whatever the types are called.
 impl fmt::Display for Subject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Subject::Box(name) => write!(f, "Box(Box\x49d({:?}))", name.0),
-            Subject::Hall(name) => write!(f, "\x48all(\x48all({:?}))", name.0),
+            Subject::Box(name) => write!(f, "Box(BoxId({:?}))", name.0),
+            Subject::Zone(name) => write!(f, "Hall(Hall({:?}))", name.0),
         }
     }
 }
@@ -134,7 +134,7 @@
     /// Its name.
     pub member: MemberId,
     /// Its hall.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Where it takes datagrams.
     pub at: SocketAddr,
     /// The life it was last heard of in; 0: never heard.
@@ -162,7 +162,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shun {
     /// Which.
-    pub which: BoxId,
+    pub which: BackendId,
     /// How much it is doubted.
     pub doubt: f32,
     /// The share of its usual work that it should still get, to disprove the doubt.
--- a/crates/members/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -4,7 +4,7 @@
 use crate::receive::Handed;
 use crate::send::{Addressed, Weight};
 use crate::wire::Message;
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
 use rand::seq::SliceRandom;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/members/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -5,8 +5,8 @@
 use crate::probe::Why;
 use crate::send::{Addressed, Weight};
 use crate::wire::{Message, News, Packet, Record};
-use envelope::Opened;
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
+use message_auth::Opened;
 use std::net::{IpAddr, SocketAddr};
 
 /// From whom something about a member is.
--- a/crates/members/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -6,7 +6,7 @@
 use crate::send::{Addressed, Weight};
 use crate::settings::check_seeds;
 use crate::wire::Message;
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
 use rand::seq::SliceRandom;
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/members/src/send.rs
+++ b/crates/membership/src/send.rs
@@ -5,7 +5,7 @@
 use crate::machine::Members;
 use crate::names::{Action, State};
 use crate::wire::{Message, News, Packet};
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
 use rand::Rng;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/members/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,7 +1,7 @@
 //! What an operator may set.
 use crate::names::Seed;
-use envelope::{DATAGRAM, NAME};
 use ipnet::IpNet;
+use message_auth::{DATAGRAM, NAME};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub struct Settings {
     /// This front.
     pub me: Seed,
-    /// Its life, see `envelope::life`.
+    /// Its life, see `message_auth::life`.
     pub life: u64,
     /// The configured fronts; this one may be among them.
     pub seeds: Vec<Seed>,
--- a/crates/members/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -2,7 +2,7 @@
 use crate::digest::Digest;
 use crate::names::{Member, Seed, State};
 use crate::wire::Record;
-use fleet::{MemberId, Time};
+use cluster_types::{MemberId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/members/src/verdict.rs
+++ b/crates/membership/src/verdict.rs
@@ -3,7 +3,7 @@
 use crate::machine::Members;
 use crate::names::{Action, Kind, Observation, Shun, Subject, Verdict};
 use crate::wire::{Told, LABEL};
-use fleet::{BoxId, Hall, MemberId, Time};
+use cluster_types::{BackendId, MemberId, Time, Zone};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 
     /// The boxes that should get no more than a trickle, out of all boxes with their halls, the most doubted first, then by name: at
     /// most the stated share of all, and never all of a hall.
-    pub fn shunned(&self, boxes: &BTreeMap<BoxId, Hall>, now: Time) -> Vec<Shun> {
+    pub fn shunned(&self, boxes: &BTreeMap<BackendId, Zone>, now: Time) -> Vec<Shun> {
         let quorum = self.quorum();
         let mut doubted = Vec::new();
         for which in boxes.keys() {
@@ -43,7 +43,7 @@
             }
         }
         doubted.sort_by(|(one, a), (other, b)| other.total_cmp(one).then_with(|| a.cmp(b)));
-        let mut left: BTreeMap<&Hall, usize> = BTreeMap::new();
+        let mut left: BTreeMap<&Zone, usize> = BTreeMap::new();
         boxes.values().for_each(|hall| *left.entry(hall).or_default() += 1);
         let most = (f64::from(self.settings.share) * boxes.len() as f64) as usize;
         let mut shunned = Vec::new();
@@ -61,7 +61,7 @@
     pub(crate) fn observed(&mut self, seen: Observation, now: Time, out: &mut Vec<Action>) {
         let label = match &seen.subject {
             Subject::Box(name) => name.0.len(),
-            Subject::Hall(name) => name.0.len(),
+            Subject::Zone(name) => name.0.len(),
         };
         let lasts = seen.lasts.min(self.settings.longest);
         if label == 0 || label > LABEL || !seen.weight.is_finite() || lasts < Duration::from_millis(1) {
--- a/crates/members/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -2,8 +2,8 @@
 //! part of the form.
 use crate::digest::Digest;
 use crate::names::{Kind, State, Subject};
-use envelope::NAME;
-use fleet::{Hall, MemberId};
+use cluster_types::{MemberId, Zone};
+use message_auth::NAME;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -55,10 +55,10 @@
     /// Its name.
     pub member: MemberId,
     /// Its zone.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Its datagram address.
     pub at: SocketAddr,
-    /// When its process started, see `envelope::life`; 0: never heard from.
+    /// When its process started, see `message_auth::life`; 0: never heard from.
     pub life: u64,
     /// By how much the incarnation is above the life: a few bytes less on the wire.
     pub ahead: u64,
@@ -106,7 +106,7 @@
     fn sound(&self) -> bool {
         let label = match &self.subject {
             Subject::Box(name) => name.0.len(),
-            Subject::Hall(name) => name.0.len(),
+            Subject::Zone(name) => name.0.len(),
         };
         let source = self.source.0.len();
         label > 0 && label <= LABEL && source > 0 && source <= NAME && self.number < CEILING
@@ -142,7 +142,7 @@
     /// What it is sent for.
     pub message: Message,
     /// The sender's zone.
-    pub hall: Hall,
+    pub hall: Zone,
     /// The sender's datagram address.
     pub at: SocketAddr,
     /// The sender's incarnation above its life.
--- a/crates/members/tests/bad.rs
+++ b/crates/membership/tests/bad.rs
@@ -2,9 +2,9 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod sim;
 
-use envelope::Keys;
-use fleet::MemberId;
-use members::{Event, Figures, Member, State};
+use cluster_types::MemberId;
+use membership::{Event, Figures, Member, State};
+use message_auth::Keys;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use sim::{seeds, Sim, KEY};
@@ -17,7 +17,7 @@
 }
 
 /// All that a run came to, but for the counts of what was refused.
-type Outcome = (Vec<Vec<Member>>, Vec<Figures>, Vec<(fleet::Time, usize, MemberId, State)>);
+type Outcome = (Vec<Vec<Member>>, Vec<Figures>, Vec<(cluster_types::Time, usize, MemberId, State)>);
 
 fn outcome(sim: &Sim) -> Outcome {
     let views = sim.up().iter().map(|which| sim.view(*which)).collect();
--- a/crates/members/tests/evidence.rs
+++ b/crates/membership/tests/evidence.rs
@@ -2,8 +2,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod sim;
 
-use fleet::{BoxId, Hall};
-use members::{Event, Kind, Observation, Subject};
+use cluster_types::{BackendId, Zone};
+use membership::{Event, Kind, Observation, Subject};
 use sim::{seeds, Sim};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,14 +14,14 @@
     Duration::from_secs(secs)
 }
 
-fn box_of(which: usize) -> BoxId {
-    BoxId::from(format!("box-{which:02}").as_str())
+fn box_of(which: usize) -> BackendId {
+    BackendId::from(format!("box-{which:02}").as_str())
 }
 
 /// Boxes in three halls; the last hall has two only.
-fn boxes() -> BTreeMap<BoxId, Hall> {
+fn boxes() -> BTreeMap<BackendId, Zone> {
     let hall = |which| if which >= BOXES - 2 { "hall-c" } else { ["hall-a", "hall-b"][which % 2] };
-    (0..BOXES).map(|which| (box_of(which), Hall::from(hall(which)))).collect()
+    (0..BOXES).map(|which| (box_of(which), Zone::from(hall(which)))).collect()
 }
 
 fn see(sim: &mut Sim, by: usize, of: usize, kind: Kind, weight: f32) {
@@ -40,7 +40,7 @@
 fn check_bounds(sim: &Sim, by: usize) {
     let shunned: BTreeSet<String> = shunned(sim, by).into_iter().collect();
     assert!(shunned.len() <= BOXES / 5);
-    let left: BTreeSet<Hall> =
+    let left: BTreeSet<Zone> =
         boxes().into_iter().filter(|(one, _)| !shunned.contains(&*one.0)).map(|(_, hall)| hall).collect();
     assert_eq!(left.len(), 3, "each hall has a box left");
 }
--- a/crates/members/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Holds the bytes of membership datagrams, and the text that operators read: each `.bin` file under `golden/` is one packet
 //! as it is sent before signing.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use members::wire::{Message, News, Packet, Record, Told};
-use members::{Digest, Figures, Kind, State, Subject};
+use membership::wire::{Message, News, Packet, Record, Told};
+use membership::{Digest, Figures, Kind, State, Subject};
 use rstest::rstest;
 use std::net::{Ipv6Addr, SocketAddr};
 use std::path::Path;
@@ -96,7 +96,7 @@
 
 #[test]
 fn holds_bytes_of_claim_about_zone() {
-    let news = News::Claim(claim(Subject::Hall("hall-b".into()), Kind::Slow));
+    let news = News::Claim(claim(Subject::Zone("hall-b".into()), Kind::Slow));
     assert_golden("claim_about_zone.bin", &packet(Message::News, vec![news]));
 }
 
@@ -135,7 +135,7 @@
         stood_still: 15,
     };
     let mut text = format!("membership {figures}\n");
-    for subject in [Subject::Box("box-07".into()), Subject::Hall("hall-b".into())] {
+    for subject in [Subject::Box("box-07".into()), Subject::Zone("hall-b".into())] {
         text += &format!("doubt {subject}\n");
     }
     for state in [State::Alive, State::Suspect, State::Dead, State::Left] {
--- a/crates/members/tests/sim/check.rs
+++ b/crates/membership/tests/sim/check.rs
@@ -1,7 +1,7 @@
 //! Names, what is looked at in a network of members, and runs under many seeds.
 use super::Sim;
-use fleet::MemberId;
-use members::{Member, Members, Seed, State};
+use cluster_types::MemberId;
+use membership::{Member, Members, Seed, State};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
--- a/crates/members/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,9 +1,9 @@
 //! A network of members under one seed: loss, doubling, delay and with it reordering, one-way cuts, processes that stand
 //! still, end and start anew. Each process has a clock of its own origin.
 #![allow(dead_code, unused_imports, clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use envelope::Keys;
-use fleet::{MemberId, Time};
-use members::{Action, Event, Members, Settings, State};
+use cluster_types::{MemberId, Time};
+use membership::{Action, Event, Members, Settings, State};
+use message_auth::Keys;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/members/tests/views.rs
+++ b/crates/membership/tests/views.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod sim;
 
-use members::{Event, State};
+use membership::{Event, State};
 use rand::Rng;
 use sim::{name, seeds, Sim};
 use std::collections::BTreeSet;
--- a/crates/envelope/src/open.rs
+++ b/crates/message-auth/src/open.rs
@@ -2,7 +2,7 @@
 use crate::header::{Header, LEAD, MAC, MAGIC, VERSION};
 use crate::window::Window;
 use crate::{Counts, Keys, Refusal, DATAGRAM, SENDERS};
-use fleet::MemberId;
+use cluster_types::MemberId;
 use std::collections::BTreeMap;
 
 /// A message that was found good.
--- a/crates/envelope/src/seal.rs
+++ b/crates/message-auth/src/seal.rs
@@ -1,7 +1,7 @@
 //! Making messages.
 use crate::header::{Header, To, LEAD, MAC, MAGIC, VERSION};
 use crate::{Keys, Refusal, DATAGRAM, SENDERS};
-use fleet::MemberId;
+use cluster_types::MemberId;
 use std::collections::BTreeMap;
 
 /// Signs messages of one life on one channel. Each channel of a sender has one sealer, since the numbers are counted here.
--- a/crates/envelope/tests/envelope.rs
+++ b/crates/message-auth/tests/envelope.rs
@@ -1,7 +1,7 @@
 //! Messages between a few members over a bad link: what passes, and what changes nothing.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use envelope::{Keys, Opened, Opener, Refusal, Sealer, DATAGRAM, FRAME};
-use fleet::MemberId;
+use cluster_types::MemberId;
+use message_auth::{Keys, Opened, Opener, Refusal, Sealer, DATAGRAM, FRAME};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/envelope/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Holds the bytes of signed messages: each file under `golden/` is one message under a fixed key.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use envelope::{life, Keys, Opened, Opener, Refusal, Sealer, FRAME};
-use fleet::MemberId;
+use cluster_types::MemberId;
+use message_auth::{life, Keys, Opened, Opener, Refusal, Sealer, FRAME};
 use rstest::rstest;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/reshard/src/answers.rs
+++ b/crates/resharding/src/answers.rs
@@ -1,5 +1,5 @@
 //! What a gate answers, and what it is told.
-use fleet::{Blocks, BoxId, Index, Volume};
+use cluster_types::{BackendId, BlockRange, Index, Volume};
 use std::collections::BTreeSet;
 
 /// Which volumes may be under placement, for a front that has not caught up since its start.
@@ -15,9 +15,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Part {
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// Their box.
-    pub on: BoxId,
+    pub on: BackendId,
     /// The command of the log that put them there.
     pub epoch: Index,
 }
--- a/crates/reshard/src/apply.rs
+++ b/crates/resharding/src/apply.rs
@@ -5,7 +5,7 @@
 use crate::plan::Bounds;
 use crate::planner::Step;
 use crate::runs::Runs;
-use fleet::{Blocks, BoxId, Index, MemberId, Volume};
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 use std::collections::BTreeMap;
 
 impl Moves {
@@ -99,11 +99,11 @@
     fn adopt(
         &mut self,
         volume: &Volume,
-        ranges: &[(Blocks, BoxId)],
+        ranges: &[(BlockRange, BackendId)],
         index: Index,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let mut sorted: Vec<Blocks> = ranges.iter().map(|(b, _)| *b).collect();
+        let mut sorted: Vec<BlockRange> = ranges.iter().map(|(b, _)| *b).collect();
         sorted.sort();
         let apart = sorted.windows(2).all(|w| w[0].end == w[1].first);
         let whole = sorted.first().is_some_and(|b| b.first == 0) && sorted.iter().all(|b| !b.is_empty());
--- a/crates/reshard/src/check.rs
+++ b/crates/resharding/src/check.rs
@@ -3,23 +3,23 @@
 use crate::plan::{Across, Fault, Plan};
 use crate::planner::plan_moves;
 use crate::view::FleetView;
-use fleet::BoxId;
+use cluster_types::BackendId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The boxes that a plan names.
 #[derive(Clone, Debug, Default)]
 pub struct Named {
     /// The box of each place.
-    pub on: Vec<BoxId>,
+    pub on: Vec<BackendId>,
     /// The boxes to be emptied, with the key.
-    pub empty: BTreeMap<BoxId, String>,
+    pub empty: BTreeMap<BackendId, String>,
 }
 
 /// Finds the boxes; refuses unknown names, one box under two names, and a box that is to be emptied twice or
 /// emptied and filled.
 pub fn named(plan: &Plan, view: &FleetView) -> Result<Named, Fault> {
-    let mut first: BTreeMap<BoxId, String> = BTreeMap::new();
-    let mut resolve = |name: &str, key: &str| -> Result<BoxId, Fault> {
+    let mut first: BTreeMap<BackendId, String> = BTreeMap::new();
+    let mut resolve = |name: &str, key: &str| -> Result<BackendId, Fault> {
         let found = view.named(name);
         let [id] = found.as_slice() else {
             let reason = match found.len() {
--- a/crates/reshard/src/command.rs
+++ b/crates/resharding/src/command.rs
@@ -1,7 +1,7 @@
 //! The commands of the log, and what they do.
 use crate::plan::Bounds;
 use crate::planner::Step;
-use fleet::{Blocks, BoxId, Index, MemberId, Volume};
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 use serde::{Deserialize, Serialize};
 
 /// A command of the log.
@@ -22,7 +22,7 @@
         /// The volume.
         volume: Volume,
         /// Where its blocks are.
-        ranges: Vec<(Blocks, BoxId)>,
+        ranges: Vec<(BlockRange, BackendId)>,
     },
     /// A plan in its order. It replaces the one before.
     Replace {
@@ -64,7 +64,7 @@
         /// Which report of it; or which mover.
         number: u64,
         /// The blocks.
-        marks: Vec<Blocks>,
+        marks: Vec<BlockRange>,
     },
     /// Blocks whose copy has ended, each with how far the mover had applied the log before it read them.
     Copied {
@@ -73,7 +73,7 @@
         /// Which report of it; or which mover.
         number: Index,
         /// The chunks.
-        parts: Vec<(Blocks, Index)>,
+        parts: Vec<(BlockRange, Index)>,
     },
     /// Writes wait from now on.
     Freeze {
@@ -91,7 +91,7 @@
         /// Which report of it; or which mover.
         number: u64,
         /// The blocks.
-        marks: Vec<Blocks>,
+        marks: Vec<BlockRange>,
     },
     /// The hand-over took too long: writes go on at the old place.
     Thaw {
@@ -160,20 +160,20 @@
         /// The volume.
         volume: Volume,
         /// The blocks.
-        blocks: Blocks,
+        blocks: BlockRange,
         /// The box.
-        on: BoxId,
+        on: BackendId,
         /// The command that did it.
         epoch: Index,
     },
     /// A place is free for others.
     Freed {
         /// The box.
-        on: BoxId,
+        on: BackendId,
         /// The volume.
         volume: Volume,
         /// The blocks.
-        blocks: Blocks,
+        blocks: BlockRange,
     },
     /// A step can't begin any more, and why.
     Dropped {
--- a/crates/reshard/src/copier.rs
+++ b/crates/resharding/src/copier.rs
@@ -3,7 +3,7 @@
 //! reservations, and keeps limits, drains and cold budgets; what the module does not let through ends as refused.
 use crate::moves::{Command, Move, PARTS};
 use crate::Rules;
-use fleet::{Blocks, BoxId, Index, Time, Volume};
+use cluster_types::{BackendId, BlockRange, Index, Time, Volume};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -33,11 +33,11 @@
     /// What to do.
     pub work: Work,
     /// At this box.
-    pub on: BoxId,
+    pub on: BackendId,
     /// The volume.
     pub volume: Volume,
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// It must not be sent after this.
     pub until: Time,
 }
@@ -64,7 +64,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Slot {
-    blocks: Blocks,
+    blocks: BlockRange,
     seen: Index,
     stage: Stage,
 }
@@ -79,7 +79,7 @@
     slots: BTreeMap<u64, Slot>,
     token: u64,
     /// Copied, and not yet gone from what is to be copied.
-    copied: Vec<(Blocks, Index)>,
+    copied: Vec<(BlockRange, Index)>,
     said: Option<Time>,
     /// Whether something was copied since.
     new: bool,
@@ -177,8 +177,8 @@
     }
 
     /// The first chunk that is to be copied and is neither out nor just copied.
-    fn pick(&self, m: &Move, chunk: u64) -> Option<Blocks> {
-        let mut picked: Option<Blocks> = None;
+    fn pick(&self, m: &Move, chunk: u64) -> Option<BlockRange> {
+        let mut picked: Option<BlockRange> = None;
         for (run, at) in m.todo.iter() {
             let mut first = run.first;
             while first < run.end {
@@ -197,7 +197,7 @@
                 }
                 let from = picked.map_or(first, |p| p.first);
                 let end = next.map_or(run.end, |b| b.first).min(from.saturating_add(chunk));
-                picked = Some(Blocks { first: from, end });
+                picked = Some(BlockRange { first: from, end });
                 first = end;
             }
         }
--- a/crates/reshard/src/front.rs
+++ b/crates/resharding/src/front.rs
@@ -4,7 +4,7 @@
 use crate::moves::{Command, Move, Moves, Phase, Standing};
 use crate::runs::Runs;
 use crate::{shard, Rules};
-use fleet::{Blocks, BoxId, Index, MemberId, Time, Volume};
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Time, Volume};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
     }
 
     /// Whether a command may go now: see [`Gate::may`].
-    pub fn may(&mut self, now: Time, volume: &Volume, blocks: Blocks, write: bool) -> May {
+    pub fn may(&mut self, now: Time, volume: &Volume, blocks: BlockRange, write: bool) -> May {
         self.gate.may(now, volume, blocks, write)
     }
 
@@ -73,7 +73,7 @@
 
     /// What it has to say, and what is to be copied. To be asked often. `spare` tells what a box can do beyond
     /// reservations, in units a second.
-    pub fn step(&mut self, now: Time, spare: &dyn Fn(&BoxId) -> u64) -> (Vec<Command>, Vec<Order>) {
+    pub fn step(&mut self, now: Time, spare: &dyn Fn(&BackendId) -> u64) -> (Vec<Command>, Vec<Order>) {
         let known = Arc::clone(&self.gate.known);
         let (mut commands, mut orders) = (Vec::new(), Vec::new());
         self.gate.settle(now);
@@ -105,7 +105,7 @@
         id: Index,
         m: &Move,
         known: &Moves,
-        spare: &dyn Fn(&BoxId) -> u64,
+        spare: &dyn Fn(&BackendId) -> u64,
         commands: &mut Vec<Command>,
         orders: &mut Vec<Order>,
     ) {
--- a/crates/reshard/src/gate.rs
+++ b/crates/resharding/src/gate.rs
@@ -4,7 +4,7 @@
 use crate::moves::{Move, Moves, Phase, Standing};
 use crate::runs::Runs;
 use crate::Rules;
-use fleet::{Blocks, Index, MemberId, Time, Volume};
+use cluster_types::{BlockRange, Index, MemberId, Time, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Out {
     volume: Volume,
-    blocks: Blocks,
+    blocks: BlockRange,
     epochs: Vec<Index>,
     write: bool,
     sent: Time,
@@ -46,7 +46,7 @@
     barrier: Option<Index>,
     caught_up: bool,
     outs: BTreeMap<u64, Out>,
-    lingering: Vec<(Time, Volume, Blocks)>,
+    lingering: Vec<(Time, Volume, BlockRange)>,
     next: u64,
     /// Commands refused, by reason, and those that may have run.
     pub counts: [u64; 4],
@@ -127,7 +127,7 @@
     }
 
     /// Whether a command may go now. To be asked right before it is sent.
-    pub fn may(&mut self, now: Time, volume: &Volume, blocks: Blocks, write: bool) -> May {
+    pub fn may(&mut self, now: Time, volume: &Volume, blocks: BlockRange, write: bool) -> May {
         let controlled = match &self.controlled {
             Controlled::All => true,
             Controlled::Only(some) => some.contains(volume),
@@ -204,7 +204,7 @@
         let (ended, left) =
             std::mem::take(&mut self.lingering).into_iter().partition(|(until, _, _)| *until < now);
         self.lingering = left;
-        let ended: Vec<(Time, Volume, Blocks)> = ended;
+        let ended: Vec<(Time, Volume, BlockRange)> = ended;
         for (_, volume, blocks) in ended {
             for (id, _) in known.over(&volume, &blocks).filter(|(_, m)| m.phase.may_go_back()) {
                 self.marks.entry(id).or_default().fresh.add(blocks, Index(0));
@@ -214,7 +214,7 @@
 
     /// Whether no write to a range is out, nor may run yet.
     pub(crate) fn quiet(&self, m: &Move) -> bool {
-        let over = |v: &Volume, b: &Blocks| *v == m.volume && m.blocks.overlaps(b);
+        let over = |v: &Volume, b: &BlockRange| *v == m.volume && m.blocks.overlaps(b);
         !self.outs.values().any(|o| o.write && over(&o.volume, &o.blocks))
             && !self.lingering.iter().any(|(_, v, b)| over(v, b))
     }
--- a/crates/reshard/src/judge.rs
+++ b/crates/resharding/src/judge.rs
@@ -1,7 +1,7 @@
 //! What a move does by itself once a command has changed it: all fronts replicate the same.
 use crate::moves::{Effect, Move, Moves, Phase, Standing, PAST};
 use crate::runs::Runs;
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 
 impl Moves {
     /// Puts a move to another phase.
--- a/crates/reshard/src/leader.rs
+++ b/crates/resharding/src/leader.rs
@@ -3,7 +3,7 @@
 use crate::moves::{Command, Move, Moves, Phase, Standing};
 use crate::plan::Fault;
 use crate::Rules;
-use fleet::{BoxId, Index, MemberId, Time};
+use cluster_types::{BackendId, Index, MemberId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// Boxes that do not answer.
-    pub dead: BTreeSet<BoxId>,
+    pub dead: BTreeSet<BackendId>,
 }
 
 /// A lease.
--- a/crates/reshard/src/lib.rs
+++ b/crates/resharding/src/lib.rs
@@ -15,7 +15,7 @@
 //!
 //! A write over the border of two ranges is split: all its parts are let through, or none; one ticket for all.
 #![warn(clippy::all)]
-use fleet::{Time, Volume};
+use cluster_types::{Time, Volume};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/reshard/src/moves.rs
+++ b/crates/resharding/src/moves.rs
@@ -5,7 +5,7 @@
 use crate::plan::Bounds;
 use crate::planner::Step;
 use crate::runs::Runs;
-use fleet::{Blocks, BoxId, Index, MemberId, Volume};
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -24,11 +24,11 @@
     /// The volume.
     pub volume: Volume,
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// The old place.
-    pub from: BoxId,
+    pub from: BackendId,
     /// The new place.
-    pub to: BoxId,
+    pub to: BackendId,
     /// Why it moves.
     pub why: String,
     /// Where it is.
@@ -117,7 +117,7 @@
     pub fn over<'a>(
         &'a self,
         volume: &'a Volume,
-        blocks: &'a Blocks,
+        blocks: &'a BlockRange,
     ) -> impl Iterator<Item = (Index, &'a Move)> + 'a {
         self.active
             .iter()
--- a/crates/reshard/src/order.rs
+++ b/crates/resharding/src/order.rs
@@ -2,7 +2,7 @@
 use crate::check::Named;
 use crate::plan::{Across, Fault, Plan};
 use crate::view::FleetView;
-use fleet::{Blocks, BoxId, Volume};
+use cluster_types::{BackendId, BlockRange, Volume};
 use std::cmp::Reverse;
 
 /// Blocks that have to go.
@@ -11,11 +11,11 @@
     /// The volume.
     pub volume: Volume,
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// Where they are.
-    pub from: BoxId,
+    pub from: BackendId,
     /// Where they belong.
-    pub to: BoxId,
+    pub to: BackendId,
     /// The key of the plan that wants it.
     pub key: String,
     /// Why, in plain words.
@@ -66,9 +66,9 @@
             let Some(key) = names.empty.get(&at.on) else { continue };
             let mut rest = at.blocks;
             while !rest.is_empty() {
-                let room = |id: &BoxId| {
+                let room = |id: &BackendId| {
                     let room = view.boxes.get(id).map_or(0, |b| b.room);
-                    let blocks = Blocks {
+                    let blocks = BlockRange {
                         first: rest.first,
                         end: rest.end.min(rest.first + room.saturating_sub(end.blocks(id))),
                     };
--- a/crates/reshard/src/phase.rs
+++ b/crates/resharding/src/phase.rs
@@ -1,5 +1,5 @@
 //! Where a move is, and how fronts stand to it.
-use fleet::{Index, MemberId};
+use cluster_types::{Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/crates/reshard/src/pieces.rs
+++ b/crates/resharding/src/pieces.rs
@@ -1,6 +1,6 @@
 //! Which blocks a piece stands for, where a file maps them. A piece that it does not map is not under placement.
 use crate::plan::{blocks, volume, Fault};
-use fleet::{Blocks, Volume};
+use cluster_types::{BlockRange, Volume};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use toml::Value;
@@ -11,7 +11,7 @@
 /// The map.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pieces {
-    map: BTreeMap<Volume, BTreeMap<String, Blocks>>,
+    map: BTreeMap<Volume, BTreeMap<String, BlockRange>>,
 }
 
 #[derive(Deserialize)]
@@ -55,7 +55,7 @@
     }
 
     /// The blocks of a piece.
-    pub fn find(&self, volume: &Volume, piece: &str) -> Option<Blocks> {
+    pub fn find(&self, volume: &Volume, piece: &str) -> Option<BlockRange> {
         self.map.get(volume)?.get(piece).copied()
     }
 
@@ -63,8 +63,8 @@
     pub fn within<'a>(
         &'a self,
         volume: &Volume,
-        range: Blocks,
-    ) -> impl Iterator<Item = (&'a str, Blocks)> + 'a {
+        range: BlockRange,
+    ) -> impl Iterator<Item = (&'a str, BlockRange)> + 'a {
         let all = self.map.get(volume).into_iter().flatten();
         all.filter(move |(_, b)| range.overlaps(b)).map(|(name, b)| (name.as_str(), *b))
     }
--- a/crates/reshard/src/placement.rs
+++ b/crates/resharding/src/placement.rs
@@ -1,5 +1,5 @@
 //! Where ranges are. Persistent: a copy for the front costs nothing and is read without locks.
-use fleet::{Blocks, BoxId, Index, Volume};
+use cluster_types::{BackendId, BlockRange, Index, Volume};
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
 
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Placed {
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// Their box.
-    pub on: BoxId,
+    pub on: BackendId,
     /// The command that put them there.
     pub epoch: Index,
 }
@@ -37,13 +37,14 @@
     }
 
     /// The places of these blocks in order, each cut to them. None where some block has no place.
-    pub fn find(&self, volume: &Volume, blocks: Blocks) -> Option<Vec<Placed>> {
+    pub fn find(&self, volume: &Volume, blocks: BlockRange) -> Option<Vec<Placed>> {
         let ranges = self.volumes.get(volume)?;
         let start = ranges.range(..=blocks.first).next_back().map_or(blocks.first, |(f, _)| *f);
         let mut next = blocks.first;
         let mut found = Vec::new();
         for (_, placed) in ranges.range(start..blocks.end) {
-            let cut = Blocks { first: placed.blocks.first.max(next), end: placed.blocks.end.min(blocks.end) };
+            let cut =
+                BlockRange { first: placed.blocks.first.max(next), end: placed.blocks.end.min(blocks.end) };
             if cut.is_empty() {
                 continue;
             }
@@ -57,12 +58,12 @@
     }
 
     /// Whether all of these blocks are on that box.
-    pub fn wholly(&self, volume: &Volume, blocks: Blocks, on: &BoxId) -> bool {
+    pub fn wholly(&self, volume: &Volume, blocks: BlockRange, on: &BackendId) -> bool {
         self.find(volume, blocks).is_some_and(|found| found.iter().all(|p| p.on == *on))
     }
 
     /// Puts blocks on a box. What was there is cut; neighbours keep their epochs.
-    pub fn put(&mut self, volume: &Volume, blocks: Blocks, on: &BoxId, epoch: Index) {
+    pub fn put(&mut self, volume: &Volume, blocks: BlockRange, on: &BackendId, epoch: Index) {
         if blocks.is_empty() {
             return;
         }
@@ -70,8 +71,8 @@
         let hit: Vec<Placed> = ranges.values().filter(|p| p.blocks.overlaps(&blocks)).cloned().collect();
         for old in hit {
             ranges.remove(&old.blocks.first);
-            let before = Blocks { first: old.blocks.first, end: blocks.first };
-            let behind = Blocks { first: blocks.end, end: old.blocks.end };
+            let before = BlockRange { first: old.blocks.first, end: blocks.first };
+            let behind = BlockRange { first: blocks.end, end: old.blocks.end };
             for rest in [before, behind] {
                 if !rest.is_empty() {
                     ranges.insert(rest.first, Placed { blocks: rest, ..old.clone() });
@@ -94,17 +95,17 @@
         fn each_block_has_the_place_last_given(puts in proptest::collection::vec((0u64..40, 1u64..20, 0u8..4), 1..40), at in 0u64..50, len in 1u64..12) {
             let (volume, mut placement) = (Volume::from("v"), Placement::default());
             let mut model = [0u8; 64];
-            placement.put(&volume, Blocks { first: 0, end: 64 }, &BoxId::from("0"), Index(0));
+            placement.put(&volume, BlockRange { first: 0, end: 64 }, &BackendId::from("0"), Index(0));
             for (i, (first, len, on)) in puts.into_iter().enumerate() {
-                let blocks = Blocks { first, end: first + len };
-                placement.put(&volume, blocks, &BoxId::from(on.to_string().as_str()), Index(i as u64 + 1));
+                let blocks = BlockRange { first, end: first + len };
+                placement.put(&volume, blocks, &BackendId::from(on.to_string().as_str()), Index(i as u64 + 1));
                 model[first as usize..blocks.end as usize].fill(on);
             }
-            let found = placement.find(&volume, Blocks { first: at, end: at + len }).unwrap();
+            let found = placement.find(&volume, BlockRange { first: at, end: at + len }).unwrap();
             let flat: Vec<String> = found.iter().flat_map(|p| (p.blocks.first..p.blocks.end).map(|_| p.on.to_string())).collect();
             let wanted: Vec<String> = model[at as usize..(at + len) as usize].iter().map(u8::to_string).collect();
             prop_assert_eq!(flat, wanted);
-            let beyond = Blocks { first: 60, end: 65 };
+            let beyond = BlockRange { first: 60, end: 65 };
             prop_assert!(placement.find(&volume, beyond).is_none());
         }
     }
--- a/crates/reshard/src/plan.rs
+++ b/crates/resharding/src/plan.rs
@@ -1,5 +1,5 @@
 //! What an operator declares: where ranges belong, and under which bounds.
-use fleet::{Blocks, Volume};
+use cluster_types::{BlockRange, Volume};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use toml::Value;
@@ -68,7 +68,7 @@
     /// The volume.
     pub volume: Volume,
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// The box, by any of its names.
     pub on: String,
 }
@@ -142,12 +142,12 @@
 }
 
 /// Blocks as `first..end`.
-pub(crate) fn blocks(key: &str, value: &Value) -> Result<Blocks, Fault> {
+pub(crate) fn blocks(key: &str, value: &Value) -> Result<BlockRange, Fault> {
     let text = text(key, value)?;
     let ends =
         text.split_once("..").and_then(|(a, b)| Some((a.trim().parse().ok()?, b.trim().parse().ok()?)));
     match ends {
-        Some((first, end)) if first < end => Ok(Blocks { first, end }),
+        Some((first, end)) if first < end => Ok(BlockRange { first, end }),
         Some(_) => Err(Fault::new(key, format!("{text} holds no block"))),
         None => Err(Fault::new(key, format!("{text} is not of the form \"first..end\""))),
     }
--- a/crates/reshard/src/planner.rs
+++ b/crates/resharding/src/planner.rs
@@ -4,7 +4,7 @@
 use crate::order::{wants, Want};
 use crate::plan::{Across, Fault, Plan};
 use crate::view::{Books, FleetView};
-use fleet::{Blocks, BoxId, Volume};
+use cluster_types::{BackendId, BlockRange, Volume};
 use serde::{Deserialize, Serialize};
 
 /// A move in the order that would be taken.
@@ -15,11 +15,11 @@
     /// The volume.
     pub volume: Volume,
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// From this box.
-    pub from: BoxId,
+    pub from: BackendId,
     /// To this box.
-    pub to: BoxId,
+    pub to: BackendId,
     /// The steps that have to be done before: they make the room, or bring the range to where it goes from.
     pub after: Vec<u32>,
     /// Why, in plain words.
@@ -42,14 +42,14 @@
 }
 
 impl Order<'_> {
-    fn fits(&self, books: &Books, volume: &Volume, blocks: Blocks, on: &BoxId) -> bool {
+    fn fits(&self, books: &Books, volume: &Volume, blocks: BlockRange, on: &BackendId) -> bool {
         let mut then = books.clone();
         then.put(volume, blocks, on);
         then.fits(self.view, on).is_ok()
     }
 
     /// Adds a step. It waits only for as many departures as it needs, the earliest first.
-    fn step(&mut self, want: &Want, to: &BoxId, brought: Option<u32>, why: String) -> u32 {
+    fn step(&mut self, want: &Want, to: &BackendId, brought: Option<u32>, why: String) -> u32 {
         let id = self.steps.len() as u32 + 1;
         let mut after: Vec<u32> = brought.into_iter().collect();
         let mut books = self.most.clone();
@@ -74,7 +74,12 @@
 }
 
 /// The third place that takes a range for a while: one with room, in the same hall where it can be.
-fn third(order: &Order<'_>, want: &Want, across: Across, avoid: &dyn Fn(&BoxId) -> bool) -> Option<BoxId> {
+fn third(
+    order: &Order<'_>,
+    want: &Want,
+    across: Across,
+    avoid: &dyn Fn(&BackendId) -> bool,
+) -> Option<BackendId> {
     let view = order.view;
     view.boxes
         .keys()
@@ -104,7 +109,7 @@
             continue;
         }
         // Each waits for another one's room: one of them goes by way of a third place.
-        let avoid = |id: &BoxId| names.empty.contains_key(id);
+        let avoid = |id: &BackendId| names.empty.contains_key(id);
         let detour = left.iter().enumerate().filter(|(_, l)| l.brought.is_none()).find_map(|(at, l)| {
             let freed = left.iter().any(|o| o.want.to == l.want.from);
             freed.then(|| third(&order, &l.want, across, &avoid)).flatten().map(|by| (at, by))
--- a/crates/reshard/src/runs.rs
+++ b/crates/resharding/src/runs.rs
@@ -1,6 +1,6 @@
 //! Sets of blocks as runs, each with the newest position at which it was touched. Bounded: when there are too many
 //! runs, near ones become one, which only makes the set larger.
-use fleet::{Blocks, Index};
+use cluster_types::{BlockRange, Index};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 
 impl Runs {
     /// One run.
-    pub fn of(blocks: Blocks, at: Index) -> Runs {
+    pub fn of(blocks: BlockRange, at: Index) -> Runs {
         let mut runs = Runs::default();
         runs.add(blocks, at);
         runs
@@ -32,20 +32,20 @@
     }
 
     /// All runs.
-    pub fn iter(&self) -> impl Iterator<Item = (Blocks, Index)> + '_ {
-        self.runs.iter().map(|(&first, &(end, at))| (Blocks { first, end }, at))
+    pub fn iter(&self) -> impl Iterator<Item = (BlockRange, Index)> + '_ {
+        self.runs.iter().map(|(&first, &(end, at))| (BlockRange { first, end }, at))
     }
 
     /// The runs without their positions.
-    pub fn blocks(&self) -> Vec<Blocks> {
+    pub fn blocks(&self) -> Vec<BlockRange> {
         self.iter().map(|(b, _)| b).collect()
     }
 
     /// What is in it of these blocks.
-    pub fn within(&self, blocks: Blocks) -> Vec<(Blocks, Index)> {
+    pub fn within(&self, blocks: BlockRange) -> Vec<(BlockRange, Index)> {
         self.iter()
             .filter(|(b, _)| b.overlaps(&blocks))
-            .map(|(b, at)| (Blocks { first: b.first.max(blocks.first), end: b.end.min(blocks.end) }, at))
+            .map(|(b, at)| (BlockRange { first: b.first.max(blocks.first), end: b.end.min(blocks.end) }, at))
             .collect()
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Takes blocks in at that position; what was in it keeps the newer one.
-    pub fn add(&mut self, blocks: Blocks, at: Index) {
+    pub fn add(&mut self, blocks: BlockRange, at: Index) {
         if blocks.is_empty() {
             return;
         }
@@ -82,7 +82,7 @@
     }
 
     /// Takes out of these blocks what was last touched at that position or before.
-    pub fn remove(&mut self, blocks: Blocks, upto: Index) {
+    pub fn remove(&mut self, blocks: BlockRange, upto: Index) {
         if blocks.is_empty() {
             return;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Joins what touches and was touched at the same position, near these blocks only.
-    fn join(&mut self, near: Blocks) {
+    fn join(&mut self, near: BlockRange) {
         let start = self.runs.range(..near.first).next_back().map_or(near.first, |(first, _)| *first);
         let mut last: Option<(u64, u64, Index)> = None;
         let inside: Vec<_> = self.runs.range(start..=near.end).map(|(f, (e, at))| (*f, *e, *at)).collect();
@@ -150,7 +150,7 @@
             let mut runs = Runs::default();
             let mut model: BTreeMap<u64, u64> = BTreeMap::new();
             for (first, len, at, add) in ops {
-                let blocks = Blocks { first, end: first + len };
+                let blocks = BlockRange { first, end: first + len };
                 if add { runs.add(blocks, Index(at)) } else { runs.remove(blocks, Index(at)) }
                 for b in first..first + len {
                     let old = model.get(&b).copied();
@@ -172,7 +172,7 @@
     fn stays_bounded() {
         let mut runs = Runs::default();
         for i in 0..2000u64 {
-            runs.add(Blocks { first: i * 10, end: i * 10 + 1 }, Index(i));
+            runs.add(BlockRange { first: i * 10, end: i * 10 + 1 }, Index(i));
         }
         assert!(runs.iter().count() <= RUNS);
         assert!((0..2000u64)
--- a/crates/reshard/src/tell.rs
+++ b/crates/resharding/src/tell.rs
@@ -1,7 +1,7 @@
 //! What the operators' address tells: the order that would be taken and why, and where each move stands.
 use crate::moves::{Move, Moves, Phase, Standing};
 use crate::planner::Step;
-use fleet::{Blocks, BoxId, Index, MemberId, Volume};
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -13,11 +13,11 @@
     /// The volume.
     pub volume: Volume,
     /// The blocks.
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     /// From this box.
-    pub from: BoxId,
+    pub from: BackendId,
     /// To this box.
-    pub to: BoxId,
+    pub to: BackendId,
     /// Why.
     pub why: String,
     /// The move's name, once it runs.
