--- a/crates/reshard/src/view.rs
+++ b/crates/resharding/src/view.rs
@@ -1,13 +1,13 @@
 //! What is known of boxes and volumes when a plan is checked and ordered.
 use crate::placement::Placement;
-use fleet::{Blocks, BoxId, Hall, Volume};
+use cluster_types::{BackendId, BlockRange, Volume, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A box.
 #[derive(Clone, Debug, Default)]
 pub struct BoxView {
     /// Its hall.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Its addresses and other names.
     pub names: BTreeSet<String>,
     /// How many blocks it can hold of volumes under placement.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     /// The boxes.
-    pub boxes: BTreeMap<BoxId, BoxView>,
+    pub boxes: BTreeMap<BackendId, BoxView>,
     /// The volumes.
     pub volumes: BTreeMap<Volume, VolumeView>,
     /// Where ranges are.
@@ -40,7 +40,7 @@
 
 impl FleetView {
     /// The boxes that a name stands for: by instance id, or by one of its other names.
-    pub fn named(&self, name: &str) -> Vec<BoxId> {
+    pub fn named(&self, name: &str) -> Vec<BackendId> {
         self.boxes
             .iter()
             .filter(|(id, b)| &*id.0 == name || b.names.contains(name))
@@ -56,7 +56,7 @@
     }
 
     /// The hall of a box.
-    pub fn hall(&self, on: &BoxId) -> Option<&Hall> {
+    pub fn hall(&self, on: &BackendId) -> Option<&Zone> {
         self.boxes.get(on).map(|b| &b.hall)
     }
 
@@ -75,37 +75,37 @@
 /// What each box holds, by volume.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Books {
-    held: BTreeMap<BoxId, BTreeMap<Volume, u64>>,
+    held: BTreeMap<BackendId, BTreeMap<Volume, u64>>,
 }
 
 impl Books {
     /// Adds blocks.
-    pub fn put(&mut self, volume: &Volume, blocks: Blocks, on: &BoxId) {
+    pub fn put(&mut self, volume: &Volume, blocks: BlockRange, on: &BackendId) {
         let held = self.held.entry(on.clone()).or_default().entry(volume.clone()).or_default();
         *held = held.saturating_add(blocks.len());
     }
 
     /// Takes blocks away.
-    pub fn take(&mut self, volume: &Volume, blocks: Blocks, on: &BoxId) {
+    pub fn take(&mut self, volume: &Volume, blocks: BlockRange, on: &BackendId) {
         if let Some(held) = self.held.get_mut(on).and_then(|h| h.get_mut(volume)) {
             *held = held.saturating_sub(blocks.len());
         }
     }
 
     /// How many blocks a box holds.
-    pub fn blocks(&self, on: &BoxId) -> u64 {
+    pub fn blocks(&self, on: &BackendId) -> u64 {
         self.held.get(on).map_or(0, |h| h.values().sum())
     }
 
     /// What is reserved on a box, with what is not under placement.
-    pub fn reserved(&self, view: &FleetView, on: &BoxId) -> u64 {
+    pub fn reserved(&self, view: &FleetView, on: &BackendId) -> u64 {
         let other = view.boxes.get(on).map_or(0, |b| b.held);
         let of = |h: &BTreeMap<Volume, u64>| h.iter().map(|(v, n)| view.reserve(v, *n)).sum::<u64>();
         other.saturating_add(self.held.get(on).map_or(0, of))
     }
 
     /// Whether a box can hold what it has; if not, why, in plain words.
-    pub fn fits(&self, view: &FleetView, on: &BoxId) -> Result<(), String> {
+    pub fn fits(&self, view: &FleetView, on: &BackendId) -> Result<(), String> {
         let Some(b) = view.boxes.get(on) else { return Err(format!("{on} is not known")) };
         let (blocks, reserved) = (self.blocks(on), self.reserved(view, on));
         if blocks > b.room {
@@ -121,7 +121,7 @@
     }
 
     /// What a box can do beyond its reserves.
-    pub fn spare(&self, view: &FleetView, on: &BoxId) -> u64 {
+    pub fn spare(&self, view: &FleetView, on: &BackendId) -> u64 {
         view.boxes.get(on).map_or(0, |b| b.rate).saturating_sub(self.reserved(view, on))
     }
 }
--- a/crates/reshard/src/words.rs
+++ b/crates/resharding/src/words.rs
@@ -1,6 +1,6 @@
 //! What fronts say of a move, as it is applied.
 use crate::moves::{Effect, Move, Moves, Phase, Standing, PARTS};
-use fleet::{Blocks, Index, MemberId};
+use cluster_types::{BlockRange, Index, MemberId};
 
 impl Moves {
     #[allow(clippy::too_many_arguments)]
@@ -62,7 +62,7 @@
         by: &MemberId,
         life: u64,
         number: u64,
-        marks: &[Blocks],
+        marks: &[BlockRange],
         index: Index,
     ) -> bool {
         let Some(m) = self.active.get_mut(&id) else { return false };
@@ -75,7 +75,7 @@
         if matches!(m.phase, Phase::Copy | Phase::CatchUp | Phase::HandOver { .. }) {
             for blocks in marks {
                 let first = blocks.first.max(m.blocks.first);
-                m.todo.add(Blocks { first, end: blocks.end.min(m.blocks.end) }, index);
+                m.todo.add(BlockRange { first, end: blocks.end.min(m.blocks.end) }, index);
             }
         }
         true
@@ -87,7 +87,7 @@
         id: Index,
         by: &MemberId,
         number: Index,
-        parts: &[(Blocks, Index)],
+        parts: &[(BlockRange, Index)],
         index: Index,
         at_ms: u64,
         out: &mut Vec<Effect>,
--- a/crates/reshard/tests/check.rs
+++ b/crates/resharding/tests/check.rs
@@ -1,7 +1,7 @@
 //! The check of a plan: each refusal has the right key.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use fleet::{Blocks, BoxId, Index, Volume};
-use reshard::*;
+use cluster_types::{BackendId, BlockRange, Index, Volume};
+use resharding::*;
 use rstest::rstest;
 
 const V: &str = "0000000000000001";
@@ -14,12 +14,22 @@
     {
         let names = [format!("10.0.0.{}", &id[5..]), "all-of-them".to_string()].into();
         let b = BoxView { hall: hall.into(), names, room, rate, held: 100 };
-        view.boxes.insert(BoxId::from(id), b);
+        view.boxes.insert(BackendId::from(id), b);
     }
     view.volumes.insert(Volume::from(V), VolumeView { blocks: 100, reserve: 300 });
     view.volumes.insert(Volume::from(W), VolumeView { blocks: 50, reserve: 10 });
-    view.placement.put(&Volume::from(V), Blocks { first: 0, end: 100 }, &BoxId::from("box-01"), Index(1));
-    view.placement.put(&Volume::from(W), Blocks { first: 0, end: 50 }, &BoxId::from("box-02"), Index(1));
+    view.placement.put(
+        &Volume::from(V),
+        BlockRange { first: 0, end: 100 },
+        &BackendId::from("box-01"),
+        Index(1),
+    );
+    view.placement.put(
+        &Volume::from(W),
+        BlockRange { first: 0, end: 50 },
+        &BackendId::from("box-02"),
+        Index(1),
+    );
     view
 }
 
@@ -82,10 +92,10 @@
     tight.volumes.get_mut(&Volume::from(V)).unwrap().reserve = 450;
     assert_eq!(plan.check(&tight).unwrap_err().key, "place[0].on");
     let mut small = view();
-    small.boxes.get_mut(&BoxId::from("box-03")).unwrap().room = 99;
+    small.boxes.get_mut(&BackendId::from("box-03")).unwrap().room = 99;
     assert!(plan.check(&small).unwrap_err().reason.contains("room for 99"));
     let mut busy = view();
-    busy.boxes.get_mut(&BoxId::from("box-01")).unwrap().held = 700;
+    busy.boxes.get_mut(&BackendId::from("box-01")).unwrap().held = 700;
     assert_eq!(plan.check(&busy).unwrap_err().key, "bounds.share_of_spare");
 }
 
@@ -108,9 +118,10 @@
     };
     let pieces = Pieces::read(&(piece("a", "0..4") + &piece("b", "4..6"))).unwrap();
     let volume = Volume::from(V);
-    assert_eq!(pieces.find(&volume, "b"), Some(Blocks { first: 4, end: 6 }));
+    assert_eq!(pieces.find(&volume, "b"), Some(BlockRange { first: 4, end: 6 }));
     assert_eq!(pieces.find(&volume, "new"), None);
-    let within: Vec<_> = pieces.within(&volume, Blocks { first: 3, end: 4 }).map(|(name, _)| name).collect();
+    let within: Vec<_> =
+        pieces.within(&volume, BlockRange { first: 3, end: 4 }).map(|(name, _)| name).collect();
     assert_eq!(within, ["a"]);
     let fault = Pieces::read(&(piece("a", "0..4") + &piece("b", "3..6"))).unwrap_err();
     assert_eq!(fault.key, "piece[1].blocks");
--- a/crates/reshard/tests/commands.rs
+++ b/crates/resharding/tests/commands.rs
@@ -1,7 +1,7 @@
 //! Words that come late or twice change nothing.
 #![allow(clippy::unwrap_used)]
-use fleet::{Blocks, Index, MemberId, Volume};
-use reshard::*;
+use cluster_types::{BlockRange, Index, MemberId, Volume};
+use resharding::*;
 
 struct Log(Moves, u64);
 
@@ -25,7 +25,7 @@
 
 #[test]
 fn late_and_doubled_words_are_ignored() {
-    let all = Blocks { first: 0, end: 8 };
+    let all = BlockRange { first: 0, end: 8 };
     let mut log = Log(Moves::new(), 0);
     log.say("a", Command::Present { life: 1 });
     log.say("b", Command::Present { life: 1 });
--- a/crates/reshard/tests/common/clients.rs
+++ b/crates/resharding/tests/common/clients.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 pub struct Op {
-    pub blocks: Blocks,
+    pub blocks: BlockRange,
     pub value: Option<u64>,
     pub began: u64,
     pub ticket: Option<u64>,
@@ -23,7 +23,7 @@
     pub fn clients(&mut self, i: usize) {
         if self.rng.random_bool(self.load) {
             let first = self.rng.random_range(0..30);
-            let blocks = Blocks { first, end: first + self.rng.random_range(1..3) };
+            let blocks = BlockRange { first, end: first + self.rng.random_range(1..3) };
             self.seq += 1;
             let value = self.rng.random_bool(0.5).then_some(self.seq);
             if let Some(value) = value {
--- a/crates/reshard/tests/common/mod.rs
+++ b/crates/resharding/tests/common/mod.rs
@@ -6,11 +6,11 @@
 pub mod net;
 
 use clients::Op;
-use fleet::{Blocks, BoxId, Index, MemberId, Time, Volume};
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Time, Volume};
 use history::History;
 use net::Mail;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use reshard::*;
+use resharding::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,8 +56,8 @@
     pub led_until: u64,
     pub lead: Leader,
     pub mail: BTreeMap<(u64, u64), Mail>,
-    pub boxes: BTreeMap<BoxId, BTreeMap<u64, u64>>,
-    pub dead: BTreeSet<BoxId>,
+    pub boxes: BTreeMap<BackendId, BTreeMap<u64, u64>>,
+    pub dead: BTreeSet<BackendId>,
     pub history: History,
     /// Of each block: the newest place that some front may write to, by its epoch.
     pub open: BTreeMap<u64, Index>,
@@ -88,7 +88,7 @@
             led_until: 0,
             lead: Leader::new(rules()),
             mail: BTreeMap::new(),
-            boxes: ["a", "b", "c"].into_iter().map(|b| (BoxId::from(b), BTreeMap::new())).collect(),
+            boxes: ["a", "b", "c"].into_iter().map(|b| (BackendId::from(b), BTreeMap::new())).collect(),
             dead: BTreeSet::new(),
             history: History::default(),
             open: BTreeMap::new(),
@@ -122,7 +122,7 @@
                 next_apply: 0,
             });
         }
-        let ranges = vec![(Blocks { first: 0, end: blocks }, BoxId::from(on))];
+        let ranges = vec![(BlockRange { first: 0, end: blocks }, BackendId::from(on))];
         sim.append(MemberId::from("f0"), Command::Adopt { volume: volume(), ranges });
         sim
     }
--- a/crates/reshard/tests/explore/ends.rs
+++ b/crates/resharding/tests/explore/ends.rs
@@ -1,7 +1,7 @@
 //! What happens at the boxes, and what must hold there.
 use super::world::*;
-use fleet::{Index, Time};
-use reshard::*;
+use cluster_types::{Index, Time};
+use resharding::*;
 
 impl World {
     pub fn open(&self) -> Option<Index> {
--- a/crates/reshard/tests/explore/world.rs
+++ b/crates/resharding/tests/explore/world.rs
@@ -1,11 +1,11 @@
 //! The world of the exploration: two fronts, a prompt leader, two boxes.
-use fleet::{Blocks, BoxId, Index, MemberId, Time, Volume};
-use reshard::*;
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Time, Volume};
+use resharding::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-pub const ALL: Blocks = Blocks { first: 0, end: 1 };
+pub const ALL: BlockRange = BlockRange { first: 0, end: 1 };
 
 pub fn rules() -> Rules {
     let ms = Duration::from_millis;
@@ -44,7 +44,7 @@
     pub fronts: Vec<(Moves, Front, u64)>,
     pub head: Moves,
     pub lead: Leader,
-    pub boxes: BTreeMap<BoxId, u8>,
+    pub boxes: BTreeMap<BackendId, u8>,
     pub bookings: Vec<Booking>,
     pub copies: Vec<Copying>,
     pub kept: BTreeMap<(usize, Index, u64), u8>,
@@ -77,7 +77,7 @@
             fronts: vec![front(0), front(1)],
             head: Moves::new(),
             lead: Leader::new(rules()),
-            boxes: [(BoxId::from("old"), 0), (BoxId::from("new"), 9)].into(),
+            boxes: [(BackendId::from("old"), 0), (BackendId::from("new"), 9)].into(),
             bookings: vec![],
             copies: vec![],
             kept: BTreeMap::new(),
--- a/crates/reshard/tests/golden.rs
+++ b/crates/resharding/tests/golden.rs
@@ -1,8 +1,10 @@
 //! The stored, sent and read forms, held byte for byte by the files in `tests/golden/`.
 #![allow(clippy::unwrap_used, clippy::panic)]
-use fleet::{Blocks, BoxId, Index, MemberId, Volume};
-use reshard::runs::Runs;
-use reshard::{Across, Bounds, Command, Move, Moves, Phase, Pieces, Placement, Plan, Rules, Standing, Step};
+use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
+use resharding::runs::Runs;
+use resharding::{
+    Across, Bounds, Command, Move, Moves, Phase, Pieces, Placement, Plan, Rules, Standing, Step,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -34,7 +36,7 @@
     name.into()
 }
 
-fn on(name: &str) -> BoxId {
+fn on(name: &str) -> BackendId {
     name.into()
 }
 
@@ -42,8 +44,8 @@
     VOLUME.into()
 }
 
-fn blocks(first: u64, end: u64) -> Blocks {
-    Blocks { first, end }
+fn blocks(first: u64, end: u64) -> BlockRange {
+    BlockRange { first, end }
 }
 
 fn step(id: u32, after: &[u32]) -> Step {
--- a/crates/reshard/tests/planner.rs
+++ b/crates/resharding/tests/planner.rs
@@ -1,22 +1,22 @@
 //! The order of moves: the same from the same input, and no step breaks a bound.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use fleet::{Blocks, BoxId, Index, Volume};
+use cluster_types::{BackendId, BlockRange, Index, Volume};
 use proptest::prelude::*;
-use reshard::planner::keeps;
-use reshard::*;
+use resharding::planner::keeps;
+use resharding::*;
 
 fn fleet(rooms: &[u64], ranges: &[(usize, u64, usize)]) -> FleetView {
     let mut view = FleetView::default();
     for (i, room) in rooms.iter().enumerate() {
         let hall = if i % 2 == 0 { "even" } else { "odd" };
         let b = BoxView { hall: hall.into(), room: *room, rate: 10_000, ..BoxView::default() };
-        view.boxes.insert(BoxId::from(format!("b{i}").as_str()), b);
+        view.boxes.insert(BackendId::from(format!("b{i}").as_str()), b);
     }
     for (v, len, on) in ranges {
         let volume = Volume::from(format!("{v:016x}").as_str());
         let first = view.volumes.get(&volume).map_or(0, |v| v.blocks);
-        let blocks = Blocks { first, end: first + len };
-        view.placement.put(&volume, blocks, &BoxId::from(format!("b{on}").as_str()), Index(first + 1));
+        let blocks = BlockRange { first, end: first + len };
+        view.placement.put(&volume, blocks, &BackendId::from(format!("b{on}").as_str()), Index(first + 1));
         view.volumes.insert(volume, VolumeView { blocks: blocks.end, reserve: 10 });
     }
     view
@@ -54,7 +54,7 @@
 fn exports_go_first() {
     let view = fleet(&[20, 20, 20, 20], &[(1, 5, 0), (2, 5, 0)]);
     let steps = plan_moves(&plan(&[(1, 0, 5, 2), (2, 0, 5, 1)], &[]), &view).unwrap();
-    assert_eq!(steps[0].to, BoxId::from("b1"));
+    assert_eq!(steps[0].to, BackendId::from("b1"));
 }
 
 fn reached(view: &FleetView, steps: &[Step]) -> Placement {
@@ -101,13 +101,13 @@
         prop_assert_eq!(&steps, &plan_moves(&plan(&places, &empty), &view).unwrap());
         let end = reached(&view, &steps);
         for (v, a, b, on) in &places {
-            let on = BoxId::from(format!("b{on}").as_str());
+            let on = BackendId::from(format!("b{on}").as_str());
             let volume = Volume::from(format!("{v:016x}").as_str());
-            let blocks = Blocks { first: *a, end: *b };
+            let blocks = BlockRange { first: *a, end: *b };
             prop_assert!(end.wholly(&volume, blocks, &on));
         }
         for on in &empty {
-            let on = BoxId::from(format!("b{on}").as_str());
+            let on = BackendId::from(format!("b{on}").as_str());
             prop_assert!(end.volumes().all(|v| end.ranges(v).iter().all(|p| p.on != on)));
         }
         // Begun and ended in any order that the dependencies allow, no box holds more than it can.
--- a/crates/reshard/tests/simulation.rs
+++ b/crates/resharding/tests/simulation.rs
@@ -1,19 +1,19 @@
 //! Five fronts, clients that read and book, and all that may fail, from seeds.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
+use cluster_types::{BackendId, BlockRange, MemberId};
 use common::*;
-use fleet::{Blocks, BoxId, MemberId};
 use rand::Rng;
-use reshard::*;
+use resharding::*;
 
 fn step(id: u32, first: u64, end: u64, from: &str, to: &str, after: Vec<u32>) -> Step {
-    let blocks = Blocks { first, end };
+    let blocks = BlockRange { first, end };
     Step {
         id,
         volume: volume(),
         blocks,
-        from: BoxId::from(from),
-        to: BoxId::from(to),
+        from: BackendId::from(from),
+        to: BackendId::from(to),
         after,
         why: "test".into(),
     }
@@ -36,7 +36,7 @@
     }
     let last = sim.nodes[0].moves.clone();
     for block in sim.history.blocks() {
-        let at = last.placement.find(&volume(), Blocks { first: block, end: block + 1 }).unwrap();
+        let at = last.placement.find(&volume(), BlockRange { first: block, end: block + 1 }).unwrap();
         let value = sim.boxes[&at[0].on].get(&block).copied().unwrap_or(0);
         let found = sim.history.found(block, value, sim.now);
         sim.bad.extend(found.err());
@@ -90,7 +90,7 @@
         2 => sim.nodes[i].cut = true,
         3 => sim.stall(i, 900_000),
         4 => {
-            let on = BoxId::from(["a", "b", "c"][i % 3]);
+            let on = BackendId::from(["a", "b", "c"][i % 3]);
             sim.dead.insert(on);
         }
         5 | 6 => {
--- a/crates/reshard/tests/states.rs
+++ b/crates/resharding/tests/states.rs
@@ -1,10 +1,10 @@
 //! One move, and one mishap in each of its states.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
+use cluster_types::{BackendId, BlockRange, Index, MemberId};
 use common::*;
-use fleet::{Blocks, BoxId, Index, MemberId};
 use rand::Rng;
-use reshard::*;
+use resharding::*;
 use rstest::rstest;
 
 const PHASES: [&str; 6] = ["prepare", "copy", "catch up", "hand over", "switch", "release"];
@@ -18,8 +18,8 @@
 }
 
 fn replace(sim: &mut Sim, plan: &str, to: &str) {
-    let blocks = Blocks { first: 4, end: 20 };
-    let (from, to) = (BoxId::from("a"), BoxId::from(to));
+    let blocks = BlockRange { first: 4, end: 20 };
+    let (from, to) = (BackendId::from("a"), BackendId::from(to));
     let step = Step { id: 1, volume: volume(), blocks, from, to, after: vec![], why: "test".into() };
     let bounds = Bounds { share_milli: 500, ..Bounds::default() };
     sim.append(MemberId::from("f0"), Command::Replace { plan: plan.into(), steps: vec![step], bounds });
@@ -62,14 +62,14 @@
     (0..100).for_each(|_| sim.tick());
     let moves = newest(sim).clone();
     for block in sim.history.blocks() {
-        let at = moves.placement.find(&volume(), Blocks { first: block, end: block + 1 }).unwrap();
+        let at = moves.placement.find(&volume(), BlockRange { first: block, end: block + 1 }).unwrap();
         let value = sim.boxes[&at[0].on].get(&block).copied().unwrap_or(0);
         let found = sim.history.found(block, value, sim.now);
         sim.bad.extend(found.err());
     }
     assert!(sim.bad.is_empty(), "{what}: {:?}", sim.bad);
-    let placed = moves.placement.find(&volume(), Blocks { first: 4, end: 20 }).unwrap();
-    assert!(placed.iter().all(|p| p.on == BoxId::from(on)), "{what}: {placed:?}");
+    let placed = moves.placement.find(&volume(), BlockRange { first: 4, end: 20 }).unwrap();
+    assert!(placed.iter().all(|p| p.on == BackendId::from(on)), "{what}: {placed:?}");
 }
 
 /// The mover where there is one, else the leader.
@@ -126,7 +126,7 @@
                 sim.nodes[i].cut = false;
             }
             Mishap::TargetDies => {
-                sim.dead.insert(BoxId::from("b"));
+                sim.dead.insert(BackendId::from("b"));
                 (0..rest).for_each(|_| sim.tick());
                 if before {
                     let m = current(&sim);
@@ -198,7 +198,8 @@
     sim.nodes[2].cut = true;
     (0..200).for_each(|_| sim.tick());
     let now = sim.local(2);
-    let mut ask = |first, end, write| sim.nodes[2].front.may(now, &volume(), Blocks { first, end }, write);
+    let mut ask =
+        |first, end, write| sim.nodes[2].front.may(now, &volume(), BlockRange { first, end }, write);
     assert!(matches!(ask(0, 4, true), May::Go { .. }));
     assert!(matches!(ask(20, 22, true), May::Go { .. }));
     assert_eq!(ask(5, 6, true), May::Refuse(Why::Lease));
@@ -214,8 +215,8 @@
     sim.restart(1, true);
     let now = sim.local(1);
     let front = &mut sim.nodes[1].front;
-    assert_eq!(front.may(now, &volume(), Blocks { first: 30, end: 31 }, true), May::Refuse(Why::Started));
-    let read = front.may(now, &volume(), Blocks { first: 30, end: 31 }, false);
+    assert_eq!(front.may(now, &volume(), BlockRange { first: 30, end: 31 }, true), May::Refuse(Why::Started));
+    let read = front.may(now, &volume(), BlockRange { first: 30, end: 31 }, false);
     assert!(matches!(read, May::Go { sure: false, .. }), "{read:?}");
 }
 
@@ -237,7 +238,7 @@
         sim.tick();
     }
     let now = sim.local(i);
-    let may = sim.nodes[i].front.may(now, &volume(), Blocks { first: 5, end: 6 }, true);
+    let may = sim.nodes[i].front.may(now, &volume(), BlockRange { first: 5, end: 6 }, true);
     let May::Go { ticket, .. } = may else { panic!("{may:?}") };
     sim.stall(i, 4_000_000);
     until(&mut sim, "release");
--- a/crates/scale/src/cli.rs
+++ b/crates/scale-bench/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 use clap::{value_parser, Args, Parser, Subcommand};
-use scale::files::Form;
+use scale_bench::files::Form;
 use std::path::PathBuf;
 
 /// Measures how the costs of the project's parts grow with their size.
--- a/crates/scale/src/file.rs
+++ b/crates/scale-bench/src/file.rs
@@ -4,10 +4,10 @@
 use crate::quantiles::Quantiles;
 use crate::{cpu, memory, Error, Plan, Play};
 use config::Config;
-use oxbowhill::interface::{Action, Event, ListNews, Micros};
-use oxbowhill::Scheduler;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use scheduler::interface::{Action, Event, ListNews, Micros};
+use scheduler::Scheduler;
 use std::net::{Ipv4Addr, SocketAddr};
 use tempfile::NamedTempFile;
 
--- a/crates/scale/src/list/mod.rs
+++ b/crates/scale-bench/src/list/mod.rs
@@ -1,12 +1,12 @@
-//! The decision module with a list of many boxes: `oxbowhill::Scheduler` as it stands.
+//! The decision module with a list of many boxes: `scheduler::Scheduler` as it stands.
 mod requests;
 
 use crate::quantiles::Quantiles;
 use crate::{cpu, memory, Error, Plan, Play};
-use oxbowhill::interface::{self, *};
-use oxbowhill::Scheduler;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use scheduler::interface::{self, *};
+use scheduler::Scheduler;
 
 /// Requests that each volume has sent.
 const REQUESTS: u32 = 4;
--- a/crates/scale/src/list/requests.rs
+++ b/crates/scale-bench/src/list/requests.rs
@@ -2,7 +2,7 @@
 use super::{request, Table, TOOK};
 use crate::quantiles::Quantiles;
 use crate::{Error, Play};
-use oxbowhill::interface::*;
+use scheduler::interface::*;
 
 /// Requests of each kind in a play.
 const EACH: u64 = 100;
--- a/crates/scale/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -4,8 +4,8 @@
 use clap::Parser;
 use cli::{Cli, Common, Network, Weigh, What};
 use rustix::process::{setrlimit, Resource, Rlimit};
-use scale::memory::Weight;
-use scale::{file, front, list, log, members, memory, path, targets, Error, Plan, Play, Report};
+use scale_bench::memory::Weight;
+use scale_bench::{file, front, list, log, members, memory, path, targets, Error, Plan, Play, Report};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -57,7 +57,7 @@
 
 /// The program that is named, or the one beside this tool.
 fn program(front: Option<PathBuf>) -> Result<PathBuf, Error> {
-    let beside = || std::env::current_exe().map(|own| own.with_file_name("lichenrudder"));
+    let beside = || std::env::current_exe().map(|own| own.with_file_name("gateway"));
     let front = front.map_or_else(beside, Ok).map_err(Error::io("this program"))?;
     if front.is_file() {
         Ok(front)
@@ -175,5 +175,5 @@
             serde_json::to_writer_pretty(std::io::stdout(), &report).map_err(|e| Error::part("report", e))?
         }
     }
-    common.chart.iter().try_for_each(|path| scale::chart::draw(&report, shown, path))
+    common.chart.iter().try_for_each(|path| scale_bench::chart::draw(&report, shown, path))
 }
--- a/crates/scale/src/members/mod.rs
+++ b/crates/scale-bench/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of many fronts: `members::Members`, in simulated time.
+//! Membership of many fronts: `membership::Members`, in simulated time.
 mod load;
 mod world;
 
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/scale-bench/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! Shared by the tests: small plans, and what plays must agree in.
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use scale::{Plan, Play};
+use scale_bench::{Plan, Play};
 use std::path::PathBuf;
 use std::time::Duration;
 
 pub fn program() -> PathBuf {
-    env!("CARGO_BIN_EXE_scale").into()
+    env!("CARGO_BIN_EXE_scale-bench").into()
 }
 
 pub fn plan(sizes: &[u64], seed: u64) -> Plan {
--- a/crates/scale/tests/parts.rs
+++ b/crates/scale-bench/tests/parts.rs
@@ -2,8 +2,8 @@
 #![allow(clippy::unwrap_used)]
 mod common;
 use common::{above_zero, plan, same};
-use scale::files::Form;
-use scale::{file, front, list, log, members, path, targets};
+use scale_bench::files::Form;
+use scale_bench::{file, front, list, log, members, path, targets};
 use std::time::Duration;
 
 #[test]
@@ -73,7 +73,7 @@
     let counts =
         ["joining_messages", "rest_messages", "rest_bytes", "death_bytes", "death_known_to_all_sim_s"];
     same(&plays, &play(5), &counts);
-    let death = |plays: &[scale::Play]| plays[1].figure("death_known_to_all_sim_s");
+    let death = |plays: &[scale_bench::Play]| plays[1].figure("death_known_to_all_sim_s");
     assert_ne!(death(&play(6)), death(&plays));
     // A death is not known before it can be: a probe and a suspicion lie before it.
     assert!(plays.iter().all(|play| play.figure("death_known_to_all_sim_s") > Some(2.0)));
@@ -84,7 +84,7 @@
     let plays = members::run(&plan(&[8], 5), &network(1)).unwrap();
     assert!(!plays[0].whole && plays[0].notes.iter().any(|note| note.contains("a death was not known")));
     assert!(plays[0].figure("death_known_to_all_sim_s").is_none() && plays[0].figure("rest_bytes").is_some());
-    let short = scale::Plan { limit: Duration::ZERO, ..plan(&[40], 5) };
+    let short = scale_bench::Plan { limit: Duration::ZERO, ..plan(&[40], 5) };
     let plays = members::run(&short, &network(60)).unwrap();
     assert!(!plays[0].whole && plays[0].notes.iter().any(|note| note.contains("the time of a play passed")));
 }
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale-bench/tests/slopes.rs
@@ -1,6 +1,6 @@
 //! Lines through exact data, through data that bends, and through too few sizes.
 #![allow(clippy::unwrap_used)]
-use scale::{slope, Error};
+use scale_bench::{slope, Error};
 
 fn near(one: f64, other: f64) {
     assert!((one - other).abs() < 1e-9 * other.abs().max(1.0), "{one} and {other}");
--- a/crates/gather/src/answer.rs
+++ b/crates/scatter-gather/src/answer.rs
@@ -1,7 +1,7 @@
 //! The one answer of a gather.
 use crate::memory::Held;
 use crate::policy::Policy;
-use fleet::Hall;
+use cluster_types::Zone;
 use std::borrow::Cow;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Missing {
     /// Its hall.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Its name.
     pub part: Arc<str>,
     /// Why.
--- a/crates/gather/src/arrivals.rs
+++ b/crates/scatter-gather/src/arrivals.rs
@@ -4,7 +4,7 @@
 use crate::hall::Stage;
 use crate::memory::Size;
 use crate::slot::Slot;
-use fleet::{Hall, Time};
+use cluster_types::{Time, Zone};
 
 impl<V: Size> Gather<V> {
     /// A part's request ended before the answer.
@@ -40,11 +40,11 @@
     }
 
     /// What the ends of a hall's parts told of it.
-    pub(crate) fn reached_in<'a>(&'a self, hall: &'a Hall) -> impl Iterator<Item = Option<bool>> + 'a {
+    pub(crate) fn reached_in<'a>(&'a self, hall: &'a Zone) -> impl Iterator<Item = Option<bool>> + 'a {
         self.policy.parts.iter().zip(&self.reached).filter(move |(p, _)| p.hall == *hall).map(|(_, r)| *r)
     }
 
-    fn hall(&self, part: usize) -> Hall {
+    fn hall(&self, part: usize) -> Zone {
         self.policy.parts.get(part).map(|p| p.hall.clone()).unwrap_or_default()
     }
 
--- a/crates/gather/src/ending.rs
+++ b/crates/scatter-gather/src/ending.rs
@@ -4,7 +4,7 @@
 use crate::hall::Stage;
 use crate::memory::Size;
 use crate::slot::Slot;
-use fleet::Time;
+use cluster_types::Time;
 use std::time::Duration;
 
 impl<V: Size> Gather<V> {
--- a/crates/gather/src/gather.rs
+++ b/crates/scatter-gather/src/gather.rs
@@ -13,7 +13,7 @@
 use crate::open::Counters;
 use crate::policy::Policy;
 use crate::slot::Slot;
-use fleet::{Hall, Time};
+use cluster_types::{Time, Zone};
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -117,7 +117,7 @@
         gather
     }
 
-    pub(crate) fn full(&self, halls: &Halls, hall: &Hall) -> Time {
+    pub(crate) fn full(&self, halls: &Halls, hall: &Zone) -> Time {
         if halls.is_remote(hall) {
             self.remote_end
         } else {
--- a/crates/gather/src/hall.rs
+++ b/crates/scatter-gather/src/hall.rs
@@ -1,7 +1,7 @@
 //! What is known of one hall: what was measured here, and what others say.
 use crate::latency::Latencies;
 use crate::rules::Rules;
-use fleet::Time;
+use cluster_types::Time;
 use std::time::Duration;
 
 /// How a hall is judged.
--- a/crates/gather/src/halls.rs
+++ b/crates/scatter-gather/src/halls.rs
@@ -1,7 +1,7 @@
 //! What is known of each hall, and how long waiting for it is worth it.
 use crate::hall::{Known, News, Stage};
 use crate::rules::Rules;
-use fleet::{Hall, Time};
+use cluster_types::{Time, Zone};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct HallNews {
     /// The hall.
-    pub hall: Hall,
+    pub hall: Zone,
     /// How much they doubt it, from 0 to 1.
     pub doubt: f32,
     /// How many say so, without this process.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observed {
     /// The hall.
-    pub hall: Hall,
+    pub hall: Zone,
     /// How it was found.
     pub kind: Kind,
     /// How sure that is, from 0 to 1.
@@ -63,9 +63,9 @@
 /// What is known of the halls.
 #[derive(Clone, Debug)]
 pub struct Halls {
-    own: Option<Hall>,
+    own: Option<Zone>,
     rules: Rules,
-    known: BTreeMap<Hall, Known>,
+    known: BTreeMap<Zone, Known>,
     version: u64,
     /// News that could not be read: a doubt that is none.
     pub malformed: u64,
@@ -75,12 +75,12 @@
 
 impl Halls {
     /// Nothing known yet. `own` is the hall in which this process stands; without it each hall is a remote one.
-    pub fn new(own: Option<Hall>, rules: Rules) -> Halls {
+    pub fn new(own: Option<Zone>, rules: Rules) -> Halls {
         Halls { own, rules, known: BTreeMap::new(), version: 0, malformed: 0, beyond: 0 }
     }
 
     /// Whether a hall is another than the own one.
-    pub fn is_remote(&self, hall: &Hall) -> bool {
+    pub fn is_remote(&self, hall: &Zone) -> bool {
         self.own.as_ref() != Some(hall)
     }
 
@@ -90,18 +90,18 @@
     }
 
     /// How a hall is judged now.
-    pub fn stage(&self, now: Time, hall: &Hall) -> Stage {
+    pub fn stage(&self, now: Time, hall: &Zone) -> Stage {
         self.known.get(hall).map_or(Stage::Well, |k| k.judged(now, &self.rules))
     }
 
     /// How long waiting for a hall is worth it, of the time left for it.
-    pub fn worth_waiting(&self, now: Time, hall: &Hall, left: Duration) -> Duration {
+    pub fn worth_waiting(&self, now: Time, hall: &Zone, left: Duration) -> Duration {
         self.wait(now, hall, left, false)
     }
 
     /// The same; where a hall is `needed` (no answer without it) it is waited for as in a trial, and to the end where
     /// only others doubt it: wrong word fails nothing.
-    pub(crate) fn wait(&self, now: Time, hall: &Hall, left: Duration, needed: bool) -> Duration {
+    pub(crate) fn wait(&self, now: Time, hall: &Zone, left: Duration, needed: bool) -> Duration {
         let Some(known) = self.known.get(hall) else { return left };
         let slow = known.slow(now, &self.rules);
         let long = slow.unwrap_or_default().max(known.usual(&self.rules)).min(left);
@@ -117,7 +117,7 @@
     }
 
     /// What a gather that begins does about a hall; called once a hall. A needed one is always asked.
-    pub fn outlook(&mut self, now: Time, hall: &Hall, left: Duration, needed: bool) -> Outlook {
+    pub fn outlook(&mut self, now: Time, hall: &Zone, left: Duration, needed: bool) -> Outlook {
         let wait = self.wait(now, hall, left, needed);
         let Some(known) = self.known.get_mut(hall) else { return Outlook { ask: true, wait, trial: false } };
         let stage = known.judged(now, &self.rules);
@@ -143,30 +143,30 @@
     }
 
     /// Whether a part that waited so long without an answer tells anything of the hall.
-    fn telling(&self, hall: &Hall, waited: Duration) -> bool {
+    fn telling(&self, hall: &Zone, waited: Duration) -> bool {
         let usual = self.known.get(hall).map_or(self.rules.unknown, |k| k.usual(&self.rules));
         waited >= usual.min(self.rules.tells)
     }
 
     /// A part was answered in time; `counts` for the first of a hall in a gather.
-    pub fn answered(&mut self, now: Time, hall: &Hall, took: Duration, counts: bool) {
+    pub fn answered(&mut self, now: Time, hall: &Zone, took: Duration, counts: bool) {
         self.change(now, hall, |known, rules| known.answered(now, took, counts, rules));
     }
 
     /// A gather ended without any answer of a hall, having waited so long. A wait too short to tell is ignored.
-    pub fn silent(&mut self, now: Time, hall: &Hall, waited: Duration) {
+    pub fn silent(&mut self, now: Time, hall: &Zone, waited: Duration) {
         if self.telling(hall, waited) {
             self.change(now, hall, |known, rules| known.missed(now, false, rules));
         }
     }
 
     /// A gather ended without any answer of a hall, and a part could not reach it.
-    pub fn unreached(&mut self, now: Time, hall: &Hall) {
+    pub fn unreached(&mut self, now: Time, hall: &Zone) {
         self.change(now, hall, |known, rules| known.missed(now, true, rules));
     }
 
     /// A part was answered after its gather had ended. One that was as quick as usual counts as an answer.
-    pub fn late(&mut self, now: Time, hall: &Hall, took: Duration) {
+    pub fn late(&mut self, now: Time, hall: &Zone, took: Duration) {
         match self.telling(hall, took) {
             true => self.change(now, hall, |known, _| known.late(now, took)),
             false => self.answered(now, hall, took, true),
@@ -185,7 +185,7 @@
 
     /// What is to be told to others: only what was measured here.
     pub fn observed(&self, now: Time) -> Vec<Observed> {
-        let word = |(hall, known): (&Hall, &Known)| {
+        let word = |(hall, known): (&Zone, &Known)| {
             let found = known.observed(now, &self.rules)?;
             let kind = match found.well {
                 true => Kind::Well,
@@ -199,7 +199,7 @@
         self.known.iter().filter_map(word).collect()
     }
 
-    fn change(&mut self, now: Time, hall: &Hall, how: impl FnOnce(&mut Known, &Rules)) {
+    fn change(&mut self, now: Time, hall: &Zone, how: impl FnOnce(&mut Known, &Rules)) {
         if !self.known.contains_key(hall) && self.known.len() >= MOST_HALLS {
             self.beyond += 1;
             return;
--- a/crates/gather/src/open.rs
+++ b/crates/scatter-gather/src/open.rs
@@ -3,7 +3,7 @@
 use crate::halls::{HallNews, Halls};
 use crate::memory::{Budget, Size};
 use crate::policy::Policy;
-use fleet::Time;
+use cluster_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gather/src/policy.rs
+++ b/crates/scatter-gather/src/policy.rs
@@ -1,5 +1,5 @@
 //! What an operator writes in a `[[gather]]` table.
-use fleet::{Blocks, BoxId, Hall, Volume};
+use cluster_types::{BackendId, BlockRange, Volume, Zone};
 use serde::de::{self, value::MapAccessDeserializer, MapAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
@@ -48,7 +48,7 @@
     /// Its name within the gather.
     pub name: Arc<str>,
     /// The hall in which its data stands.
-    pub hall: Hall,
+    pub hall: Zone,
     /// Its volume; the gather's own where it is left out.
     #[serde(default)]
     pub volume: Option<Volume>,
@@ -57,13 +57,13 @@
     pub piece: Option<Arc<str>>,
     /// The blocks asked for. This or `piece`.
     #[serde(default)]
-    pub blocks: Option<Blocks>,
+    pub blocks: Option<BlockRange>,
     /// The shard that holds it. This or `box`.
     #[serde(default)]
     pub shard: Option<u32>,
     /// The box that holds it, by discovery's `instanceId`. This or `shard`.
     #[serde(default, rename = "box")]
-    pub at: Option<BoxId>,
+    pub at: Option<BackendId>,
     /// The bytes that its value has at most; the gather's `part_bytes` where it is left out.
     #[serde(default)]
     pub bytes: Option<u64>,
--- a/crates/gather/src/slot.rs
+++ b/crates/scatter-gather/src/slot.rs
@@ -1,7 +1,7 @@
 //! What has become of one part of a gather.
 use crate::answer::Why;
 use crate::memory::Held;
-use fleet::Time;
+use cluster_types::Time;
 use std::time::Duration;
 
 /// One part.
--- a/crates/gather/src/suffices.rs
+++ b/crates/scatter-gather/src/suffices.rs
@@ -1,6 +1,6 @@
 //! When a set of parts suffices, when an answer is still possible, and which parts come first where memory is short.
 use crate::policy::{Needs, Otherwise, Policy, Suffices};
-use fleet::Hall;
+use cluster_types::Zone;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Policy {
@@ -43,8 +43,8 @@
     }
 
     /// The parts of each hall, in the tier's order.
-    pub fn by_hall(&self) -> BTreeMap<&Hall, Vec<usize>> {
-        let mut halls: BTreeMap<&Hall, Vec<usize>> = BTreeMap::new();
+    pub fn by_hall(&self) -> BTreeMap<&Zone, Vec<usize>> {
+        let mut halls: BTreeMap<&Zone, Vec<usize>> = BTreeMap::new();
         for (i, part) in self.parts.iter().enumerate() {
             halls.entry(&part.hall).or_default().push(i);
         }
--- a/crates/gather/src/words.rs
+++ b/crates/scatter-gather/src/words.rs
@@ -1,7 +1,7 @@
 //! How an answer is worded: `whole`, `part missing=hall-b/east:late,...` or `failed cause=too-few missing=...`.
 //! Letters, digits, `-`, `_` and `.` stand for themselves, all else as `%` and two hex digits.
 use crate::answer::{Answer, Cause, Failure, Gathered, Missing, Why};
-use fleet::Hall;
+use cluster_types::Zone;
 use std::fmt::Write;
 use std::sync::Arc;
 
@@ -146,7 +146,7 @@
         "refused" => Why::Refused,
         _ => Why::Failed(unescape(why.strip_prefix("failed(")?.strip_suffix(')')?)?.into()),
     };
-    Some(Missing { hall: Hall(unescape(hall)?.into()), part: unescape(part)?.into(), why })
+    Some(Missing { hall: Zone(unescape(hall)?.into()), part: unescape(part)?.into(), why })
 }
 
 fn unescape(text: &str) -> Option<String> {
--- a/crates/gather/tests/common/mod.rs
+++ b/crates/scatter-gather/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests share: policies, and a gather driven by hand.
 #![allow(dead_code, clippy::unwrap_used)]
-use fleet::Time;
-use gather::*;
+use cluster_types::Time;
+use scatter_gather::*;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/gather/tests/common/sim.rs
+++ b/crates/scatter-gather/tests/common/sim.rs
@@ -1,8 +1,8 @@
 //! Many fronts that gather over four halls, one of which fails for a while. Seeded; time is simulated.
 #![allow(dead_code, clippy::unwrap_used)]
-use fleet::{Hall, Time};
-use gather::*;
+use cluster_types::{Time, Zone};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
+use scatter_gather::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -105,7 +105,7 @@
     };
     (0..FRONTS).for_each(|f| add(&mut queue, rng.random_range(0..400_000), Ev::Begin(f)));
     add(&mut queue, 100_000, Ev::Gossip);
-    let hall: Hall = "d".into();
+    let hall: Zone = "d".into();
     let mut begun: BTreeMap<(usize, GatherId), u64> = BTreeMap::new();
     let mut figures = Figures::default();
     let mut last_ill = HEALED;
@@ -176,7 +176,7 @@
 }
 
 /// What each front hears of the others, 150 ms old on top of its age.
-fn gossip(fronts: &mut [Gathers<Vec<u8>>], now: Time, trouble: Trouble, hall: &Hall) {
+fn gossip(fronts: &mut [Gathers<Vec<u8>>], now: Time, trouble: Trouble, hall: &Zone) {
     let told: Vec<Option<Observed>> =
         fronts.iter().map(|f| f.shared.halls.observed(now).into_iter().find(|o| o.hall == *hall)).collect();
     for (f, front) in fronts.iter_mut().enumerate() {
--- a/crates/gather/tests/golden.rs
+++ b/crates/scatter-gather/tests/golden.rs
@@ -1,8 +1,8 @@
 //! The forms that operators and clients see, held by files under `tests/golden/`: the `[[gather]]` table of a configuration
 //! file, which is read only, and the text that tells a client what is missing of an answer, which is written and read.
 #![allow(clippy::unwrap_used)]
-use fleet::{Blocks, Volume};
-use gather::{parse, Cause, Missing, Needs, Otherwise, Part, Policy, Suffices, Told, Why};
+use cluster_types::{BlockRange, Volume};
+use scatter_gather::{parse, Cause, Missing, Needs, Otherwise, Part, Policy, Suffices, Told, Why};
 
 /// The table with nothing but what it must have.
 fn plain() -> Policy {
@@ -39,7 +39,7 @@
         hall: "hall-b".into(),
         volume: Some(Volume("00000000000000ab".into())),
         piece: None,
-        blocks: Some(Blocks { first: 8, end: 64 }),
+        blocks: Some(BlockRange { first: 8, end: 64 }),
         shard: None,
         at: Some("box-7".into()),
         bytes: None,
--- a/crates/gather/tests/halls.rs
+++ b/crates/scatter-gather/tests/halls.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
-use gather::*;
+use scatter_gather::*;
 use std::time::Duration;
 
 const FOUR: &str = "a@home b@home c@east d@west";
--- a/crates/gather/tests/hard.rs
+++ b/crates/scatter-gather/tests/hard.rs
@@ -3,8 +3,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
-use gather::*;
 use rstest::rstest;
+use scatter_gather::*;
 
 const FOUR: &str = "a@home b@home c@east d@west";
 const IN_PART: &str = "otherwise = \"in-part\"";
--- a/crates/gather/tests/orders.rs
+++ b/crates/scatter-gather/tests/orders.rs
@@ -1,11 +1,11 @@
 //! Any order of events: one answer, in time, never whole with a part missing, and all memory back.
 #![allow(clippy::unwrap_used)]
 mod common;
+use cluster_types::Time;
 use common::*;
-use fleet::Time;
-use gather::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use scatter_gather::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/gather/tests/policy.rs
+++ b/crates/scatter-gather/tests/policy.rs
@@ -2,8 +2,8 @@
 #![allow(clippy::unwrap_used)]
 mod common;
 use common::{ms, policy};
-use gather::*;
 use rstest::rstest;
+use scatter_gather::*;
 
 fn classes() -> Vec<Class> {
     let class = |name: &str, write| Class { name: name.into(), write, deadline: ms(1200) };
--- a/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -14,5 +14,5 @@
 pub use decide::Scheduler;
 
 #[cfg(doctest)]
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/tests/at_once.rs
+++ b/crates/scheduler/tests/at_once.rs
@@ -1,7 +1,7 @@
 //! A request that is given up on gets its final answer in that moment, with a hint: one test for each path.
 mod common;
 use common::*;
-use oxbowhill::interface::*;
+use scheduler::interface::*;
 
 /// Who was refused, and that each was told when to come back.
 fn refused_with_hint(actions: &[Action]) -> Vec<u64> {
--- a/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Shared by the tests: settings and a host that is driven by hand.
 #![allow(dead_code)]
-use oxbowhill::interface::*;
-use oxbowhill::Scheduler;
+use scheduler::interface::*;
+use scheduler::Scheduler;
 
 pub const MS: i64 = 1000;
 pub const S: i64 = 1_000_000;
--- a/tests/failures.rs
+++ b/crates/scheduler/tests/failures.rs
@@ -1,7 +1,7 @@
 //! One short test for each failure that was found on the bench, with the module alone.
 mod common;
 use common::*;
-use oxbowhill::interface::*;
+use scheduler::interface::*;
 
 #[test]
 fn new_objects_are_not_held_for_a_cold_node_that_cannot_take_them_in_time() {
--- a/tests/forgetting.rs
+++ b/crates/scheduler/tests/forgetting.rs
@@ -1,7 +1,7 @@
 //! What has left is forgotten, and no rule leans on what was.
 mod common;
 use common::*;
-use oxbowhill::interface::*;
+use scheduler::interface::*;
 
 fn list(host: &mut Host, entries: Vec<NodeEntry>) -> Vec<Action> {
     host.tell(Event::List(ListNews::Delta(entries)))
--- a/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -1,5 +1,5 @@
 //! The simulator's wire, byte for byte: `golden/` holds sessions and faulty lines as the adapter read and answered them.
-use oxbowhill::wire::{read_settings, run, WireError};
+use scheduler::wire::{read_settings, run, WireError};
 use std::fs;
 use std::path::PathBuf;
 
--- a/tests/news.rs
+++ b/crates/scheduler/tests/news.rs
@@ -1,9 +1,9 @@
 //! News of the list: what a change costs does not grow with the list, and changes come to what the whole list says.
 mod common;
 use common::*;
-use oxbowhill::interface::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use scheduler::interface::*;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
--- a/tests/ramp.rs
+++ b/crates/scheduler/tests/ramp.rs
@@ -2,9 +2,9 @@
 //! of N calls but for chance, 2 roots of N and 2.
 mod common;
 use common::*;
-use oxbowhill::interface::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
+use scheduler::interface::*;
 
 const HOSTS: usize = 30;
 const STEP: i64 = 2 * MS;
--- a/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The seven rules, each held by the module alone.
 mod common;
 use common::*;
-use oxbowhill::interface::*;
-use oxbowhill::Scheduler;
+use scheduler::interface::*;
+use scheduler::Scheduler;
 
 fn patient() -> Settings {
     let mut s = settings();
--- a/tests/unheard.rs
+++ b/crates/scheduler/tests/unheard.rs
@@ -1,7 +1,7 @@
 //! A host that does not hear its list takes care: a node that fails may have left, and is not asked again and again.
 mod common;
 use common::*;
-use oxbowhill::interface::*;
+use scheduler::interface::*;
 
 const LONG: i64 = 60;
 
--- a/tests/wire.rs
+++ b/crates/scheduler/tests/wire.rs
@@ -1,5 +1,5 @@
 //! The drill adapter, on lines written for it.
-use oxbowhill::wire::{run, WireError};
+use scheduler::wire::{run, WireError};
 
 const SETUP: &str = r#"{"FleetSize":1,"Classes":[{"OnTimeS":0.2,"DeadlineS":1.0,"Idempotency":"idempotent",
 "New":[1]}],"Contracts":[{"Guaranteed":1.0,"Proportion":1.0}],"FamilyInfo":{"MostUnits":4,"UnitMean":2.0},
--- a/crates/rig/examples/smoke.rs
+++ b/crates/test-cluster/examples/smoke.rs
@@ -1,15 +1,15 @@
 //! Five fronts, eight boxes in two halls, discovery, clients, and ten seconds of faults. `LICHENRUDDER` names the program;
 //! seeds are the arguments, or `RIG_SEED`; `RIG_MORE` adds kinds of faults, `RIG_ISCSI` lets clients and boxes speak iSCSI,
 //! `RIG_STORY` and `RIG_LINES` show what happens.
-use rig::boxes::Speaks;
-use rig::clients::{Clients, Load, Volume};
-use rig::rig::Rig;
-use rig::schedule::{dropped, seeds, Schedule, MORE, USUAL};
-use rig::setup::Setup;
-use rig::verdict::{self, Limit, Verdict};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use test_cluster::boxes::Speaks;
+use test_cluster::clients::{Clients, Load, Volume};
+use test_cluster::rig::Rig;
+use test_cluster::schedule::{dropped, seeds, Schedule, MORE, USUAL};
+use test_cluster::setup::Setup;
+use test_cluster::verdict::{self, Limit, Verdict};
 
 const SPAN: Duration = Duration::from_secs(10);
 const SETTLE: Duration = Duration::from_secs(2);
@@ -77,9 +77,12 @@
     let evidence = rig.evidence(&history);
     println!("requests {:?}, to boxes {}", history.counts(), evidence.entries.len());
     for plan in ["basis", "premium"] {
-        let own =
-            |r: &&rig::clients::Request| load.volumes.iter().any(|v| v.name == r.key.0 && v.plan == plan);
-        let part = rig::clients::History { requests: history.requests.iter().filter(own).cloned().collect() };
+        let own = |r: &&test_cluster::clients::Request| {
+            load.volumes.iter().any(|v| v.name == r.key.0 && v.plan == plan)
+        };
+        let part = test_cluster::clients::History {
+            requests: history.requests.iter().filter(own).cloned().collect(),
+        };
         println!("  {plan} {:?}", part.counts());
     }
     if let Some(latency) = history.latency() {
@@ -101,7 +104,7 @@
         (plan == Some("basis")).then_some(Limit { rate: 20.0, depth: 36.0, slack: 3.0 + 6.0 })
     };
     let bans: Vec<_> = rig.fronts.iter().map(|f| verdict::bans(&f.lines())).collect();
-    let place = |r: &rig::clients::Request| {
+    let place = |r: &test_cluster::clients::Request| {
         let shard = load.volumes.iter().find(|v| v.name == r.key.0)?.shard;
         Some((rig.shelf_of(shard)?, r.key.clone()))
     };
--- a/crates/rig/tests/boxes.rs
+++ b/crates/test-cluster/tests/boxes.rs
@@ -1,14 +1,14 @@
 //! Stand-in boxes answer, log and keep what they should.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use rig::boxes::store::{Shelf, NEVER_WRITTEN};
-use rig::boxes::{target_name, Answer, DiskBox, Make, Manner, Speaks};
-use rig::clients::{Clients, End, Load, Volume};
-use rig::engine::{lock, until, Engine};
-use rig::ports::Site;
-use rig::verdict::{self, Evidence, Verdict};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
+use test_cluster::boxes::store::{Shelf, NEVER_WRITTEN};
+use test_cluster::boxes::{target_name, Answer, DiskBox, Make, Manner, Speaks};
+use test_cluster::clients::{Clients, End, Load, Volume};
+use test_cluster::engine::{lock, until, Engine};
+use test_cluster::ports::Site;
+use test_cluster::verdict::{self, Evidence, Verdict};
 
 const PATIENCE: Duration = Duration::from_secs(10);
 const VOLUME: &str = "00000003b4d60021";
@@ -183,7 +183,7 @@
         let evidence =
             Evidence { requests: history.requests, entries: bench.place.log(), ..Evidence::default() };
         let shelf = bench.place.make().shelf.clone();
-        let place = |r: &rig::clients::Request| Some((shelf.clone(), r.key.clone()));
+        let place = |r: &test_cluster::clients::Request| Some((shelf.clone(), r.key.clone()));
         let verdicts = [
             verdict::one_answer(&evidence),
             verdict::closed(&evidence),
--- a/crates/rig/tests/callers.rs
+++ b/crates/test-cluster/tests/callers.rs
@@ -1,14 +1,14 @@
 //! Discovery that takes calls in turn, and hollow callers before it.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use backoff::Law;
-use rig::discovery::{Call, Discovery, Lifecycle, Listed, Manner, Outcome, Refusal, Turns};
-use rig::engine::{until, Engine};
-use rig::hollow::Hollow;
-use rig::ports::Site;
 use rustix::process::{getrlimit, Resource};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
+use test_cluster::discovery::{Call, Discovery, Lifecycle, Listed, Manner, Outcome, Refusal, Turns};
+use test_cluster::engine::{until, Engine};
+use test_cluster::hollow::Hollow;
+use test_cluster::ports::Site;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 const MS: Duration = Duration::from_millis(1);
--- a/crates/rig/tests/discovery.rs
+++ b/crates/test-cluster/tests/discovery.rs
@@ -1,13 +1,13 @@
 //! Stand-in discovery tells what it should, over HTTP.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use http::{Chunks, Length};
-use rig::discovery::{Discovery, Lifecycle, Listed, Manner};
-use rig::engine::Engine;
-use rig::operator::call;
-use rig::ports::Site;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
+use test_cluster::discovery::{Discovery, Lifecycle, Listed, Manner};
+use test_cluster::engine::Engine;
+use test_cluster::operator::call;
+use test_cluster::ports::Site;
 
 struct Bench {
     discovery: Discovery,
--- a/crates/rig/tests/fronts.rs
+++ b/crates/test-cluster/tests/fronts.rs
@@ -1,14 +1,14 @@
 //! Processes are started, stalled, killed and watched; a shell script stands in for the program.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use rig::engine::{until, Clock};
-use rig::files::fill;
-use rig::fronts::Front;
-use rig::ports::Site;
 use rustix::process::{test_kill_process, Pid};
 use std::io::{Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::time::Duration;
+use test_cluster::engine::{until, Clock};
+use test_cluster::files::fill;
+use test_cluster::fronts::Front;
+use test_cluster::ports::Site;
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
--- a/crates/rig/tests/links.rs
+++ b/crates/test-cluster/tests/links.rs
@@ -1,11 +1,11 @@
 //! Links pass, hold, lose and refuse what they should.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use rig::engine::{reset_at_end, until, Engine};
-use rig::links::{Condition, Links};
-use rig::ports::Site;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
+use test_cluster::engine::{reset_at_end, until, Engine};
+use test_cluster::links::{Condition, Links};
+use test_cluster::ports::Site;
 
 const SOON: Duration = Duration::from_millis(250);
 const PATIENCE: Duration = Duration::from_secs(10);
--- a/crates/rig/tests/schedules.rs
+++ b/crates/test-cluster/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Schedules come from their seeds, keep to their bounds, and can be made smaller.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use rig::schedule::{Fault, Kind, Parties, Schedule, MORE, MOST, USUAL};
 use std::time::Duration;
+use test_cluster::schedule::{Fault, Kind, Parties, Schedule, MORE, MOST, USUAL};
 
 const SPAN: Duration = Duration::from_secs(10);
 
--- a/crates/rig/tests/verdicts.rs
+++ b/crates/test-cluster/tests/verdicts.rs
@@ -1,14 +1,14 @@
 //! Each verdict holds where it should, and finds what was planted.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use rig::boxes::store::Shelf;
-use rig::boxes::{Answer, Entry};
-use rig::clients::{End, Request};
-use rig::discovery::{Lifecycle, Told};
-use rig::engine::lock;
-use rig::fronts::Outage;
-use rig::links::Pause;
-use rig::verdict::*;
 use std::time::Duration;
+use test_cluster::boxes::store::Shelf;
+use test_cluster::boxes::{Answer, Entry};
+use test_cluster::clients::{End, Request};
+use test_cluster::discovery::{Lifecycle, Told};
+use test_cluster::engine::lock;
+use test_cluster::fronts::Outage;
+use test_cluster::links::Pause;
+use test_cluster::verdict::*;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -115,7 +115,7 @@
     let evidence = Evidence { requests, entries: twice, ..Evidence::default() };
     finds(booked_once(&evidence), 1, 0);
     finds(refused_never_ran(&evidence), 1, 0);
-    finds(rig::verdict::served(&evidence), 1, 0);
+    finds(test_cluster::verdict::served(&evidence), 1, 0);
     let shelf = Shelf::default();
     lock(&shelf).write(("v".into(), 1), b"booking-1"[..].into());
     lock(&shelf).write(("v".into(), 1), b"booking-9"[..].into());
@@ -126,7 +126,7 @@
 #[test]
 fn values() {
     let check = |read: Request, entries: Vec<Entry>| {
-        rig::verdict::served(&Evidence { requests: vec![read], entries, ..Evidence::default() })
+        test_cluster::verdict::served(&Evidence { requests: vec![read], entries, ..Evidence::default() })
     };
     finds(check(request("1", false, 0, 9, served("x")), vec![entry("1", false, 5, true, value("x"))]), 0, 0);
     finds(check(request("1", false, 0, 9, served("x")), vec![entry("1", false, 5, true, value("y"))]), 1, 0);
