--- a/crates/gateway/src/change_orders.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -1,6 +1,6 @@
 //! Operators' calls about changes of configuration.
-use crate::changing::Changing;
-use crate::in_force::bytes;
+use crate::config_overlay::actor::Changing;
+use crate::config_overlay::effective::bytes;
 use async_io::Timer;
 use cluster_types::Index;
 use config_distribution::{Class, Key, Order, Put, Refusal, Topic, Where};
--- a/crates/gateway/src/agent.rs
+++ b/crates/gateway/src/admin/health_checks.rs
@@ -1,12 +1,12 @@
 //! What balancers ask for: the agent check (a line on connecting, as HAProxy reads it) and HTTP health checks; and
 //! the connections on which operators call.
-use crate::accept::accept;
-use crate::change_orders;
+use crate::admin::config_calls;
+use crate::admin::operators::{self, Operators};
 use crate::context::Context;
-use crate::operators::{self, Operators};
-use crate::reason::Reason;
-use crate::socket::Socket;
-use crate::wire::{SocketEvent, Wire};
+use crate::net::accept::accept;
+use crate::net::close_reason::Reason;
+use crate::net::connection::{SocketEvent, Wire};
+use crate::net::socket::Socket;
 use async_io::{Async, Timer};
 use futures_lite::{future, StreamExt};
 use std::net::{SocketAddr, TcpListener};
@@ -50,14 +50,14 @@
     if !context.life.serving.get() {
         return "down\n".into();
     }
-    let full = (100 * context.tallies.open.get() / crate::module::REQUESTS) as u64;
+    let full = (100 * context.tallies.open.get() / crate::scheduler_actor::REQUESTS) as u64;
     let weight = 100 - full.max(context.tallies.refusing.get()).min(99);
     format!("up {weight}%\n")
 }
 
 /// The body of a call that has one.
 fn body<'a>(target: &str, bytes: &'a [u8]) -> Result<Option<&'a [u8]>, http::Malformed> {
-    match target.starts_with(change_orders::FOLDER) {
+    match target.starts_with(config_calls::FOLDER) {
         true => http::request_body(bytes),
         false => Ok(Some(&[])),
     }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -1,13 +1,13 @@
 //! Where operators call, over HTTP/1.1 with one call to a connection: whether this process is ready, its figures,
 //! and taking a disk box out or putting it back.
-use crate::bans::{Bans, Change};
-use crate::boxes::Boxes;
-use crate::change_orders;
-use crate::changing::Changing;
+use crate::admin::config_calls;
+use crate::admin::coordination_calls;
+use crate::admin::suspensions::{Bans, Change};
+use crate::backend::pool::Boxes;
+use crate::config_overlay::actor::Changing;
 use crate::context::Context;
-use crate::gathering::Gathering;
-use crate::mail::{Mail, Module};
-use crate::orders;
+use crate::messages::{Mail, Module};
+use crate::scatter_gather::handle::Gathering;
 use async_io::Timer;
 use futures_lite::future;
 use std::fmt::Write;
@@ -42,12 +42,12 @@
 /// The answer to one call.
 pub async fn answer(on: &Operators, method: &str, target: &str, body: &[u8]) -> Vec<u8> {
     let context = &on.context;
-    if target.starts_with(orders::FOLDER) {
-        return orders::answer(on.accord.as_ref(), method, target).await;
+    if target.starts_with(coordination_calls::FOLDER) {
+        return coordination_calls::answer(on.accord.as_ref(), method, target).await;
     }
-    if target.starts_with(change_orders::FOLDER) {
+    if target.starts_with(config_calls::FOLDER) {
         let changing = on.changing.as_deref();
-        return change_orders::answer(changing, on.accord.as_ref(), method, target, body).await;
+        return config_calls::answer(changing, on.accord.as_ref(), method, target, body).await;
     }
     let target = target.split('?').next().unwrap_or_default();
     let call = target.strip_prefix(FOLDER).and_then(|rest| rest.rsplit_once('/'));
--- a/crates/gateway/src/ban_files.rs
+++ b/crates/gateway/src/admin/suspension_files.rs
@@ -1,6 +1,6 @@
 //! The files under `TMPDIR` in which a front writes down which chunk servers operators have taken out. Each state is a file of
 //! its own, numbered: written under another name, synced, then renamed. A kill between any two steps leaves the state before.
-use crate::files;
+use crate::lifecycle::process_files;
 use scheduler::interface::NodeId;
 use std::collections::BTreeSet;
 use std::fs::{self, File};
@@ -56,7 +56,8 @@
 fn written(front: &Path) -> Vec<(PathBuf, i64)> {
     let number =
         |path: &Path| -> Option<i64> { path.file_stem()?.to_str()?.rsplit_once('.')?.1.parse().ok() };
-    let named = files::beside(front).into_iter().filter(|path| path.extension().is_some_and(|e| e == WHOLE));
+    let named =
+        process_files::beside(front).into_iter().filter(|path| path.extension().is_some_and(|e| e == WHOLE));
     let mut found: Vec<_> = named.filter_map(|path| number(&path).map(|n| (path, n))).collect();
     found.sort_by_key(|(_, number)| *number);
     found
--- a/crates/gateway/src/bans.rs
+++ b/crates/gateway/src/admin/suspensions.rs
@@ -1,9 +1,9 @@
 //! Chunk servers that operators have taken out. To the module such a server drains, whatever discovery lists, until the
 //! call that puts it back. What is taken out is kept in a file under `TMPDIR`, so that it holds for the process that
 //! follows; where there is none, it ends with the process.
-use crate::ban_files::{self, Snapshot};
+use crate::admin::suspension_files::{self, Snapshot};
 use crate::context::Context;
-use crate::files;
+use crate::lifecycle::process_files;
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future;
@@ -135,7 +135,7 @@
 
     /// Sees to it that what is in force is written down, beside everything else: the one thread never waits for a disk.
     fn keep(self: &Rc<Bans>, context: &Rc<Context>) {
-        let Some(front) = files::path(context) else {
+        let Some(front) = process_files::path(context) else {
             return self.kept.set(self.now.borrow().number);
         };
         if !self.writing.replace(true) {
@@ -149,7 +149,7 @@
         while self.kept.get() < self.now.borrow().number {
             let snapshot = self.now.borrow().clone();
             let (to, number) = (front.clone(), snapshot.number);
-            match blocking::unblock(move || ban_files::write(&to, &snapshot)).await {
+            match blocking::unblock(move || suspension_files::write(&to, &snapshot)).await {
                 Ok(()) => {
                     self.kept.set(self.kept.get().max(number));
                     self.written.notify(usize::MAX);
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/backend/actor.rs
@@ -1,13 +1,13 @@
 //! The actor of one disk box: it carries out attempts, each alone on a connection, and keeps idle connections.
-use crate::blocks;
-use crate::connect::{connect, Connection};
+use crate::backend::iscsi_exchange;
+use crate::backend::resp_exchange::{exchange, pass_on, Exchanged};
+use crate::backend::start_times::Start;
+use crate::backend::statistics::Tally;
+use crate::backend::value::{Ended, Passing};
 use crate::context::Context;
-use crate::exchange::{exchange, pass_on, Exchanged};
-use crate::mail::{Mail, Module};
-use crate::reason::Reason;
-use crate::start_times::Start;
-use crate::tally::Tally;
-use crate::value::{Ended, Passing};
+use crate::messages::{Mail, Module};
+use crate::net::close_reason::Reason;
+use crate::net::dial::{connect, Connection};
 use async_channel::{Receiver, Sender, WeakSender};
 use async_io::Timer;
 use config::Speaks;
@@ -193,7 +193,7 @@
                 Speaks::Iscsi => {
                     let target = place.target.borrow().clone();
                     let session = &mut connection.session;
-                    blocks::exchange(&work, &attempt, &mut connection.wire, session, &target).await
+                    iscsi_exchange::exchange(&work, &attempt, &mut connection.wire, session, &target).await
                 }
             };
             connection.wire.carried += 1;
--- a/crates/gateway/src/blocks.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -1,10 +1,10 @@
 //! Attempts at a disk box that speaks iSCSI: each connection is a session that carries one command at a time.
+use crate::backend::actor::Work;
+use crate::backend::resp_exchange::Exchanged;
+use crate::backend::value::{Ended, Value};
 use crate::context::Context;
-use crate::exchange::Exchanged;
-use crate::peer::Work;
-use crate::reason::Reason;
-use crate::value::{Ended, Value};
-use crate::wire::{SocketEvent, Wire};
+use crate::net::close_reason::Reason;
+use crate::net::connection::{SocketEvent, Wire};
 use async_io::Timer;
 use dispatch::{Attempt, Bytes, Extent};
 use futures_lite::{future, StreamExt};
--- /dev/null
+++ b/crates/gateway/src/backend/mod.rs
@@ -0,0 +1,9 @@
+//! Backends: the pool, one actor for each backend, RESP2 and iSCSI exchanges, values and statistics.
+pub mod actor;
+pub mod iscsi_exchange;
+pub mod pool;
+pub mod resp_encoding;
+pub mod resp_exchange;
+pub mod start_times;
+pub mod statistics;
+pub mod value;
--- a/crates/gateway/src/boxes.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -1,11 +1,11 @@
 //! The table of disk boxes: an actor for each that is listed, told what the list says of its box and what was taken out
 //! by hand.
-use crate::ban_files::Snapshot;
-use crate::bans::{Bans, Change};
+use crate::admin::suspension_files::Snapshot;
+use crate::admin::suspensions::{Bans, Change};
+use crate::backend::actor::{self, PeerMail, Place, Work};
+use crate::backend::start_times::{wall_clock, Start};
 use crate::context::Context;
-use crate::mail::{Mail, Module};
-use crate::peer::{self, PeerMail, Place, Work};
-use crate::start_times::{wall_clock, Start};
+use crate::messages::{Mail, Module};
 use async_channel::Sender;
 use config::{Target, Targets};
 use dispatch::Attempt;
@@ -236,7 +236,7 @@
             place: place.clone(),
             make_room: Rc::new(move || own.upgrade().is_some_and(|boxes| boxes.make_room())),
         };
-        let actor = peer::run(work, inbox, mail.downgrade());
+        let actor = actor::run(work, inbox, mail.downgrade());
         self.context.executor.spawn(actor).detach();
         Peer { mail, place }
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/backend/resp_exchange.rs
@@ -1,11 +1,11 @@
 //! Attempts at a disk box that speaks RESP2: the command, its reply, and long values that are passed on while they come.
+use crate::backend::resp_encoding::{command, elsewhere, outcome};
+use crate::backend::value::{self, Ended, Passing, Value};
 use crate::context::Context;
 use crate::counts::Weight;
-use crate::mail::{Mail, Module};
-use crate::reason::Reason;
-use crate::value::{self, Ended, Passing, Value};
-use crate::wire::{SocketEvent, Wire};
-use crate::words::{command, elsewhere, outcome};
+use crate::messages::{Mail, Module};
+use crate::net::close_reason::Reason;
+use crate::net::connection::{SocketEvent, Wire};
 use async_io::Timer;
 use dispatch::Attempt;
 use futures_lite::{future, StreamExt};
--- a/crates/gateway/src/platform.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -1,17 +1,17 @@
 //! The platform's front: RESP2 connections of clients.
-use crate::accept::accept;
-use crate::arrivals::Arrivals;
-use crate::client::{Client, PIPELINE};
+use crate::backend::value::Answer;
+use crate::client::arrival_times::Arrivals;
+use crate::client::connection_slots::{Seat, Seats, SHORT};
+use crate::client::response::Reply;
+use crate::client::session::{Client, PIPELINE};
 use crate::context::Context;
 use crate::counts::{Count, Weight};
-use crate::gathering::{Gathering, Owed};
-use crate::mail::{Mail, Module};
-use crate::reason::Reason;
-use crate::reply::Reply;
-use crate::seats::{Seat, Seats, SHORT};
-use crate::socket::Socket;
-use crate::value::Answer;
-use crate::wire::{SocketEvent, Wire};
+use crate::messages::{Mail, Module};
+use crate::net::accept::accept;
+use crate::net::close_reason::Reason;
+use crate::net::connection::{SocketEvent, Wire};
+use crate::net::socket::Socket;
+use crate::scatter_gather::handle::{Gathering, Owed};
 use async_io::{Async, Timer};
 use dispatch::Bytes;
 use futures_lite::{future, StreamExt};
--- a/crates/gateway/src/reply.rs
+++ b/crates/gateway/src/client/response.rs
@@ -1,7 +1,7 @@
 //! Answers on their way to a client of the platform's front.
+use crate::backend::value::{Answer, Coming, Value};
 use crate::context::Context;
 use crate::counts::Gauges;
-use crate::value::{Answer, Coming, Value};
 use dispatch::Bytes;
 use std::rc::Rc;
 
@@ -109,7 +109,7 @@
 
     #[test]
     fn answers_beyond_the_bound_fail_and_make_room_again_once_taken() {
-        let file = include_str!("../tests/common/config.toml").replace("@IP@", "127.0.0.1");
+        let file = include_str!("../../tests/common/config.toml").replace("@IP@", "127.0.0.1");
         let config = config::read("x.toml", &format!("limits = {{ memory_mb = 8 }}\n{file}")).unwrap();
         let context = Context::new(config);
         let value = || worded(Answer::Served(Value::Whole(Bytes::from(vec![0; resp::LONGEST]))));
--- a/crates/gateway/src/client_answers.rs
+++ b/crates/gateway/src/client/response_queue.rs
@@ -1,8 +1,8 @@
 //! A client's answers on their way out, in the order of its commands.
-use crate::client::Client;
-use crate::reply::{worded, Reply, Waiting};
-use crate::value::Answer;
-use crate::wire::Wire;
+use crate::backend::value::Answer;
+use crate::client::response::{worded, Reply, Waiting};
+use crate::client::session::Client;
+use crate::net::connection::Wire;
 use async_channel::Receiver;
 use dispatch::Bytes;
 
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client/session.rs
@@ -1,15 +1,15 @@
 //! A client of the platform's front, without its connection: commands in, answers out in their order.
-use crate::arrivals::Arrivals;
-use crate::command::{understand, Asked};
+use crate::backend::value::Answer;
+use crate::client::arrival_times::Arrivals;
+use crate::client::command::{understand, Asked};
+use crate::client::connection_slots::{Doing, Seat};
+use crate::client::response::{worded, Reply, Waiting};
 use crate::context::Context;
 use crate::counts::Weight;
-use crate::gathering::{Begin, Owed};
-use crate::mail::{Mail, Module, Ticket};
-use crate::reason::Reason;
-use crate::reply::{worded, Reply, Waiting};
-use crate::seats::{Doing, Seat};
-use crate::value::Answer;
-use crate::wire::Wire;
+use crate::messages::{Mail, Module, Ticket};
+use crate::net::close_reason::Reason;
+use crate::net::connection::Wire;
+use crate::scatter_gather::handle::{Begin, Owed};
 use async_channel::Sender;
 use dispatch::Request;
 use ring_buffer::Ring;
--- a/crates/gateway/src/changing.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -1,11 +1,11 @@
 //! Changes of configuration at this front: what relays tell is put in force whole or not at all, over the file. An actor that
 //! meets the host (`coordination::changes`) through mailboxes; without the section `[changes]` it is never started.
-use crate::boxes::Boxes;
+use crate::admin::operators::Operators;
+use crate::backend::pool::Boxes;
+use crate::config_overlay::effective::{InForce, Next, Refused};
 use crate::context::Context;
-use crate::fellows::chance;
-use crate::in_force::{InForce, Next, Refused};
-use crate::mail::{Mail, Module};
-use crate::operators::Operators;
+use crate::coordination::member::chance;
+use crate::messages::{Mail, Module};
 use cluster_types::MemberId;
 use config::{Changes, Config};
 use config_distribution::{Scope, Topic};
--- a/crates/gateway/src/in_force.rs
+++ b/crates/gateway/src/config_overlay/effective.rs
@@ -187,7 +187,7 @@
     use config_distribution::Class;
     use scheduler::interface::NodeState;
 
-    const FILE: &str = include_str!("../../../deploy/changes-front.toml");
+    const FILE: &str = include_str!("../../../../deploy/changes-front.toml");
 
     fn change(topic: Topic, name: &str, value: Value) -> Change {
         let (key, value) = (Key::new(topic, name), (!value.is_null()).then(|| bytes(&value)));
--- /dev/null
+++ b/crates/gateway/src/config_overlay/mod.rs
@@ -0,0 +1,3 @@
+//! Distributed configuration, laid over the file's.
+pub mod actor;
+pub mod effective;
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -2,7 +2,7 @@
 //! and counts with their bounds. It knows none of the actors: what else one needs is handed to it.
 use crate::clock::Clock;
 use crate::counts::Gauges;
-use crate::restart;
+use crate::lifecycle::shutdown_times;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use config::Config;
@@ -146,7 +146,7 @@
         let (since, config) = (self.clock.now(), self.config());
         let longest_deadline = config.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
         self.life.stopping.set(Some(since));
-        self.life.answer_by.set(Some(restart::over(since, longest_deadline)));
+        self.life.answer_by.set(Some(shutdown_times::over(since, longest_deadline)));
         self.life.stopped.0.close();
     }
 
--- a/crates/gateway/src/fellows.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -1,9 +1,9 @@
 //! This front among those that it acts together with: what they have settled is done here, and what is measured here is
 //! told to them. An actor that meets the hosts (`accord`) through two mailboxes; without the section `[accord]` it is
 //! never started.
-use crate::boxes::Boxes;
+use crate::backend::pool::Boxes;
 use crate::context::Context;
-use crate::mail::{Mail, Module};
+use crate::messages::{Mail, Module};
 use async_channel::Receiver;
 use async_io::Timer;
 use cluster_types::{BackendId, MemberId, Volume, Zone};
--- /dev/null
+++ b/crates/gateway/src/coordination/mod.rs
@@ -0,0 +1,2 @@
+//! This gateway as a member of the coordination group.
+pub mod member;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,9 +1,9 @@
 //! The list's actor: one watch at discovery, resumed from the last version. When it calls is `backoff`'s to say.
-use crate::boxes::Boxes;
+use crate::backend::pool::Boxes;
 use crate::context::Context;
-use crate::mail::{Ask, Mail, Module};
-use crate::reason::Reason;
-use crate::watch::{fault, Watch};
+use crate::discovery::watch::{fault, Watch};
+use crate::messages::{Ask, Mail, Module};
+use crate::net::close_reason::Reason;
 use async_channel::Receiver;
 use async_io::Timer;
 use backoff::{Caller, Failure, Law, LIVENESS};
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! One call to discovery: it is up once the first object or empty line has come, and a watch from then on.
-use crate::objects::Objects;
-use crate::reason::Reason;
-use crate::wire::{SocketEvent, Wire};
+use crate::discovery::json_stream::Objects;
+use crate::net::close_reason::Reason;
+use crate::net::connection::{SocketEvent, Wire};
 use futures_lite::StreamExt;
 use http::{Chunks, Length};
 use std::net::SocketAddr;
--- /dev/null
+++ b/crates/gateway/src/iscsi/mod.rs
@@ -0,0 +1,6 @@
+//! iSCSI initiators: the target's connections, their sessions, and the record of writes.
+pub mod request;
+pub mod server;
+pub mod session;
+pub mod shared;
+pub mod write_record;
--- a/crates/gateway/src/iscsi_request.rs
+++ b/crates/gateway/src/iscsi/request.rs
@@ -1,6 +1,6 @@
 //! Commands of initiators as requests of the core, and its answers as their outcomes.
+use crate::backend::value::Answer;
 use crate::context::Context;
-use crate::value::Answer;
 use config::Iscsi;
 use dispatch::{Bytes, Extent, Request};
 use iscsi::scsi::Sense;
--- a/crates/gateway/src/iscsi_front.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -1,16 +1,16 @@
 //! The iSCSI front: connections of initiators.
-use crate::accept::accept;
+use crate::backend::value::Answer;
+use crate::client::connection_slots::{Doing, Seat, Seats};
 use crate::context::Context;
 use crate::counts::Count;
-use crate::iscsi_session::{Session, ANSWER};
-use crate::iscsi_shared::Front;
-use crate::mail::Module;
-use crate::reason::Reason;
-use crate::record;
-use crate::seats::{Doing, Seat, Seats};
-use crate::socket::Socket;
-use crate::value::Answer;
-use crate::wire::{SocketEvent, Wire};
+use crate::iscsi::session::{Session, ANSWER};
+use crate::iscsi::shared::Front;
+use crate::iscsi::write_record;
+use crate::messages::Module;
+use crate::net::accept::accept;
+use crate::net::close_reason::Reason;
+use crate::net::connection::{SocketEvent, Wire};
+use crate::net::socket::Socket;
 use async_io::{Async, Timer};
 use config::{Iscsi, Lun};
 use futures_lite::{future, StreamExt};
@@ -45,9 +45,9 @@
         address: iscsi.listen.to_string(),
         disks: iscsi.luns.iter().map(disk).collect(),
     };
-    let (record, notes) = async_channel::bounded(record::MOST);
+    let (record, notes) = async_channel::bounded(write_record::MOST);
     let kept = iscsi.record_s.saturating_mul(1_000_000) as i64;
-    context.executor.spawn(record::run(context.clone(), module.clone(), notes, kept)).detach();
+    context.executor.spawn(write_record::run(context.clone(), module.clone(), notes, kept)).detach();
     let front = Rc::new(Front {
         context: context.clone(),
         module,
--- a/crates/gateway/src/iscsi_session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -1,11 +1,11 @@
 //! A session of an initiator, without its connection: its reads and writes as requests of the core, and back.
-use crate::iscsi_request::{outcome, request};
-use crate::iscsi_shared::{Front, Name};
-use crate::mail::{Mail, Ticket};
-use crate::reason::Reason;
-use crate::record::{Key, Note};
-use crate::value::Answer;
-use crate::wire::Wire;
+use crate::backend::value::Answer;
+use crate::iscsi::request::{outcome, request};
+use crate::iscsi::shared::{Front, Name};
+use crate::iscsi::write_record::{Key, Note};
+use crate::messages::{Mail, Ticket};
+use crate::net::close_reason::Reason;
+use crate::net::connection::Wire;
 use async_channel::{Receiver, Sender};
 use dispatch::{Bytes, Request};
 use iscsi::target::{Event, Target};
--- a/crates/gateway/src/iscsi_shared.rs
+++ b/crates/gateway/src/iscsi/shared.rs
@@ -1,7 +1,7 @@
 //! What all sessions of the iSCSI front share.
 use crate::context::Context;
-use crate::mail::Module;
-use crate::record::Note;
+use crate::iscsi::write_record::Note;
+use crate::messages::Module;
 use async_channel::Sender;
 use config::Iscsi;
 use iscsi::target::Shown;
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/iscsi/write_record.rs
@@ -4,9 +4,9 @@
 //! A write is known by its initiator, ISID and task tag, and by what it writes. Its result is kept until the
 //! initiator has acknowledged its status, or else for the time in the configuration. A refused write did not
 //! run: it is forgotten, and its reissue is a new try. So is one that no session waits for any more and that had not begun.
+use crate::backend::value::{Answer, Value};
 use crate::context::Context;
-use crate::mail::{Mail, Module, Ticket};
-use crate::value::{Answer, Value};
+use crate::messages::{Mail, Module, Ticket};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use dispatch::Request;
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/lifecycle/handover.rs
@@ -1,11 +1,11 @@
 //! Two processes of one front, the one that serves and the one that follows it. Each looks for the other's lock. While both
 //! live they share the machine, the limits of volumes and what servers in slow start bear: each counts on a half of these,
 //! and on the descriptors that the other does not hold. What operators have taken out goes over in a file too.
-use crate::ban_files;
-use crate::boxes::Boxes;
+use crate::admin::suspension_files;
+use crate::backend::pool::Boxes;
 use crate::context::{Context, Other};
-use crate::mail::{Mail, Module};
-use crate::process_lock::ProcessLock;
+use crate::lifecycle::process_lock::ProcessLock;
+use crate::messages::{Mail, Module};
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
             let _ = lock.take();
             lock.tell(descriptors);
             let found = lock.look();
-            let bans = (found != Other::None).then(|| ban_files::read(lock.front())).flatten();
+            let bans = (found != Other::None).then(|| suspension_files::read(lock.front())).flatten();
             (lock, found, bans)
         });
         let (back, found, bans) = looked.await;
--- /dev/null
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -0,0 +1,7 @@
+//! Start, reload, graceful shutdown, handover between processes, and the process lock.
+pub mod handover;
+pub mod process_files;
+pub mod process_lock;
+pub mod shutdown;
+pub mod shutdown_times;
+pub mod start;
--- a/crates/gateway/src/process_lock.rs
+++ b/crates/gateway/src/lifecycle/process_lock.rs
@@ -1,7 +1,7 @@
 //! The lock by which a process of a front shows that it lives: a locked file of its own under `TMPDIR`. A file whose lock can
 //! be had is one of a process that has ended.
 use crate::context::{Context, Other};
-use crate::files;
+use crate::lifecycle::process_files;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Seek, Write};
 use std::path::{Path, PathBuf};
@@ -30,7 +30,7 @@
 impl ProcessLock {
     /// The lock of this process, not taken yet; none without a folder.
     pub fn new(context: &Context) -> Option<ProcessLock> {
-        let (front, number) = (files::path(context)?, context.clock.now().0);
+        let (front, number) = (process_files::path(context)?, context.clock.now().0);
         Some(ProcessLock { front, number, held: None })
     }
 
@@ -75,8 +75,9 @@
         let own = self.held.as_ref().map(|held| held.path.clone());
         let number =
             |path: &Path| -> Option<i64> { path.file_stem()?.to_str()?.rsplit_once('.')?.1.parse().ok() };
-        let named =
-            files::beside(&self.front).into_iter().filter(|path| path.extension().is_some_and(|e| e == LIVE));
+        let named = process_files::beside(&self.front)
+            .into_iter()
+            .filter(|path| path.extension().is_some_and(|e| e == LIVE));
         let others = named.filter(|path| Some(path) != own.as_ref());
         others.filter_map(|path| number(&path).map(|n| (n, path))).collect()
     }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,9 +1,9 @@
 //! While the program serves, signals are followed; after SIGTERM it ends once all is answered.
-use crate::boxes::Boxes;
-use crate::changing::Changing;
+use crate::backend::pool::Boxes;
+use crate::config_overlay::actor::Changing;
 use crate::context::Context;
-use crate::mail::{Ask, Mail, Module};
-use crate::shortage::RETRY;
+use crate::messages::{Ask, Mail, Module};
+use crate::net::resource_shortage::RETRY;
 use async_channel::Sender;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -1,16 +1,24 @@
 //! The start: what is shared is made, actors are spawned, listeners opened, in the order in which one needs another.
-use crate::agent::{self, Form};
-use crate::ban_files;
-use crate::bans::Bans;
-use crate::boxes::Boxes;
+use crate::admin::health_checks::{self, Form};
+use crate::admin::operators::Operators;
+use crate::admin::suspension_files;
+use crate::admin::suspensions::Bans;
+use crate::backend::pool::Boxes;
+use crate::client::connection_slots::Seats;
+use crate::client::resp_server;
+use crate::config_overlay;
 use crate::context::{Context, Other};
-use crate::gathering::Gathering;
-use crate::listeners::{self, bind, Sharing};
-use crate::mail::{Mail, MAILBOX};
-use crate::operators::Operators;
-use crate::seats::Seats;
-use crate::stop::Running;
-use crate::{changing, fellows, files, gathering_actor, handover, iscsi_front, list, module, platform};
+use crate::coordination::member;
+use crate::discovery::endpoint_list;
+use crate::iscsi::server;
+use crate::lifecycle::handover;
+use crate::lifecycle::process_files;
+use crate::lifecycle::shutdown::Running;
+use crate::messages::{Mail, MAILBOX};
+use crate::net::listeners::{self, bind, Sharing};
+use crate::scatter_gather;
+use crate::scatter_gather::handle::Gathering;
+use crate::scheduler_actor;
 use async_channel::Receiver;
 use async_io::Timer;
 use scheduler::interface::ListNews;
@@ -52,7 +60,7 @@
     let signals = listeners::signals().await?;
     let (watch, asked) = async_channel::bounded(4);
     // Before anything is served: what an earlier process had banned.
-    bans.take_over(files::path(&context).and_then(|front| ban_files::read(&front)));
+    bans.take_over(process_files::path(&context).and_then(|front| suspension_files::read(&front)));
     let mut running = Running {
         context: context.clone(),
         module: module.clone(),
@@ -66,24 +74,25 @@
         news => news,
     };
     running.know(&config.known, cached).await;
-    let actor = module::run(context.clone(), boxes.clone(), inbox, watch);
+    let actor = scheduler_actor::run(context.clone(), boxes.clone(), inbox, watch);
     context.executor.spawn(actor).detach();
-    let actor = list::run(context.clone(), module.clone(), boxes.clone(), asked);
+    let actor = endpoint_list::run(context.clone(), module.clone(), boxes.clone(), asked);
     context.executor.spawn(actor).detach();
     context.life.serving.set(!config.known.targets.is_empty());
-    let mailbox = changing::mailbox(&config);
+    let mailbox = config_overlay::actor::mailbox(&config);
     let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
     on.accord =
-        fellows::start(&context, &module, &boxes, voter.map(coordination::changes::Mailbox::for_the_log))?;
+        member::start(&context, &module, &boxes, voter.map(coordination::changes::Mailbox::for_the_log))?;
     running.accord = on.accord.clone();
     on.changing = match mailbox {
-        Some(mailbox) => Some(changing::start(&on, mailbox).await?),
+        Some(mailbox) => Some(config_overlay::actor::start(&on, mailbox).await?),
         None => None,
     };
     running.changing = on.changing.clone();
     if let Some((gathering, inbox)) = Gathering::new(&config) {
         let (context, boxes) = (context.clone(), boxes.clone());
-        let actor = gathering_actor::run(context.clone(), module.clone(), boxes, gathering.clone(), inbox);
+        let actor =
+            scatter_gather::actor::run(context.clone(), module.clone(), boxes, gathering.clone(), inbox);
         context.executor.spawn(actor).detach();
         on.gathering = Some(gathering);
     }
@@ -91,7 +100,7 @@
     if let Some(at) = config.admin {
         let listener = bind("admin", at, Sharing::Alone).await?;
         let form = Form::Operators(on);
-        context.executor.spawn(agent::listen(context.clone(), listener, form)).detach();
+        context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
     }
     // Guards clients of a front that follows another, which still serves: they come here once the list is fresh.
     let patience = context.clock.now().0 + FRESH;
@@ -111,18 +120,18 @@
     crate::log::line(format_args!("start name={name} listen={at:?} other={other:?}"));
     let seats = Seats::new(context.clone());
     if let Some(listener) = listener {
-        let front = platform::listen(context.clone(), module.clone(), seats.clone(), gathering, listener);
+        let front = resp_server::listen(context.clone(), module.clone(), seats.clone(), gathering, listener);
         context.executor.spawn(front).detach();
     }
     if let Some(front) = &config.iscsi {
         let listener = bind("iscsi.listen", front.listen, Sharing::Alone).await?;
-        let front = iscsi_front::listen(context.clone(), module, seats, front.clone(), listener);
+        let front = server::listen(context.clone(), module, seats, front.clone(), listener);
         context.executor.spawn(front).detach();
     }
     for (key, what, form) in [("agent", &config.agent, Form::Agent), ("health", &config.health, Form::Http)] {
         if let Some(at) = what {
             let listener = bind(&format!("{key}.listen"), at.listen, Sharing::Alone).await?;
-            context.executor.spawn(agent::listen(context.clone(), listener, form)).detach();
+            context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
         }
     }
     running.follow(signals).await;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,59 +1,20 @@
 //! The gateway: real sockets around the `scheduler`.
-mod accept;
-mod agent;
-mod arrivals;
-mod ban_files;
-mod bans;
-mod blocks;
-mod boxes;
-mod change_orders;
-mod changing;
+mod admin;
+mod backend;
 mod client;
-mod client_answers;
 mod clock;
-mod command;
-mod connect;
+mod config_overlay;
 mod context;
+mod coordination;
 mod counts;
-mod exchange;
-mod fellows;
-mod files;
-mod gathering;
-mod gathering_actor;
-mod gathering_parts;
-mod gathering_reply;
-mod handover;
-mod in_force;
-mod iscsi_front;
-mod iscsi_request;
-mod iscsi_session;
-mod iscsi_shared;
-mod list;
-mod listeners;
+mod discovery;
+mod iscsi;
+mod lifecycle;
 mod log;
-mod mail;
-mod module;
-mod objects;
-mod operators;
-mod orders;
-mod peer;
-mod platform;
-mod process_lock;
-mod reason;
-mod record;
-mod reply;
-mod restart;
-mod seats;
-mod shortage;
-mod socket;
-mod start;
-mod start_times;
-mod stop;
-mod tally;
-mod value;
-mod watch;
-mod wire;
-mod words;
+mod messages;
+mod net;
+mod scatter_gather;
+mod scheduler_actor;
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -62,7 +23,7 @@
     let words: Vec<String> = std::env::args().skip(1).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let outcome = match words.as_slice() {
-        [] => start::start(),
+        [] => lifecycle::start::start(),
         ["config", "write", app] => {
             config::application(app).map(|text| say(&text)).map_err(|e| e.to_string())
         }
--- a/crates/gateway/src/mail.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,5 +1,5 @@
 //! Letters between the actors. Types only: who sends and who takes them stands with the actors.
-use crate::value::{Answer, Ended};
+use crate::backend::value::{Answer, Ended};
 use async_channel::Sender;
 use dispatch::Request;
 use scheduler::interface::{ListNews, NodeId, RequestId, Settings};
--- a/crates/gateway/src/accept.rs
+++ b/crates/gateway/src/net/accept.rs
@@ -1,5 +1,5 @@
 //! Accepting connections. What the system refuses for a moment is tried again; no connection that it has accepted is given up.
-use crate::socket::Socket;
+use crate::net::socket::Socket;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::io::{self, ErrorKind};
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/net/connection.rs
@@ -1,6 +1,6 @@
 //! A connection: a stream of what happens on it, with one ring buffer a direction.
-use crate::reason::Reason;
-use crate::socket::Socket;
+use crate::net::close_reason::Reason;
+use crate::net::socket::Socket;
 use futures_lite::{Stream, StreamExt};
 use ring_buffer::Ring;
 use std::io;
--- a/crates/gateway/src/connect.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -1,9 +1,9 @@
 //! New connections to disk boxes, within the descriptors that there are.
+use crate::backend::actor::Work;
 use crate::counts::Count;
-use crate::peer::Work;
-use crate::reason::Reason;
-use crate::shortage::{is_shortage, no_port, RETRY};
-use crate::wire::Wire;
+use crate::net::close_reason::Reason;
+use crate::net::connection::Wire;
+use crate::net::resource_shortage::{is_shortage, no_port, RETRY};
 use async_io::Timer;
 use dispatch::Attempt;
 use futures_lite::future;
--- a/crates/gateway/src/listeners.rs
+++ b/crates/gateway/src/net/listeners.rs
@@ -1,5 +1,5 @@
 //! The listeners of the program, and its signals: what they need from the system may be short for a moment at the start.
-use crate::shortage::{is_shortage, RETRY};
+use crate::net::resource_shortage::{is_shortage, RETRY};
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use rustix::net::{self, sockopt, AddressFamily, SocketFlags, SocketType};
--- a/crates/gateway/src/gathering_actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -1,12 +1,12 @@
 //! The actor that gathers: each part is a request of its own in the module, with its own credits, limits and attempts.
-use crate::boxes::Boxes;
+use crate::backend::pool::Boxes;
+use crate::backend::value::Answer;
+use crate::client::response::{worded, Reply};
 use crate::context::Context;
-use crate::gathering::{Begin, Gathering, Letter};
-use crate::gathering_parts::{ended, part, Part};
-use crate::gathering_reply::reply;
-use crate::mail::{Mail, Module, Ticket};
-use crate::reply::{worded, Reply};
-use crate::value::Answer;
+use crate::messages::{Mail, Module, Ticket};
+use crate::scatter_gather::handle::{Begin, Gathering, Letter};
+use crate::scatter_gather::response::reply;
+use crate::scatter_gather::shard_requests::{ended, part, Part};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use cluster_types::{Time, Zone};
@@ -20,7 +20,7 @@
 /// The most gathers that are held, those included that only wait for late parts.
 const GATHERS: usize = 1024;
 /// The most parts that may be out; as many requests as the module holds in all.
-const PARTS: usize = crate::module::REQUESTS;
+const PARTS: usize = crate::scheduler_actor::REQUESTS;
 /// A part whose answer has not come so long after its time is not awaited any more.
 const LOST: i64 = 5_000_000;
 /// What a client that is turned away at the bound is told.
--- a/crates/gateway/src/gathering.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -1,6 +1,6 @@
 //! Answers that are gathered from parts: what fronts hand over, and the actor's mailbox. Without a table `[[gather]]` in an
 //! operator's file there is no handle, and the actor is never started.
-use crate::reply::Reply;
+use crate::client::response::Reply;
 use async_channel::{Receiver, Sender};
 use config::Config;
 use dispatch::Request;
--- a/crates/gateway/src/gathering_reply.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -1,7 +1,7 @@
 //! How gathered answers are worded to RESP2 clients: whole as one bulk string, in part as an array of what came and a text
 //! that names what is missing, and a failure as an error with its reason.
-use crate::reply::{worded, Reply};
-use crate::value;
+use crate::backend::value;
+use crate::client::response::{worded, Reply};
 use dispatch::Bytes;
 use scatter_gather::{Answer, Gathered, Held};
 use scheduler::interface::Micros;
@@ -50,7 +50,7 @@
         };
         let table = "[[gather]]\nname = \"g\"\nvolume = \"0000000000000001\"\npiece = \"00000000000000ff\"\n\
              class = \"stock-read\"\nsuffices = { at_least = 1 }\n";
-        let file = include_str!("../tests/common/config.toml").replace("@IP@", "127.0.0.1");
+        let file = include_str!("../../tests/common/config.toml").replace("@IP@", "127.0.0.1");
         let config = config::read("x.toml", &(file + table + &part(0) + &part(1))).unwrap();
         let (now, mut out, budget) = (Time(1_000_000), Vec::new(), Budget::new(1 << 20));
         let mut gathers = Gathers::new(4, Halls::new(None, Rules::default()), budget.clone());
--- a/crates/gateway/src/gathering_parts.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -1,8 +1,8 @@
 //! Parts of a gather as requests of the module, and the module's answers as their ends.
-use crate::boxes::Boxes;
+use crate::backend::pool::Boxes;
+use crate::backend::value::{Answer, Value};
 use crate::context::Context;
-use crate::gathering::Begin;
-use crate::value::{Answer, Value};
+use crate::scatter_gather::handle::Begin;
 use cluster_types::Zone;
 use config::Config;
 use dispatch::{Bytes, Extent, Request};
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/scheduler_actor.rs
@@ -1,8 +1,8 @@
 //! The module's actor: takes mail from fronts, peers and the list, and carries out what the core says.
-use crate::boxes::Boxes;
+use crate::backend::pool::Boxes;
+use crate::backend::value::{Answer, Value};
 use crate::context::{Context, Other};
-use crate::mail::{Ask, Mail, Ticket};
-use crate::value::{Answer, Value};
+use crate::messages::{Ask, Mail, Ticket};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use dispatch::{Bound, Core, Counters, Effect};
--- a/crates/gateway/tests/arrivals.rs
+++ b/crates/gateway/tests/arrivals.rs
@@ -1,6 +1,6 @@
 //! A command's time runs from when its last byte has come.
 #![allow(clippy::unwrap_used)]
-#[path = "../src/arrivals.rs"]
+#[path = "../src/client/arrival_times.rs"]
 mod arrivals;
 
 use arrivals::Arrivals;
--- a/crates/gateway/tests/objects.rs
+++ b/crates/gateway/tests/objects.rs
@@ -1,6 +1,6 @@
 //! A stream of JSON objects is cut into single ones, however it comes.
 #![allow(clippy::unwrap_used)]
-#[path = "../src/objects.rs"]
+#[path = "../src/discovery/json_stream.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod objects;
 
--- a/crates/gateway/tests/restart.rs
+++ b/crates/gateway/tests/restart.rs
@@ -1,6 +1,6 @@
 //! The times of a planned restart.
 #![allow(clippy::unwrap_used)]
-#[path = "../src/restart.rs"]
+#[path = "../src/lifecycle/shutdown_times.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod restart;
 
--- a/crates/gateway/tests/start_times.rs
+++ b/crates/gateway/tests/start_times.rs
@@ -1,5 +1,5 @@
 //! A start counts from its notification, whatever the wall clocks say, unless no step can feign how long ago it was.
-#[path = "../src/start_times.rs"]
+#[path = "../src/backend/start_times.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod start_times;
 
--- a/crates/gateway/tests/tally.rs
+++ b/crates/gateway/tests/tally.rs
@@ -1,6 +1,6 @@
 //! What a front measures of a server.
 #![allow(clippy::unwrap_used)]
-#[path = "../src/tally.rs"]
+#[path = "../src/backend/statistics.rs"]
 #[allow(dead_code, reason = "the program uses the rest")]
 mod tally;
 
