--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,5 +1,5 @@
 //! What a node is told about the group and its bounds.
-use crate::fault::Fault;
+use crate::error::Fault;
 use cluster_types::MemberId;
 use std::time::Duration;
 
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,8 +1,8 @@
 //! Votes: who may ask, who may give, and what counts.
-use crate::disk::Promise;
 use crate::event::Role;
 use crate::message::{Message, Position};
 use crate::node::Node;
+use crate::persistence::Promise;
 use cluster_types::MemberId;
 
 impl Node {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -23,31 +23,31 @@
 //! - **Host's part.** Batches are written whole and in order; after one has failed, no later one is written. What
 //!   was applied is rebuilt from the snapshot and the log at a start: entries may be applied before this
 //!   member has them on disk. A disk that hangs is to be reported as failed.
-mod admission;
-mod append;
+mod bootstrap;
 mod config;
-mod counts;
-mod disk;
+mod counters;
 mod election;
+mod error;
 mod event;
-mod fault;
-mod founding;
+mod follower;
 mod leader;
 mod lease;
 mod log;
 mod message;
 mod node;
+mod observe;
+mod persistence;
 mod progress;
-mod replicate;
-mod stored;
-mod transfer;
-mod view;
+mod readmission;
+mod replication;
+mod snapshot_transfer;
+mod stored_state;
 
 pub use config::Config;
-pub use counts::Counts;
+pub use counters::Counts;
+pub use error::Fault;
 pub use event::{Action, Batch, Event, Hard, Role, Why};
-pub use fault::Fault;
 pub use log::Snapshot;
 pub use message::{Entry, Lives, Message, Outcome, Payload, Position};
 pub use node::Node;
-pub use stored::Stored;
+pub use stored_state::Stored;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,14 +1,14 @@
 //! A member: its state, and where events go.
 use crate::config::Config;
-use crate::counts::Counts;
-use crate::disk::Disk;
+use crate::counters::Counts;
+use crate::error::Fault;
 use crate::event::{Action, Event, Role, Why};
-use crate::fault::Fault;
 use crate::log::Log;
 use crate::message::{Lives, Message, Payload, FAR};
+use crate::persistence::Disk;
 use crate::progress::Lead;
-use crate::stored::Stored;
-use crate::transfer::Incoming;
+use crate::snapshot_transfer::Incoming;
+use crate::stored_state::Stored;
 use cluster_types::{Index, MemberId, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/consensus/src/view.rs
+++ b/crates/consensus/src/observe.rs
@@ -1,5 +1,5 @@
 //! What can be seen of a member from outside.
-use crate::counts::Counts;
+use crate::counters::Counts;
 use crate::event::Role;
 use crate::message::{Lives, Position};
 use crate::node::Node;
--- a/crates/consensus/src/stored.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -1,7 +1,7 @@
 //! What the host read from disk at its start, and whether it can be trusted.
 use crate::config::Config;
+use crate::error::Fault;
 use crate::event::{Batch, Hard};
-use crate::fault::Fault;
 use crate::log::{Log, Snapshot};
 use crate::message::{Entry, Payload, FAR};
 use cluster_types::Index;
--- a/crates/consensus/tests/rules/lives.rs
+++ b/crates/consensus/tests/rules/incarnations.rs
@@ -1,5 +1,5 @@
 //! Lost disks and the founding.
-use crate::trio::{config, name, Trio};
+use crate::cluster::{config, name, Trio};
 use cluster_types::Index;
 use consensus::{Message, Node, Payload, Role};
 
--- a/crates/consensus/tests/rules/main.rs
+++ b/crates/consensus/tests/rules/main.rs
@@ -1,12 +1,12 @@
 //! Each rule by itself, in the case that it is there for.
 #![allow(clippy::unwrap_used, clippy::panic)]
-mod disks;
-mod lives;
-mod noise;
-mod trio;
+mod cluster;
+mod incarnations;
+mod random_messages;
+mod storage;
 
+use cluster::{name, Trio};
 use consensus::{Action, Event, Message, Outcome, Payload, Position, Why};
-use trio::{name, Trio};
 
 /// Guards a lease: the one whose word it rests on forgets it by a restart, while another has not heard the leader for long.
 #[test]
--- a/crates/consensus/tests/rules/noise.rs
+++ b/crates/consensus/tests/rules/random_messages.rs
@@ -1,5 +1,5 @@
 //! Whatever comes from outside, a member neither panics nor loses what is committed.
-use crate::trio::{name, Trio};
+use crate::cluster::{name, Trio};
 use cluster_types::Index;
 use consensus::{Entry, Event, Lives, Message, Outcome, Payload, Position};
 use rand::rngs::SmallRng;
--- a/crates/consensus/tests/rules/disks.rs
+++ b/crates/consensus/tests/rules/storage.rs
@@ -1,5 +1,5 @@
 //! Disks that fail, and what is read from them at a start.
-use crate::trio::{config, name, Trio};
+use crate::cluster::{config, name, Trio};
 use cluster_types::{Index, Time};
 use consensus::{Action, Entry, Event, Fault, Hard, Message, Node, Payload, Position, Snapshot, Stored, Why};
 
--- a/crates/consensus/tests/sim/main.rs
+++ b/crates/consensus/tests/simulation/main.rs
@@ -1,7 +1,7 @@
 //! Seeded schedules of faults over whole groups in simulated time. `CONSENSUS_SCHEDULES` is how many are run for each size,
 //! `CONSENSUS_SEED` runs one seed alone.
 #![allow(clippy::unwrap_used, clippy::panic)]
-mod acts;
+mod actions;
 mod check;
 mod host;
 mod report;
