--- a/crates/consensus/examples/timings.rs
+++ b/crates/consensus/examples/timings.rs
@@ -1,12 +1,12 @@
-//! How long it takes to elect and to commit, and what an idle group says, in simulated time: messages take
-//! 0.2 to 2 ms, a write 0.5 to 3 ms. Spread over seeds as least, middle, greatest.
+//! How long elections and commits take, and how much an idle group sends, in simulated time: messages take 0.2 to 2 ms, a write
+//! takes 0.5 to 3 ms. Prints the least, the middle and the greatest value over the seeds.
 use cluster_types::{MemberId, Time};
-use consensus::{Action, Batch, Config, Event, Message, Node, Role, Stored};
+use consensus::{Action, Config, Event, Message, Node, Role, StoredState, WriteBatch};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-enum What {
+enum Step {
     Packet { from: usize, message: Message },
     Written { batch: u64 },
     Wake,
@@ -18,8 +18,8 @@
     rng: SmallRng,
     names: Vec<MemberId>,
     nodes: Vec<Option<Node>>,
-    stored: Vec<Stored>,
-    agenda: BTreeMap<(u64, u64), (usize, What)>,
+    stored: Vec<StoredState>,
+    agenda: BTreeMap<(u64, u64), (usize, Step)>,
     messages: u64,
     bytes: u64,
     committed: Option<u64>,
@@ -29,7 +29,7 @@
     fn new(members: usize, seed: u64) -> Group {
         let names: Vec<MemberId> =
             (0..members).map(|nth| MemberId::from(format!("front-{nth:03}").as_str())).collect();
-        let stored: Vec<Stored> = (0..members).map(|nth| Stored::empty(nth as u64 + 1)).collect();
+        let stored: Vec<StoredState> = (0..members).map(|nth| StoredState::empty(nth as u64 + 1)).collect();
         let start = |nth: usize| {
             let config = Config::new(names[nth].clone(), names.clone());
             Node::new(config, stored[nth].clone(), Time(0), seed * 1000 + nth as u64).ok()
@@ -41,12 +41,12 @@
             Group { now: 0, seq: 0, rng, names, nodes, stored, agenda, messages, bytes, committed };
         for nth in 0..members {
             let at = group.rng.random_range(0..50_000);
-            group.plan(at, nth, What::Wake);
+            group.plan(at, nth, Step::Wake);
         }
         group
     }
 
-    fn plan(&mut self, after: u64, to: usize, what: What) {
+    fn plan(&mut self, after: u64, to: usize, what: Step) {
         self.seq += 1;
         self.agenda.insert((self.now + after, self.seq), (to, what));
     }
@@ -55,7 +55,7 @@
         let Some(node) = self.nodes.get_mut(to).and_then(Option::as_mut) else { return };
         let mut out = Vec::new();
         node.handle(Time(self.now), event, &mut out);
-        let wake = node.wake();
+        let wake = node.next_wakeup();
         for action in out {
             match action {
                 Action::Send { to: name, message } => {
@@ -63,7 +63,7 @@
                     self.messages += 1;
                     self.bytes += postcard::to_stdvec(&message).map_or(0, |m| m.len() as u64);
                     let after = self.rng.random_range(200..2_000);
-                    self.plan(after, there, What::Packet { from: to, message });
+                    self.plan(after, there, Step::Packet { from: to, message });
                 }
                 Action::Persist(batch) => self.write(to, &batch),
                 Action::Committed { .. } => self.committed = Some(self.now),
@@ -71,14 +71,14 @@
             }
         }
         if let Some(at) = wake {
-            self.plan(at.0.saturating_sub(self.now).max(1), to, What::Wake);
+            self.plan(at.0.saturating_sub(self.now).max(1), to, Step::Wake);
         }
     }
 
-    fn write(&mut self, to: usize, batch: &Batch) {
-        self.stored[to].write(batch);
+    fn write(&mut self, to: usize, batch: &WriteBatch) {
+        self.stored[to].apply_batch(batch);
         let after = self.rng.random_range(500..3_000);
-        self.plan(after, to, What::Written { batch: batch.id });
+        self.plan(after, to, Step::Written { batch: batch.id });
     }
 
     /// Runs until it is so, or for that long. Whether it came to be.
@@ -90,22 +90,22 @@
                 return false;
             }
             self.now = now;
-            let due = |node: &Node| node.wake().is_some_and(|at| at <= Time(now));
+            let due = |node: &Node| node.next_wakeup().is_some_and(|at| at <= Time(now));
             match what {
-                What::Packet { from, message } => {
-                    let life = from as u64 + 1;
-                    self.give(to, Event::Message { from: self.names[from].clone(), life, message });
+                Step::Packet { from, message } => {
+                    let incarnation = from as u64 + 1;
+                    self.give(to, Event::Message { from: self.names[from].clone(), incarnation, message });
                 }
-                What::Written { batch } => self.give(to, Event::Persisted { batch }),
-                What::Wake if self.nodes[to].as_ref().is_some_and(due) => self.give(to, Event::Tick),
-                What::Wake => {}
+                Step::Written { batch } => self.give(to, Event::Persisted { batch_id: batch }),
+                Step::Wake if self.nodes[to].as_ref().is_some_and(due) => self.give(to, Event::Tick),
+                Step::Wake => {}
             }
         }
         true
     }
 
     fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.role().0 == Role::Leader && n.lease(Time(self.now)).is_some();
+        let leads = |n: &Node| n.role() == Role::Leader && n.lease_expiry(Time(self.now)).is_some();
         self.nodes.iter().position(|n| n.as_ref().is_some_and(leads))
     }
 }
@@ -121,12 +121,12 @@
 fn main() {
     println!("members  what                        least   middle greatest");
     for (members, seeds) in [(5, 40), (25, 20), (100, 5)] {
-        let (mut founded, mut commit, mut said, mut bytes, mut elected) =
+        let (mut bootstrapped_ms, mut commit, mut idle_messages, mut bytes, mut elected) =
             (vec![], vec![], vec![], vec![], vec![]);
         for seed in 0..seeds {
             let mut group = Group::new(members, seed);
             group.run(60_000_000, |g| g.leader().is_some());
-            founded.push(group.now as f64 / 1e3);
+            bootstrapped_ms.push(group.now as f64 / 1e3);
             group.run(500_000, |_| false);
             let Some(leader) = group.leader() else { continue };
             for ticket in 0..20 {
@@ -141,7 +141,7 @@
             let start = group.now;
             group.run(5_000_000, |_| false);
             let each = members as f64 * (group.now - start) as f64 / 1e6;
-            said.push(group.messages as f64 / each);
+            idle_messages.push(group.messages as f64 / each);
             bytes.push(group.bytes as f64 / each);
             let start = group.now;
             group.nodes[leader] = None;
@@ -149,10 +149,10 @@
             elected.push((group.now - start) as f64 / 1e3);
         }
         for (what, values) in [
-            ("founded, ms from start", founded),
+            ("bootstrapped, ms from start", bootstrapped_ms),
             ("committed, ms", commit),
             ("new leader, ms", elected),
-            ("idle messages/member/s", said),
+            ("idle messages/member/s", idle_messages),
             ("idle bytes/member/s", bytes),
         ] {
             println!("{members:>7}  {what:<24} {}", spread(values));
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,79 +1,100 @@
-//! The founding: the one entry that needs all members.
-use crate::event::Role;
-use crate::message::{Lives, Message, Payload};
+//! Bootstrapping the group: the one entry that needs all members.
+use crate::entry::{Incarnations, Payload};
+use crate::message::Message;
 use crate::node::Node;
-use cluster_types::MemberId;
+use crate::role::Role;
+use cluster_types::{MemberId, Time};
+
+/// A member's report that its store holds no bootstrapped log.
+#[derive(Clone, Debug)]
+pub(crate) struct BootstrapHello {
+    pub(crate) incarnation: u64,
+    pub(crate) term: u64,
+    pub(crate) received_at: Time,
+}
 
 impl Node {
-    /// Only one asks, so that no two stand in each other's way; all are needed anyhow.
-    fn founder(&self) -> Option<&MemberId> {
+    /// The one member that bootstraps the group. All members are needed anyway, and two that ask would split the votes.
+    fn bootstrap_member(&self) -> Option<&MemberId> {
         self.config.members.first()
     }
 
-    pub(crate) fn say_hello(&mut self) {
-        if self.founder() == Some(&self.config.me) {
-            self.found();
-        } else if let Some(founder) = self.founder().cloned() {
-            self.promise(&founder, Message::Hello { term: self.term });
+    /// Reports an empty store to the member that bootstraps, or, at that member, tries to bootstrap.
+    pub(crate) fn join_bootstrap(&mut self) {
+        if self.bootstrap_member() == Some(&self.config.me) {
+            self.try_bootstrap();
+        } else if let Some(member) = self.bootstrap_member().cloned() {
+            self.send_when_durable(&member, Message::BootstrapHello { term: self.term });
         }
     }
 
-    pub(crate) fn on_hello(&mut self, from: &MemberId, life: u64, term: u64) {
-        if self.founder() != Some(&self.config.me) || self.sealed() {
-            self.counts.stale += 1;
+    pub(crate) fn on_bootstrap_hello(&mut self, from: &MemberId, incarnation: u64, term: u64) {
+        if self.bootstrap_member() != Some(&self.config.me) || self.is_bootstrapped() {
+            self.counters.stale += 1;
             return;
         }
-        self.hellos.insert(from.clone(), (life, term, self.now));
-        self.found();
+        let hello = BootstrapHello { incarnation, term, received_at: self.now };
+        self.hellos.insert(from.clone(), hello);
+        self.try_bootstrap();
     }
 
-    /// Asks for all votes once all members were heard, lately, with unfounded stores.
-    fn found(&mut self) {
-        let fresh = self.config.election_min * 2;
-        let heard = self.hellos.values().filter(|(_, _, at)| self.now.since(*at) < fresh).count();
-        let ready = heard + 1 == self.config.members.len() && self.role == Role::Follower;
-        if !ready || !self.disk.well() || !self.may_write() {
+    /// Asks for all votes once all members have lately reported empty stores.
+    fn try_bootstrap(&mut self) {
+        let max_age = self.config.min_election_timeout * 2;
+        let recent = self.hellos.values().filter(|hello| self.now.since(hello.received_at) < max_age).count();
+        let is_ready = recent + 1 == self.config.members.len() && self.role == Role::Follower;
+        if !is_ready || !self.storage.is_healthy() || !self.has_write_capacity() {
             return;
         }
-        let mut lives: Lives = self.hellos.iter().map(|(m, (life, _, _))| (m.clone(), *life)).collect();
-        lives.insert(self.config.me.clone(), self.life);
-        let term = self.hellos.values().map(|(_, term, _)| *term).fold(self.term, u64::max) + 1;
-        if !self.may_replace(&lives) {
+        let reported = self.hellos.iter().map(|(member, hello)| (member.clone(), hello.incarnation));
+        let mut incarnations: Incarnations = reported.collect();
+        incarnations.insert(self.config.me.clone(), self.incarnation);
+        let term = self.hellos.values().map(|hello| hello.term).fold(self.term, u64::max) + 1;
+        if !self.may_replace_bootstrap(&incarnations) {
             return;
         }
         self.hellos.clear();
-        self.follow(term, None);
-        self.founding = Some(lives.clone());
-        self.stand_with(Message::Found { term, lives });
+        self.become_follower(term, None);
+        self.proposed_bootstrap = Some(incarnations.clone());
+        self.become_candidate(&Message::BootstrapRequest { term, incarnations });
     }
 
-    /// Whether a founding with these lives may take the place of the one that this store has, if any. A log that
-    /// was founded by the earlier one can have committed something only by a quorum of its lives; where a quorum of them
-    /// votes and none has a second entry, it has not.
-    fn may_replace(&self, lives: &Lives) -> bool {
-        match self.log.get(1).map(|e| &e.payload) {
-            Some(Payload::Founding(old)) => {
-                let same = old.iter().filter(|(member, life)| lives.get(*member) == Some(*life)).count();
-                same >= self.config.quorum()
-            }
-            _ => true,
-        }
+    /// Whether a bootstrap under these incarnations may replace the one that this store holds, if any. A log under the earlier
+    /// one can have committed something only by a quorum of its incarnations. Where a quorum of them votes and none has a
+    /// second entry, it has not.
+    fn may_replace_bootstrap(&self, incarnations: &Incarnations) -> bool {
+        let Some(Payload::Bootstrap(earlier)) = self.log.get(1).map(|entry| &entry.payload) else {
+            return true;
+        };
+        let unchanged = earlier.iter().filter(|(member, known)| incarnations.get(*member) == Some(*known));
+        unchanged.count() >= self.config.quorum()
     }
 
-    pub(crate) fn on_found(&mut self, from: &MemberId, life: u64, term: u64, lives: Lives) {
-        let members = lives.len() == self.config.members.len() && lives.keys().eq(self.config.members.iter());
-        if !members || self.founder() != Some(from) || lives.get(from) != Some(&life) {
-            self.counts.malformed += 1;
+    pub(crate) fn on_bootstrap_request(
+        &mut self,
+        from: &MemberId,
+        incarnation: u64,
+        term: u64,
+        incarnations: &Incarnations,
+    ) {
+        let names_members = incarnations.len() == self.config.members.len()
+            && incarnations.keys().eq(self.config.members.iter());
+        if !names_members
+            || self.bootstrap_member() != Some(from)
+            || incarnations.get(from) != Some(&incarnation)
+        {
+            self.counters.malformed += 1;
             return;
         }
-        let willing = lives.get(&self.config.me) == Some(&self.life) && self.may_replace(&lives);
-        if self.sealed() || !willing || !self.disk.well() || !self.may_write() {
-            self.counts.stale += 1;
+        let names_this_store = incarnations.get(&self.config.me) == Some(&self.incarnation);
+        let is_willing = names_this_store && self.may_replace_bootstrap(incarnations);
+        if self.is_bootstrapped() || !is_willing || !self.storage.is_healthy() || !self.has_write_capacity() {
+            self.counters.stale += 1;
             return;
         }
         if term > self.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
         }
-        self.give_vote(from, life, term, true);
+        self.answer_vote_request(from, incarnation, term, true);
     }
 }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,108 +1,120 @@
-//! What a node is told about the group and its bounds.
-use crate::error::Fault;
+//! The configuration of a member: the group, its timeouts and its bounds.
+use crate::error::StartError;
 use cluster_types::MemberId;
 use std::time::Duration;
 
-/// The group, its times and its bounds. Members and times must be the same everywhere.
+/// Parts per million of a whole.
+const MILLION: u64 = 1_000_000;
+
+/// The largest clock drift that can be configured, in parts per million.
+const CLOCK_DRIFT_BOUND_PPM: u32 = 500_000;
+
+/// The group, its timeouts and its bounds. Members and timeouts must be the same at all members.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This member.
+    /// The name of this member.
     pub me: MemberId,
-    /// All configured members, this one among them.
+    /// All configured members, including this one.
     pub members: Vec<MemberId>,
-    /// How often a leader is heard.
-    pub heartbeat: Duration,
+    /// The interval of a leader's heartbeats.
+    pub heartbeat_interval: Duration,
     /// A follower that heard its leader less than this ago neither campaigns nor votes.
-    pub election_min: Duration,
-    /// A follower that did not hear its leader for this long campaigns.
-    pub election_max: Duration,
-    /// How far a clock may run fast or slow, in millionths.
-    pub drift_ppm: u32,
-    /// At most so many entries in a message.
-    pub batch_entries: usize,
-    /// About so many bytes in a message; a larger entry is refused.
-    pub batch_bytes: usize,
-    /// At most so many messages with entries are unanswered by a member.
-    pub flights: usize,
-    /// So many entries are kept beyond the snapshot; more proposals are refused.
-    pub log_entries: usize,
-    /// So many bytes of entries are kept beyond the snapshot.
-    pub log_bytes: usize,
-    /// A snapshot is asked for after so many entries.
-    pub snapshot_after: usize,
-    /// The largest snapshot.
-    pub snapshot_bytes: usize,
-    /// A snapshot is sent in pieces of this size.
-    pub chunk_bytes: usize,
-    /// At most so many proposals wait to be committed.
-    pub proposals: usize,
-    /// At most so many read barriers wait.
-    pub barriers: usize,
-    /// At most so many batches wait for the disk.
-    pub unwritten: usize,
+    pub min_election_timeout: Duration,
+    /// A follower that has not heard its leader for this long campaigns.
+    pub max_election_timeout: Duration,
+    /// The bound of how fast or slow a clock may run, in parts per million.
+    pub max_clock_drift_ppm: u32,
+    /// The most entries in a message.
+    pub max_message_entries: usize,
+    /// The approximate bound of a message, in bytes; a larger entry is rejected.
+    pub max_message_bytes: usize,
+    /// The most messages with entries that a follower has not answered.
+    pub max_inflight_messages: usize,
+    /// The most entries kept beyond the snapshot; further proposals are rejected.
+    pub max_log_entries: usize,
+    /// The most bytes of entries kept beyond the snapshot.
+    pub max_log_bytes: usize,
+    /// A snapshot is requested after this many entries.
+    pub snapshot_threshold_entries: usize,
+    /// The largest snapshot, in bytes.
+    pub max_snapshot_bytes: usize,
+    /// The size of the chunks in which a snapshot is sent, in bytes.
+    pub snapshot_chunk_bytes: usize,
+    /// The most proposals that wait to be committed.
+    pub max_pending_proposals: usize,
+    /// The most read barriers that wait.
+    pub max_pending_read_barriers: usize,
+    /// The most batches that wait for the disk.
+    pub max_pending_writes: usize,
 }
 
 impl Config {
-    /// With the usual times and bounds.
+    /// A configuration with the default timeouts and bounds.
     pub fn new(me: MemberId, members: Vec<MemberId>) -> Config {
         Config {
             me,
             members,
-            heartbeat: Duration::from_millis(100),
-            election_min: Duration::from_millis(1_000),
-            election_max: Duration::from_millis(2_000),
-            drift_ppm: 10_000,
-            batch_entries: 256,
-            batch_bytes: 256 << 10,
-            flights: 8,
-            log_entries: 16_384,
-            log_bytes: 64 << 20,
-            snapshot_after: 4_096,
-            snapshot_bytes: 256 << 20,
-            chunk_bytes: 64 << 10,
-            proposals: 4_096,
-            barriers: 1_024,
-            unwritten: 64,
+            heartbeat_interval: Duration::from_millis(100),
+            min_election_timeout: Duration::from_millis(1_000),
+            max_election_timeout: Duration::from_millis(2_000),
+            max_clock_drift_ppm: 10_000,
+            max_message_entries: 256,
+            max_message_bytes: 256 << 10,
+            max_inflight_messages: 8,
+            max_log_entries: 16_384,
+            max_log_bytes: 64 << 20,
+            snapshot_threshold_entries: 4_096,
+            max_snapshot_bytes: 256 << 20,
+            snapshot_chunk_bytes: 64 << 10,
+            max_pending_proposals: 4_096,
+            max_pending_read_barriers: 1_024,
+            max_pending_writes: 64,
         }
     }
 
-    /// A majority of all configured members.
+    /// The size of a quorum: a majority of all configured members.
     pub fn quorum(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// How long a lease lasts from the start of its round: the followers' wait by the fastest clock, told by the slowest.
+    /// How long a lease lasts from the start of its heartbeat round: the followers' least election timeout by the fastest
+    /// clock, measured by the slowest.
     pub fn lease_span(&self) -> Duration {
-        let drift = u64::from(self.drift_ppm);
-        let micros = u64::try_from(self.election_min.as_micros()).unwrap_or(u64::MAX);
-        Duration::from_micros(
-            micros.saturating_mul(1_000_000_u64.saturating_sub(drift)) / (1_000_000 + drift),
-        )
+        let drift = u64::from(self.max_clock_drift_ppm);
+        let micros = u64::try_from(self.min_election_timeout.as_micros()).unwrap_or(u64::MAX);
+        Duration::from_micros(micros.saturating_mul(MILLION.saturating_sub(drift)) / (MILLION + drift))
     }
 
-    pub(crate) fn check(&self) -> Result<(), Fault> {
+    pub(crate) fn validate(&self) -> Result<(), StartError> {
         let mut sorted = self.members.clone();
         sorted.sort();
         sorted.dedup();
         if sorted.len() != self.members.len() || !sorted.contains(&self.me) {
-            return Err(Fault::Members);
+            return Err(StartError::Members);
         }
-        let times = self.heartbeat > Duration::ZERO
-            && self.heartbeat * 2 <= self.election_min
-            && self.election_min < self.election_max
-            && self.drift_ppm < 500_000;
-        if !times {
-            return Err(Fault::Times);
+        let timeouts_fit = self.heartbeat_interval > Duration::ZERO
+            && self.heartbeat_interval * 2 <= self.min_election_timeout
+            && self.min_election_timeout < self.max_election_timeout
+            && self.max_clock_drift_ppm < CLOCK_DRIFT_BOUND_PPM;
+        if !timeouts_fit {
+            return Err(StartError::Timeouts);
         }
-        let bounds =
-            [self.batch_entries, self.batch_bytes, self.flights, self.snapshot_after, self.snapshot_bytes]
-                .into_iter()
-                .chain([self.chunk_bytes, self.proposals, self.barriers, self.unwritten]);
-        if bounds.min() == Some(0)
-            || self.log_entries <= self.snapshot_after
-            || self.log_bytes < self.batch_bytes
+        let bounds = [
+            self.max_message_entries,
+            self.max_message_bytes,
+            self.max_inflight_messages,
+            self.snapshot_threshold_entries,
+            self.max_snapshot_bytes,
+            self.snapshot_chunk_bytes,
+            self.max_pending_proposals,
+            self.max_pending_read_barriers,
+            self.max_pending_writes,
+        ];
+        if bounds.contains(&0)
+            || self.max_log_entries <= self.snapshot_threshold_entries
+            || self.max_log_bytes < self.max_message_bytes
         {
-            return Err(Fault::Bounds);
+            return Err(StartError::Bounds);
         }
         Ok(())
     }
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,158 +1,189 @@
-//! Votes: who may ask, who may give, and what counts.
-use crate::event::Role;
-use crate::message::{Message, Position};
+//! Elections: who may ask for votes, who may give them, and which votes count.
+use crate::entry::LogPosition;
+use crate::message::{Message, VoteResponse};
 use crate::node::Node;
-use crate::persistence::Promise;
+use crate::role::Role;
+use crate::write_batch::Vote;
+use crate::write_queue::DurableEffect;
 use cluster_types::MemberId;
 
 impl Node {
-    /// Whether the log is known to be founded for good.
-    pub(crate) fn sealed(&self) -> bool {
-        self.commit > 0 || self.log.last().index > 1
+    /// Whether the group is known to be bootstrapped for good.
+    pub(crate) fn is_bootstrapped(&self) -> bool {
+        self.commit_index > 0 || self.log.last().index > 1
     }
 
-    /// Whether this store's life is admitted: by the founding, or by an entry known to be committed. Whatever is
-    /// promised on the strength of it waits until that knowledge is on disk.
-    pub(crate) fn admitted(&self) -> bool {
-        self.log.lives_at(self.commit.max(1)).get(&self.config.me) == Some(&self.life)
+    /// Whether the incarnation of this store is admitted: by the bootstrap entry, or by an entry known to be committed. What is
+    /// promised on the strength of that waits until the knowledge is on disk.
+    pub(crate) fn is_admitted(&self) -> bool {
+        let admitted = self.log.incarnations_at(self.commit_index.max(1));
+        admitted.get(&self.config.me) == Some(&self.incarnation)
     }
 
-    pub(crate) fn may_campaign(&self) -> bool {
-        self.sealed() && self.admitted() && self.disk.well()
+    pub(crate) fn can_campaign(&self) -> bool {
+        self.is_bootstrapped() && self.is_admitted() && self.storage.is_healthy()
     }
 
-    /// Asks whether it would be voted for, so that nobody is disturbed in vain.
-    pub(crate) fn campaign(&mut self) {
-        self.follow(self.term, None);
+    /// Asks whether this member would be elected, so that a hopeless election disturbs no other member.
+    pub(crate) fn start_pre_vote(&mut self) {
+        self.become_follower(self.term, None);
         self.role = Role::PreCandidate;
         self.votes.insert(self.config.me.clone());
-        let ask = Message::PreVote { term: self.term + 1, last: self.log.last() };
-        self.ask(&ask);
-        self.count_votes();
+        self.broadcast_when_durable(&Message::PreVoteRequest { term: self.term + 1, last: self.log.last() });
+        self.tally_votes();
     }
 
-    fn ask(&mut self, message: &Message) {
+    fn broadcast_when_durable(&mut self, message: &Message) {
         for member in self.config.members.clone() {
             if member != self.config.me {
-                self.promise(&member, message.clone());
+                self.send_when_durable(&member, message.clone());
             }
         }
     }
 
-    /// Asks for votes in a new term, once its own is on disk.
-    fn stand(&mut self) {
-        if !self.may_write() {
+    /// Starts an election in a new term. The candidate's own vote counts once it is on disk.
+    fn start_election(&mut self) {
+        if !self.has_write_capacity() {
             return;
         }
-        self.follow(self.term + 1, None);
-        self.stand_with(Message::Vote { term: self.term, last: self.log.last() });
+        self.become_follower(self.term + 1, None);
+        self.become_candidate(&Message::VoteRequest { term: self.term, last: self.log.last() });
     }
 
-    pub(crate) fn stand_with(&mut self, ask: Message) {
+    /// Votes for itself in the current term and sends the request to all others.
+    pub(crate) fn become_candidate(&mut self, request: &Message) {
         self.role = Role::Candidate;
-        self.vote = Some((self.config.me.clone(), self.life));
-        self.disk.dirty.hard = true;
-        self.disk.promise(Promise::OwnVote(self.term));
-        self.ask(&ask);
+        self.vote = Some(Vote { candidate: self.config.me.clone(), incarnation: self.incarnation });
+        self.storage.note_hard_state();
+        self.storage.defer(DurableEffect::OwnVote { term: self.term });
+        self.broadcast_when_durable(request);
     }
 
-    pub(crate) fn own_vote(&mut self) {
+    pub(crate) fn count_own_vote(&mut self) {
         self.votes.insert(self.config.me.clone());
-        self.count_votes();
+        self.tally_votes();
     }
 
-    fn count_votes(&mut self) {
-        let needed = if self.founding.is_some() { self.config.members.len() } else { self.config.quorum() };
+    fn tally_votes(&mut self) {
+        let needed =
+            if self.proposed_bootstrap.is_some() { self.config.members.len() } else { self.config.quorum() };
         if self.votes.len() < needed {
             return;
         }
         match self.role {
-            Role::PreCandidate => self.stand(),
+            Role::PreCandidate => self.start_election(),
             Role::Candidate => self.become_leader(),
             Role::Follower | Role::Leader => {}
         }
     }
 
-    /// Whether this member may vote at all now. Guards a lease, and what a lost or failing disk forgot.
-    fn may_vote(&mut self) -> bool {
-        if !self.admitted() {
-            self.counts.unadmitted += 1;
+    /// Whether this member may vote at all now; counts the reason where it may not. Guards the lease of a leader, and what a
+    /// lost or failing disk has forgotten.
+    fn can_vote(&mut self) -> bool {
+        if !self.is_admitted() {
+            self.counters.unadmitted_incarnation += 1;
             return false;
         }
-        if !self.disk.well() {
-            self.counts.disk += 1;
+        if !self.storage.is_healthy() {
+            self.counters.storage_failed += 1;
             return false;
         }
-        if self.now < self.held || self.role == Role::Leader {
-            self.counts.leased += 1;
+        if self.now < self.vote_withheld_until || self.role == Role::Leader {
+            self.counters.lease_active += 1;
             return false;
         }
         true
     }
 
-    pub(crate) fn on_pre_vote(&mut self, from: &MemberId, life: u64, term: u64, last: Position) {
-        if !self.may_vote() {
+    pub(crate) fn on_pre_vote_request(
+        &mut self,
+        from: &MemberId,
+        incarnation: u64,
+        term: u64,
+        last: LogPosition,
+    ) {
+        if !self.can_vote() {
             return;
         }
-        let granted = term > self.term && last >= self.log.last();
-        let term = if granted { term } else { self.term };
-        self.sends.push((from.clone(), Message::Voted { term, pre: true, granted, to: life }));
+        let is_granted = term > self.term && last >= self.log.last();
+        let response = VoteResponse {
+            term: if is_granted { term } else { self.term },
+            is_pre_vote: true,
+            is_granted,
+            candidate_incarnation: incarnation,
+        };
+        self.outbox.push((from.clone(), Message::VoteResponse(response)));
     }
 
-    pub(crate) fn on_vote(&mut self, from: &MemberId, life: u64, term: u64, last: Position) {
-        if !self.may_vote() || !self.may_write() {
+    pub(crate) fn on_vote_request(
+        &mut self,
+        from: &MemberId,
+        incarnation: u64,
+        term: u64,
+        last: LogPosition,
+    ) {
+        if !self.can_vote() || !self.has_write_capacity() {
             return;
         }
         if term > self.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
         }
-        let granted = last >= self.log.last();
-        self.give_vote(from, life, term, granted);
+        let is_up_to_date = last >= self.log.last();
+        self.answer_vote_request(from, incarnation, term, is_up_to_date);
     }
 
-    /// Answers who asked for the vote in that term; gives it at most once, to one life of one member.
-    pub(crate) fn give_vote(&mut self, from: &MemberId, life: u64, term: u64, willing: bool) {
-        let vote = Some((from.clone(), life));
-        let waits = matches!(self.role, Role::Follower | Role::PreCandidate);
-        let free = waits && self.leader.is_none() && self.vote.is_none();
-        let granted = willing && term == self.term && (free || (waits && self.vote == vote));
-        if granted {
-            self.follow(term, self.leader.clone());
+    /// Answers a candidate of that term. The vote is given at most once, to one incarnation of one member.
+    pub(crate) fn answer_vote_request(
+        &mut self,
+        from: &MemberId,
+        incarnation: u64,
+        term: u64,
+        is_willing: bool,
+    ) {
+        let vote = Some(Vote { candidate: from.clone(), incarnation });
+        let is_undecided = matches!(self.role, Role::Follower | Role::PreCandidate);
+        let is_free = is_undecided && self.leader.is_none() && self.vote.is_none();
+        let is_granted = is_willing && term == self.term && (is_free || (is_undecided && self.vote == vote));
+        if is_granted {
+            self.become_follower(term, self.leader.clone());
             if self.vote != vote {
                 self.vote = vote;
-                self.disk.dirty.hard = true;
+                self.storage.note_hard_state();
             }
         }
-        self.promise(from, Message::Voted { term: self.term, pre: false, granted, to: life });
+        let response = VoteResponse {
+            term: self.term,
+            is_pre_vote: false,
+            is_granted,
+            candidate_incarnation: incarnation,
+        };
+        self.send_when_durable(from, Message::VoteResponse(response));
     }
 
-    pub(crate) fn on_voted(
-        &mut self,
-        from: &MemberId,
-        life: u64,
-        (term, pre, granted, to): (u64, bool, bool, u64),
-    ) {
-        let asked = match self.role {
-            Role::PreCandidate => pre && term == self.term + 1,
-            Role::Candidate => !pre && term == self.term,
-            Role::Follower | Role::Leader => false,
-        };
-        if !granted && term > self.term && to == self.life {
-            if self.may_write() {
-                self.follow(term, None);
+    pub(crate) fn on_vote_response(&mut self, from: &MemberId, incarnation: u64, response: &VoteResponse) {
+        let VoteResponse { term, is_pre_vote, is_granted, candidate_incarnation } = *response;
+        let is_for_this_store = candidate_incarnation == self.incarnation;
+        if !is_granted && term > self.term && is_for_this_store {
+            if self.has_write_capacity() {
+                self.become_follower(term, None);
             }
             return;
         }
-        if !granted || !asked || to != self.life {
-            self.counts.stale += 1;
+        let is_expected = match self.role {
+            Role::PreCandidate => is_pre_vote && term == self.term + 1,
+            Role::Candidate => !is_pre_vote && term == self.term,
+            Role::Follower | Role::Leader => false,
+        };
+        if !is_granted || !is_expected || !is_for_this_store {
+            self.counters.stale += 1;
             return;
         }
-        let lives = self.founding.as_ref().unwrap_or_else(|| self.log.lives());
-        if lives.get(from) != Some(&life) {
-            self.counts.unadmitted += 1;
+        let incarnations = self.proposed_bootstrap.as_ref().unwrap_or_else(|| self.log.incarnations());
+        if incarnations.get(from) != Some(&incarnation) {
+            self.counters.unadmitted_incarnation += 1;
             return;
         }
         self.votes.insert(from.clone());
-        self.count_votes();
+        self.tally_votes();
     }
 }
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,183 +1,180 @@
-//! A follower's side of the log.
-use crate::event::{Action, Role};
-use crate::log::Snapshot;
-use crate::message::{Entry, Message, Outcome, Payload, Position, FAR};
+//! A follower's log: taking over the entries of a leader.
+use crate::entry::{Entry, LogPosition, Payload, TERM_AND_INDEX_BOUND};
+use crate::message::{AppendOutcome, AppendRequest, AppendResponse, Message};
 use crate::node::Node;
-use crate::progress::Way;
-use cluster_types::{Index, MemberId};
-use std::sync::Arc;
+use crate::role::Role;
+use cluster_types::MemberId;
+
+/// How many times what a leader may hold a follower takes, whose host takes no snapshots.
+const FOLLOWER_LOG_FACTOR: usize = 2;
 
 impl Node {
-    /// Whether it is a leader's word in a term that is not past; from then on this member follows it, and keeps its
-    /// vote back for the least election time.
-    pub(crate) fn hears(&mut self, from: &MemberId, term: u64) -> bool {
-        let other = term == self.term
-            && (self.role == Role::Leader || self.leader.as_ref().is_some_and(|l| l != from));
-        if other {
-            self.counts.malformed += 1;
+    /// Follows the sender of a leader's message in a term that is not past, and withholds this member's vote for the least election
+    /// timeout. Returns false where another member is known to lead in that term.
+    pub(crate) fn accept_leader(&mut self, from: &MemberId, term: u64) -> bool {
+        let follows_other = self.leader.as_ref().is_some_and(|leader| leader != from);
+        if term == self.term && (self.role == Role::Leader || follows_other) {
+            self.counters.malformed += 1;
             return false;
         }
         if term > self.term || self.role != Role::Follower {
-            self.follow(term, Some(from.clone()));
+            self.become_follower(term, Some(from.clone()));
         }
         self.leader = Some(from.clone());
-        self.held = self.held.max(self.now + self.config.election_min);
-        self.reset_election();
+        let withheld_until = self.now + self.config.min_election_timeout;
+        self.vote_withheld_until = self.vote_withheld_until.max(withheld_until);
+        self.reset_election_timer();
         true
     }
 
-    /// Answers a leader: as a promise, or, where this member may promise nothing, so that the leader can go on.
-    pub(crate) fn answer(&mut self, to: &MemberId, round: u64, outcome: Outcome) {
-        let counts = self.admitted() && self.disk.well();
-        let message = Message::Appended { term: self.term, round, counts, outcome };
-        if self.disk.well() {
-            self.promise(to, message);
+    /// Answers a leader: as a promise, or, where this member may promise nothing, at once, so that the leader can go on.
+    pub(crate) fn respond_to_leader(&mut self, to: &MemberId, round: u64, outcome: AppendOutcome) {
+        let is_healthy = self.storage.is_healthy();
+        let counts_for_quorum = self.is_admitted() && is_healthy;
+        let response = AppendResponse { term: self.term, round, counts_for_quorum, outcome };
+        let message = Message::AppendResponse(response);
+        if is_healthy {
+            self.send_when_durable(to, message);
         } else {
-            self.sends.push((to.clone(), message));
+            self.outbox.push((to.clone(), message));
         }
     }
 
-    /// Guards the log against what no leader sends.
-    fn well_formed(&self, term: u64, prev: Position, entries: &[Entry]) -> bool {
-        if prev.index >= FAR || prev.term > term || (prev.index == 0) != (prev.term == 0) {
-            return false;
-        }
-        let mut last = prev;
-        entries.iter().all(|e| {
-            let follows = e.index.0 == last.index + 1 && e.term >= last.term && e.term > 0 && e.term <= term;
-            last = Position { term: e.term, index: e.index.0.min(FAR) };
-            let lives = match &e.payload {
-                Payload::Founding(lives) => e.index.0 == 1 && lives.keys().eq(self.config.members.iter()),
-                Payload::Readmit { member, .. } => e.index.0 > 1 && self.config.members.contains(member),
-                Payload::Noop | Payload::Data(_) => e.index.0 > 1,
-            };
-            follows && lives
-        })
-    }
-
-    /// Whether entries would change what this member knows to be committed.
-    fn contradicts(&self, prev: Position, entries: &[Entry]) -> bool {
-        let all = entries.iter().map(|e| (e.index.0, e.term)).chain([(prev.index, prev.term)]);
-        all.into_iter().any(|(index, term)| {
-            index <= self.commit && self.log.term_at(index).is_some_and(|known| known != term)
-        })
+    /// Tells the leader of an earlier term that its message at `previous_index` is not accepted.
+    pub(crate) fn reject_stale_leader(&mut self, to: &MemberId, round: u64, previous_index: u64) {
+        self.counters.stale += 1;
+        let retry_index = self.log.last().index + 1;
+        let outcome = AppendOutcome::Rejected { previous_index, retry_index, conflict_term: None };
+        self.respond_to_leader(to, round, outcome);
     }
 
-    pub(crate) fn on_append(
-        &mut self,
-        from: &MemberId,
-        term: u64,
-        (prev, entries): (Position, Vec<Entry>),
-        commit: u64,
-        round: u64,
-    ) {
+    pub(crate) fn on_append_request(&mut self, from: &MemberId, request: AppendRequest) {
+        let AppendRequest { term, previous, entries, commit_index, round } = request;
         if term < self.term {
-            self.counts.stale += 1;
-            let outcome = Outcome::Reject { prev: prev.index, first: self.log.last().index + 1, term: None };
-            return self.answer(from, round, outcome);
+            self.reject_stale_leader(from, round, previous.index);
+            return;
         }
-        if !self.well_formed(term, prev, &entries) || self.contradicts(prev, &entries) {
-            self.counts.malformed += 1;
+        if !self.is_well_formed(term, previous, &entries) || self.contradicts_commit(previous, &entries) {
+            self.counters.malformed += 1;
             return;
         }
-        if (term > self.term || !entries.is_empty()) && !self.may_write() {
+        let must_write = term > self.term || !entries.is_empty();
+        if must_write && !self.has_write_capacity() {
             return;
         }
-        if !self.hears(from, term) {
+        if !self.accept_leader(from, term) {
             return;
         }
-        let outcome = self.take(prev, entries);
-        if let Outcome::Match(upto) = outcome {
-            self.commit_to(commit.min(upto));
+        let outcome = self.append_entries(previous, entries);
+        if let AppendOutcome::Matched(index) = outcome {
+            self.commit_up_to(commit_index.min(index));
         }
-        self.answer(from, round, outcome);
+        self.respond_to_leader(from, round, outcome);
     }
 
-    fn take(&mut self, prev: Position, entries: Vec<Entry>) -> Outcome {
-        let last = self.log.last().index;
-        if prev.index > last {
-            return Outcome::Reject { prev: prev.index, first: last + 1, term: None };
+    /// Whether the entries are such that a correct leader may send them.
+    fn is_well_formed(&self, term: u64, previous: LogPosition, entries: &[Entry]) -> bool {
+        if previous.index >= TERM_AND_INDEX_BOUND
+            || previous.term > term
+            || (previous.index == 0) != (previous.term == 0)
+        {
+            return false;
         }
-        if prev.index > self.commit && self.log.term_at(prev.index) != Some(prev.term) {
-            let first = self.log.first_of_term(prev.index).max(self.commit + 1);
-            return Outcome::Reject { prev: prev.index, first, term: self.log.term_at(prev.index) };
+        let mut last = previous;
+        entries.iter().all(|entry| {
+            let follows_last = entry.index.0 == last.index + 1
+                && entry.term >= last.term
+                && entry.term > 0
+                && entry.term <= term;
+            last = LogPosition { term: entry.term, index: entry.index.0.min(TERM_AND_INDEX_BOUND) };
+            follows_last && self.is_payload_in_place(entry)
+        })
+    }
+
+    /// Whether the payload may stand at the index of the entry, and names configured members only.
+    fn is_payload_in_place(&self, entry: &Entry) -> bool {
+        let is_first = entry.index.0 == 1;
+        match &entry.payload {
+            Payload::Bootstrap(incarnations) => {
+                is_first && incarnations.keys().eq(self.config.members.iter())
+            }
+            Payload::Readmit { member, .. } => entry.index.0 > 1 && self.config.members.contains(member),
+            Payload::Noop | Payload::Data(_) => entry.index.0 > 1,
         }
-        let mut matched = prev.index;
+    }
+
+    /// Whether the entries would change what this member knows to be committed.
+    fn contradicts_commit(&self, previous: LogPosition, entries: &[Entry]) -> bool {
+        let positions = entries.iter().map(Entry::position).chain([previous]);
+        positions.into_iter().any(|position| {
+            position.index <= self.commit_index
+                && self.log.term_at(position.index).is_some_and(|known| known != position.term)
+        })
+    }
+
+    /// Adds entries that follow `previous`, in place of those that differ.
+    fn append_entries(&mut self, previous: LogPosition, entries: Vec<Entry>) -> AppendOutcome {
+        let previous_index = previous.index;
+        let last_index = self.log.last().index;
+        if previous_index > last_index {
+            let retry_index = last_index + 1;
+            return AppendOutcome::Rejected { previous_index, retry_index, conflict_term: None };
+        }
+        let known_term = self.log.term_at(previous_index);
+        if previous_index > self.commit_index && known_term != Some(previous.term) {
+            let first_index = self.log.first_index_of_term_at(previous_index);
+            let retry_index = first_index.max(self.commit_index + 1);
+            return AppendOutcome::Rejected { previous_index, retry_index, conflict_term: known_term };
+        }
+        let mut matched_index = previous_index;
         for entry in entries {
             let index = entry.index.0;
-            if index > self.commit && self.log.term_at(index) != Some(entry.term) {
+            if index > self.commit_index && self.log.term_at(index) != Some(entry.term) {
                 if index <= self.log.last().index {
-                    self.cut(index);
+                    self.truncate_log(index);
                 }
-                if !self.room(&entry) {
-                    self.counts.full += 1;
+                if !self.has_log_capacity(&entry) {
+                    self.counters.over_capacity += 1;
                     break;
                 }
                 self.log.push(entry);
-                self.disk.appended(index);
+                self.storage.note_appended(index);
             }
-            matched = index;
+            matched_index = index;
         }
-        Outcome::Match(matched)
+        AppendOutcome::Matched(matched_index)
     }
 
-    /// Guards the memory of a follower whose host does not give snapshots: twice of what a leader may hold.
-    fn room(&self, entry: &Entry) -> bool {
-        self.log.len() < self.config.log_entries * 2
-            && self.log.bytes() + entry.weight() <= self.config.log_bytes.saturating_mul(2)
+    /// Guards the memory of a follower whose host takes no snapshots.
+    fn has_log_capacity(&self, entry: &Entry) -> bool {
+        let max_bytes = self.config.max_log_bytes.saturating_mul(FOLLOWER_LOG_FACTOR);
+        self.log.len() < self.config.max_log_entries * FOLLOWER_LOG_FACTOR
+            && self.log.memory_bytes() + entry.memory_bytes() <= max_bytes
     }
 
-    /// Drops the entries from there on, which are not committed.
-    pub(crate) fn cut(&mut self, from: u64) {
+    /// Removes the entries from an index on, which are not committed.
+    pub(crate) fn truncate_log(&mut self, from: u64) {
         self.log.truncate(from);
-        self.disk.truncated(from);
-    }
-
-    /// Learns that the log is committed up to there. What admits this member, or founds the log, goes to disk before anything
-    /// is promised on the strength of it.
-    pub(crate) fn commit_to(&mut self, upto: u64) {
-        let upto = upto.min(self.log.last().index);
-        if upto <= self.commit {
-            return;
-        }
-        let (sealed, lives) =
-            (self.commit > 0, self.log.lives_at(self.commit.max(1)).get(&self.config.me).copied());
-        self.commit = upto;
-        if !sealed || lives != self.log.lives_at(upto).get(&self.config.me).copied() {
-            self.disk.dirty.hard = true;
-        }
+        self.storage.note_truncated(from);
     }
 
-    /// The host's snapshot of what it has applied.
-    pub(crate) fn snapshot(&mut self, upto: u64, data: Arc<[u8]>) {
-        let at = self.log.position(upto).filter(|at| at.index > self.log.snapshot.at.index);
-        let Some(at) = at.filter(|at| at.index <= self.applied && data.len() <= self.config.snapshot_bytes)
-        else {
-            self.counts.malformed += 1;
+    /// Learns that the log is committed up to an index. Where that bootstraps the group or admits this member, it is written to
+    /// disk before anything is promised on the strength of it.
+    pub(crate) fn commit_up_to(&mut self, index: u64) {
+        let index = index.min(self.log.last().index);
+        if index <= self.commit_index {
             return;
-        };
-        if self.may_write() {
-            let lives = self.log.lives_at(upto).clone();
-            self.log.install(Snapshot { at, lives, data });
-            self.disk.snapshotted();
-            self.wanted = None;
         }
-    }
-
-    /// Asks for a snapshot when the log has grown long, and now and then again until there is one.
-    pub(crate) fn want_snapshot(&mut self, out: &mut Vec<Action>) {
-        let long = self.log.len() >= self.config.snapshot_after || self.log.bytes() >= self.half();
-        // A snapshot that is being sent is not taken away from under its receiver, unless the log gets near its bound.
-        let sending = || self.lead.progress.values().any(|p| matches!(p.way, Way::Pieces { .. }));
-        let near = self.log.len() * 2 >= self.config.log_entries || self.log.bytes() >= self.half();
-        let due = self.wanted.is_none_or(|at| self.now.since(at) >= self.config.election_max);
-        if long && due && self.applied > self.log.snapshot.at.index && (near || !sending()) {
-            self.wanted = Some(self.now);
-            out.push(Action::WantSnapshot { upto: Index(self.applied) });
+        let was_bootstrapped = self.commit_index > 0;
+        let admitted_before = self.own_incarnation_at(self.commit_index.max(1));
+        self.commit_index = index;
+        if !was_bootstrapped || admitted_before != self.own_incarnation_at(index) {
+            self.storage.note_hard_state();
         }
     }
 
-    fn half(&self) -> usize {
-        self.config.log_bytes / 2
+    /// The incarnation of this member that is admitted as of an index.
+    fn own_incarnation_at(&self, index: u64) -> Option<u64> {
+        self.log.incarnations_at(index).get(&self.config.me).copied()
     }
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,96 +1,113 @@
-//! A leader's side of the log: its own entries and what is committed.
-use crate::event::{Action, Role, Why};
-use crate::message::{Entry, Payload};
+//! The leader's own log: its entries, and when they are committed.
+use crate::action::{Action, Rejection};
+use crate::entry::{Entry, Payload, ENTRY_OVERHEAD_BYTES};
+use crate::leader_state::LeaderState;
 use crate::node::Node;
-use crate::progress::{Lead, Progress};
+use crate::progress::Progress;
+use crate::role::Role;
 use cluster_types::Time;
 use std::sync::Arc;
 
 impl Node {
     pub(crate) fn become_leader(&mut self) {
-        let founding = self.founding.take();
+        let bootstrap = self.proposed_bootstrap.take();
         self.role = Role::Leader;
         self.leader = Some(self.config.me.clone());
         self.votes.clear();
-        if founding.is_some() && self.log.last().index > 0 {
-            self.cut(1);
+        if bootstrap.is_some() && self.log.last().index > 0 {
+            self.truncate_log(1);
         }
-        let next = self.log.last().index + 1;
-        let others = self.config.members.iter().filter(|m| **m != self.config.me);
-        let progress = others.map(|m| (m.clone(), Progress::new(None, next))).collect();
-        self.lead = Lead { progress, since: self.now, ..Lead::default() };
-        self.election_at = self.now + self.config.election_max;
-        if let Some(lives) = founding {
-            self.append(Payload::Founding(lives));
+        let next_index = self.log.last().index + 1;
+        let followers = self.config.members.iter().filter(|member| **member != self.config.me);
+        let progress = followers.map(|member| (member.clone(), Progress::new(None, next_index))).collect();
+        self.leader_state = LeaderState::new(progress, self.now);
+        self.election_at = self.now + self.config.max_election_timeout;
+        if let Some(incarnations) = bootstrap {
+            self.append_entry(Payload::Bootstrap(incarnations));
         } else {
-            self.lead.noop = Some(self.append(Payload::Noop));
+            self.leader_state.noop_index = Some(self.append_entry(Payload::Noop));
         }
-        self.begin_round();
+        self.start_round();
     }
 
-    /// Adds an entry of this term to its own log; it counts once it is on disk.
-    pub(crate) fn append(&mut self, payload: Payload) -> u64 {
-        let index = self.log.due();
+    /// Adds an entry of the current term to the leader's log and returns its index. It counts once it is on disk.
+    pub(crate) fn append_entry(&mut self, payload: Payload) -> u64 {
+        let index = self.log.next_index();
         self.log.push(Entry { index, term: self.term, payload });
-        self.disk.appended(index.0);
+        self.storage.note_appended(index.0);
         index.0
     }
 
-    /// A leader's tick: it goes on while a quorum answers, and does not try to found for ever.
-    pub(crate) fn lead_on(&mut self) {
+    /// Starts the next heartbeat round, or steps down where no quorum answers (check-quorum) or the bootstrap takes too long.
+    pub(crate) fn tick_leader(&mut self) {
         if self.now < self.heartbeat_at {
             return;
         }
-        let heard = self.lead.began(self.quorum_round()).unwrap_or(Time(0)).max(self.lead.since);
-        let alone = self.now.since(heard) > self.config.election_max;
-        if alone || (!self.sealed() && self.now >= self.election_at) {
-            self.follow(self.term, None);
+        let answered_at = self.leader_state.round_start(self.quorum_round()).unwrap_or(Time(0));
+        let quorum_at = answered_at.max(self.leader_state.elected_at);
+        let has_lost_quorum = self.now.since(quorum_at) > self.config.max_election_timeout;
+        if has_lost_quorum || (!self.is_bootstrapped() && self.now >= self.election_at) {
+            self.become_follower(self.term, None);
         } else {
-            self.begin_round();
+            self.start_round();
         }
     }
 
-    pub(crate) fn propose(&mut self, ticket: u64, data: Arc<[u8]>) {
-        let weight = data.len() + 64;
-        let full = self.log.len() >= self.config.log_entries
-            || self.log.bytes() + weight > self.config.log_bytes
-            || self.lead.tickets.len() >= self.config.proposals;
-        let why = if !self.disk.well() {
-            Why::Disk
-        } else if self.role != Role::Leader || !self.sealed() {
-            Why::NotLeader(self.leader.clone().filter(|l| *l != self.config.me))
-        } else if weight > self.config.batch_bytes {
-            Why::Large
-        } else if full || !self.may_write() {
-            self.counts.full += 1;
-            Why::Full
-        } else {
-            let index = self.append(Payload::Data(data));
-            self.lead.tickets.insert(index, ticket);
-            return self.feed_all();
-        };
-        self.acts.push(Action::Refused { ticket, why });
+    pub(crate) fn on_propose(&mut self, ticket: u64, data: Arc<[u8]>) {
+        match self.check_proposal(data.len() + ENTRY_OVERHEAD_BYTES) {
+            Ok(()) => {
+                let index = self.append_entry(Payload::Data(data));
+                self.leader_state.proposals.insert(index, ticket);
+                self.replicate_to_all();
+            }
+            Err(reason) => self.deferred_actions.push(Action::Rejected { ticket, reason }),
+        }
     }
 
-    /// Commits what a quorum has on disk: only an entry of its own term is counted, the earlier ones come with it.
-    /// The founding needs all.
-    pub(crate) fn advance(&mut self) {
-        let lives = self.log.lives();
-        let own = self.disk.durable;
-        if !self.sealed() {
-            let all = self.lead.reached(lives, self.config.members.len(), own, |p| p.durable);
-            if all >= 1 {
-                self.commit_to(1);
-                self.lead.noop = Some(self.append(Payload::Noop));
-                self.feed_all();
+    /// Whether an entry that takes `memory_bytes` may be proposed now.
+    fn check_proposal(&mut self, memory_bytes: usize) -> Result<(), Rejection> {
+        if !self.storage.is_healthy() {
+            return Err(Rejection::StorageFailed);
+        }
+        if self.role != Role::Leader || !self.is_bootstrapped() {
+            let leader = self.leader.clone().filter(|leader| *leader != self.config.me);
+            return Err(Rejection::NotLeader(leader));
+        }
+        if memory_bytes > self.config.max_message_bytes {
+            return Err(Rejection::TooLarge);
+        }
+        let is_full = self.log.len() >= self.config.max_log_entries
+            || self.log.memory_bytes() + memory_bytes > self.config.max_log_bytes
+            || self.leader_state.proposals.len() >= self.config.max_pending_proposals;
+        if is_full || !self.has_write_capacity() {
+            self.counters.over_capacity += 1;
+            return Err(Rejection::AtCapacity);
+        }
+        Ok(())
+    }
+
+    /// Commits what a quorum has on disk. Only an entry of the leader's own term is counted, the earlier ones are committed with it
+    /// (section 5.4.2 of the Raft paper). The bootstrap entry needs all members.
+    pub(crate) fn advance_leader_commit(&mut self) {
+        let durable_index = self.storage.durable_index;
+        let reached_by = |count| {
+            let incarnations = self.log.incarnations();
+            self.leader_state
+                .quorum_value(incarnations, count, durable_index, |progress| progress.durable_index)
+        };
+        if !self.is_bootstrapped() {
+            if reached_by(self.config.members.len()) >= 1 {
+                self.commit_up_to(1);
+                self.leader_state.noop_index = Some(self.append_entry(Payload::Noop));
+                self.replicate_to_all();
             }
             return;
         }
-        let upto = self.lead.reached(lives, self.config.quorum(), own, |p| p.durable);
-        if upto > self.commit && self.log.term_at(upto) == Some(self.term) {
-            self.commit_to(upto);
-            self.feed_commit();
-            self.confirm();
+        let index = reached_by(self.config.quorum());
+        if index > self.commit_index && self.log.term_at(index) == Some(self.term) {
+            self.commit_up_to(index);
+            self.announce_commit();
+            self.answer_read_barriers();
         }
     }
 }
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,83 +1,69 @@
-//! Rounds: who leads for sure, until when, and since when that has been true for a reader.
-use crate::event::{Action, Role, Why};
+//! The leader's lease, and read barriers: both rest on heartbeat rounds that a quorum has answered.
+use crate::action::{Action, Rejection};
+use crate::leader_state::ReadBarrier;
 use crate::node::Node;
-use crate::progress::{Barrier, Lead};
+use crate::role::Role;
 use cluster_types::{Index, Time};
 
-/// So many rounds' beginnings are remembered.
-const ROUNDS: usize = 256;
-
-impl Lead {
-    /// Counts a new round from now, for barriers that wait for one.
-    pub(crate) fn begin(&mut self, now: Time, commit: Option<u64>) {
-        self.round += 1;
-        self.rounds.push_back((self.round, now));
-        if self.rounds.len() > ROUNDS {
-            self.rounds.pop_front();
-        }
-        if let Some(commit) = commit {
-            for barrier in self.barriers.iter_mut().filter(|b| b.round.is_none()) {
-                barrier.round = Some((self.round, commit));
-            }
-        }
-    }
-}
-
 impl Node {
-    /// The latest round that a quorum has answered.
+    /// The latest heartbeat round that a quorum has answered.
     pub(crate) fn quorum_round(&self) -> u64 {
-        let lead = &self.lead;
-        lead.reached(self.log.lives(), self.config.quorum(), lead.round, |p| p.round)
+        let state = &self.leader_state;
+        let quorum = self.config.quorum();
+        state.quorum_value(self.log.incarnations(), quorum, state.round, |progress| progress.round)
     }
 
-    /// Whether an entry of its own term is committed, so that a leader knows all that is.
-    pub(crate) fn settled(&self) -> bool {
-        self.role == Role::Leader && self.lead.noop.is_some_and(|noop| self.commit >= noop)
+    /// Whether this member leads and has committed an entry of its own term, so that it knows everything that is committed.
+    pub(crate) fn has_committed_in_term(&self) -> bool {
+        let noop_index = self.leader_state.noop_index;
+        self.role == Role::Leader && noop_index.is_some_and(|noop| self.commit_index >= noop)
     }
 
-    pub(crate) fn lease_until(&self) -> Option<Time> {
-        let began = self.lead.began(self.quorum_round())?;
-        Some(began + self.config.lease_span())
+    /// The end of the lease that the latest answered round gives, whether it has passed or not.
+    pub(crate) fn latest_lease_expiry(&self) -> Option<Time> {
+        let started_at = self.leader_state.round_start(self.quorum_round())?;
+        Some(started_at + self.config.lease_span())
     }
 
-    /// Until when no other can lead, where this member leads and has all that is committed. Whoever acts on it
-    /// must look at the time again right before.
-    pub fn lease(&self, now: Time) -> Option<Time> {
-        if !self.settled() || !self.disk.well() {
+    /// Returns until when no other member can lead, where this member leads and knows everything that is committed; `None` where it
+    /// holds no lease at `now`. Who acts on it must check the time again right before.
+    pub fn lease_expiry(&self, now: Time) -> Option<Time> {
+        if !self.has_committed_in_term() || !self.storage.is_healthy() {
             return None;
         }
-        self.lease_until().filter(|until| *until > now)
+        self.latest_lease_expiry().filter(|expiry| *expiry > now)
     }
 
-    pub(crate) fn barrier(&mut self, ticket: u64) {
-        let why = if self.role != Role::Leader {
-            Why::NotLeader(self.leader.clone())
-        } else if self.lead.barriers.len() >= self.config.barriers {
-            self.counts.full += 1;
-            Why::Full
+    pub(crate) fn on_read_barrier(&mut self, ticket: u64) {
+        if self.role != Role::Leader {
+            let reason = Rejection::NotLeader(self.leader.clone());
+            self.deferred_actions.push(Action::Rejected { ticket, reason });
+        } else if self.leader_state.read_barriers.len() >= self.config.max_pending_read_barriers {
+            self.counters.over_capacity += 1;
+            self.deferred_actions.push(Action::Rejected { ticket, reason: Rejection::AtCapacity });
         } else {
-            self.lead.barriers.push_back(Barrier { ticket, round: None });
-            return self.confirm();
-        };
-        self.acts.push(Action::Refused { ticket, why });
+            self.leader_state.read_barriers.push_back(ReadBarrier { ticket, confirmation: None });
+            self.answer_read_barriers();
+        }
     }
 
-    /// Answers barriers whose round a quorum has answered; begins a round for others unless one is under way.
-    pub(crate) fn confirm(&mut self) {
-        if !self.settled() || self.lead.barriers.is_empty() {
+    /// Answers the read barriers whose round a quorum has answered; starts a round for the others unless one is pending.
+    pub(crate) fn answer_read_barriers(&mut self) {
+        if !self.has_committed_in_term() || self.leader_state.read_barriers.is_empty() {
             return;
         }
-        let reached = self.quorum_round();
-        while let Some(barrier) =
-            self.lead.barriers.pop_front_if(|b| b.round.is_some_and(|(round, _)| round <= reached))
-        {
-            let index = Index(barrier.round.map_or(0, |(_, commit)| commit));
-            self.acts.push(Action::Readable { ticket: barrier.ticket, index });
+        let answered_round = self.quorum_round();
+        while let Some(barrier) = self.leader_state.read_barriers.pop_front_if(|barrier| {
+            barrier.confirmation.is_some_and(|confirmation| confirmation.round <= answered_round)
+        }) {
+            let index = Index(barrier.confirmation.map_or(0, |confirmation| confirmation.commit_index));
+            self.deferred_actions.push(Action::Readable { ticket: barrier.ticket, index });
         }
-        if self.lead.barriers.front().is_some_and(|b| b.round.is_none()) {
-            self.begin_round();
+        let next = self.leader_state.read_barriers.front();
+        if next.is_some_and(|barrier| barrier.confirmation.is_none()) {
+            self.start_round();
             if self.config.quorum() == 1 {
-                self.confirm();
+                self.answer_read_barriers();
             }
         }
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,36 +1,46 @@
-//! A replicated log under a quorum of the configured members, free of I/O: time, messages and the disk's answers come
-//! in as events, messages and writes go out as actions. After the published Raft paper, with pre-vote, check-quorum,
-//! a leader's lease, and *lives* for stores whose disk was lost.
+//! A replicated log by the Raft algorithm, free of I/O.
 //!
-//! What the rules are:
+//! A [`Node`] is one member of the group. The host feeds it [`Event`]s (time, messages, completed writes) and carries out the
+//! [`Action`]s it returns (messages, writes, entries to apply). The node reads no clock and draws randomness from a seed, so a
+//! run can be replayed.
 //!
-//! - **Disk.** A vote, an acknowledgement and the leader's own count wait for their batch to be written. After
-//!   `PersistFailed` a member steps down, neither votes nor campaigns, and acknowledges only so that the leader can
-//!   go on sending (`counts: false`). It goes on following and applying in memory. `Recovered` makes it write all it
-//!   has anew; it promises again once that is written.
-//! - **Lives.** A store draws a random life when it is made. The first entry names each member's life. It is made
-//!   by the member whose name sorts first, after *all* have voted for exactly these lives with unfounded stores, and is only
-//!   committed once *all* have written it; nothing else is committed before. So whoever is left of a founded log
-//!   knows that there was one. While the founding is not committed it may be done again with other lives, but only
-//!   where a quorum of the earlier lives takes part and none of them has seen a second entry.
-//! - **Readmission.** A member under a new life is sent the log, and once it has what is committed, the leader
-//!   proposes `Readmit`. That entry is committed without it (it needs a quorum of the others). The member's own votes
-//!   and acknowledgements count only once it knows, on disk, that its readmission is committed, and only where the
-//!   receiver's log has that life. The quorum is always a majority of all configured members.
-//! - **Lease.** A follower that heard the leader refuses votes for `election_min`, as does one that has just
-//!   started. So after a quorum has answered a round, nobody else can lead for that time from the round's
-//!   start, less the bound of the clocks' drift. A leader that steps down keeps its own vote back as long.
-//! - **Host's part.** Batches are written whole and in order; after one has failed, no later one is written. What
-//!   was applied is rebuilt from the snapshot and the log at a start: entries may be applied before this
-//!   member has them on disk. A disk that hangs is to be reported as failed.
+//! The algorithm follows Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", with the extensions of
+//! Ongaro's thesis: pre-vote, check-quorum, and a leader lease for reads. It departs from them in what it does about a member
+//! whose disk is lost:
+//!
+//! - **Storage.** A vote, an acknowledgement and the leader's own acknowledgement take effect once their batch is on disk.
+//!   After [`Event::PersistFailed`] a member steps down, neither votes nor campaigns, and acknowledges without counting for the
+//!   quorum (`counts_for_quorum: false`), so that the leader can go on sending. It still follows and applies in memory.
+//!   [`Event::StorageRecovered`] makes it write its whole state again; it counts once that is written.
+//! - **Incarnations.** A store draws a random incarnation when it is created. The first entry of the log, the bootstrap entry,
+//!   names the incarnation of each member. It is proposed by the member whose name sorts first, after *all* members have
+//!   voted for exactly these incarnations with stores that hold no log, and it is committed once *all* have written it. Nothing
+//!   else is committed before, so any member left of a bootstrapped group knows that there was one. An uncommitted bootstrap
+//!   may be repeated with other incarnations, but only where a quorum of the earlier incarnations takes part and none of
+//!   them has seen a second entry.
+//! - **Readmission.** A member under a new incarnation is sent the log; once it holds all that is committed, the leader proposes
+//!   [`Payload::Readmit`]. That entry is committed by a quorum of the others. The member's votes and acknowledgements
+//!   count once it knows, on disk, that its readmission is committed, and where the receiver's log holds that incarnation.
+//!   The quorum is always a majority of all configured members.
+//! - **Lease.** A follower refuses to vote for `min_election_timeout` after it heard the leader, and after its own start. So
+//!   once a quorum has answered a heartbeat round, no other member can lead for that time, counted from the start of the
+//!   round and shortened by the bound of clock drift. A leader that steps down withholds its own vote as long.
+//! - **The host's duty.** Batches are written atomically and in order; after one has failed, no later one is written. The
+//!   applied state is rebuilt from snapshot and log at start: entries may be applied before this member has them on
+//!   disk. A disk that hangs is to be reported as failed.
+mod action;
 mod bootstrap;
+mod compaction;
 mod config;
 mod counters;
 mod election;
+mod entry;
 mod error;
 mod event;
 mod follower;
+mod incoming_snapshot;
 mod leader;
+mod leader_state;
 mod lease;
 mod log;
 mod message;
@@ -40,14 +50,22 @@
 mod progress;
 mod readmission;
 mod replication;
+mod role;
+mod snapshot;
 mod snapshot_transfer;
 mod stored_state;
+mod write_batch;
+mod write_queue;
 
+pub use action::{Action, Rejection};
 pub use config::Config;
-pub use counters::Counts;
-pub use error::Fault;
-pub use event::{Action, Batch, Event, Hard, Role, Why};
-pub use log::Snapshot;
-pub use message::{Entry, Lives, Message, Outcome, Payload, Position};
+pub use counters::Counters;
+pub use entry::{Entry, Incarnations, LogPosition, Payload};
+pub use error::StartError;
+pub use event::Event;
+pub use message::{AppendOutcome, AppendRequest, AppendResponse, Message, SnapshotChunk, VoteResponse};
 pub use node::Node;
-pub use stored_state::Stored;
+pub use role::Role;
+pub use snapshot::Snapshot;
+pub use stored_state::StoredState;
+pub use write_batch::{HardState, Vote, WriteBatch};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,158 +1,155 @@
-//! The log in memory: a snapshot, the entries after it, and the lives that they admit.
-use crate::message::{Entry, Lives, Payload, Position};
+//! The log in memory: a snapshot, the entries after it, and the incarnations that they admit.
+use crate::entry::{Entry, Incarnations, LogPosition, Payload};
+use crate::snapshot::Snapshot;
 use cluster_types::Index;
-use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
-use std::sync::Arc;
-
-/// What the entries up to a place came to.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Snapshot {
-    /// Its last entry.
-    pub at: Position,
-    /// The lives admitted as of there.
-    pub lives: Lives,
-    /// The host's bytes.
-    pub data: Arc<[u8]>,
+
+/// The incarnations that are admitted from an index on.
+#[derive(Clone, Debug, Hash)]
+struct Admission {
+    index: u64,
+    incarnations: Incarnations,
 }
 
+/// The log of a member.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Log {
     pub(crate) snapshot: Snapshot,
     entries: VecDeque<Entry>,
-    bytes: usize,
-    /// The lives from an index on; the first is the snapshot's.
-    lives: Vec<(u64, Lives)>,
+    memory_bytes: usize,
+    /// In the order of their indices; the first is the snapshot's.
+    admissions: Vec<Admission>,
 }
 
 impl Log {
     pub(crate) fn new(snapshot: Snapshot) -> Log {
-        let lives = vec![(snapshot.at.index, snapshot.lives.clone())];
-        Log { snapshot, entries: VecDeque::new(), bytes: 0, lives }
+        let admission = Admission { index: snapshot.last.index, incarnations: snapshot.incarnations.clone() };
+        Log { snapshot, entries: VecDeque::new(), memory_bytes: 0, admissions: vec![admission] }
     }
 
-    pub(crate) fn last(&self) -> Position {
-        self.entries.back().map_or(self.snapshot.at, |e| Position { term: e.term, index: e.index.0 })
+    /// The position of the last entry.
+    pub(crate) fn last(&self) -> LogPosition {
+        self.entries.back().map_or(self.snapshot.last, Entry::position)
+    }
+
+    /// The index that follows the last entry.
+    pub(crate) fn next_index(&self) -> Index {
+        Index(self.last().index + 1)
     }
 
+    /// The number of entries after the snapshot.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    pub(crate) fn bytes(&self) -> usize {
-        self.bytes
+    /// The memory that the entries after the snapshot take, in bytes.
+    pub(crate) fn memory_bytes(&self) -> usize {
+        self.memory_bytes
     }
 
-    fn place(&self, index: u64) -> Option<usize> {
-        usize::try_from(index.checked_sub(self.snapshot.at.index + 1)?).ok()
+    fn offset(&self, index: u64) -> Option<usize> {
+        usize::try_from(index.checked_sub(self.snapshot.last.index + 1)?).ok()
     }
 
     pub(crate) fn get(&self, index: u64) -> Option<&Entry> {
-        self.entries.get(self.place(index)?)
+        self.entries.get(self.offset(index)?)
     }
 
+    /// The term of the entry at an index, if that is known.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
-        if index == self.snapshot.at.index {
-            return Some(self.snapshot.at.term);
+        if index == self.snapshot.last.index {
+            return Some(self.snapshot.last.term);
         }
-        self.get(index).map(|e| e.term)
+        self.get(index).map(|entry| entry.term)
     }
 
-    /// The place at that index, if it is known.
-    pub(crate) fn position(&self, index: u64) -> Option<Position> {
-        Some(Position { term: self.term_at(index)?, index })
+    /// The position at an index, if its term is known.
+    pub(crate) fn position_at(&self, index: u64) -> Option<LogPosition> {
+        Some(LogPosition { term: self.term_at(index)?, index })
     }
 
-    /// The first index of the term that the entry there has.
-    pub(crate) fn first_of_term(&self, mut index: u64) -> u64 {
+    /// The first index of the term that the entry at an index has.
+    pub(crate) fn first_index_of_term_at(&self, mut index: u64) -> u64 {
         let term = self.term_at(index);
-        while index > self.snapshot.at.index + 1 && self.term_at(index - 1) == term {
+        while index > self.snapshot.last.index + 1 && self.term_at(index - 1) == term {
             index -= 1;
         }
         index
     }
 
-    /// The last index whose term is not above that one, up to a place.
-    pub(crate) fn last_upto_term(&self, mut index: u64, term: u64) -> u64 {
-        while index > self.snapshot.at.index && self.term_at(index).is_some_and(|t| t > term) {
+    /// The last index, `index` at most, whose term is not above `term`.
+    pub(crate) fn last_index_up_to_term(&self, mut index: u64, term: u64) -> u64 {
+        while index > self.snapshot.last.index && self.term_at(index).is_some_and(|known| known > term) {
             index -= 1;
         }
         index
     }
 
-    /// Entries from an index on, at least one if there is one, within the bounds of a message.
-    pub(crate) fn slice(&self, from: u64, count: usize, bytes: usize) -> Vec<Entry> {
-        let Some(place) = self.place(from) else { return Vec::new() };
-        let mut weight = 0;
-        self.entries
-            .iter()
-            .skip(place)
-            .take(count)
-            .enumerate()
-            .take_while(|(nth, e)| {
-                weight += e.weight();
-                *nth == 0 || weight <= bytes
-            })
-            .map(|(_, e)| e.clone())
-            .collect()
+    /// The entries from an index on within bounds; at least one, if there is any.
+    pub(crate) fn slice(&self, from: u64, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
+        let Some(offset) = self.offset(from) else { return Vec::new() };
+        let mut taken_bytes = 0;
+        let fits = |(nth, entry): &(usize, &Entry)| {
+            taken_bytes += entry.memory_bytes();
+            *nth == 0 || taken_bytes <= max_bytes
+        };
+        let candidates = self.entries.iter().skip(offset).take(max_entries);
+        candidates.enumerate().take_while(fits).map(|(_, entry)| entry.clone()).collect()
     }
 
-    /// The lives that all entries admit, committed or not.
-    pub(crate) fn lives(&self) -> &Lives {
-        &self.lives[self.lives.len() - 1].1
+    /// The incarnations that all entries admit, committed or not.
+    pub(crate) fn incarnations(&self) -> &Incarnations {
+        &self.admissions[self.admissions.len() - 1].incarnations
     }
 
-    /// The lives as of an index; those of the snapshot where that is later.
-    pub(crate) fn lives_at(&self, index: u64) -> &Lives {
-        let place = self.lives.partition_point(|(at, _)| *at <= index);
-        &self.lives[place.saturating_sub(1)].1
+    /// The incarnations that are admitted as of an index; those of the snapshot where that is later.
+    pub(crate) fn incarnations_at(&self, index: u64) -> &Incarnations {
+        let following = self.admissions.partition_point(|admission| admission.index <= index);
+        &self.admissions[following.saturating_sub(1)].incarnations
     }
 
-    /// Adds an entry that follows the last.
+    /// Adds an entry that follows the last one.
     pub(crate) fn push(&mut self, entry: Entry) {
+        let index = entry.index.0;
         match &entry.payload {
-            Payload::Founding(lives) => self.lives.push((entry.index.0, lives.clone())),
-            Payload::Readmit { member, life } => {
-                let mut lives = self.lives().clone();
-                lives.insert(member.clone(), *life);
-                self.lives.push((entry.index.0, lives));
+            Payload::Bootstrap(incarnations) => {
+                self.admissions.push(Admission { index, incarnations: incarnations.clone() });
+            }
+            Payload::Readmit { member, incarnation } => {
+                let mut incarnations = self.incarnations().clone();
+                incarnations.insert(member.clone(), *incarnation);
+                self.admissions.push(Admission { index, incarnations });
             }
             Payload::Noop | Payload::Data(_) => {}
         }
-        self.bytes += entry.weight();
+        self.memory_bytes += entry.memory_bytes();
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from an index on.
+    /// Removes the entries from an index on.
     pub(crate) fn truncate(&mut self, from: u64) {
-        while self.entries.back().is_some_and(|e| e.index.0 >= from) {
-            let weight = self.entries.pop_back().map_or(0, |e| e.weight());
-            self.bytes -= weight;
+        while let Some(entry) = self.entries.pop_back_if(|entry| entry.index.0 >= from) {
+            self.memory_bytes -= entry.memory_bytes();
         }
-        while self.lives.len() > 1 && self.lives[self.lives.len() - 1].0 >= from {
-            self.lives.pop();
+        while self.admissions.len() > 1 && self.admissions[self.admissions.len() - 1].index >= from {
+            self.admissions.pop();
         }
     }
 
-    /// Takes a snapshot in place of the entries up to its end. Keeps what follows it in this log; where this log
-    /// does not have its end, nothing is kept.
+    /// Replaces the entries up to the end of a snapshot by it. What follows that end in this log is kept; where this log does not
+    /// contain that end, nothing is kept.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
-        let at = snapshot.at;
-        if self.term_at(at.index) != Some(at.term) {
+        let last = snapshot.last;
+        if self.term_at(last.index) != Some(last.term) {
             *self = Log::new(snapshot);
             return;
         }
-        while self.entries.front().is_some_and(|e| e.index.0 <= at.index) {
-            let weight = self.entries.pop_front().map_or(0, |e| e.weight());
-            self.bytes -= weight;
+        while let Some(entry) = self.entries.pop_front_if(|entry| entry.index.0 <= last.index) {
+            self.memory_bytes -= entry.memory_bytes();
         }
-        self.lives.retain(|(index, _)| *index > at.index);
-        self.lives.insert(0, (at.index, snapshot.lives.clone()));
+        self.admissions.retain(|admission| admission.index > last.index);
+        let admission = Admission { index: last.index, incarnations: snapshot.incarnations.clone() };
+        self.admissions.insert(0, admission);
         self.snapshot = snapshot;
     }
-
-    /// The entry that is due after the last.
-    pub(crate) fn due(&self) -> Index {
-        Index(self.last().index + 1)
-    }
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,182 +1,141 @@
-//! What members say to each other. The sender and its life come with each message from outside.
-use cluster_types::{Index, MemberId};
+//! The messages between members. The sender and the incarnation of its store come with each message from outside.
+use crate::entry::{Entry, Incarnations, LogPosition};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::sync::Arc;
 
-/// The life of each member's store.
-pub type Lives = BTreeMap<MemberId, u64>;
-
-/// Guards additions to terms and indices against overflow: none honestly gets there.
-pub(crate) const FAR: u64 = u64::MAX / 2;
+/// The answer to a request for a vote.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct VoteResponse {
+    /// The voter's term; for a granted pre-vote, the term that was asked for.
+    pub term: u64,
+    /// Whether this answers a pre-vote.
+    pub is_pre_vote: bool,
+    /// Whether the vote is granted.
+    pub is_granted: bool,
+    /// The incarnation under which the candidate asked: a vote is given to an incarnation, not to a name.
+    pub candidate_incarnation: u64,
+}
 
-/// A place in a log. Orders by term, then index: the greater end is the one more up to date.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Position {
-    /// The term of the entry there.
+/// Entries of a leader; without entries, a heartbeat.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct AppendRequest {
+    /// The leader's term.
     pub term: u64,
-    /// Its index; 0 is before the first.
-    pub index: u64,
+    /// The position before the first of the entries.
+    pub previous: LogPosition,
+    /// The entries.
+    pub entries: Vec<Entry>,
+    /// The leader's commit index.
+    pub commit_index: u64,
+    /// The leader's latest heartbeat round.
+    pub round: u64,
 }
 
-/// What an entry says.
+/// The outcome of an [`AppendRequest`] or a [`SnapshotChunk`] at a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Payload {
-    /// The first entry: all members and the lives of their stores.
-    Founding(Lives),
-    /// A leader's first entry in its term.
-    Noop,
-    /// The member's store was lost; from now on it counts under this life.
-    Readmit {
-        /// The member.
-        member: MemberId,
-        /// Its new life.
-        life: u64,
+pub enum AppendOutcome {
+    /// The logs agree up to this index.
+    Matched(u64),
+    /// The logs differ at `previous_index`.
+    Rejected {
+        /// The index at which the logs differ.
+        previous_index: u64,
+        /// The follower's entries from this index on may all differ: the place to try next.
+        retry_index: u64,
+        /// The term of the follower's entry at `previous_index`, if it has one.
+        conflict_term: Option<u64>,
+    },
+    /// The follower awaits another chunk of a snapshot.
+    ChunkExpected {
+        /// The last index of the snapshot.
+        snapshot_index: u64,
+        /// The offset of the chunk, in bytes.
+        offset: u64,
     },
-    /// The host's.
-    Data(Arc<[u8]>),
 }
 
-/// An entry of the log.
+/// The answer to an [`AppendRequest`] or a [`SnapshotChunk`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
-    /// Its place.
-    pub index: Index,
-    /// The term of the leader that made it.
+pub struct AppendResponse {
+    /// The follower's term.
     pub term: u64,
-    /// What it says.
-    pub payload: Payload,
-}
-
-impl Entry {
-    /// About the memory that it takes.
-    pub fn weight(&self) -> usize {
-        64 + match &self.payload {
-            Payload::Data(data) => data.len(),
-            Payload::Founding(lives) => lives.len() * 32,
-            Payload::Noop | Payload::Readmit { .. } => 0,
-        }
-    }
+    /// The heartbeat round that is answered.
+    pub round: u64,
+    /// Whether the leader may count the answer: the follower's incarnation is admitted and what it reports is on its disk.
+    pub counts_for_quorum: bool,
+    /// The outcome.
+    pub outcome: AppendOutcome,
 }
 
-/// How an `Append` or a `Chunk` ended.
+/// A part of the leader's snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
-    /// The logs agree up to there.
-    Match(u64),
-    /// They don't at `prev`. The follower's entries from `first` on may all be of no use.
-    Reject {
-        /// What did not agree.
-        prev: u64,
-        /// Where to look next.
-        first: u64,
-        /// The term that the follower has there, if it has any.
-        term: Option<u64>,
-    },
-    /// Of the snapshot up to `at`, the piece at `next` is due.
-    Chunk {
-        /// The snapshot's index.
-        at: u64,
-        /// The offset.
-        next: u64,
-    },
+pub struct SnapshotChunk {
+    /// The leader's term.
+    pub term: u64,
+    /// The position of the last entry in the snapshot.
+    pub last: LogPosition,
+    /// The incarnations that are admitted as of that entry.
+    pub incarnations: Incarnations,
+    /// The size of the whole snapshot, in bytes.
+    pub total_bytes: u64,
+    /// The offset of this chunk, in bytes.
+    pub offset: u64,
+    /// The bytes of this chunk.
+    pub bytes: Vec<u8>,
+    /// The leader's latest heartbeat round.
+    pub round: u64,
 }
 
-/// A message between members.
+/// A message between members. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To the founder: my store knows of no founded log.
-    Hello {
+    /// To the member that bootstraps the group: the sender's store holds no bootstrapped log.
+    BootstrapHello {
         /// The sender's term.
         term: u64,
     },
-    /// The founder asks for all votes, under exactly these lives.
-    Found {
-        /// The founder's term.
+    /// Asks all members to vote for a bootstrap under exactly these incarnations.
+    BootstrapRequest {
+        /// The term of the sender.
         term: u64,
-        /// The lives that it would name.
-        lives: Lives,
+        /// The incarnations that the bootstrap entry would name.
+        incarnations: Incarnations,
     },
-    /// Would you vote for me?
-    PreVote {
-        /// The term that would be.
+    /// Asks whether a vote would be given.
+    PreVoteRequest {
+        /// The term that the election would have.
         term: u64,
         /// The end of the sender's log.
-        last: Position,
+        last: LogPosition,
     },
-    /// Vote for me.
-    Vote {
+    /// Asks for a vote.
+    VoteRequest {
         /// The candidate's term.
         term: u64,
-        /// The end of its log.
-        last: Position,
-    },
-    /// The answer to the three above.
-    Voted {
-        /// The voter's term; a pre-vote's that is granted has the asked term.
-        term: u64,
-        /// Whether this answers a pre-vote.
-        pre: bool,
-        /// Whether it is given.
-        granted: bool,
-        /// Under which life the asker asked: a vote is given to a life, not to a name.
-        to: u64,
-    },
-    /// Entries of a leader, or none as a heartbeat.
-    Append {
-        /// The leader's term.
-        term: u64,
-        /// The place before the entries.
-        prev: Position,
-        /// The entries.
-        entries: Vec<Entry>,
-        /// Up to where the leader knows them to be committed.
-        commit: u64,
-        /// The leader's latest round.
-        round: u64,
-    },
-    /// The answer to `Append` and `Chunk`.
-    Appended {
-        /// The follower's term.
-        term: u64,
-        /// The round that it answers.
-        round: u64,
-        /// Whether it promises: its life is admitted and what it says is on disk.
-        counts: bool,
-        /// How it ended.
-        outcome: Outcome,
-    },
-    /// A piece of the leader's snapshot.
-    Chunk {
-        /// The leader's term.
-        term: u64,
-        /// The snapshot's last entry.
-        at: Position,
-        /// The lives as of there.
-        lives: Lives,
-        /// The size of the whole.
-        size: u64,
-        /// Where the piece begins.
-        offset: u64,
-        /// The piece.
-        bytes: Vec<u8>,
-        /// The leader's latest round.
-        round: u64,
+        /// The end of the candidate's log.
+        last: LogPosition,
     },
+    /// Answers one of the three requests for votes.
+    VoteResponse(VoteResponse),
+    /// Entries of a leader, or a heartbeat.
+    AppendRequest(AppendRequest),
+    /// Answers an `AppendRequest` or a `SnapshotChunk`.
+    AppendResponse(AppendResponse),
+    /// A part of the leader's snapshot.
+    SnapshotChunk(SnapshotChunk),
 }
 
 impl Message {
-    /// The term that it is of.
+    /// The term that the message states.
     pub fn term(&self) -> u64 {
         match self {
-            Message::Hello { term }
-            | Message::Found { term, .. }
-            | Message::PreVote { term, .. }
-            | Message::Vote { term, .. }
-            | Message::Voted { term, .. }
-            | Message::Append { term, .. }
-            | Message::Appended { term, .. }
-            | Message::Chunk { term, .. } => *term,
+            Message::BootstrapHello { term }
+            | Message::BootstrapRequest { term, .. }
+            | Message::PreVoteRequest { term, .. }
+            | Message::VoteRequest { term, .. } => *term,
+            Message::VoteResponse(response) => response.term,
+            Message::AppendRequest(request) => request.term,
+            Message::AppendResponse(response) => response.term,
+            Message::SnapshotChunk(chunk) => chunk.term,
         }
     }
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,226 +1,250 @@
-//! A member: its state, and where events go.
+//! A member of the group: its state, and where events are handled.
+use crate::action::{Action, Rejection};
+use crate::bootstrap::BootstrapHello;
 use crate::config::Config;
-use crate::counters::Counts;
-use crate::error::Fault;
-use crate::event::{Action, Event, Role, Why};
+use crate::counters::Counters;
+use crate::entry::{Incarnations, Payload, TERM_AND_INDEX_BOUND};
+use crate::error::StartError;
+use crate::event::Event;
+use crate::incoming_snapshot::IncomingSnapshot;
+use crate::leader_state::LeaderState;
 use crate::log::Log;
-use crate::message::{Lives, Message, Payload, FAR};
-use crate::persistence::Disk;
-use crate::progress::Lead;
-use crate::snapshot_transfer::Incoming;
-use crate::stored_state::Stored;
+use crate::message::Message;
+use crate::role::{Role, RoleState};
+use crate::stored_state::StoredState;
+use crate::write_batch::Vote;
+use crate::write_queue::WriteQueue;
 use cluster_types::{Index, MemberId, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// A member of the group.
 #[derive(Clone, Debug)]
 pub struct Node {
     pub(crate) config: Config,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     rng: SmallRng,
     pub(crate) now: Time,
     pub(crate) term: u64,
-    pub(crate) vote: Option<(MemberId, u64)>,
-    pub(crate) commit: u64,
-    pub(crate) applied: u64,
+    pub(crate) vote: Option<Vote>,
+    pub(crate) commit_index: u64,
+    pub(crate) applied_index: u64,
     pub(crate) log: Log,
-    pub(crate) disk: Disk,
+    pub(crate) storage: WriteQueue,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
-    /// Who gave the vote, or would.
+    /// The members that gave their vote, or would.
     pub(crate) votes: BTreeSet<MemberId>,
-    /// The lives that a founder asks votes for.
-    pub(crate) founding: Option<Lives>,
-    /// Who said when that its store knows of no founded log: life, term, time.
-    pub(crate) hellos: BTreeMap<MemberId, (u64, u64, Time)>,
-    pub(crate) lead: Lead,
-    pub(crate) incoming: Option<Incoming>,
-    /// Until then no vote is given: a leader that was heard, or this member itself, may have a lease.
-    pub(crate) held: Time,
+    /// The incarnations under which this member proposes to bootstrap.
+    pub(crate) proposed_bootstrap: Option<Incarnations>,
+    /// The members that reported an empty store.
+    pub(crate) hellos: BTreeMap<MemberId, BootstrapHello>,
+    pub(crate) leader_state: LeaderState,
+    pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
+    /// No vote is given before: a leader that was heard, or this member itself, may hold a lease.
+    pub(crate) vote_withheld_until: Time,
     pub(crate) election_at: Time,
     pub(crate) heartbeat_at: Time,
     pub(crate) hello_at: Time,
-    /// When a snapshot was asked for that did not come yet.
-    pub(crate) wanted: Option<Time>,
-    pub(crate) sends: Vec<(MemberId, Message)>,
-    pub(crate) acts: Vec<Action>,
-    told: (Role, u64, Option<MemberId>),
-    restore: bool,
-    pub(crate) counts: Counts,
+    /// When a snapshot was requested that the host has not taken yet.
+    pub(crate) snapshot_requested_at: Option<Time>,
+    pub(crate) outbox: Vec<(MemberId, Message)>,
+    /// Actions that follow the writes, messages and applied entries of the event.
+    pub(crate) deferred_actions: Vec<Action>,
+    reported_role: RoleState,
+    is_restore_due: bool,
+    pub(crate) counters: Counters,
 }
 
 impl Node {
-    /// A member as it starts, with what its host read from disk. The seed only spreads the election times.
-    pub fn new(mut config: Config, stored: Stored, now: Time, seed: u64) -> Result<Node, Fault> {
-        config.check()?;
+    /// Creates a member as it starts, with what its host read from disk. The seed only spreads the election timeouts.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first fault of the configuration or of the stored state.
+    pub fn new(mut config: Config, stored: StoredState, now: Time, seed: u64) -> Result<Node, StartError> {
+        config.validate()?;
         config.members.sort();
-        let (life, hard) = (stored.life, stored.hard.clone());
-        let log = stored.check(&config)?;
-        let base = log.snapshot.at.index;
+        let (incarnation, hard_state) = (stored.incarnation, stored.hard_state.clone());
+        let log = stored.into_log(&config)?;
+        let snapshot_index = log.snapshot.last.index;
         let mut node = Node {
-            life,
+            incarnation,
             rng: SmallRng::seed_from_u64(seed),
             now,
-            term: hard.term,
-            vote: hard.vote,
-            commit: hard.commit.0.max(base),
-            applied: base,
-            disk: Disk::new(log.last().index),
+            term: hard_state.term,
+            vote: hard_state.vote,
+            commit_index: hard_state.commit.0.max(snapshot_index),
+            applied_index: snapshot_index,
+            storage: WriteQueue::new(log.last().index),
             log,
             role: Role::Follower,
             leader: None,
             votes: BTreeSet::new(),
-            founding: None,
+            proposed_bootstrap: None,
             hellos: BTreeMap::new(),
-            lead: Lead::default(),
-            incoming: None,
-            held: now + config.election_min,
+            leader_state: LeaderState::default(),
+            incoming_snapshot: None,
+            vote_withheld_until: now + config.min_election_timeout,
             election_at: now,
             heartbeat_at: now,
             hello_at: now,
-            wanted: None,
-            sends: Vec::new(),
-            acts: Vec::new(),
-            told: (Role::Follower, hard.term, None),
-            restore: base > 0,
-            counts: Counts::default(),
+            snapshot_requested_at: None,
+            outbox: Vec::new(),
+            deferred_actions: Vec::new(),
+            reported_role: RoleState { role: Role::Follower, term: hard_state.term, leader: None },
+            is_restore_due: snapshot_index > 0,
+            counters: Counters::default(),
             config,
         };
-        node.reset_election();
+        node.reset_election_timer();
         Ok(node)
     }
 
-    /// Takes in an event; what is to be done is added to `out`, in this order.
+    /// Handles an event. What the host is to do is added to `out`, in the order in which it is to be done.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Tick => self.tick(),
-            Event::Message { from, life, message } => self.message(&from, life, message),
-            Event::Propose { ticket, data } => self.propose(ticket, data),
-            Event::Barrier { ticket } => self.barrier(ticket),
-            Event::Persisted { batch } => self.persisted(batch),
-            Event::PersistFailed { batch } => self.persist_failed(batch),
-            Event::Recovered => self.recovered(),
-            Event::Snapshot { upto, data } => self.snapshot(upto.0, data),
+            Event::Tick => self.on_tick(),
+            Event::Message { from, incarnation, message } => self.on_message(&from, incarnation, message),
+            Event::Propose { ticket, data } => self.on_propose(ticket, data),
+            Event::ReadBarrier { ticket } => self.on_read_barrier(ticket),
+            Event::Persisted { batch_id } => self.on_persisted(batch_id),
+            Event::PersistFailed { batch_id } => self.on_persist_failed(batch_id),
+            Event::StorageRecovered => self.on_storage_recovered(),
+            Event::SnapshotTaken { last_index, data } => self.on_snapshot_taken(last_index.0, data),
         }
-        self.finish(out);
+        self.emit_actions(out);
     }
 
-    /// When it wants to be told of the time.
-    pub fn wake(&self) -> Option<Time> {
-        if self.restore || self.applied < self.commit {
+    /// When the next [`Event::Tick`] is due.
+    pub fn next_wakeup(&self) -> Option<Time> {
+        if self.is_restore_due || self.applied_index < self.commit_index {
             return Some(self.now);
         }
-        let own = match self.role {
+        let role_timer = match self.role {
             Role::Leader => Some(self.heartbeat_at),
-            Role::Follower if !self.may_campaign() => self.leader.as_ref().map(|_| self.election_at),
-            _ => Some(self.election_at),
+            Role::Follower if !self.can_campaign() => self.leader.as_ref().map(|_| self.election_at),
+            Role::Follower | Role::PreCandidate | Role::Candidate => Some(self.election_at),
         };
-        let hello = (!self.sealed() && self.role != Role::Leader).then_some(self.hello_at);
-        own.into_iter().chain(hello).min()
+        let hello_timer = self.awaits_bootstrap().then_some(self.hello_at);
+        role_timer.into_iter().chain(hello_timer).min()
     }
 
-    fn tick(&mut self) {
+    fn awaits_bootstrap(&self) -> bool {
+        !self.is_bootstrapped() && self.role != Role::Leader
+    }
+
+    fn on_tick(&mut self) {
         match self.role {
-            Role::Leader => self.lead_on(),
+            Role::Leader => self.tick_leader(),
             _ if self.now < self.election_at => {}
-            Role::Candidate if self.founding.is_some() => self.follow(self.term, None),
-            _ if self.may_campaign() => self.campaign(),
-            _ => {
-                self.reset_election();
+            Role::Candidate if self.proposed_bootstrap.is_some() => self.become_follower(self.term, None),
+            _ if self.can_campaign() => self.start_pre_vote(),
+            Role::Follower | Role::PreCandidate | Role::Candidate => {
+                self.reset_election_timer();
                 self.leader = None;
             }
         }
-        if !self.sealed() && self.role != Role::Leader && self.now >= self.hello_at {
-            self.hello_at = self.now + self.config.election_min / 2;
-            self.say_hello();
+        if self.awaits_bootstrap() && self.now >= self.hello_at {
+            self.hello_at = self.now + self.config.min_election_timeout / 2;
+            self.join_bootstrap();
         }
     }
 
-    fn message(&mut self, from: &MemberId, life: u64, message: Message) {
+    fn on_message(&mut self, from: &MemberId, incarnation: u64, message: Message) {
         if *from == self.config.me || !self.config.members.contains(from) {
-            self.counts.foreign += 1;
+            self.counters.unknown_sender += 1;
             return;
         }
-        if message.term() >= FAR {
-            self.counts.malformed += 1;
+        if message.term() >= TERM_AND_INDEX_BOUND {
+            self.counters.malformed += 1;
             return;
         }
         match message {
-            Message::Hello { term } => self.on_hello(from, life, term),
-            Message::Found { term, lives } => self.on_found(from, life, term, lives),
-            Message::PreVote { term, last } => self.on_pre_vote(from, life, term, last),
-            Message::Vote { term, last } => self.on_vote(from, life, term, last),
-            Message::Voted { term, pre, granted, to } => self.on_voted(from, life, (term, pre, granted, to)),
-            Message::Append { term, prev, entries, commit, round } => {
-                self.on_append(from, term, (prev, entries), commit, round);
-            }
-            Message::Appended { term, round, counts, outcome } => {
-                self.on_appended(from, life, (term, round, counts), outcome);
-            }
-            Message::Chunk { term, at, lives, size, offset, bytes, round } => {
-                self.on_chunk(from, (term, round), (at, lives), size, (offset, bytes));
+            Message::BootstrapHello { term } => self.on_bootstrap_hello(from, incarnation, term),
+            Message::BootstrapRequest { term, incarnations } => {
+                self.on_bootstrap_request(from, incarnation, term, &incarnations);
             }
+            Message::PreVoteRequest { term, last } => self.on_pre_vote_request(from, incarnation, term, last),
+            Message::VoteRequest { term, last } => self.on_vote_request(from, incarnation, term, last),
+            Message::VoteResponse(response) => self.on_vote_response(from, incarnation, &response),
+            Message::AppendRequest(request) => self.on_append_request(from, request),
+            Message::AppendResponse(response) => self.on_append_response(from, incarnation, &response),
+            Message::SnapshotChunk(chunk) => self.on_snapshot_chunk(from, chunk),
         }
     }
 
-    /// Writes, says and applies what came of an event.
-    fn finish(&mut self, out: &mut Vec<Action>) {
-        while self.flush(out) {}
-        out.extend(self.sends.drain(..).map(|(to, message)| Action::Send { to, message }));
-        let told = (self.role, self.term, self.leader.clone());
-        if told != self.told {
-            out.push(Action::Role { role: told.0, term: told.1, leader: told.2.clone() });
-            self.told = told;
+    /// Returns the writes, messages and committed entries that an event has led to.
+    fn emit_actions(&mut self, out: &mut Vec<Action>) {
+        while self.flush_changes(out) {}
+        out.extend(self.outbox.drain(..).map(|(to, message)| Action::Send { to, message }));
+        self.emit_role(out);
+        self.emit_committed(out);
+        out.append(&mut self.deferred_actions);
+        self.request_snapshot_if_due(out);
+    }
+
+    fn emit_role(&mut self, out: &mut Vec<Action>) {
+        let current = RoleState { role: self.role, term: self.term, leader: self.leader.clone() };
+        if current != self.reported_role {
+            let RoleState { role, term, leader } = current.clone();
+            out.push(Action::RoleChanged { role, term, leader });
+            self.reported_role = current;
         }
-        if std::mem::take(&mut self.restore) {
-            self.applied = self.log.snapshot.at.index;
-            out.push(Action::Restore { index: Index(self.applied), data: self.log.snapshot.data.clone() });
+    }
+
+    fn emit_committed(&mut self, out: &mut Vec<Action>) {
+        if std::mem::take(&mut self.is_restore_due) {
+            self.applied_index = self.log.snapshot.last.index;
+            let (index, data) = (Index(self.applied_index), self.log.snapshot.data.clone());
+            out.push(Action::Restore { index, data });
         }
-        while self.applied < self.commit {
-            self.applied += 1;
-            let Some(entry) = self.log.get(self.applied) else { break };
+        while self.applied_index < self.commit_index {
+            self.applied_index += 1;
+            let Some(entry) = self.log.get(self.applied_index) else { break };
             if let Payload::Data(data) = &entry.payload {
                 out.push(Action::Apply { index: entry.index, term: entry.term, data: data.clone() });
             }
-            if let Some(ticket) = self.lead.tickets.remove(&self.applied) {
-                out.push(Action::Committed { ticket, index: Index(self.applied) });
+            if let Some(ticket) = self.leader_state.proposals.remove(&self.applied_index) {
+                out.push(Action::Committed { ticket, index: Index(self.applied_index) });
             }
         }
-        out.append(&mut self.acts);
-        self.want_snapshot(out);
     }
 
-    /// Goes back to following, in that term, at a leader's word or to wait for one.
-    pub(crate) fn follow(&mut self, term: u64, leader: Option<MemberId>) {
+    /// Becomes a follower in `term`, of `leader` or of none yet. A leader's pending proposals and read barriers are rejected.
+    pub(crate) fn become_follower(&mut self, term: u64, leader: Option<MemberId>) {
         if self.role == Role::Leader {
-            let lead = std::mem::take(&mut self.lead);
-            let tickets = lead.tickets.into_values().chain(lead.barriers.into_iter().map(|b| b.ticket));
-            self.acts.extend(tickets.map(|ticket| Action::Refused { ticket, why: Why::Lost }));
+            let state = std::mem::take(&mut self.leader_state);
+            let barriers = state.read_barriers.into_iter().map(|barrier| barrier.ticket);
+            let tickets = state.proposals.into_values().chain(barriers);
+            let reject = |ticket| Action::Rejected { ticket, reason: Rejection::LeadershipLost };
+            self.deferred_actions.extend(tickets.map(reject));
         }
         if term > self.term {
             self.term = term;
             self.vote = None;
-            self.incoming = None;
-            self.disk.dirty.hard = true;
+            self.incoming_snapshot = None;
+            self.storage.note_hard_state();
         }
         self.role = Role::Follower;
         self.leader = leader;
         self.votes.clear();
-        self.founding = None;
-        self.reset_election();
+        self.proposed_bootstrap = None;
+        self.reset_election_timer();
     }
 
-    pub(crate) fn reset_election(&mut self) {
-        let (least, most) = (self.config.election_min, self.config.election_max);
-        let spread = u64::try_from((most - least).as_micros()).unwrap_or(u64::MAX);
-        self.election_at =
-            self.now + least + std::time::Duration::from_micros(self.rng.random_range(1..=spread));
+    /// Draws the next election timeout, spread so that members rarely campaign at the same time.
+    pub(crate) fn reset_election_timer(&mut self) {
+        let (min, max) = (self.config.min_election_timeout, self.config.max_election_timeout);
+        let spread = u64::try_from((max - min).as_micros()).unwrap_or(u64::MAX);
+        self.election_at = self.now + min + Duration::from_micros(self.rng.random_range(1..=spread));
     }
 
-    pub(crate) fn restore_due(&mut self) {
-        self.restore = true;
+    /// Lets the host replace its applied state by the log's snapshot.
+    pub(crate) fn schedule_restore(&mut self) {
+        self.is_restore_due = true;
     }
 }
--- a/crates/consensus/src/observe.rs
+++ b/crates/consensus/src/observe.rs
@@ -1,45 +1,56 @@
-//! What can be seen of a member from outside.
-use crate::counters::Counts;
-use crate::event::Role;
-use crate::message::{Lives, Position};
+//! What a host can see of a member.
+use crate::counters::Counters;
+use crate::entry::{Incarnations, LogPosition};
 use crate::node::Node;
+use crate::role::Role;
 use cluster_types::{Index, MemberId};
 use std::hash::{Hash, Hasher};
 
 impl Node {
-    /// What it is, its term, and whom it follows.
-    pub fn role(&self) -> (Role, u64, Option<&MemberId>) {
-        (self.role, self.term, self.leader.as_ref())
+    /// The role of this member.
+    pub fn role(&self) -> Role {
+        self.role
     }
 
-    /// The end of its log.
-    pub fn last(&self) -> Position {
+    /// The current term.
+    pub fn term(&self) -> u64 {
+        self.term
+    }
+
+    /// The leader that this member follows; itself where it leads.
+    pub fn leader(&self) -> Option<&MemberId> {
+        self.leader.as_ref()
+    }
+
+    /// The position of the last entry in the log.
+    pub fn last_position(&self) -> LogPosition {
         self.log.last()
     }
 
-    /// Up to where it knows the log to be committed.
-    pub fn commit(&self) -> Index {
-        Index(self.commit)
+    /// The index up to which this member knows the log to be committed.
+    pub fn commit_index(&self) -> Index {
+        Index(self.commit_index)
     }
 
-    /// The lives admitted by what is committed.
-    pub fn lives(&self) -> &Lives {
-        self.log.lives_at(self.commit)
+    /// The incarnations that are admitted by what is committed.
+    pub fn incarnations(&self) -> &Incarnations {
+        self.log.incarnations_at(self.commit_index)
     }
 
-    /// What was refused or ignored.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    /// How often input was rejected or ignored.
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
-    /// All that decides what it does next apart from time and chance, for searches over states.
-    pub fn fingerprint(&self, into: &mut impl Hasher) {
-        (self.life, self.term, &self.vote, self.commit, self.role, &self.leader).hash(into);
-        (&self.log, &self.votes, &self.founding, &self.incoming).hash(into);
-        for (member, (life, term, _)) in &self.hellos {
-            (member, life, term).hash(into);
+    /// Hashes everything that decides what this member does next, apart from time and chance. For searches over states.
+    pub fn fingerprint(&self, hasher: &mut impl Hasher) {
+        (self.incarnation, self.term, &self.vote, self.commit_index, self.role, &self.leader).hash(hasher);
+        (&self.log, &self.votes, &self.proposed_bootstrap, &self.incoming_snapshot).hash(hasher);
+        for (member, hello) in &self.hellos {
+            (member, hello.incarnation, hello.term).hash(hasher);
         }
-        (&self.lead.progress, &self.lead.tickets, &self.lead.barriers, self.lead.round).hash(into);
-        self.disk.fingerprint(into);
+        let state = &self.leader_state;
+        (&state.progress, &state.proposals, &state.read_barriers, state.round).hash(hasher);
+        self.storage.fingerprint(hasher);
     }
 }
--- a/crates/consensus/src/persistence.rs
+++ b/crates/consensus/src/persistence.rs
@@ -1,203 +1,125 @@
-//! What waits for the disk: batches in order, and the promises that each holds back.
-use crate::event::{Action, Batch, Hard, Role};
+//! Writing the state to disk, and what takes effect once it is there.
+use crate::action::Action;
 use crate::message::Message;
 use crate::node::Node;
+use crate::role::Role;
+use crate::write_batch::{HardState, WriteBatch};
+use crate::write_queue::{DurableEffect, PendingWrite, StorageHealth, UnwrittenChanges};
 use cluster_types::{Index, MemberId};
-use std::collections::VecDeque;
-use std::hash::{Hash, Hasher};
 
-/// What is promised once a batch is on disk.
-#[derive(Clone, Debug, Hash)]
-pub(crate) enum Promise {
-    Say(MemberId, Message),
-    /// The candidate's own vote in that term.
-    OwnVote(u64),
-}
-
-/// What has changed since the last batch.
-#[derive(Clone, Debug, Default, Hash)]
-pub(crate) struct Dirty {
-    pub(crate) hard: bool,
-    truncate: Option<u64>,
-    append: Option<u64>,
-    snapshot: bool,
-    /// All is to be written anew.
-    whole: bool,
-}
-
-#[derive(Clone, Debug, Hash)]
-struct Written {
-    id: u64,
-    /// The last entry on disk once it is written.
-    last: u64,
-    promises: Vec<Promise>,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Health {
-    Well,
-    Failed,
-    /// Well again once this batch is written.
-    Recovering(u64),
-}
-
-#[derive(Clone, Debug)]
-pub(crate) struct Disk {
-    pub(crate) dirty: Dirty,
-    next: u64,
-    pending: VecDeque<Written>,
-    /// The last entry that is on disk and in the log.
-    pub(crate) durable: u64,
-    health: Health,
-    promises: Vec<Promise>,
-}
-
-impl Disk {
-    pub(crate) fn new(durable: u64) -> Disk {
-        let (dirty, pending, promises) = (Dirty::default(), VecDeque::new(), Vec::new());
-        Disk { dirty, next: 1, pending, durable, health: Health::Well, promises }
-    }
-
-    pub(crate) fn well(&self) -> bool {
-        self.health == Health::Well
-    }
-
-    /// Entries from this one on went from the log.
-    pub(crate) fn truncated(&mut self, from: u64) {
-        let last = from.saturating_sub(1);
-        self.durable = self.durable.min(last);
-        for written in &mut self.pending {
-            written.last = written.last.min(last);
-        }
-        self.dirty.truncate = Some(self.dirty.truncate.map_or(from, |t| t.min(from)));
-        self.dirty.append = self.dirty.append.filter(|a| *a < from);
-    }
-
-    pub(crate) fn appended(&mut self, from: u64) {
-        self.dirty.append = Some(self.dirty.append.map_or(from, |a| a.min(from)));
-    }
-
-    /// The log's snapshot is another. Where the log did not go on behind it, the entries went.
-    pub(crate) fn snapshotted(&mut self) {
-        self.dirty.snapshot = true;
-    }
-
-    pub(crate) fn promise(&mut self, promise: Promise) {
-        self.promises.push(promise);
-    }
-
-    pub(crate) fn fingerprint(&self, into: &mut impl Hasher) {
-        (&self.dirty, self.durable, self.health == Health::Well, self.health == Health::Failed).hash(into);
-        for written in &self.pending {
-            (self.next - written.id, written.last, &written.promises).hash(into);
-        }
-    }
-}
+/// Bound of the effects that wait for one batch, for each member.
+const EFFECTS_PER_MEMBER: usize = 4;
 
 impl Node {
-    /// Says it once all that this member knows by now is on disk; never where the disk has failed.
-    pub(crate) fn promise(&mut self, to: &MemberId, message: Message) {
-        self.disk.promise(Promise::Say(to.clone(), message));
+    /// Sends a message once everything known by now is on disk; never if the storage has failed.
+    pub(crate) fn send_when_durable(&mut self, to: &MemberId, message: Message) {
+        self.storage.defer(DurableEffect::Send(to.clone(), message));
     }
 
-    /// Guards against a disk that is too slow: whether another batch may be queued.
-    pub(crate) fn may_write(&mut self) -> bool {
-        let may = self.disk.pending.len() < self.config.unwritten;
-        self.counts.full += u64::from(!may);
-        may
+    /// Whether another batch may be queued; counts where it may not. Guards against a disk that is too slow.
+    pub(crate) fn has_write_capacity(&mut self) -> bool {
+        let has_capacity = self.storage.pending.len() < self.config.max_pending_writes;
+        self.counters.over_capacity += u64::from(!has_capacity);
+        has_capacity
     }
 
-    /// Queues a batch for what has changed and the promises that wait for it. Whether promises were given at once
-    /// and may have changed something again.
-    pub(crate) fn flush(&mut self, out: &mut Vec<Action>) -> bool {
-        let dirty = std::mem::take(&mut self.disk.dirty);
-        let mut promises = std::mem::take(&mut self.disk.promises);
-        if !self.disk.well() {
-            self.counts.disk += promises.len() as u64;
-            promises.clear();
+    /// Queues a batch of what has changed, with the effects that wait for it. Returns whether effects took place at once,
+    /// which may have changed something again.
+    pub(crate) fn flush_changes(&mut self, out: &mut Vec<Action>) -> bool {
+        let changes = std::mem::take(&mut self.storage.unwritten);
+        let mut effects = std::mem::take(&mut self.storage.effects);
+        if !self.storage.is_healthy() {
+            self.counters.storage_failed += effects.len() as u64;
+            effects.clear();
         }
-        let changed =
-            dirty.hard || dirty.truncate.is_some() || dirty.append.is_some() || dirty.snapshot || dirty.whole;
-        if changed && (dirty.whole || self.disk.health != Health::Failed) {
-            let batch = self.batch(dirty);
-            self.disk.pending.push_back(Written { id: batch.id, last: self.log.last().index, promises });
+        let may_write = changes.rewrite_all || self.storage.health != StorageHealth::Failed;
+        if !changes.is_empty() && may_write {
+            let batch = self.build_batch(&changes);
+            let last_index = self.log.last().index;
+            self.storage.pending.push_back(PendingWrite { batch_id: batch.id, last_index, effects });
             out.push(Action::Persist(batch));
             return false;
         }
-        let Some(last) = self.disk.pending.back_mut() else { return self.keep(promises) };
-        let room = (4 * self.config.members.len()).saturating_sub(last.promises.len());
-        self.counts.full += promises.len().saturating_sub(room) as u64;
-        last.promises.extend(promises.into_iter().take(room));
+        let Some(last) = self.storage.pending.back_mut() else { return self.release(effects) };
+        let capacity = (EFFECTS_PER_MEMBER * self.config.members.len()).saturating_sub(last.effects.len());
+        self.counters.over_capacity += effects.len().saturating_sub(capacity) as u64;
+        last.effects.extend(effects.into_iter().take(capacity));
         false
     }
 
-    fn batch(&mut self, dirty: Dirty) -> Batch {
-        let id = self.disk.next;
-        self.disk.next += 1;
-        let base = self.log.snapshot.at.index;
-        let (truncate, append, snapshot) = if dirty.whole {
-            self.disk.health = Health::Recovering(id);
-            (Some(1), Some(base + 1), base > 0)
+    fn build_batch(&mut self, changes: &UnwrittenChanges) -> WriteBatch {
+        let id = self.storage.next_batch_id;
+        self.storage.next_batch_id += 1;
+        let snapshot_index = self.log.snapshot.last.index;
+        let (truncate_from, append_from, has_snapshot) = if changes.rewrite_all {
+            self.storage.health = StorageHealth::Recovering { batch_id: id };
+            (Some(1), Some(snapshot_index + 1), snapshot_index > 0)
         } else {
-            (dirty.truncate, dirty.append.map(|a| a.max(base + 1)), dirty.snapshot)
+            let append_from = changes.append_from.map(|from| from.max(snapshot_index + 1));
+            (changes.truncate_from, append_from, changes.snapshot)
         };
-        let append = append.map_or_else(Vec::new, |from| self.log.slice(from, usize::MAX, usize::MAX));
-        let hard = Hard { term: self.term, vote: self.vote.clone(), commit: Index(self.commit) };
-        let snapshot = snapshot.then(|| self.log.snapshot.clone());
-        Batch { id, hard, truncate: truncate.map(Index), snapshot, append }
+        let append = append_from.map_or_else(Vec::new, |from| self.log.slice(from, usize::MAX, usize::MAX));
+        let hard_state =
+            HardState { term: self.term, vote: self.vote.clone(), commit: Index(self.commit_index) };
+        let snapshot = has_snapshot.then(|| self.log.snapshot.clone());
+        WriteBatch { id, hard_state, truncate_from: truncate_from.map(Index), snapshot, append }
     }
 
-    /// Gives promises; those of an earlier term are of no use any more.
-    fn keep(&mut self, promises: Vec<Promise>) -> bool {
-        let any = !promises.is_empty();
-        for promise in promises {
-            match promise {
-                Promise::Say(to, message) if message.term() == self.term => self.sends.push((to, message)),
-                // A pre-vote is of the term that would be, and promises nothing.
-                Promise::Say(to, message @ Message::PreVote { .. }) => self.sends.push((to, message)),
-                Promise::OwnVote(term) if term == self.term && self.role == Role::Candidate => {
-                    self.own_vote()
+    /// Carries out effects that were held back; those of an earlier term are of no use any more.
+    fn release(&mut self, effects: Vec<DurableEffect>) -> bool {
+        let has_effects = !effects.is_empty();
+        for effect in effects {
+            match effect {
+                DurableEffect::Send(to, message) if message.term() == self.term => {
+                    self.outbox.push((to, message));
+                }
+                // A pre-vote request states the term that the election would have, and promises nothing.
+                DurableEffect::Send(to, message @ Message::PreVoteRequest { .. }) => {
+                    self.outbox.push((to, message));
+                }
+                DurableEffect::OwnVote { term } if term == self.term && self.role == Role::Candidate => {
+                    self.count_own_vote();
                 }
-                _ => self.counts.stale += 1,
+                DurableEffect::Send(..) | DurableEffect::OwnVote { .. } => self.counters.stale += 1,
             }
         }
-        any
+        has_effects
     }
 
-    pub(crate) fn persisted(&mut self, batch: u64) {
-        if !self.disk.pending.iter().any(|w| w.id == batch) {
-            self.counts.unknown += 1;
+    pub(crate) fn on_persisted(&mut self, batch_id: u64) {
+        if !self.storage.is_pending(batch_id) {
+            self.counters.unknown_batch += 1;
             return;
         }
-        while let Some(written) = self.disk.pending.pop_front_if(|w| w.id <= batch) {
-            self.disk.durable = written.last;
-            if self.disk.health == Health::Recovering(written.id) {
-                self.disk.health = Health::Well;
+        while let Some(write) = self.storage.pending.pop_front_if(|write| write.batch_id <= batch_id) {
+            self.storage.durable_index = write.last_index;
+            if self.storage.health == (StorageHealth::Recovering { batch_id: write.batch_id }) {
+                self.storage.health = StorageHealth::Healthy;
             }
-            self.keep(written.promises);
+            self.release(write.effects);
         }
         if self.role == Role::Leader {
-            self.advance();
+            self.advance_leader_commit();
         }
     }
 
-    pub(crate) fn persist_failed(&mut self, batch: u64) {
-        if !self.disk.pending.iter().any(|w| w.id == batch) {
-            self.counts.unknown += 1;
+    pub(crate) fn on_persist_failed(&mut self, batch_id: u64) {
+        if !self.storage.is_pending(batch_id) {
+            self.counters.unknown_batch += 1;
             return;
         }
-        self.disk.health = Health::Failed;
-        self.disk.pending.clear();
+        self.storage.health = StorageHealth::Failed;
+        self.storage.pending.clear();
         if self.role != Role::Follower {
-            self.follow(self.term, None);
+            self.become_follower(self.term, None);
         }
     }
 
-    pub(crate) fn recovered(&mut self) {
-        if self.disk.health == Health::Failed {
-            self.disk.dirty.whole = true;
+    pub(crate) fn on_storage_recovered(&mut self) {
+        if self.storage.health == StorageHealth::Failed {
+            self.storage.unwritten.rewrite_all = true;
         } else {
-            self.counts.unknown += 1;
+            self.counters.unknown_batch += 1;
         }
     }
 }
--- a/crates/consensus/src/readmission.rs
+++ b/crates/consensus/src/readmission.rs
@@ -1,19 +1,24 @@
-//! Members whose disk was lost are admitted again.
-use crate::message::Payload;
+//! Admitting members again whose disk was lost.
+use crate::entry::Payload;
 use crate::node::Node;
 use cluster_types::MemberId;
 
 impl Node {
-    /// Proposes to admit a follower's new life once it has all that is committed. The entry can't be committed by the
-    /// follower's own word: its life counts only where it is admitted, and it gives its word only once it knows that
-    /// the entry is committed.
-    pub(crate) fn readmit(&mut self, from: &MemberId) {
-        let Some(progress) = self.lead.progress.get(from) else { return };
-        let Some(life) = progress.life else { return };
-        let lost = self.log.lives().get(from).is_some_and(|admitted| *admitted != life);
-        if lost && self.settled() && progress.matched >= self.commit && self.may_write() {
-            self.append(Payload::Readmit { member: from.clone(), life });
-            self.feed_all();
+    /// Proposes to admit a follower's new incarnation once it holds everything that is committed. The follower's own
+    /// acknowledgement cannot commit that entry: its incarnation counts only where it is admitted, and it acknowledges
+    /// only once it knows that the entry is committed.
+    pub(crate) fn readmit_if_caught_up(&mut self, from: &MemberId) {
+        let Some(progress) = self.leader_state.progress.get(from) else { return };
+        let Some(incarnation) = progress.incarnation else { return };
+        let admitted = self.log.incarnations().get(from);
+        let is_lost = admitted.is_some_and(|admitted| *admitted != incarnation);
+        if is_lost
+            && self.has_committed_in_term()
+            && progress.matched_index >= self.commit_index
+            && self.has_write_capacity()
+        {
+            self.append_entry(Payload::Readmit { member: from.clone(), incarnation });
+            self.replicate_to_all();
         }
     }
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,181 +1,231 @@
 //! What a leader sends to its followers, and their answers.
-use crate::event::Role;
-use crate::message::{Message, Outcome, Position};
+use crate::entry::{Entry, LogPosition};
+use crate::message::{AppendOutcome, AppendRequest, AppendResponse, Message};
 use crate::node::Node;
-use crate::progress::{Progress, Way};
+use crate::progress::{Progress, ReplicationMode};
+use crate::role::Role;
 use cluster_types::MemberId;
 
 impl Node {
-    /// A new round: each follower gets entries, a piece of the snapshot, or a heartbeat.
-    pub(crate) fn begin_round(&mut self) {
-        self.heartbeat_at = self.now + self.config.heartbeat;
-        let commit = self.settled().then_some(self.commit);
-        self.lead.begin(self.now, commit);
-        self.each(|node, to, progress| {
-            if let Way::Pieces { asked, .. } = &mut progress.way {
-                *asked = false;
+    /// Starts a heartbeat round: each follower gets entries, a chunk of the snapshot, or a heartbeat.
+    pub(crate) fn start_round(&mut self) {
+        self.heartbeat_at = self.now + self.config.heartbeat_interval;
+        let commit_index = self.has_committed_in_term().then_some(self.commit_index);
+        self.leader_state.start_round(self.now, commit_index);
+        self.for_each_follower(|node, to, progress| {
+            if let ReplicationMode::Snapshot { awaits_response, .. } = &mut progress.mode {
+                *awaits_response = false;
             }
-            if !node.feed(to, progress) {
-                node.heartbeat(to, progress);
+            if !node.replicate_to(to, progress) {
+                node.send_heartbeat(to, progress);
             }
         });
     }
 
-    /// Sends new entries to all that can take more.
-    pub(crate) fn feed_all(&mut self) {
-        self.each(|node, to, progress| {
-            node.feed(to, progress);
+    /// Sends new entries to all followers that can take more.
+    pub(crate) fn replicate_to_all(&mut self) {
+        self.for_each_follower(|node, to, progress| {
+            node.replicate_to(to, progress);
         });
     }
 
-    /// Tells followers what is committed, so that they need not wait for a heartbeat.
-    pub(crate) fn feed_commit(&mut self) {
-        self.each(|node, to, progress| node.tell(to, progress));
+    /// Sends the commit index to the followers, so that they need not wait for a heartbeat.
+    pub(crate) fn announce_commit(&mut self) {
+        self.for_each_follower(|node, to, progress| node.replicate_or_announce(to, progress));
     }
 
-    /// Sends a follower new entries, or, where all that was sent has arrived, what is committed.
-    fn tell(&mut self, to: &MemberId, progress: &mut Progress) {
-        let quiet = !self.feed(to, progress) && progress.flights.is_empty() && progress.way == Way::Stream;
-        if quiet && progress.told < self.commit {
-            self.heartbeat(to, progress);
+    /// Sends a follower new entries or, where everything sent has arrived, the commit index.
+    fn replicate_or_announce(&mut self, to: &MemberId, progress: &mut Progress) {
+        let has_sent = self.replicate_to(to, progress);
+        let is_idle =
+            !has_sent && progress.inflight.is_empty() && progress.mode == ReplicationMode::Replicate;
+        if is_idle && progress.sent_commit_index < self.commit_index {
+            self.send_heartbeat(to, progress);
         }
     }
 
-    fn each(&mut self, mut act: impl FnMut(&mut Node, &MemberId, &mut Progress)) {
-        let mut all = std::mem::take(&mut self.lead.progress);
+    fn for_each_follower(&mut self, mut act: impl FnMut(&mut Node, &MemberId, &mut Progress)) {
+        let mut all = std::mem::take(&mut self.leader_state.progress);
         for (to, progress) in &mut all {
             act(self, to, progress);
         }
-        self.lead.progress = all;
+        self.leader_state.progress = all;
     }
 
-    /// Where the log before the follower's next entry ends, if this log still has that.
-    fn before(&self, progress: &Progress) -> Option<Position> {
-        self.log.position(progress.next.saturating_sub(1))
+    /// The position before the follower's next entry, if this log still has it.
+    fn previous_position(&self, progress: &Progress) -> Option<LogPosition> {
+        self.log.position_at(progress.next_index.saturating_sub(1))
     }
 
-    /// An empty message shows whether all that was sent has arrived.
-    fn heartbeat(&mut self, to: &MemberId, progress: &mut Progress) {
-        let Some(prev) = self.before(progress) else { return };
-        if matches!(progress.way, Way::Pieces { .. }) {
-            return;
+    /// Sends an empty request, which shows whether everything sent has arrived.
+    fn send_heartbeat(&mut self, to: &MemberId, progress: &mut Progress) {
+        let Some(previous) = self.previous_position(progress) else { return };
+        if !matches!(progress.mode, ReplicationMode::Snapshot { .. }) {
+            self.send_append(to, progress, previous, Vec::new());
         }
-        let (term, commit, round) = (self.term, self.commit, self.lead.round);
-        let message = Message::Append { term, prev, entries: Vec::new(), commit, round };
-        progress.told = commit;
-        self.sends.push((to.clone(), message));
     }
 
-    /// Sends what the follower can take now. Whether that was anything.
-    fn feed(&mut self, to: &MemberId, progress: &mut Progress) -> bool {
-        let mut sent = false;
+    fn send_append(
+        &mut self,
+        to: &MemberId,
+        progress: &mut Progress,
+        previous: LogPosition,
+        entries: Vec<Entry>,
+    ) {
+        let (term, commit_index, round) = (self.term, self.commit_index, self.leader_state.round);
+        progress.sent_commit_index = commit_index;
+        let request = AppendRequest { term, previous, entries, commit_index, round };
+        self.outbox.push((to.clone(), Message::AppendRequest(request)));
+    }
+
+    /// Sends what the follower can take now; returns whether that was anything.
+    fn replicate_to(&mut self, to: &MemberId, progress: &mut Progress) -> bool {
+        let mut has_sent = false;
         loop {
-            let Some(prev) = self.before(progress) else {
-                return self.piece(to, progress) || sent;
+            let Some(previous) = self.previous_position(progress) else {
+                return self.send_chunk(to, progress) || has_sent;
             };
-            let more = progress.next <= self.log.last().index;
-            match &mut progress.way {
-                Way::Pieces { .. } => progress.probe(progress.next),
-                Way::Probe { asked } if !*asked && more => *asked = true,
-                Way::Stream if more && progress.flights.len() < self.config.flights => {}
-                Way::Probe { .. } | Way::Stream => return sent,
+            let has_entries = progress.next_index <= self.log.last().index;
+            match &mut progress.mode {
+                // The log reaches back far enough again: no snapshot is needed.
+                ReplicationMode::Snapshot { .. } => {
+                    progress.probe(progress.next_index);
+                    continue;
+                }
+                ReplicationMode::Probe { awaits_response } if !*awaits_response && has_entries => {
+                    *awaits_response = true;
+                }
+                ReplicationMode::Replicate
+                    if has_entries && progress.inflight.len() < self.config.max_inflight_messages => {}
+                ReplicationMode::Probe { .. } | ReplicationMode::Replicate => return has_sent,
             }
-            let entries = self.log.slice(progress.next, self.config.batch_entries, self.config.batch_bytes);
-            if progress.way == Way::Stream {
-                progress.next += entries.len() as u64;
-                progress.flights.push_back(progress.next - 1);
-            } else if progress.way != (Way::Probe { asked: true }) {
-                continue;
+            let config = &self.config;
+            let entries =
+                self.log.slice(progress.next_index, config.max_message_entries, config.max_message_bytes);
+            if progress.mode == ReplicationMode::Replicate {
+                progress.next_index += entries.len() as u64;
+                progress.inflight.push_back(progress.next_index - 1);
             }
-            sent = true;
-            let (term, commit, round) = (self.term, self.commit, self.lead.round);
-            progress.told = commit;
-            self.sends.push((to.clone(), Message::Append { term, prev, entries, commit, round }));
+            has_sent = true;
+            self.send_append(to, progress, previous, entries);
         }
     }
 
-    pub(crate) fn on_appended(
+    pub(crate) fn on_append_response(
         &mut self,
         from: &MemberId,
-        life: u64,
-        (term, round, counts): (u64, u64, bool),
-        outcome: Outcome,
+        incarnation: u64,
+        response: &AppendResponse,
     ) {
-        if term > self.term {
-            if self.may_write() {
-                self.follow(term, None);
+        if response.term > self.term {
+            if self.has_write_capacity() {
+                self.become_follower(response.term, None);
             }
             return;
         }
-        if self.role != Role::Leader || term < self.term {
-            self.counts.stale += 1;
+        if self.role != Role::Leader || response.term < self.term {
+            self.counters.stale += 1;
             return;
         }
-        let last = self.log.last().index;
-        let admitted = self.log.lives().get(from) == Some(&life);
-        if round > self.lead.round || matches!(outcome, Outcome::Match(upto) if upto > last) {
-            self.counts.malformed += 1;
+        let last_index = self.log.last().index;
+        let matches_beyond_log =
+            matches!(response.outcome, AppendOutcome::Matched(index) if index > last_index);
+        if response.round > self.leader_state.round || matches_beyond_log {
+            self.counters.malformed += 1;
             return;
         }
-        let Some(mut progress) = self.lead.progress.remove(from) else { return };
-        if progress.life != Some(life) {
-            let next = if progress.life.is_none() { progress.next } else { last + 1 };
-            let way = progress.way;
-            progress = Progress::new(Some(life), next);
-            if matches!(way, Way::Probe { .. }) {
-                progress.way = way;
-            }
+        let Some(mut progress) = self.leader_state.progress.remove(from) else { return };
+        if progress.incarnation != Some(incarnation) {
+            progress = restart_progress(&progress, incarnation, last_index);
+        }
+        self.record_response(from, incarnation, &mut progress, response);
+        self.replicate_or_announce(from, &mut progress);
+        self.leader_state.progress.insert(from.clone(), progress);
+        if let Some(expiry) = self.latest_lease_expiry() {
+            self.vote_withheld_until = self.vote_withheld_until.max(expiry);
+        }
+        self.advance_leader_commit();
+        if self.role == Role::Leader {
+            self.answer_read_barriers();
+            self.readmit_if_caught_up(from);
         }
-        if counts && admitted {
-            progress.round = progress.round.max(round);
+    }
+
+    fn record_response(
+        &mut self,
+        from: &MemberId,
+        incarnation: u64,
+        progress: &mut Progress,
+        response: &AppendResponse,
+    ) {
+        let is_admitted = self.log.incarnations().get(from) == Some(&incarnation);
+        let counts = response.counts_for_quorum && is_admitted;
+        if counts {
+            progress.round = progress.round.max(response.round);
         } else {
-            self.counts.unadmitted += u64::from(counts);
+            self.counters.unadmitted_incarnation += u64::from(response.counts_for_quorum);
         }
-        match outcome {
-            Outcome::Match(upto) => {
-                if counts && admitted {
-                    progress.durable = progress.durable.max(upto);
+        match response.outcome {
+            AppendOutcome::Matched(index) => {
+                if counts {
+                    progress.durable_index = progress.durable_index.max(index);
                 }
-                self.matched(&mut progress, upto);
+                self.record_match(progress, index);
+            }
+            AppendOutcome::Rejected { previous_index, retry_index, conflict_term } => {
+                self.record_rejection(progress, previous_index, retry_index, conflict_term);
+            }
+            AppendOutcome::ChunkExpected { snapshot_index, offset } => {
+                self.record_chunk(progress, snapshot_index, offset);
             }
-            Outcome::Reject { prev, first, term } => self.rejected(&mut progress, prev, (first, term)),
-            Outcome::Chunk { at, next } => self.piece_taken(&mut progress, at, next),
-        }
-        self.tell(from, &mut progress);
-        self.lead.progress.insert(from.clone(), progress);
-        if let Some(until) = self.lease_until() {
-            self.held = self.held.max(until);
-        }
-        self.advance();
-        if self.role == Role::Leader {
-            self.confirm();
-            self.readmit(from);
         }
     }
 
-    fn matched(&self, progress: &mut Progress, upto: u64) {
-        progress.matched = progress.matched.max(upto);
-        progress.next = progress.next.max(progress.matched + 1);
-        while progress.flights.pop_front_if(|last| *last <= progress.matched).is_some() {}
-        if matches!(progress.way, Way::Probe { .. }) || progress.matched >= self.log.snapshot.at.index {
-            progress.way = Way::Stream;
+    fn record_match(&self, progress: &mut Progress, index: u64) {
+        progress.matched_index = progress.matched_index.max(index);
+        progress.next_index = progress.next_index.max(progress.matched_index + 1);
+        while progress.inflight.pop_front_if(|last| *last <= progress.matched_index).is_some() {}
+        let is_probing = matches!(progress.mode, ReplicationMode::Probe { .. });
+        if is_probing || progress.matched_index >= self.log.snapshot.last.index {
+            progress.mode = ReplicationMode::Replicate;
         }
     }
 
-    /// Goes back to where the logs may agree: past all entries of a term that this log does not have. What was only
-    /// said, not promised, may be gone after a restart of a follower whose disk had failed.
-    fn rejected(&mut self, progress: &mut Progress, prev: u64, (first, term): (u64, Option<u64>)) {
-        if prev <= progress.durable || prev >= progress.next || matches!(progress.way, Way::Pieces { .. }) {
-            self.counts.stale += 1;
+    /// Goes back to where the logs may agree, past all entries of a term that this log does not have. What was acknowledged
+    /// without a promise may be gone after a restart of a follower whose disk had failed.
+    fn record_rejection(
+        &mut self,
+        progress: &mut Progress,
+        previous_index: u64,
+        retry_index: u64,
+        conflict_term: Option<u64>,
+    ) {
+        if previous_index <= progress.durable_index
+            || previous_index >= progress.next_index
+            || matches!(progress.mode, ReplicationMode::Snapshot { .. })
+        {
+            self.counters.stale += 1;
             return;
         }
-        let hint = match term {
+        let next_index = match conflict_term {
             Some(term) => {
-                self.log.last_upto_term(prev.saturating_sub(1), term).max(first.saturating_sub(1)) + 1
+                let candidate = previous_index.saturating_sub(1);
+                let agreed_index = self.log.last_index_up_to_term(candidate, term);
+                agreed_index.max(retry_index.saturating_sub(1)) + 1
             }
-            None => first,
+            None => retry_index,
         };
-        progress.probe(hint.min(prev).max(progress.durable + 1));
-        progress.matched = progress.matched.min(progress.next - 1);
+        progress.probe(next_index.min(previous_index).max(progress.durable_index + 1));
+        progress.matched_index = progress.matched_index.min(progress.next_index - 1);
+    }
+}
+
+/// The progress of a follower that answers under another incarnation than before, or for the first time.
+fn restart_progress(earlier: &Progress, incarnation: u64, last_index: u64) -> Progress {
+    let next_index = if earlier.incarnation.is_none() { earlier.next_index } else { last_index + 1 };
+    let mut progress = Progress::new(Some(incarnation), next_index);
+    if matches!(earlier.mode, ReplicationMode::Probe { .. }) {
+        progress.mode = earlier.mode;
     }
+    progress
 }
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -1,114 +1,132 @@
-//! Snapshots between members, piece by piece.
-use crate::log::Snapshot;
-use crate::message::{Lives, Message, Outcome, Position, FAR};
+//! Sending a snapshot to a follower in chunks, and receiving one.
+use crate::entry::{LogPosition, TERM_AND_INDEX_BOUND};
+use crate::incoming_snapshot::IncomingSnapshot;
+use crate::message::{AppendOutcome, Message, SnapshotChunk};
 use crate::node::Node;
-use crate::progress::{Progress, Way};
+use crate::progress::{Progress, ReplicationMode};
+use crate::snapshot::Snapshot;
 use cluster_types::MemberId;
 
-/// What a follower has of a snapshot so far.
-#[derive(Clone, Debug, Hash)]
-pub(crate) struct Incoming {
-    at: Position,
-    size: usize,
-    bytes: Vec<u8>,
-}
-
 impl Node {
-    /// Sends the piece that is due, unless it is under way.
-    pub(crate) fn piece(&mut self, to: &MemberId, progress: &mut Progress) -> bool {
+    /// Sends the chunk that is due, unless its answer is awaited; returns whether it was sent.
+    pub(crate) fn send_chunk(&mut self, to: &MemberId, progress: &mut Progress) -> bool {
         let snapshot = &self.log.snapshot;
-        let from = match progress.way {
-            Way::Pieces { at, asked: true, .. } if at == snapshot.at.index => return false,
-            Way::Pieces { at, offset, .. } if at == snapshot.at.index => offset,
-            _ => 0,
+        let snapshot_index = snapshot.last.index;
+        let offset = match progress.mode {
+            ReplicationMode::Snapshot { last_index, offset, awaits_response }
+                if last_index == snapshot_index =>
+            {
+                if awaits_response {
+                    return false;
+                }
+                offset
+            }
+            ReplicationMode::Snapshot { .. } | ReplicationMode::Probe { .. } | ReplicationMode::Replicate => {
+                0
+            }
         };
-        progress.flights.clear();
-        progress.way = Way::Pieces { at: snapshot.at.index, offset: from, asked: true };
-        let start = usize::try_from(from).unwrap_or(usize::MAX).min(snapshot.data.len());
-        let end = start.saturating_add(self.config.chunk_bytes).min(snapshot.data.len());
-        let message = Message::Chunk {
+        progress.inflight.clear();
+        progress.mode =
+            ReplicationMode::Snapshot { last_index: snapshot_index, offset, awaits_response: true };
+        let start = usize::try_from(offset).unwrap_or(usize::MAX).min(snapshot.data.len());
+        let end = start.saturating_add(self.config.snapshot_chunk_bytes).min(snapshot.data.len());
+        let chunk = SnapshotChunk {
             term: self.term,
-            at: snapshot.at,
-            lives: snapshot.lives.clone(),
-            size: snapshot.data.len() as u64,
+            last: snapshot.last,
+            incarnations: snapshot.incarnations.clone(),
+            total_bytes: snapshot.data.len() as u64,
             offset: start as u64,
             bytes: snapshot.data[start..end].to_vec(),
-            round: self.lead.round,
+            round: self.leader_state.round,
         };
-        self.sends.push((to.clone(), message));
+        self.outbox.push((to.clone(), Message::SnapshotChunk(chunk)));
         true
     }
 
-    /// The follower wants the next piece.
-    pub(crate) fn piece_taken(&mut self, progress: &mut Progress, wanted: u64, next: u64) {
-        match &mut progress.way {
-            Way::Pieces { at, offset, asked } if *at == wanted && *offset != next => {
-                *offset = next;
-                *asked = false;
+    /// Notes that the follower expects the chunk at `next_offset`.
+    pub(crate) fn record_chunk(&mut self, progress: &mut Progress, snapshot_index: u64, next_offset: u64) {
+        match &mut progress.mode {
+            ReplicationMode::Snapshot { last_index, offset, awaits_response }
+                if *last_index == snapshot_index && *offset != next_offset =>
+            {
+                *offset = next_offset;
+                *awaits_response = false;
+            }
+            ReplicationMode::Snapshot { .. } | ReplicationMode::Probe { .. } | ReplicationMode::Replicate => {
+                self.counters.stale += 1
             }
-            _ => self.counts.stale += 1,
         }
     }
 
-    pub(crate) fn on_chunk(
-        &mut self,
-        from: &MemberId,
-        (term, round): (u64, u64),
-        (at, lives): (Position, Lives),
-        size: u64,
-        (offset, bytes): (u64, Vec<u8>),
-    ) {
+    pub(crate) fn on_snapshot_chunk(&mut self, from: &MemberId, chunk: SnapshotChunk) {
+        let (term, round, last) = (chunk.term, chunk.round, chunk.last);
         if term < self.term {
-            self.counts.stale += 1;
-            let outcome = Outcome::Reject { prev: at.index, first: self.log.last().index + 1, term: None };
-            return self.answer(from, round, outcome);
+            self.reject_stale_leader(from, round, last.index);
+            return;
         }
-        let known = lives.keys().eq(self.config.members.iter());
-        let size = usize::try_from(size).unwrap_or(usize::MAX);
-        let end = usize::try_from(offset).unwrap_or(usize::MAX).saturating_add(bytes.len());
-        let fits = size <= self.config.snapshot_bytes && end <= size && (end == size || !bytes.is_empty());
-        if !known || !fits || at.index == 0 || at.index >= FAR || at.term == 0 || at.term > term {
-            self.counts.malformed += 1;
+        if !self.is_chunk_well_formed(&chunk) {
+            self.counters.malformed += 1;
             return;
         }
-        if !self.may_write() || !self.hears(from, term) {
+        if !self.has_write_capacity() || !self.accept_leader(from, term) {
             return;
         }
-        let outcome = if at.index <= self.commit {
-            self.incoming = None;
-            Outcome::Match(at.index)
+        let outcome = if last.index <= self.commit_index {
+            self.incoming_snapshot = None;
+            AppendOutcome::Matched(last.index)
         } else {
-            self.assemble(at, lives, size, (offset, bytes))
+            self.assemble_snapshot(chunk)
         };
-        self.answer(from, round, outcome);
+        self.respond_to_leader(from, round, outcome);
     }
 
-    fn assemble(
-        &mut self,
-        at: Position,
-        lives: Lives,
-        size: usize,
-        (offset, bytes): (u64, Vec<u8>),
-    ) -> Outcome {
-        let fresh = Incoming { at, size, bytes: Vec::new() };
-        let mut incoming = self.incoming.take().filter(|i| i.at == at && i.size == size).unwrap_or(fresh);
-        if incoming.bytes.len() as u64 == offset {
-            incoming.bytes.extend(bytes);
+    /// Whether a correct leader may send the chunk, and the snapshot is within its bound.
+    fn is_chunk_well_formed(&self, chunk: &SnapshotChunk) -> bool {
+        let SnapshotChunk { term, last, .. } = *chunk;
+        let total_bytes = as_length(chunk.total_bytes);
+        let end = as_length(chunk.offset).saturating_add(chunk.bytes.len());
+        chunk.incarnations.keys().eq(self.config.members.iter())
+            && total_bytes <= self.config.max_snapshot_bytes
+            && end <= total_bytes
+            && (end == total_bytes || !chunk.bytes.is_empty())
+            && is_position_valid(last, term)
+    }
+
+    /// Adds a chunk to what was received; installs the snapshot once it is complete.
+    fn assemble_snapshot(&mut self, chunk: SnapshotChunk) -> AppendOutcome {
+        let (last, total_bytes) = (chunk.last, as_length(chunk.total_bytes));
+        let earlier = self.incoming_snapshot.take();
+        let mut incoming = earlier
+            .filter(|earlier| earlier.last == last && earlier.total_bytes == total_bytes)
+            .unwrap_or_else(|| IncomingSnapshot { last, total_bytes, bytes: Vec::new() });
+        if incoming.bytes.len() as u64 == chunk.offset {
+            incoming.bytes.extend(chunk.bytes);
         }
-        if incoming.bytes.len() < size {
-            let next = incoming.bytes.len() as u64;
-            self.incoming = Some(incoming);
-            return Outcome::Chunk { at: at.index, next };
+        if incoming.bytes.len() < total_bytes {
+            let offset = incoming.bytes.len() as u64;
+            self.incoming_snapshot = Some(incoming);
+            return AppendOutcome::ChunkExpected { snapshot_index: last.index, offset };
         }
-        if self.log.term_at(at.index) != Some(at.term) {
-            self.disk.truncated(1);
+        if self.log.term_at(last.index) != Some(last.term) {
+            self.storage.note_truncated(1);
         }
-        self.log.install(Snapshot { at, lives, data: incoming.bytes.into() });
-        self.disk.snapshotted();
-        self.wanted = None;
-        self.commit = at.index;
-        self.disk.dirty.hard = true;
-        self.restore_due();
-        Outcome::Match(at.index)
+        let data = incoming.bytes.into();
+        self.log.install(Snapshot { last, incarnations: chunk.incarnations, data });
+        self.storage.note_snapshot();
+        self.snapshot_requested_at = None;
+        self.commit_index = last.index;
+        self.storage.note_hard_state();
+        self.schedule_restore();
+        AppendOutcome::Matched(last.index)
     }
 }
+
+/// A length from the wire; one that cannot be addressed is longer than any bound.
+fn as_length(bytes: u64) -> usize {
+    usize::try_from(bytes).unwrap_or(usize::MAX)
+}
+
+/// Whether a snapshot of a leader in `term` may end at this position.
+fn is_position_valid(last: LogPosition, term: u64) -> bool {
+    last.index > 0 && last.index < TERM_AND_INDEX_BOUND && last.term > 0 && last.term <= term
+}
--- a/crates/consensus/src/stored_state.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -1,92 +1,113 @@
-//! What the host read from disk at its start, and whether it can be trusted.
+//! What the host read from disk at start, and whether it can be trusted.
 use crate::config::Config;
-use crate::error::Fault;
-use crate::event::{Batch, Hard};
-use crate::log::{Log, Snapshot};
-use crate::message::{Entry, Payload, FAR};
+use crate::entry::{Entry, Incarnations, Payload, TERM_AND_INDEX_BOUND};
+use crate::error::StartError;
+use crate::log::Log;
+use crate::snapshot::Snapshot;
+use crate::write_batch::{HardState, WriteBatch};
 use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 
-/// What is on disk.
+/// The state on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Stored {
-    /// Drawn at random when the store was made.
-    pub life: u64,
-    /// Term, vote and what is known as committed.
-    pub hard: Hard,
+pub struct StoredState {
+    /// Drawn at random when the store was created.
+    pub incarnation: u64,
+    /// Term, vote and commit index.
+    pub hard_state: HardState,
     /// The snapshot, if there is one.
     pub snapshot: Option<Snapshot>,
-    /// The entries after it.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-impl Stored {
-    /// A new store.
-    pub fn empty(life: u64) -> Stored {
-        Stored { life, ..Stored::default() }
+impl StoredState {
+    /// The state of a new store.
+    pub fn empty(incarnation: u64) -> StoredState {
+        StoredState { incarnation, ..StoredState::default() }
     }
 
-    /// Does what a batch asks for, for hosts and tests that keep it all in memory.
-    pub fn write(&mut self, batch: &Batch) {
-        self.hard = batch.hard.clone();
-        if let Some(from) = batch.truncate {
-            self.entries.retain(|e| e.index < from);
+    /// Carries out a batch, for hosts and tests that keep the state in memory.
+    pub fn apply_batch(&mut self, batch: &WriteBatch) {
+        self.hard_state = batch.hard_state.clone();
+        if let Some(from) = batch.truncate_from {
+            self.entries.retain(|entry| entry.index < from);
         }
         if let Some(snapshot) = &batch.snapshot {
-            self.entries.retain(|e| e.index.0 > snapshot.at.index);
+            self.entries.retain(|entry| entry.index.0 > snapshot.last.index);
             self.snapshot = Some(snapshot.clone());
         }
         self.entries.extend(batch.append.iter().cloned());
     }
 
-    /// Guards a start from a disk that lies or was mended by hand.
-    pub(crate) fn check(self, config: &Config) -> Result<Log, Fault> {
+    /// Checks the state and builds the log from it. Guards a start from a disk that returns wrong data or was edited.
+    pub(crate) fn into_log(self, config: &Config) -> Result<Log, StartError> {
         let snapshot = self.snapshot.unwrap_or_default();
-        let known = |lives: &crate::message::Lives| {
-            lives.len() == config.members.len() && config.members.iter().all(|m| lives.contains_key(m))
-        };
-        let base = snapshot.at;
-        if base.index > 0 && !known(&snapshot.lives) {
-            return Err(Fault::Others);
-        }
-        if base.index >= FAR
-            || (base.index == 0) != (base.term == 0)
-            || (base.index == 0 && !snapshot.data.is_empty())
-        {
-            return Err(Fault::Snapshot);
-        }
-        if let Some((member, _)) = self.hard.vote.as_ref().filter(|(m, _)| !config.members.contains(m)) {
-            return Err(Fault::Vote(member.clone()));
+        check_snapshot(&snapshot, config)?;
+        if let Some(vote) = &self.hard_state.vote {
+            if !config.members.contains(&vote.candidate) {
+                return Err(StartError::Vote(vote.candidate.clone()));
+            }
         }
-        if let Some(first) = self.entries.first().filter(|e| e.index.0 <= base.index) {
-            return Err(Fault::Overlap { snapshot: Index(base.index), first: first.index });
+        let snapshot_index = snapshot.last.index;
+        if let Some(first) = self.entries.first().filter(|entry| entry.index.0 <= snapshot_index) {
+            return Err(StartError::Overlap { snapshot: Index(snapshot_index), first: first.index });
         }
         let mut log = Log::new(snapshot);
         for entry in self.entries {
-            if entry.index != log.due() {
-                return Err(Fault::Gap { due: log.due(), found: entry.index });
-            }
-            if entry.term < log.last().term || entry.term == 0 {
-                return Err(Fault::TermBack(entry.index));
-            }
-            match &entry.payload {
-                Payload::Founding(lives) if entry.index.0 == 1 && !known(lives) => return Err(Fault::Others),
-                Payload::Founding(_) if entry.index.0 == 1 => {}
-                Payload::Founding(_) => return Err(Fault::Founding(entry.index)),
-                Payload::Readmit { member, .. } if !config.members.contains(member) => {
-                    return Err(Fault::Others)
-                }
-                _ if entry.index.0 == 1 => return Err(Fault::Founding(entry.index)),
-                _ => {}
-            }
+            check_entry(&entry, &log, config)?;
             log.push(entry);
         }
-        if log.last().term > self.hard.term || self.hard.term >= FAR {
-            return Err(Fault::TermAhead);
+        if log.last().term > self.hard_state.term || self.hard_state.term >= TERM_AND_INDEX_BOUND {
+            return Err(StartError::TermAhead);
         }
-        if self.hard.commit.0 > log.last().index {
-            return Err(Fault::CommitAhead { commit: self.hard.commit, last: Index(log.last().index) });
+        let (commit, last) = (self.hard_state.commit, Index(log.last().index));
+        if commit > last {
+            return Err(StartError::CommitAhead { commit, last });
         }
         Ok(log)
     }
 }
+
+/// Whether these are the incarnations of exactly the configured members.
+fn names_all_members(incarnations: &Incarnations, config: &Config) -> bool {
+    incarnations.len() == config.members.len()
+        && config.members.iter().all(|member| incarnations.contains_key(member))
+}
+
+fn check_snapshot(snapshot: &Snapshot, config: &Config) -> Result<(), StartError> {
+    let last = snapshot.last;
+    if last.index > 0 && !names_all_members(&snapshot.incarnations, config) {
+        return Err(StartError::OtherMembers);
+    }
+    if last.index >= TERM_AND_INDEX_BOUND
+        || (last.index == 0) != (last.term == 0)
+        || (last.index == 0 && !snapshot.data.is_empty())
+    {
+        return Err(StartError::Snapshot);
+    }
+    Ok(())
+}
+
+/// Checks an entry that is to follow the last one of the log.
+fn check_entry(entry: &Entry, log: &Log, config: &Config) -> Result<(), StartError> {
+    if entry.index != log.next_index() {
+        return Err(StartError::Gap { expected: log.next_index(), found: entry.index });
+    }
+    if entry.term < log.last().term || entry.term == 0 {
+        return Err(StartError::TermDecreases(entry.index));
+    }
+    let is_first = entry.index.0 == 1;
+    match &entry.payload {
+        Payload::Bootstrap(incarnations) if is_first && !names_all_members(incarnations, config) => {
+            Err(StartError::OtherMembers)
+        }
+        Payload::Bootstrap(_) if is_first => Ok(()),
+        Payload::Bootstrap(_) => Err(StartError::Bootstrap(entry.index)),
+        Payload::Readmit { member, .. } if !config.members.contains(member) => Err(StartError::OtherMembers),
+        Payload::Readmit { .. } | Payload::Noop | Payload::Data(_) if is_first => {
+            Err(StartError::Bootstrap(entry.index))
+        }
+        Payload::Readmit { .. } | Payload::Noop | Payload::Data(_) => Ok(()),
+    }
+}
--- a/crates/consensus/tests/model_check/group.rs
+++ b/crates/consensus/tests/model_check/group.rs
@@ -1,6 +1,6 @@
-//! Three members whose clocks move only so that every wait is over when it matters.
+//! Three members whose clocks move only so that every timeout has passed when it matters.
 use cluster_types::{MemberId, Time};
-use consensus::{Action, Batch, Config, Event, Message, Node, Role, Stored};
+use consensus::{Action, Config, Event, Message, Node, Role, StoredState, VoteResponse, WriteBatch};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Packet {
     pub from: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub to: usize,
     pub message: Message,
 }
@@ -16,21 +16,22 @@
 #[derive(Clone, Debug)]
 pub struct Group {
     pub nodes: Vec<Node>,
-    stored: Vec<Stored>,
-    image: Vec<Stored>,
-    pub queues: Vec<VecDeque<Batch>>,
-    /// Whether batches are written at once, so that a search gets further.
-    pub prompt: bool,
+    stored: Vec<StoredState>,
+    image: Vec<StoredState>,
+    pub queues: Vec<VecDeque<WriteBatch>>,
+    /// Whether batches are written at once, so that the search gets further.
+    pub writes_at_once: bool,
     clocks: Vec<Time>,
-    pub net: Vec<Packet>,
-    lives: u64,
+    pub network: Vec<Packet>,
+    incarnations: u64,
     leaders: BTreeMap<u64, usize>,
     /// What was applied first at each index, and in which leader's term.
     applied: BTreeMap<u64, (u64, Vec<u8>, u64)>,
     pub spent: crate::model::Budget,
-    pub fault: Option<String>,
+    pub violation: Option<String>,
 }
 
+/// Longer than every timeout.
 const LONG: Duration = Duration::from_secs(10);
 
 fn name(nth: usize) -> MemberId {
@@ -38,9 +39,9 @@
 }
 
 impl Group {
-    /// All have started, and the founder is about to hear of all.
-    pub fn heard(members: usize) -> Group {
-        let stored: Vec<Stored> = (0..members).map(|nth| Stored::empty(nth as u64 + 1)).collect();
+    /// All have started, and their reports to the bootstrapping member are in flight.
+    pub fn started(members: usize) -> Group {
+        let stored: Vec<StoredState> = (0..members).map(|nth| StoredState::empty(nth as u64 + 1)).collect();
         let clocks = vec![Time(0); members];
         let nodes = (0..members).map(|nth| start(nth, &stored[nth], members, clocks[nth])).collect();
         let mut group = Group {
@@ -48,26 +49,26 @@
             image: stored.clone(),
             stored,
             queues: vec![VecDeque::new(); members],
-            prompt: false,
+            writes_at_once: false,
             clocks,
-            net: Vec::new(),
-            lives: members as u64,
+            network: Vec::new(),
+            incarnations: members as u64,
             leaders: BTreeMap::new(),
             applied: BTreeMap::new(),
             spent: Default::default(),
-            fault: None,
+            violation: None,
         };
         (0..members).for_each(|nth| group.give(nth, Event::Tick));
         group
     }
 
-    /// Delivers and writes in order among those until it is so, or nothing is left.
+    /// Delivers and writes in order among some members until a condition holds, or nothing is left.
     pub fn settle(&mut self, among: &[usize], until: impl Fn(&Group) -> bool) {
         while !until(self) {
             let inside = |p: &Packet| among.contains(&p.from) && among.contains(&p.to);
             if let Some(nth) = among.iter().find(|n| !self.queues[**n].is_empty()) {
                 self.persist(*nth);
-            } else if let Some(place) = self.net.iter().position(inside) {
+            } else if let Some(place) = self.network.iter().position(inside) {
                 self.deliver(place);
             } else {
                 return;
@@ -75,28 +76,31 @@
         }
     }
 
-    /// One stands and is voted for, but does not know it yet; the others hear of nothing.
+    /// One member campaigns and is voted for; the votes are still in flight, and nothing else is.
     pub fn campaign(&mut self, nth: usize, voter: usize) {
         self.timeout(nth);
         self.settle(&[nth, voter], |g| {
-            g.net.iter().any(|p| matches!(p.message, Message::Voted { pre: false, .. }))
+            g.network
+                .iter()
+                .any(|p| matches!(p.message, Message::VoteResponse(VoteResponse { is_pre_vote: false, .. })))
         });
-        self.net.retain(|p| matches!(p.message, Message::Voted { pre: false, .. }));
+        self.network
+            .retain(|p| matches!(p.message, Message::VoteResponse(VoteResponse { is_pre_vote: false, .. })));
     }
 
     pub fn deliver(&mut self, place: usize) {
-        let Packet { from, life, to, message } = self.net.remove(place);
-        if matches!(message, Message::Vote { .. } | Message::PreVote { .. }) {
+        let Packet { from, incarnation, to, message } = self.network.remove(place);
+        if matches!(message, Message::VoteRequest { .. } | Message::PreVoteRequest { .. }) {
             self.clocks[to] = self.clocks[to] + LONG;
         }
-        self.give(to, Event::Message { from: name(from), life, message });
+        self.give(to, Event::Message { from: name(from), incarnation, message });
     }
 
     pub fn deliver_and_die(&mut self, place: usize) {
-        let to = self.net[place].to;
-        self.prompt = false;
+        let to = self.network[place].to;
+        self.writes_at_once = false;
         self.deliver(place);
-        self.prompt = true;
+        self.writes_at_once = true;
         self.crash(to, 0, false);
     }
 
@@ -105,8 +109,8 @@
         self.give(nth, Event::Tick);
     }
 
-    /// A leader's next heartbeat.
-    pub fn beat(&mut self, nth: usize) {
+    /// Lets a leader send its next heartbeat.
+    pub fn heartbeat(&mut self, nth: usize) {
         self.clocks[nth] = self.clocks[nth] + Duration::from_millis(100);
         self.give(nth, Event::Tick);
     }
@@ -118,19 +122,19 @@
 
     pub fn persist(&mut self, nth: usize) {
         if let Some(batch) = self.queues[nth].pop_front() {
-            self.stored[nth].write(&batch);
-            self.give(nth, Event::Persisted { batch: batch.id });
+            self.stored[nth].apply_batch(&batch);
+            self.give(nth, Event::Persisted { batch_id: batch.id });
         }
     }
 
-    /// Stops and starts, with so many of the waiting batches on disk, or with a new one.
+    /// Restarts a member with `written` of its pending batches on disk, or with a new store.
     pub fn crash(&mut self, nth: usize, written: usize, lose: bool) {
         for batch in std::mem::take(&mut self.queues[nth]).into_iter().take(written) {
-            self.stored[nth].write(&batch);
+            self.stored[nth].apply_batch(&batch);
         }
         if lose {
-            self.lives += 1;
-            self.stored[nth] = Stored::empty(self.lives);
+            self.incarnations += 1;
+            self.stored[nth] = StoredState::empty(self.incarnations);
         }
         self.image[nth] = self.stored[nth].clone();
         self.nodes[nth] = start(nth, &self.stored[nth], self.nodes.len(), self.clocks[nth]);
@@ -144,54 +148,60 @@
             match action {
                 Action::Send { to, message } => {
                     let to = (0..self.nodes.len()).find(|n| name(*n) == to).unwrap();
-                    let packet = Packet { from: nth, life: self.stored[nth].life, to, message };
-                    if !self.net.contains(&packet) {
-                        self.net.push(packet);
+                    let packet = Packet { from: nth, incarnation: self.stored[nth].incarnation, to, message };
+                    if !self.network.contains(&packet) {
+                        self.network.push(packet);
                     }
                 }
                 Action::Persist(batch) => {
-                    self.image[nth].write(&batch);
+                    self.image[nth].apply_batch(&batch);
                     self.queues[nth].push_back(batch);
                 }
-                Action::Role { role: Role::Leader, term, .. } => self.elected(nth, term),
+                Action::RoleChanged { role: Role::Leader, term, .. } => self.elected(nth, term),
                 Action::Apply { index, term, data } => {
-                    let leads_in = self.nodes[nth].role().1;
+                    let leader_term = self.nodes[nth].term();
                     let first =
-                        self.applied.entry(index.0).or_insert_with(|| (term, data.to_vec(), leads_in));
+                        self.applied.entry(index.0).or_insert_with(|| (term, data.to_vec(), leader_term));
                     if (first.0, first.1.as_slice()) != (term, &data[..]) {
-                        self.fault = Some(format!("two entries are applied at {}", index.0));
+                        self.violation = Some(format!("two entries are applied at {}", index.0));
                     }
                 }
                 _ => {}
             }
         }
-        while self.prompt && !self.queues[nth].is_empty() {
+        while self.writes_at_once && !self.queues[nth].is_empty() {
             self.persist(nth);
         }
-        // Pre-votes promise nothing; a search gets further where they are no steps of their own.
-        let asks =
-            |p: &Packet| matches!(p.message, Message::PreVote { .. } | Message::Voted { pre: true, .. });
-        while let Some(place) = self.net.iter().position(asks) {
+        // Pre-votes promise nothing; the search gets further where they are not steps of their own.
+        let is_pre_vote = |p: &Packet| {
+            matches!(
+                p.message,
+                Message::PreVoteRequest { .. }
+                    | Message::VoteResponse(VoteResponse { is_pre_vote: true, .. })
+            )
+        };
+        while let Some(place) = self.network.iter().position(is_pre_vote) {
             self.deliver(place);
         }
     }
 
     fn elected(&mut self, nth: usize, term: u64) {
         if *self.leaders.entry(term).or_insert(nth) != nth {
-            self.fault = Some(format!("two lead in term {term}"));
+            self.violation = Some(format!("two lead in term {term}"));
         }
         for (index, (of, _, committed)) in &self.applied {
             let there = self.image[nth].entries.iter().find(|e| e.index.0 == *index);
             if *committed < term && there.map(|e| e.term) != Some(*of) {
-                self.fault = Some(format!("a leader of term {term} lacks entry {index}"));
+                self.violation = Some(format!("a leader of term {term} lacks entry {index}"));
             }
         }
     }
 }
 
-fn start(nth: usize, stored: &Stored, members: usize, now: Time) -> Node {
+fn start(nth: usize, stored: &StoredState, members: usize, now: Time) -> Node {
     // Entries go one by one, so that a follower may have any part of a log.
-    let config = Config { batch_entries: 1, ..Config::new(name(nth), (0..members).map(name).collect()) };
+    let config =
+        Config { max_message_entries: 1, ..Config::new(name(nth), (0..members).map(name).collect()) };
     Node::new(config, stored.clone(), now, 0).unwrap()
 }
 
@@ -201,10 +211,10 @@
         (&self.stored, &self.leaders, &self.applied, &self.spent).hash(state);
         for queue in &self.queues {
             queue.len().hash(state);
-            queue.iter().for_each(|b| (&b.hard, &b.append, &b.snapshot).hash(state));
+            queue.iter().for_each(|b| (&b.hard_state, &b.append, &b.snapshot).hash(state));
         }
-        // The order of what is under way does not matter.
-        let sums = self.net.iter().map(|packet| {
+        // The order of the messages in flight does not matter.
+        let sums = self.network.iter().map(|packet| {
             let mut one = std::collections::hash_map::DefaultHasher::new();
             packet.hash(&mut one);
             one.finish()
--- a/crates/consensus/tests/model_check/model.rs
+++ b/crates/consensus/tests/model_check/model.rs
@@ -1,13 +1,13 @@
-//! What may happen next, within bounds.
+//! The steps that may happen next, within a budget.
 use crate::group::Group;
 use consensus::Role;
 use stateright::{Model, Property};
 
-/// How often each thing happens in all.
+/// How often each kind of step happens in all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub timeouts: u32,
-    pub beats: u32,
+    pub heartbeats: u32,
     pub crashes: u32,
     pub losses: u32,
     pub proposals: u32,
@@ -16,11 +16,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Deliver(usize),
-    /// It is taken in and answered, and nothing of it reaches the disk.
+    /// The message is handled and answered, and nothing of it reaches the disk.
     DeliverAndDie(usize),
     Persist(usize),
     Timeout(usize),
-    Beat(usize),
+    Heartbeat(usize),
     Propose(usize),
     Crash {
         nth: usize,
@@ -43,9 +43,9 @@
     }
 
     fn actions(&self, state: &Group, actions: &mut Vec<Step>) {
-        actions.extend((0..state.net.len()).map(Step::Deliver));
-        if state.prompt && state.spent.crashes < self.budget.crashes {
-            actions.extend((0..state.net.len()).map(Step::DeliverAndDie));
+        actions.extend((0..state.network.len()).map(Step::Deliver));
+        if state.writes_at_once && state.spent.crashes < self.budget.crashes {
+            actions.extend((0..state.network.len()).map(Step::DeliverAndDie));
         }
         for (nth, node) in state.nodes.iter().enumerate() {
             let (most, spent) = (&self.budget, &state.spent);
@@ -55,17 +55,17 @@
             if spent.timeouts < most.timeouts {
                 actions.push(Step::Timeout(nth));
             }
-            if spent.crashes < most.crashes && !state.prompt {
+            if spent.crashes < most.crashes && !state.writes_at_once {
                 actions.extend((0..=state.queues[nth].len()).map(|written| Step::Crash { nth, written }));
             }
             if spent.losses < most.losses {
                 actions.push(Step::Lose(nth));
             }
-            if node.role().0 == Role::Leader && spent.proposals < most.proposals {
+            if node.role() == Role::Leader && spent.proposals < most.proposals {
                 actions.push(Step::Propose(nth));
             }
-            if node.role().0 == Role::Leader && spent.beats < most.beats {
-                actions.push(Step::Beat(nth));
+            if node.role() == Role::Leader && spent.heartbeats < most.heartbeats {
+                actions.push(Step::Heartbeat(nth));
             }
         }
     }
@@ -83,9 +83,9 @@
                 next.spent.timeouts += 1;
                 next.timeout(nth);
             }
-            Step::Beat(nth) => {
-                next.spent.beats += 1;
-                next.beat(nth);
+            Step::Heartbeat(nth) => {
+                next.spent.heartbeats += 1;
+                next.heartbeat(nth);
             }
             Step::Propose(nth) => {
                 next.spent.proposals += 1;
@@ -104,6 +104,6 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("safe", |_, state: &Group| state.fault.is_none())]
+        vec![Property::always("safe", |_, state: &Group| state.violation.is_none())]
     }
 }
--- a/crates/consensus/tests/rules/random_messages.rs
+++ b/crates/consensus/tests/rules/random_messages.rs
@@ -1,7 +1,10 @@
-//! Whatever comes from outside, a member neither panics nor loses what is committed.
-use crate::cluster::{name, Trio};
+//! Whatever a member receives, it neither panics nor loses what is committed.
+use crate::cluster::{name, Cluster};
 use cluster_types::Index;
-use consensus::{Entry, Event, Lives, Message, Outcome, Payload, Position};
+use consensus::{
+    AppendOutcome, AppendRequest, AppendResponse, Entry, Event, Incarnations, LogPosition, Message, Payload,
+    SnapshotChunk, VoteResponse,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -9,15 +12,15 @@
     [0, 1, 2, 3, 4, 9, u64::MAX / 2 - 1, u64::MAX / 2, u64::MAX - 1, u64::MAX][rng.random_range(0..10)]
 }
 
-fn lives(rng: &mut SmallRng) -> Lives {
+fn incarnations(rng: &mut SmallRng) -> Incarnations {
     (0..rng.random_range(0..4)).map(|n| (name(n), number(rng))).collect()
 }
 
 fn entry(rng: &mut SmallRng) -> Entry {
     let payload = match rng.random_range(0..4) {
-        0 => Payload::Founding(lives(rng)),
+        0 => Payload::Bootstrap(incarnations(rng)),
         1 => Payload::Noop,
-        2 => Payload::Readmit { member: name(rng.random_range(0..5)), life: number(rng) },
+        2 => Payload::Readmit { member: name(rng.random_range(0..5)), incarnation: number(rng) },
         _ => Payload::Data(vec![1; 9].into()),
     };
     Entry { index: Index(number(rng)), term: number(rng), payload }
@@ -25,55 +28,74 @@
 
 fn message(rng: &mut SmallRng) -> Message {
     let (term, round) = (number(rng), number(rng));
-    let last = Position { term: number(rng), index: number(rng) };
+    let last = LogPosition { term: number(rng), index: number(rng) };
     let bytes = vec![0; rng.random_range(0..20)];
     match rng.random_range(0..8) {
-        0 => Message::Hello { term },
-        1 => Message::Found { term, lives: lives(rng) },
-        2 => Message::PreVote { term, last },
-        3 => Message::Vote { term, last },
-        4 => Message::Voted { term, pre: rng.random(), granted: rng.random(), to: number(rng) },
+        0 => Message::BootstrapHello { term },
+        1 => Message::BootstrapRequest { term, incarnations: incarnations(rng) },
+        2 => Message::PreVoteRequest { term, last },
+        3 => Message::VoteRequest { term, last },
+        4 => Message::VoteResponse(VoteResponse {
+            term,
+            is_pre_vote: rng.random(),
+            is_granted: rng.random(),
+            candidate_incarnation: number(rng),
+        }),
         5 => {
             let entries = (0..rng.random_range(0..3)).map(|_| entry(rng)).collect();
-            Message::Append { term, prev: last, entries, commit: number(rng), round }
+            Message::AppendRequest(AppendRequest {
+                term,
+                previous: last,
+                entries,
+                commit_index: number(rng),
+                round,
+            })
         }
         6 => {
             let outcome = match rng.random_range(0..3) {
-                0 => Outcome::Match(number(rng)),
-                1 => Outcome::Reject {
-                    prev: number(rng),
-                    first: number(rng),
-                    term: rng.random::<bool>().then_some(term),
+                0 => AppendOutcome::Matched(number(rng)),
+                1 => AppendOutcome::Rejected {
+                    previous_index: number(rng),
+                    retry_index: number(rng),
+                    conflict_term: rng.random::<bool>().then_some(term),
                 },
-                _ => Outcome::Chunk { at: number(rng), next: number(rng) },
+                _ => AppendOutcome::ChunkExpected { snapshot_index: number(rng), offset: number(rng) },
             };
-            Message::Appended { term, round, counts: rng.random(), outcome }
+            Message::AppendResponse(AppendResponse { term, round, counts_for_quorum: rng.random(), outcome })
         }
         _ => {
             let (size, offset) = (number(rng), number(rng));
-            Message::Chunk { term, at: last, lives: lives(rng), size, offset, bytes, round }
+            Message::SnapshotChunk(SnapshotChunk {
+                term,
+                last,
+                incarnations: incarnations(rng),
+                total_bytes: size,
+                offset,
+                bytes,
+                round,
+            })
         }
     }
 }
 
 #[test]
-fn noise_breaks_nothing() {
+fn random_messages_never_undo_commits() {
     for seed in 0..30 {
         println!("seed {seed}");
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut trio = if rng.random() { Trio::led(3) } else { Trio::new(3) };
+        let mut cluster = if rng.random() { Cluster::with_leader(3) } else { Cluster::new(3) };
         for _ in 0..300 {
             let (from, to) = (rng.random_range(0..3), rng.random_range(0..3));
-            let (life, message) = (number(&mut rng), message(&mut rng));
-            let before = trio.node(to).commit();
-            trio.say(from, life, to, message);
+            let (incarnation, message) = (number(&mut rng), message(&mut rng));
+            let before = cluster.node(to).commit_index();
+            cluster.deliver(from, incarnation, to, message);
             if rng.random_bool(0.05) {
                 let (batch, upto) = (number(&mut rng), Index(number(&mut rng)));
-                trio.give(to, Event::Persisted { batch });
-                trio.give(to, Event::Snapshot { upto, data: vec![1; 3].into() });
-                trio.run(rng.random_range(0..400));
+                cluster.handle(to, Event::Persisted { batch_id: batch });
+                cluster.handle(to, Event::SnapshotTaken { last_index: upto, data: vec![1; 3].into() });
+                cluster.run(rng.random_range(0..400));
             }
-            assert!(trio.node(to).commit() >= before);
+            assert!(cluster.node(to).commit_index() >= before);
         }
     }
 }
--- a/crates/consensus/tests/simulation/actions.rs
+++ b/crates/consensus/tests/simulation/actions.rs
@@ -1,7 +1,7 @@
-//! What a node wants done, what a fault does, and what must hold once all is quiet.
+//! Carrying out a member's actions and the faults of a schedule, and what must hold at the end.
 use crate::schedule::Kind;
-use crate::world::{What, World, QUIET_MS};
-use consensus::{Action, Event, Role, Stored};
+use crate::world::{Step, World, QUIET_MS};
+use consensus::{Action, Event, Role, StoredState};
 use rand::Rng;
 
 impl World<'_> {
@@ -10,7 +10,7 @@
         match action {
             Action::Send { to, message } => {
                 let to = there.config.members.iter().position(|m| *m == to).ok_or("a message to nobody")?;
-                let life = there.stored.life;
+                let incarnation = there.stored.incarnation;
                 if self.cuts.get(&(host, to)).is_some_and(|cut| *cut > 0) {
                     return Ok(());
                 }
@@ -19,7 +19,7 @@
                     + usize::from(self.rng.random_ratio(twice, 100));
                 for _ in 0..copies {
                     let (message, at) = (message.clone(), self.rng.random_range(100..late * 1000));
-                    self.plan_us(at, What::Packet { from: host, life, to, message });
+                    self.plan_us(at, Step::Packet { from: host, incarnation, to, message });
                 }
             }
             Action::Persist(batch) => {
@@ -45,27 +45,27 @@
                     return Err(format!("a read sees {} though {due} was applied before it", index.0));
                 }
             }
-            Action::Refused { ticket, .. } => {
+            Action::Rejected { ticket, .. } => {
                 self.reads.remove(&ticket);
             }
-            Action::Role { role, term, .. } => {
+            Action::RoleChanged { role, term, .. } => {
                 self.report.elections += u64::from(role == Role::Leader);
                 self.check.role(host, role, term, &there.image)?;
             }
-            Action::WantSnapshot { .. } if self.rng.random_bool(0.7) => {
+            Action::SnapshotRequested { .. } if self.rng.random_bool(0.7) => {
                 let mut data = there.digest.to_le_bytes().to_vec();
                 data.resize(8 + self.rng.random_range(0..200), 1);
-                let upto = there.node.as_ref().map(|n| n.commit()).ok_or("no node")?;
-                self.give(host, Event::Snapshot { upto, data: data.into() })?;
+                let upto = there.node.as_ref().map(|n| n.commit_index()).ok_or("no node")?;
+                self.give(host, Event::SnapshotTaken { last_index: upto, data: data.into() })?;
             }
-            Action::WantSnapshot { .. } => {}
+            Action::SnapshotRequested { .. } => {}
         }
         Ok(())
     }
 
     fn cut(&mut self, from: usize, to: usize, for_ms: u64) {
         *self.cuts.entry((from, to)).or_default() += 1;
-        self.plan(for_ms, What::Mend { from, to });
+        self.plan(for_ms, Step::Mend { from, to });
     }
 
     pub fn kill(&mut self, host: usize, down_ms: u64, lose: bool, written: usize) {
@@ -78,11 +78,11 @@
         let others = self.lost.iter().filter(|l| **l != host).count();
         if lose && others < most {
             self.lost.insert(host);
-            self.lives += 1;
-            self.hosts[host].stored = Stored::empty(self.lives);
+            self.incarnations += 1;
+            self.hosts[host].stored = StoredState::empty(self.incarnations);
             self.report.lost_disks += 1;
         }
-        self.plan(down_ms, What::Begin(host));
+        self.plan(down_ms, Step::Start(host));
     }
 
     pub fn fault(&mut self, kind: &Kind) -> Result<(), String> {
@@ -93,36 +93,37 @@
                 self.cut(host, other, for_ms);
                 self.cut(other, host, for_ms);
             }),
-            Kind::HalfDeaf { host, deaf, for_ms } => all.for_each(|other| {
-                let (from, to) = if deaf { (other, host) } else { (host, other) };
+            Kind::OneWay { host, is_receiving_cut, for_ms } => all.for_each(|other| {
+                let (from, to) = if is_receiving_cut { (other, host) } else { (host, other) };
                 self.cut(from, to, for_ms);
             }),
             Kind::Pause { host, for_ms } if self.hosts[host].paused_until <= self.now => {
                 self.hosts[host].paused_until = self.now + for_ms * 1000;
-                self.plan(for_ms, What::Resume(host));
+                self.plan(for_ms, Step::Resume(host));
             }
             Kind::Kill { host, down_ms, lose, written } => self.kill(host, down_ms, lose, written),
             Kind::KillWriting { host, down_ms, lose } => self.hosts[host].armed = Some((down_ms, lose)),
             Kind::DiskFail { host, for_ms, written } if self.hosts[host].node.is_some() => {
                 self.hosts[host].failing = Some(written);
-                let start = self.hosts[host].start;
-                self.plan(for_ms, What::DiskEnds { host, start });
+                let start = self.hosts[host].start_count;
+                self.plan(for_ms, Step::DiskEnds { host, start });
             }
             Kind::DiskSlow { host, for_ms, takes_ms } if self.hosts[host].node.is_some() => {
                 self.hosts[host].takes_us = takes_ms * 1000;
-                let start = self.hosts[host].start;
-                self.plan(for_ms, What::DiskEnds { host, start });
+                let start = self.hosts[host].start_count;
+                self.plan(for_ms, Step::DiskEnds { host, start });
             }
             Kind::Net { lose, twice, late_ms, for_ms } => {
                 self.net = (lose, twice, late_ms);
-                self.plan(for_ms, What::NetEnds);
+                self.plan(for_ms, Step::NetEnds);
             }
             Kind::Pause { .. } | Kind::DiskFail { .. } | Kind::DiskSlow { .. } => {}
         }
         Ok(())
     }
 
-    /// After all faults: commands are committed again and all have all, or, without a majority of disks, nothing is.
+    /// Checks, after all faults, that proposals are committed again and all members have all; or, without a majority of disks, that
+    /// nothing is committed.
     pub fn settled(&mut self, before: usize) -> Result<(), String> {
         let after = self.check.acked.len();
         if self.lost.len() > self.hosts.len() - self.hosts.len() / 2 - 1 {
@@ -136,8 +137,8 @@
         }
         let latest = self.check.acked.keys().next_back().copied().unwrap_or(0);
         for host in &self.hosts {
-            let admitted = host.admitted(self.now);
-            // The last entries may still be under way.
+            let admitted = host.is_admitted(self.now);
+            // The last entries may still be in flight.
             if host.applied + 20 < latest || !admitted {
                 let me = &host.config.me;
                 return Err(format!(
--- a/crates/consensus/tests/simulation/check.rs
+++ b/crates/consensus/tests/simulation/check.rs
@@ -1,28 +1,28 @@
-//! What must hold after each step.
+//! The safety properties that must hold after each step.
 use crate::host::Host;
-use consensus::{Batch, Entry, Role, Stored};
+use consensus::{Entry, Role, StoredState, WriteBatch};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
 #[derive(Default)]
 pub struct Check {
-    /// Who led in which term.
+    /// The leader of each term.
     leaders: BTreeMap<u64, usize>,
-    /// Who leads by its own account.
+    /// The members that consider themselves leaders.
     leading: BTreeSet<usize>,
-    /// Each entry that was ever written, with the term of the one before it.
+    /// Each entry that was ever written by term and index, with the term of the one before it.
     entries: BTreeMap<(u64, u64), (u64, Entry)>,
-    /// The host's entries that were applied anywhere: term, ticket, digest with it.
+    /// The entries that were applied anywhere by index: term, ticket, digest of the state with it.
     pub applied: BTreeMap<u64, (u64, u64, u64)>,
-    /// In which leader's term each of them was committed: the first to apply it is that leader.
+    /// The leader's term in which each was committed: the first member to apply it is that leader.
     committed_in: BTreeMap<u64, u64>,
     /// Acknowledged proposals.
     pub acked: BTreeMap<u64, u64>,
 }
 
-fn end(stored: &Stored) -> (u64, u64) {
-    let base = stored.snapshot.as_ref().map_or((0, 0), |s| (s.at.index, s.at.term));
+fn end(stored: &StoredState) -> (u64, u64) {
+    let base = stored.snapshot.as_ref().map_or((0, 0), |s| (s.last.index, s.last.term));
     stored.entries.last().map_or(base, |e| (e.index.0, e.term))
 }
 
@@ -32,10 +32,10 @@
 
 impl Check {
     /// Log matching: an entry of one index and term is the same everywhere, as is the term before it.
-    pub fn written(&mut self, image: &mut Stored, batch: &Batch) -> Result<(), String> {
+    pub fn written(&mut self, image: &mut StoredState, batch: &WriteBatch) -> Result<(), String> {
         let mut bare = batch.clone();
         bare.append.clear();
-        image.write(&bare);
+        image.apply_batch(&bare);
         for entry in &batch.append {
             let (index, term) = end(image);
             if entry.index.0 != index + 1 {
@@ -52,7 +52,7 @@
     }
 
     /// Election safety, and leader completeness: what was committed in earlier terms is in a new leader's log.
-    pub fn role(&mut self, who: usize, role: Role, term: u64, image: &Stored) -> Result<(), String> {
+    pub fn role(&mut self, who: usize, role: Role, term: u64, image: &StoredState) -> Result<(), String> {
         if role != Role::Leader {
             self.leading.remove(&who);
             return Ok(());
@@ -62,7 +62,7 @@
         if first != who {
             return Err(format!("{first} and {who} lead in term {term}"));
         }
-        let base = image.snapshot.as_ref().map_or(0, |s| s.at.index);
+        let base = image.snapshot.as_ref().map_or(0, |s| s.last.index);
         for (index, (of, ..)) in self.applied.range(base + 1..) {
             let committed = self.committed_in[index];
             let place = usize::try_from(index - base - 1).unwrap();
@@ -85,7 +85,7 @@
         (host.digest, host.applied) = (hasher.finish(), index);
         let here = (term, ticket(data), host.digest);
         let first = *self.applied.entry(index).or_insert(here);
-        let leads_in = host.node.as_ref().map_or(0, |n| n.role().1);
+        let leads_in = host.node.as_ref().map_or(0, |n| n.term());
         self.committed_in.entry(index).or_insert(leads_in);
         if first != here {
             return Err(format!("{} applies {here:?} at {index}, another {first:?}", host.config.me));
@@ -114,16 +114,16 @@
         }
     }
 
-    /// At most one holds a lease, and it has all that anyone has applied.
+    /// At most one member holds a lease, and it knows everything that was applied anywhere.
     pub fn leases(&self, hosts: &[Host], now: u64) -> Result<bool, String> {
-        let holds = |h: &&Host| h.node.as_ref().is_some_and(|n| n.lease(h.clock(now)).is_some());
+        let holds = |h: &&Host| h.node.as_ref().is_some_and(|n| n.lease_expiry(h.clock(now)).is_some());
         let mut holders = self.leading.iter().map(|l| &hosts[*l]).filter(holds);
         let Some(first) = holders.next() else { return Ok(false) };
         if let Some(second) = holders.next() {
             return Err(format!("{} and {} both hold a lease", first.config.me, second.config.me));
         }
         let latest = self.applied.keys().next_back().copied().unwrap_or(0);
-        let commit = first.node.as_ref().map_or(0, |n| n.commit().0);
+        let commit = first.node.as_ref().map_or(0, |n| n.commit_index().0);
         if commit < latest {
             return Err(format!("{} holds a lease at {commit} though {latest} is applied", first.config.me));
         }
