--- a/crates/consensus/tests/simulation/host.rs
+++ b/crates/consensus/tests/simulation/host.rs
@@ -1,6 +1,6 @@
 //! One member's process: its node, its disk and its clock.
 use cluster_types::{MemberId, Time};
-use consensus::{Batch, Config, Event, Node, Stored};
+use consensus::{Config, Event, Node, StoredState, WriteBatch};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
     /// None while it is down.
     pub node: Option<Node>,
     /// What is on disk.
-    pub stored: Stored,
-    /// What the disk will have once all that waits is written.
-    pub image: Stored,
-    /// Batches that wait.
-    pub queue: VecDeque<Batch>,
-    /// Which start this is, so that what was meant for an earlier one is dropped.
-    pub start: u64,
-    /// It dies when it next has something to write: for how long, and whether its disk is lost.
+    pub stored: StoredState,
+    /// What the disk will hold once all pending batches are written.
+    pub image: StoredState,
+    /// Pending batches.
+    pub queue: VecDeque<WriteBatch>,
+    /// Numbers the starts, so that events for an earlier one are dropped.
+    pub start_count: u64,
+    /// It is killed when it next has something to write: for how many milliseconds, and whether its disk is lost.
     pub armed: Option<(u64, bool)>,
     pub failing: Option<bool>,
     pub takes_us: u64,
     pub paused_until: u64,
-    /// What came while it was stopped.
+    /// Events that arrived while it was paused.
     pub inbox: Vec<Event>,
     pub wake_at: Option<u64>,
     offset: u64,
     rate_ppm: i64,
-    /// The state machine: a digest of all that was applied, and up to where.
+    /// The state machine: a digest of everything applied.
     pub digest: u64,
     pub applied: u64,
 }
@@ -35,34 +35,34 @@
 pub fn config(me: usize, members: usize) -> Config {
     let name = |nth: usize| MemberId::from(format!("m{nth:03}").as_str());
     Config {
-        heartbeat: Duration::from_millis(60),
-        election_min: Duration::from_millis(300),
-        election_max: Duration::from_millis(600),
-        drift_ppm: 30_000,
-        batch_entries: 5,
-        batch_bytes: 512,
-        flights: 3,
-        log_entries: 60,
-        log_bytes: 64 << 10,
-        snapshot_after: 15,
-        snapshot_bytes: 4096,
-        chunk_bytes: 40,
-        proposals: 20,
-        barriers: 5,
-        unwritten: 4,
+        heartbeat_interval: Duration::from_millis(60),
+        min_election_timeout: Duration::from_millis(300),
+        max_election_timeout: Duration::from_millis(600),
+        max_clock_drift_ppm: 30_000,
+        max_message_entries: 5,
+        max_message_bytes: 512,
+        max_inflight_messages: 3,
+        max_log_entries: 60,
+        max_log_bytes: 64 << 10,
+        snapshot_threshold_entries: 15,
+        max_snapshot_bytes: 4096,
+        snapshot_chunk_bytes: 40,
+        max_pending_proposals: 20,
+        max_pending_read_barriers: 5,
+        max_pending_writes: 4,
         ..Config::new(name(me), (0..members).map(name).collect())
     }
 }
 
 impl Host {
-    pub fn new(me: usize, members: usize, life: u64, rate_ppm: i64) -> Host {
+    pub fn new(me: usize, members: usize, incarnation: u64, rate_ppm: i64) -> Host {
         Host {
             config: config(me, members),
             node: None,
-            stored: Stored::empty(life),
-            image: Stored::empty(life),
+            stored: StoredState::empty(incarnation),
+            image: StoredState::empty(incarnation),
             queue: VecDeque::new(),
-            start: 0,
+            start_count: 0,
             armed: None,
             failing: None,
             takes_us: 500,
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Its own clock.
+    /// What its clock shows at a true time.
     pub fn clock(&self, now: u64) -> Time {
         let now = i128::from(now);
-        let told = i128::from(self.offset) + now + now * i128::from(self.rate_ppm) / 1_000_000;
-        Time(u64::try_from(told).unwrap())
+        let shown = i128::from(self.offset) + now + now * i128::from(self.rate_ppm) / 1_000_000;
+        Time(u64::try_from(shown).unwrap())
     }
 
-    /// The first true time at which its clock shows that.
+    /// The first true time at which its clock shows a time.
     pub fn when(&self, shown: Time) -> u64 {
         let ahead = (i128::from(shown.0) - i128::from(self.offset)).max(0);
         let mut at = u64::try_from(ahead * 1_000_000 / i128::from(1_000_000 + self.rate_ppm)).unwrap();
@@ -94,32 +94,32 @@
     }
 
     /// Starts from disk, with a clock of another origin.
-    pub fn begin(&mut self, now: u64, origin: u64) -> Result<(), String> {
-        self.start += 1;
+    pub fn start(&mut self, now: u64, origin: u64) -> Result<(), String> {
+        self.start_count += 1;
         self.offset = origin;
         self.image = self.stored.clone();
         (self.digest, self.applied, self.paused_until) = (0, 0, 0);
         let node = Node::new(self.config.clone(), self.stored.clone(), self.clock(now), origin)
-            .map_err(|fault| format!("{} can't start: {fault}", self.config.me))?;
+            .map_err(|error| format!("{} can't start: {error}", self.config.me))?;
         self.node = Some(node);
         Ok(())
     }
 
-    /// Stops at once; so many of the waiting batches reached the disk.
+    /// Stops at once; `written` of the pending batches have reached the disk.
     pub fn kill(&mut self, written: usize) {
         self.node = None;
         self.inbox.clear();
         let done = written.min(self.queue.len());
         for batch in self.queue.drain(..).take(done) {
-            self.stored.write(&batch);
+            self.stored.apply_batch(&batch);
         }
         self.queue.clear();
         (self.wake_at, self.failing, self.takes_us) = (None, None, 500);
     }
 
-    /// Whether what is on disk says that its life is admitted.
-    pub fn admitted(&self, now: u64) -> bool {
+    /// Whether the stored state says that its incarnation is admitted.
+    pub fn is_admitted(&self, now: u64) -> bool {
         let node = Node::new(self.config.clone(), self.stored.clone(), self.clock(now), 0);
-        node.is_ok_and(|n| n.lives().get(&self.config.me) == Some(&self.stored.life))
+        node.is_ok_and(|n| n.incarnations().get(&self.config.me) == Some(&self.stored.incarnation))
     }
 }
--- a/crates/consensus/tests/simulation/main.rs
+++ b/crates/consensus/tests/simulation/main.rs
@@ -47,10 +47,10 @@
     }
 }
 
-fn many(members: usize, usual: u64, limits: Limits) {
+fn many(members: usize, default_count: u64, limits: Limits) {
     let (from, count) = match number("CONSENSUS_SEED") {
         Some(seed) => (seed, 1),
-        None => (0, number("CONSENSUS_SCHEDULES").unwrap_or(usual)),
+        None => (0, number("CONSENSUS_SCHEDULES").unwrap_or(default_count)),
     };
     let mut total = Report::default();
     for seed in from..from + count {
@@ -62,61 +62,61 @@
 }
 
 #[test]
-fn three() {
-    many(3, 30, Limits::usual());
+fn three_members() {
+    many(3, 30, Limits::standard());
 }
 
 #[test]
-fn five() {
-    many(5, 12, Limits::usual());
+fn five_members() {
+    many(5, 12, Limits::standard());
 }
 
 #[test]
-fn four_and_one() {
-    many(4, 6, Limits::usual());
-    many(1, 5, Limits::usual());
+fn four_members_and_one_member() {
+    many(4, 6, Limits::standard());
+    many(1, 5, Limits::standard());
 }
 
 #[test]
-fn seven() {
-    many(7, 6, Limits::usual());
+fn seven_members() {
+    many(7, 6, Limits::standard());
 }
 
-/// Leaders that reach some, and followers that forget whom they heard.
+/// Leaders that reach some members only, and followers that forget their leader by a restart.
 #[test]
-fn parted() {
-    many(3, 80, Limits { kinds: schedule::PARTED, faults: 60, ..Limits::usual() });
+fn partitions_and_restarts() {
+    many(3, 80, Limits { kinds: schedule::PARTITIONS, faults: 60, ..Limits::standard() });
 }
 
 #[test]
-fn many_members() {
-    many(25, 2, Limits { span_ms: 3_000, ..Limits::usual() });
-    many(100, 1, Limits { span_ms: 2_000, ..Limits::usual() });
+fn large_groups() {
+    many(25, 2, Limits { span_ms: 3_000, ..Limits::standard() });
+    many(100, 1, Limits { span_ms: 2_000, ..Limits::standard() });
 }
 
-/// Faults while the group is being founded.
+/// Faults while the group is bootstrapped.
 #[test]
-fn founding() {
-    many(3, 40, Limits { span_ms: 1_500, ..Limits::usual() });
-    many(5, 15, Limits { span_ms: 1_500, ..Limits::usual() });
+fn faults_during_bootstrap() {
+    many(3, 40, Limits { span_ms: 1_500, ..Limits::standard() });
+    many(5, 15, Limits { span_ms: 1_500, ..Limits::standard() });
 }
 
-/// More disks are lost than a quorum can do without, but not all: nothing is promised that does not hold.
+/// More disks are lost than a quorum can spare, but not all: no promise is broken.
 #[test]
-fn majority_lost_is_safe() {
-    many(3, 20, Limits { disks: Some(2), ..Limits::usual() });
-    many(5, 8, Limits { disks: Some(4), ..Limits::usual() });
+fn majority_of_lost_disks_is_safe() {
+    many(3, 20, Limits { disks: Some(2), ..Limits::standard() });
+    many(5, 8, Limits { disks: Some(4), ..Limits::standard() });
 }
 
 /// A majority of disks lost at once leaves the group without a leader, for good.
 #[test]
-fn majority_lost_is_stuck() {
+fn majority_of_lost_disks_leaves_no_leader() {
     for seed in 0..10 {
         let lose =
             |host, at_ms| Fault { at_ms, kind: Kind::Kill { host, down_ms: 50, lose: true, written: 0 } };
         let faults = vec![lose(1, 6_000), lose(2, 6_000)];
         let schedule =
-            Schedule { members: 3, seed, faults, limits: Limits { disks: Some(2), ..Limits::usual() } };
+            Schedule { members: 3, seed, faults, limits: Limits { disks: Some(2), ..Limits::standard() } };
         let report = run(schedule);
         assert!(report.stuck == 1, "seed {seed}: {report:?}");
     }
--- a/crates/consensus/tests/simulation/report.rs
+++ b/crates/consensus/tests/simulation/report.rs
@@ -1,4 +1,4 @@
-//! What came of a schedule.
+//! What happened in a schedule.
 
 #[derive(Debug, Default)]
 pub struct Report {
--- a/crates/consensus/tests/simulation/schedule.rs
+++ b/crates/consensus/tests/simulation/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults happen when.
+//! Schedules of faults.
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -7,7 +7,7 @@
     pub faults: usize,
     /// Faults begin within this time.
     pub span_ms: u64,
-    /// So many disks may be lost without being admitted again; a minority by default.
+    /// How many disks may be lost without being readmitted; a minority by default.
     pub disks: Option<usize>,
     /// Which kinds of faults are drawn.
     pub kinds: &'static [u32],
@@ -15,11 +15,11 @@
 
 /// All of them.
 const ALL: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11];
-/// Those that part a leader from some, and restart others: what a lease must stand.
-pub const PARTED: &[u32] = &[0, 0, 0, 0, 2, 3, 5, 5, 5, 6];
+/// Those that cut a leader off from some, and restart others: what a lease must withstand.
+pub const PARTITIONS: &[u32] = &[0, 0, 0, 0, 2, 3, 5, 5, 5, 6];
 
 impl Limits {
-    pub fn usual() -> Limits {
+    pub fn standard() -> Limits {
         Limits { faults: 25, span_ms: 8_000, disks: None, kinds: ALL }
     }
 }
@@ -30,17 +30,17 @@
     Cut { from: usize, to: usize, for_ms: u64 },
     /// Both ways, from and to all.
     Isolate { host: usize, for_ms: u64 },
-    /// Hears all but is not heard, or the reverse.
-    HalfDeaf { host: usize, deaf: bool, for_ms: u64 },
-    /// Stopped and woken again; its clock goes on.
+    /// Receives but cannot send, or the reverse.
+    OneWay { host: usize, is_receiving_cut: bool, for_ms: u64 },
+    /// The process is stopped and continued; its clock goes on.
     Pause { host: usize, for_ms: u64 },
-    /// Of the batches that wait, so many are written.
+    /// `written` of the pending batches reach the disk.
     Kill { host: usize, down_ms: u64, lose: bool, written: usize },
-    /// Dies as soon as a batch waits, with what it said by then on its way.
+    /// Killed as soon as a batch is pending, with the messages sent by then on their way.
     KillWriting { host: usize, down_ms: u64, lose: bool },
-    /// Batches fail; the first that does may be written all the same.
+    /// Batches fail; the first one may have been written all the same.
     DiskFail { host: usize, for_ms: u64, written: bool },
-    /// Each batch takes so long.
+    /// Each batch takes this long.
     DiskSlow { host: usize, for_ms: u64, takes_ms: u64 },
     /// Percent of messages.
     Net { lose: u32, twice: u32, late_ms: u64, for_ms: u64 },
@@ -71,7 +71,7 @@
                 let kind = match limits.kinds[rng.random_range(0..limits.kinds.len())] {
                     0 => Kind::Cut { from: host, to: rng.random_range(0..members), for_ms },
                     1 => Kind::Isolate { host, for_ms },
-                    2 => Kind::HalfDeaf { host, deaf: rng.random(), for_ms },
+                    2 => Kind::OneWay { host, is_receiving_cut: rng.random(), for_ms },
                     3 | 4 => Kind::Pause { host, for_ms },
                     5 => Kind::Kill {
                         host,
--- a/crates/consensus/tests/simulation/world.rs
+++ b/crates/consensus/tests/simulation/world.rs
@@ -8,11 +8,11 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub enum What {
-    Packet { from: usize, life: u64, to: usize, message: Message },
+pub enum Step {
+    Packet { from: usize, incarnation: u64, to: usize, message: Message },
     Wake(usize),
     Disk { host: usize, start: u64, batch: u64 },
-    Begin(usize),
+    Start(usize),
     Resume(usize),
     Fault(usize),
     DiskEnds { host: usize, start: u64 },
@@ -26,16 +26,16 @@
     pub rng: SmallRng,
     pub now: u64,
     pub seq: u64,
-    pub agenda: BTreeMap<(u64, u64), What>,
+    pub agenda: BTreeMap<(u64, u64), Step>,
     pub hosts: Vec<Host>,
-    /// Cut ways, each as often as it was cut.
+    /// Cut links by sender and receiver, with how often each was cut.
     pub cuts: BTreeMap<(usize, usize), u32>,
     pub net: (u32, u32, u64),
     pub lost: BTreeSet<usize>,
     pub check: Check,
     pub reads: BTreeMap<u64, u64>,
     pub tickets: u64,
-    pub lives: u64,
+    pub incarnations: u64,
     pub report: Report,
 }
 
@@ -60,17 +60,17 @@
             check: Check::default(),
             reads: BTreeMap::new(),
             tickets: 0,
-            lives: schedule.members as u64,
+            incarnations: schedule.members as u64,
             report: Report::default(),
         };
         for host in 0..schedule.members {
             let at = world.rng.random_range(0..50);
-            world.plan(at, What::Begin(host));
+            world.plan(at, Step::Start(host));
         }
         for (nth, fault) in schedule.faults.iter().enumerate() {
-            world.plan(fault.at_ms, What::Fault(nth));
+            world.plan(fault.at_ms, Step::Fault(nth));
         }
-        world.plan(10, What::Client);
+        world.plan(10, Step::Client);
         world.play(schedule.limits.span_ms + 3_000)?;
         let before = world.check.acked.len();
         let until = world.now / 1000 + QUIET_MS;
@@ -84,11 +84,11 @@
         }
     }
 
-    pub fn plan(&mut self, in_ms: u64, what: What) {
+    pub fn plan(&mut self, in_ms: u64, what: Step) {
         self.plan_us(in_ms * 1000, what);
     }
 
-    pub fn plan_us(&mut self, in_us: u64, what: What) {
+    pub fn plan_us(&mut self, in_us: u64, what: Step) {
         self.seq += 1;
         self.agenda.insert((self.now + in_us, self.seq), what);
     }
@@ -110,56 +110,56 @@
         Ok(())
     }
 
-    fn step(&mut self, what: What) -> Result<(), String> {
+    fn step(&mut self, what: Step) -> Result<(), String> {
         match what {
-            What::Packet { from, life, to, message } => {
+            Step::Packet { from, incarnation, to, message } => {
                 let from = self.hosts[from].config.me.clone();
-                self.give(to, Event::Message { from, life, message })
+                self.give(to, Event::Message { from, incarnation, message })
             }
-            What::Wake(host) if self.hosts[host].wake_at == Some(self.now) => self.give(host, Event::Tick),
-            What::Wake(_) => Ok(()),
-            What::Disk { host, start, batch } => self.disk(host, start, batch),
-            What::Begin(host) => {
+            Step::Wake(host) if self.hosts[host].wake_at == Some(self.now) => self.give(host, Event::Tick),
+            Step::Wake(_) => Ok(()),
+            Step::Disk { host, start, batch } => self.disk(host, start, batch),
+            Step::Start(host) => {
                 let (now, origin) = (self.now, self.rng.random_range(1..1 << 40));
-                self.hosts[host].begin(now, origin)?;
+                self.hosts[host].start(now, origin)?;
                 self.give(host, Event::Tick)
             }
-            What::Resume(host) if self.hosts[host].paused_until == self.now => {
+            Step::Resume(host) if self.hosts[host].paused_until == self.now => {
                 let events = std::mem::take(&mut self.hosts[host].inbox);
                 events.into_iter().chain([Event::Tick]).try_for_each(|event| self.give(host, event))
             }
-            What::Resume(_) => Ok(()),
-            What::Fault(nth) => self.fault(&self.schedule.faults[nth].kind),
-            What::DiskEnds { host, start } if self.hosts[host].start == start => {
+            Step::Resume(_) => Ok(()),
+            Step::Fault(nth) => self.fault(&self.schedule.faults[nth].kind),
+            Step::DiskEnds { host, start } if self.hosts[host].start_count == start => {
                 self.hosts[host].takes_us = 500;
                 let failed = self.hosts[host].failing.take().is_some();
                 if failed {
-                    self.give(host, Event::Recovered)
+                    self.give(host, Event::StorageRecovered)
                 } else {
                     Ok(())
                 }
             }
-            What::DiskEnds { .. } => Ok(()),
-            What::NetEnds => {
+            Step::DiskEnds { .. } => Ok(()),
+            Step::NetEnds => {
                 self.net = (0, 0, 3);
                 Ok(())
             }
-            What::Mend { from, to } => {
+            Step::Mend { from, to } => {
                 *self.cuts.entry((from, to)).or_default() -= 1;
                 Ok(())
             }
-            What::Client => self.client(),
+            Step::Client => self.client(),
         }
     }
 
     fn client(&mut self) -> Result<(), String> {
-        // Now and then all is idle for long: then those that were cut off miss nothing, and may be voted for.
+        // Now and then the clients are idle for long: members that were cut off then miss nothing, and may be elected.
         let idle = self.rng.random_bool(0.04);
         let wait = if idle { self.rng.random_range(300..1_500) } else { self.rng.random_range(5..60) };
-        self.plan(wait, What::Client);
+        self.plan(wait, Step::Client);
         let mut host = self.rng.random_range(0..self.hosts.len());
-        // Most clients are told who leads.
-        let hint = self.hosts[host].node.as_ref().and_then(|n| n.role().2);
+        // Most clients know the leader.
+        let hint = self.hosts[host].node.as_ref().and_then(|n| n.leader());
         let leader = hint.and_then(|l| self.hosts.iter().position(|h| h.config.me == *l));
         if let Some(leader) = leader.filter(|_| self.rng.random_bool(0.7)) {
             host = leader;
@@ -169,7 +169,7 @@
         if self.rng.random_bool(0.2) {
             let latest = self.check.applied.keys().next_back().copied().unwrap_or(0);
             self.reads.insert(ticket, latest);
-            return self.give(host, Event::Barrier { ticket });
+            return self.give(host, Event::ReadBarrier { ticket });
         }
         let mut data = ticket.to_le_bytes().to_vec();
         data.resize(8 + self.rng.random_range(0..100), 7);
@@ -178,32 +178,32 @@
 
     fn disk(&mut self, host: usize, start: u64, batch: u64) -> Result<(), String> {
         let there = &mut self.hosts[host];
-        if there.start != start || there.queue.front().is_none_or(|b| b.id != batch) {
+        if there.start_count != start || there.queue.front().is_none_or(|b| b.id != batch) {
             return Ok(());
         }
         if let Some(written) = there.failing {
             let first = there.queue.drain(..).next();
             if let Some(first) = first.filter(|_| written) {
-                there.stored.write(&first);
+                there.stored.apply_batch(&first);
             }
             there.image = there.stored.clone();
-            return self.give(host, Event::PersistFailed { batch });
+            return self.give(host, Event::PersistFailed { batch_id: batch });
         }
         if let Some(done) = there.queue.pop_front() {
-            there.stored.write(&done);
+            there.stored.apply_batch(&done);
         }
         self.next_write(host);
-        if self.lost.contains(&host) && self.hosts[host].admitted(self.now) {
+        if self.lost.contains(&host) && self.hosts[host].is_admitted(self.now) {
             self.lost.remove(&host);
         }
-        self.give(host, Event::Persisted { batch })
+        self.give(host, Event::Persisted { batch_id: batch })
     }
 
     pub fn next_write(&mut self, host: usize) {
         let there = &self.hosts[host];
-        let (start, takes) = (there.start, there.takes_us);
+        let (start, takes) = (there.start_count, there.takes_us);
         if let Some(batch) = there.queue.front().map(|b| b.id) {
-            self.plan_us(takes, What::Disk { host, start, batch });
+            self.plan_us(takes, Step::Disk { host, start, batch });
         }
     }
 
@@ -230,11 +230,11 @@
                 return Ok(());
             }
         }
-        let wake = there.node.as_ref().and_then(|n| n.wake()).map(|w| there.when(w).max(now + 1));
+        let wake = there.node.as_ref().and_then(|n| n.next_wakeup()).map(|w| there.when(w).max(now + 1));
         if wake != there.wake_at {
             there.wake_at = wake;
             if let Some(at) = wake {
-                self.plan_us(at - now, What::Wake(host));
+                self.plan_us(at - now, Step::Wake(host));
             }
         }
         Ok(())
--- a/crates/coordination/src/apply.rs
+++ b/crates/coordination/src/apply.rs
@@ -5,7 +5,7 @@
 use crate::mail::ToFront;
 use crate::store::Write;
 use cluster_types::{Index, Time};
-use consensus::{Action, Event, Why};
+use consensus::{Action, Event, Rejection};
 use maintenance::{Command, Effect, Report};
 use std::sync::mpsc::TrySendError;
 
@@ -32,7 +32,7 @@
                     self.disk.try_send(Write::Batch(batch))
                 {
                     // Guards promises: what is not even handed to the disk is not on it.
-                    self.log_event(Event::PersistFailed { batch: id });
+                    self.log_event(Event::PersistFailed { batch_id: id });
                 }
             }
             Action::Apply { index, data, .. } => {
@@ -61,23 +61,23 @@
                     (self.log)("accord error=a snapshot can't be read; this front follows nothing any more")
                 }
             },
-            Action::WantSnapshot { upto } => {
+            Action::SnapshotRequested { last_index: upto } => {
                 if let Some(data) = self.ledger.snapshot() {
                     let upto = Index(upto.0.max(self.ledger.applied.0));
-                    self.log_event(Event::Snapshot { upto, data: data.into() });
+                    self.log_event(Event::SnapshotTaken { last_index: upto, data: data.into() });
                 }
             }
             Action::Committed { ticket, .. } => {
                 self.proposed.remove(&ticket);
             }
-            Action::Refused { ticket, why } => {
+            Action::Rejected { ticket, reason: why } => {
                 self.proposed.remove(&ticket);
-                if !matches!(why, Why::NotLeader(_)) {
+                if !matches!(why, Rejection::NotLeader(_)) {
                     (self.log)(&format!("accord proposal refused={why:?}"));
                 }
             }
             Action::Readable { .. } => {}
-            Action::Role { role, term, leader } => {
+            Action::RoleChanged { role, term, leader } => {
                 let leader = leader.as_ref().map_or("none", |l| &l.0);
                 (self.log)(&format!("accord role={role:?} term={term} leader={leader}"));
                 // A leader begins with nothing of what an earlier one knew.
--- a/crates/coordination/src/calls.rs
+++ b/crates/coordination/src/calls.rs
@@ -106,20 +106,19 @@
 
     /// How everything stands: one thing on a line.
     fn status(&self) -> String {
-        let (role, term, leader) = self.node.role();
         let view = self.view.lock();
         standing(&Standing {
             me: &self.settings.me,
-            role,
-            term,
-            leader,
-            commit: self.node.commit(),
+            role: self.node.role(),
+            term: self.node.term(),
+            leader: self.node.leader(),
+            commit: self.node.commit_index(),
             leased: self.front.leased(self.clock.now()),
             members: &view.members,
             figures: &view.figures,
             doubts: &view.doubts,
             frames: &self.counts,
-            refused: self.node.counts(),
+            refused: self.node.counters(),
             ledger: &self.ledger,
         })
     }
@@ -148,7 +147,7 @@
     /// What was bad on the links.
     pub frames: &'a crate::links::Counts,
     /// What the log refused.
-    pub refused: consensus::Counts,
+    pub refused: consensus::Counters,
     /// What the log comes to.
     pub ledger: &'a Ledger,
 }
@@ -165,7 +164,13 @@
     let _ = writeln!(out, "membership {}", of.figures);
     let _ = writeln!(out, "frames {:?}", of.frames);
     let (refused, desk) = (&of.refused, &of.ledger.desk);
-    let _ = writeln!(out, "refused {refused:?} commands={} unread={}", desk.refused(), of.ledger.unread);
+    let _ = writeln!(
+        out,
+        "refused {} commands={} unread={}",
+        refused_text(refused),
+        desk.refused(),
+        of.ledger.unread
+    );
     for (subject, verdict) in of.doubts {
         let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
     }
@@ -179,3 +184,18 @@
     }
     out
 }
+
+/// The counters of the log under the names that operators know.
+fn refused_text(counters: &consensus::Counters) -> String {
+    format!(
+        "Counts {{ foreign: {}, unadmitted: {}, stale: {}, malformed: {}, full: {}, leased: {}, disk: {}, unknown: {} }}",
+        counters.unknown_sender,
+        counters.unadmitted_incarnation,
+        counters.stale,
+        counters.malformed,
+        counters.over_capacity,
+        counters.lease_active,
+        counters.storage_failed,
+        counters.unknown_batch,
+    )
+}
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -102,7 +102,7 @@
         let mut turn = Time(0);
         loop {
             let now = self.clock.now();
-            let wakes = [self.node.wake(), self.front.wake(), Some(turn + TURN)];
+            let wakes = [self.node.next_wakeup(), self.front.wake(), Some(turn + TURN)];
             let wake = wakes.into_iter().flatten().min().unwrap_or(now + TURN);
             match inbox.recv_timeout(wake.since(now).max(Duration::from_millis(1))) {
                 Ok(first) => {
@@ -141,9 +141,13 @@
                 let frame = Frame::Reports(reports);
                 self.outbox.keys().for_each(|to| self.send(to, &frame));
             }
-            Inbox::Disk(Wrote::Batch(batch)) => self.log_event(consensus::Event::Persisted { batch }),
-            Inbox::Disk(Wrote::Failed(batch)) => self.log_event(consensus::Event::PersistFailed { batch }),
-            Inbox::Disk(Wrote::Recovered) => self.log_event(consensus::Event::Recovered),
+            Inbox::Disk(Wrote::Batch(batch)) => {
+                self.log_event(consensus::Event::Persisted { batch_id: batch })
+            }
+            Inbox::Disk(Wrote::Failed(batch)) => {
+                self.log_event(consensus::Event::PersistFailed { batch_id: batch })
+            }
+            Inbox::Disk(Wrote::Recovered) => self.log_event(consensus::Event::StorageRecovered),
             Inbox::Disk(Wrote::Kept(serial)) => self.own(now, maintenance::Event::Saved { serial }),
         }
     }
@@ -151,12 +155,14 @@
     fn frame(&mut self, now: Time, from: MemberId, frame: Frame) {
         match frame {
             Frame::Hello => {}
-            Frame::Log { life, message } => self.log_event(consensus::Event::Message { from, life, message }),
+            Frame::Log { life, message } => {
+                self.log_event(consensus::Event::Message { from, incarnation: life, message })
+            }
             Frame::Forward { ticket, what } => self.propose(now, from, ticket, what),
             Frame::Measured { asked, seen, measures } => {
                 self.measured.insert(from.clone(), Measured { came: now, seen, measures: *measures });
                 // Only while nobody else can lead: a leader that was cut off must not go on granting.
-                if self.node.lease(now).is_some() {
+                if self.node.lease_expiry(now).is_some() {
                     let span = self.settings.lease;
                     self.leases.insert(from.clone(), now + span);
                     let span = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
@@ -177,7 +183,7 @@
 
     /// Puts an entry into the log, where this front leads.
     pub fn propose(&mut self, now: Time, by: MemberId, ticket: u64, what: What) {
-        if self.node.role().0 != Role::Leader {
+        if self.node.role() != Role::Leader {
             return;
         }
         let at_ms = u64::try_from(unix().as_millis()).unwrap_or(u64::MAX);
@@ -201,9 +207,9 @@
     /// Hands something to the leader, where one is known; it is said again until it is in the log.
     pub fn forward(&mut self, now: Time, ticket: u64, what: What) {
         let me = self.settings.me.clone();
-        match self.node.role() {
-            (Role::Leader, ..) => self.propose(now, me, ticket, what),
-            (_, _, Some(leader)) => {
+        match (self.node.role(), self.node.leader()) {
+            (Role::Leader, _) => self.propose(now, me, ticket, what),
+            (_, Some(leader)) => {
                 let leader = leader.clone();
                 self.send(&leader, &Frame::Forward { ticket, what });
             }
--- a/crates/coordination/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -68,10 +68,10 @@
 
 fn config(settings: &Settings) -> Config {
     let mut config = Config::new(settings.me.clone(), settings.members.keys().cloned().collect());
-    config.heartbeat = settings.election / 5;
-    config.election_min = settings.election;
-    config.election_max = 2 * settings.election;
-    config.drift_ppm = (settings.drift * 1e6) as u32;
+    config.heartbeat_interval = settings.election / 5;
+    config.min_election_timeout = settings.election;
+    config.max_election_timeout = 2 * settings.election;
+    config.max_clock_drift_ppm = (settings.drift * 1e6) as u32;
     config
 }
 
--- a/crates/coordination/src/store.rs
+++ b/crates/coordination/src/store.rs
@@ -1,7 +1,7 @@
 //! The thread that writes. Batches of the log and what the front's own side keeps go to the disk in the order in which they
 //! came; after one has failed, none that came later is written until the disk has been found well again.
 use crate::disk::{Change, Content, Disk, Fault};
-use consensus::{Batch, Stored};
+use consensus::{StoredState, WriteBatch};
 use serde::de::DeserializeOwned;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// What is to be written.
 pub enum Write {
     /// A batch of the log.
-    Batch(Batch),
+    Batch(WriteBatch),
     /// What the front's own side keeps, with its number.
     Kept(u64, Vec<u8>),
 }
@@ -31,27 +31,27 @@
 }
 
 /// A batch as a change of the store.
-pub fn change(batch: &Batch) -> Result<Change, Fault> {
+pub fn change(batch: &WriteBatch) -> Result<Change, Fault> {
     let bytes = |value: Result<Vec<u8>, postcard::Error>| value.map_err(|e| Fault(e.to_string()));
     let append = batch.append.iter().map(|e| Ok((e.index.0, bytes(postcard::to_stdvec(e))?)));
-    let snapshot = batch.snapshot.as_ref().map(|s| Ok((s.at.index, bytes(postcard::to_stdvec(s))?)));
+    let snapshot = batch.snapshot.as_ref().map(|s| Ok((s.last.index, bytes(postcard::to_stdvec(s))?)));
     Ok(Change {
-        hard: Some(bytes(postcard::to_stdvec(&batch.hard))?),
+        hard: Some(bytes(postcard::to_stdvec(&batch.hard_state))?),
         kept: None,
         snapshot: snapshot.transpose()?,
-        truncate: batch.truncate.map(|i| i.0),
+        truncate: batch.truncate_from.map(|i| i.0),
         append: append.collect::<Result<_, Fault>>()?,
     })
 }
 
 /// What the store held at the start, as the log wants it.
-pub fn stored(content: &Content) -> Result<Stored, Fault> {
+pub fn stored(content: &Content) -> Result<StoredState, Fault> {
     fn read<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T, Fault> {
         postcard::from_bytes(bytes).map_err(|e| Fault(format!("{what} in the store can't be read: {e}")))
     }
-    let mut stored = Stored::empty(content.life);
+    let mut stored = StoredState::empty(content.life);
     if let Some(hard) = &content.hard {
-        stored.hard = read("the hard state", hard)?;
+        stored.hard_state = read("the hard state", hard)?;
     }
     if let Some(snapshot) = &content.snapshot {
         stored.snapshot = Some(read("the snapshot", snapshot)?);
@@ -97,7 +97,7 @@
 
 impl Writer<'_> {
     /// A batch that fails is the log's to write again.
-    fn batch(&mut self, batch: &Batch) {
+    fn batch(&mut self, batch: &WriteBatch) {
         if self.failed {
             return (self.told)(Wrote::Failed(batch.id));
         }
--- a/crates/coordination/src/turn.rs
+++ b/crates/coordination/src/turn.rs
@@ -43,7 +43,7 @@
         }
         // No more often than anything new is measured: each turn would find figures that differ a little.
         let due = now.since(self.last[0]) >= MEASURED;
-        if due && self.node.role().0 == Role::Leader && self.node.lease(now).is_some() {
+        if due && self.node.role() == Role::Leader && self.node.lease_expiry(now).is_some() {
             self.last[0] = now;
             self.lead(now);
         }
@@ -76,15 +76,15 @@
 
     /// Tells the leader what was measured, and asks for the lease; the leader has its own.
     fn ask(&mut self, now: Time) {
-        let leader = match self.node.role() {
-            (Role::Leader, ..) => {
+        let leader = match (self.node.role(), self.node.leader()) {
+            (Role::Leader, _) => {
                 // It gives itself what it gives the others, and like them only while nobody else can lead.
-                if self.node.lease(now).is_some() {
+                if self.node.lease_expiry(now).is_some() {
                     self.leased(now, self.settings.lease);
                 }
                 return;
             }
-            (_, _, leader) => leader.cloned(),
+            (_, leader) => leader.cloned(),
         };
         let (Some(leader), Some(own)) = (leader, self.measured.get(&self.settings.me)) else { return };
         let measures = Box::new(own.measures.clone());
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -92,8 +92,8 @@
 
 #[test]
 fn frames_between_members_keep_their_bytes() {
-    let last = consensus::Position { term: 6, index: 200 };
-    let log = Frame::Log { life: 1 << 40, message: consensus::Message::Vote { term: 7, last } };
+    let last = consensus::LogPosition { term: 6, index: 200 };
+    let log = Frame::Log { life: 1 << 40, message: consensus::Message::VoteRequest { term: 7, last } };
     check_frame("frame.hello", MEMBERS, &Frame::Hello);
     check_frame("frame.log", MEMBERS, &log);
     check_frame("frame.forward", MEMBERS, &Frame::Forward { ticket: 300, what: What::Order(order()) });
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -62,15 +62,15 @@
     for (counter, value) in counters.into_iter().zip(21..) {
         counter.store(value, std::sync::atomic::Ordering::Relaxed);
     }
-    let refused = consensus::Counts {
-        foreign: 31,
-        unadmitted: 32,
+    let refused = consensus::Counters {
+        unknown_sender: 31,
+        unadmitted_incarnation: 32,
         stale: 33,
         malformed: 34,
-        full: 35,
-        leased: 36,
-        disk: 37,
-        unknown: 38,
+        over_capacity: 35,
+        lease_active: 36,
+        storage_failed: 37,
+        unknown_batch: 38,
     };
     let roles = [
         (consensus::Role::Follower, Some(golden_support::member(2))),
--- a/crates/coordination/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -6,7 +6,7 @@
 mod golden_support;
 
 use cluster_types::Index;
-use consensus::{Batch, Entry, Hard, Payload, Position, Snapshot};
+use consensus::{Entry, HardState, LogPosition, Payload, Snapshot, Vote, WriteBatch};
 use coordination::disk::{Change, Content, Disk};
 use coordination::store;
 use golden_support::{golden, kept};
@@ -45,19 +45,27 @@
     Entry { index: Index(index), term: 7, payload }
 }
 
-fn hard(commit: u64) -> Hard {
-    Hard { term: 7, vote: Some(("front-2".into(), LIFE)), commit: Index(commit) }
+fn hard(commit: u64) -> HardState {
+    HardState {
+        term: 7,
+        vote: Some(Vote { candidate: "front-2".into(), incarnation: LIFE }),
+        commit: Index(commit),
+    }
 }
 
 fn snapshot() -> Snapshot {
     let lives = [("front-1".into(), LIFE), ("front-2".into(), 300)].into();
-    Snapshot { at: Position { term: 7, index: 2 }, lives, data: b"state".as_slice().into() }
+    Snapshot {
+        last: LogPosition { term: 7, index: 2 },
+        incarnations: lives,
+        data: b"state".as_slice().into(),
+    }
 }
 
 /// The writes of a member: entries, one of them written again, a snapshot that takes the place of two, and what the front keeps.
 fn write_all(disk: &Disk) {
-    let founding = Payload::Founding(snapshot().lives);
-    let readmit = Payload::Readmit { member: "front-2".into(), life: 300 };
+    let founding = Payload::Bootstrap(snapshot().incarnations);
+    let readmit = Payload::Readmit { member: "front-2".into(), incarnation: 300 };
     let data = Payload::Data([0, 127, 255].as_slice().into());
     let append = vec![
         entry(1, founding),
@@ -66,10 +74,17 @@
         entry(4, Payload::Noop),
         entry(5, data.clone()),
     ];
-    let first = Batch { id: 1, hard: hard(1), truncate: None, snapshot: None, append };
+    let first = WriteBatch { id: 1, hard_state: hard(1), truncate_from: None, snapshot: None, append };
     let append = vec![entry(4, data), entry(5, Payload::Noop)];
-    let second = Batch { id: 2, hard: hard(2), truncate: Some(Index(4)), snapshot: None, append };
-    let third = Batch { id: 3, hard: hard(4), truncate: None, snapshot: Some(snapshot()), append: vec![] };
+    let second =
+        WriteBatch { id: 2, hard_state: hard(2), truncate_from: Some(Index(4)), snapshot: None, append };
+    let third = WriteBatch {
+        id: 3,
+        hard_state: hard(4),
+        truncate_from: None,
+        snapshot: Some(snapshot()),
+        append: vec![],
+    };
     for batch in [first, second, third] {
         disk.write(&store::change(&batch).unwrap()).unwrap();
     }
@@ -81,8 +96,8 @@
     let kept: maintenance::Kept = postcard::from_bytes(content.kept.as_deref().unwrap()).unwrap();
     assert_eq!(kept, golden_support::kept());
     let stored = store::stored(content).unwrap();
-    assert_eq!((stored.life, &stored.hard, stored.snapshot), (LIFE, &hard(4), Some(snapshot())));
-    let readmit = Payload::Readmit { member: "front-2".into(), life: 300 };
+    assert_eq!((stored.incarnation, &stored.hard_state, stored.snapshot), (LIFE, &hard(4), Some(snapshot())));
+    let readmit = Payload::Readmit { member: "front-2".into(), incarnation: 300 };
     let data = Payload::Data([0, 127, 255].as_slice().into());
     assert_eq!(stored.entries, [entry(3, readmit), entry(4, data), entry(5, Payload::Noop)]);
 }
--- a/crates/scale-bench/src/log/group.rs
+++ b/crates/scale-bench/src/log/group.rs
@@ -4,7 +4,7 @@
 use crate::plan::Bound;
 use crate::{cpu, Error};
 use cluster_types::{MemberId, Time};
-use consensus::{Action, Config, Event, Message, Node, Role, Stored};
+use consensus::{Action, Config, Event, Message, Node, Role, StoredState};
 use message_auth::{Keys, Opener, Sealer, FRAME};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -64,7 +64,7 @@
         let mut host = |nth: usize| -> Result<Host, Error> {
             let (me, life) = (names[nth].clone(), life(nth));
             let config = Config::new(me.clone(), names.clone());
-            let node = Node::new(config, Stored::empty(life), Time(0), rng.random());
+            let node = Node::new(config, StoredState::empty(life), Time(0), rng.random());
             let node = node.map_err(|e| Error::part("consensus", e))?;
             let sealer = Sealer::new(keys.clone(), me.clone(), life).bound(FRAME);
             let opener = Opener::new(keys.clone(), me).bound(FRAME);
@@ -134,11 +134,11 @@
         };
         self.now = at;
         match due {
-            Due::Wake if self.hosts[whom].node.wake().is_some_and(|wake| wake.0 <= at) => {
+            Due::Wake if self.hosts[whom].node.next_wakeup().is_some_and(|wake| wake.0 <= at) => {
                 self.give(whom, Event::Tick);
             }
             Due::Wake => {}
-            Due::Written(batch) => self.give(whom, Event::Persisted { batch }),
+            Due::Written(batch) => self.give(whom, Event::Persisted { batch_id: batch }),
             Due::Sealed(bytes) => {
                 let (event, took) = cpu::timed(|| self.hosts[whom].open(&bytes));
                 self.hosts[whom].cpu_us += took;
@@ -154,7 +154,7 @@
         let (now, host, mut out) = (self.now, &mut self.hosts[whom], Vec::new());
         let (wake, took) = cpu::timed(|| {
             host.node.handle(Time(now), event, &mut out);
-            host.node.wake()
+            host.node.next_wakeup()
         });
         host.cpu_us += took;
         for action in out {
@@ -205,7 +205,7 @@
         let end = self.now + within;
         loop {
             let now = Time(self.now);
-            let leads = |h: &Host| h.node.role().0 == Role::Leader && h.node.lease(now).is_some();
+            let leads = |h: &Host| h.node.role() == Role::Leader && h.node.lease_expiry(now).is_some();
             if let Some(leader) = self.hosts.iter().position(leads) {
                 return Ok(leader);
             }
@@ -242,6 +242,6 @@
     fn open(&mut self, bytes: &[u8]) -> Option<Event> {
         let opened = self.opener.open(bytes).ok()?;
         let (life, message) = postcard::from_bytes(&opened.body).ok()?;
-        Some(Event::Message { from: opened.from, life, message })
+        Some(Event::Message { from: opened.from, incarnation: life, message })
     }
 }
