--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -113,6 +113,11 @@
             }),
         );
     }
+}
+
+#[test]
+fn snapshot_chunks_keep_their_bytes() {
+    let last = LogPosition { term: 6, index: 200 };
     let bytes = vec![9; 5];
     let chunk = Message::SnapshotChunk(SnapshotChunk {
         term: 7,
--- a/crates/consensus/tests/rules/storage.rs
+++ b/crates/consensus/tests/rules/storage.rs
@@ -2,8 +2,8 @@
 use crate::cluster::{config, name, Cluster};
 use cluster_types::{Index, Time};
 use consensus::{
-    Action, Entry, Event, HardState, LogPosition, Message, Node, Payload, Rejection, Snapshot, StartError,
-    StoredState, Vote, VoteResponse,
+    Action, Entry, Event, HardState, Incarnations, LogPosition, Message, Node, Payload, Rejection, Snapshot,
+    StartError, StoredState, Vote, VoteResponse,
 };
 
 /// Nothing is acknowledged before it is on disk.
@@ -137,26 +137,35 @@
     assert_eq!(cluster.stored[2].snapshot, cluster.stored[0].snapshot);
 }
 
-/// A stored state that contradicts itself is rejected with an error that says why.
-#[test]
-fn rejects_inconsistent_stored_state() {
-    let incarnations = [(name(0), 1), (name(1), 2), (name(2), 3)].into();
-    let entry = |index, term| Entry { index: Index(index), term, payload: Payload::Noop };
-    let first = Entry { index: Index(1), term: 1, payload: Payload::Bootstrap(incarnations) };
-    let good = StoredState {
+fn incarnations() -> Incarnations {
+    [(name(0), 1), (name(1), 2), (name(2), 3)].into()
+}
+
+fn noop(index: u64, term: u64) -> Entry {
+    Entry { index: Index(index), term, payload: Payload::Noop }
+}
+
+fn bootstrap(index: u64) -> Entry {
+    Entry { index: Index(index), term: 1, payload: Payload::Bootstrap(incarnations()) }
+}
+
+fn consistent_state() -> StoredState {
+    StoredState {
         incarnation: 1,
         hard_state: HardState { term: 3, vote: None, commit: Index(2) },
         snapshot: None,
-        entries: vec![first.clone(), entry(2, 1), entry(3, 2)],
-    };
-    let incarnations = match &first.payload {
-        Payload::Bootstrap(incarnations) => incarnations.clone(),
-        _ => unreachable!(),
-    };
+        entries: vec![bootstrap(1), noop(2, 1), noop(3, 2)],
+    }
+}
+
+/// A stored state that contradicts itself is rejected with an error that says why.
+#[test]
+fn rejects_inconsistent_stored_state() {
+    let good = consistent_state();
     let at = |term, index| {
         Some(Snapshot {
             last: LogPosition { term, index },
-            incarnations: incarnations.clone(),
+            incarnations: incarnations(),
             data: vec![].into(),
         })
     };
@@ -174,11 +183,8 @@
         with(&|s| s.hard_state.commit = Index(9)),
         StartError::CommitAhead { commit: Index(9), last: Index(3) }
     );
-    assert_eq!(with(&|s| s.entries[0] = entry(1, 1)), StartError::Bootstrap(Index(1)));
-    assert_eq!(
-        with(&|s| s.entries[2] = Entry { index: Index(3), ..first.clone() }),
-        StartError::Bootstrap(Index(3))
-    );
+    assert_eq!(with(&|s| s.entries[0] = noop(1, 1)), StartError::Bootstrap(Index(1)));
+    assert_eq!(with(&|s| s.entries[2] = bootstrap(3)), StartError::Bootstrap(Index(3)));
     assert_eq!(
         with(&|s| s.hard_state.vote = Some(Vote { candidate: "x".into(), incarnation: 1 })),
         StartError::Vote("x".into())
@@ -186,7 +192,7 @@
     assert_eq!(with(&|s| s.snapshot = at(1, 2)), StartError::Overlap { snapshot: Index(2), first: Index(1) });
     let newer = |s: &mut StoredState| {
         s.snapshot = at(1, 2);
-        s.entries = vec![entry(4, 2)];
+        s.entries = vec![noop(4, 2)];
     };
     assert_eq!(with(&newer), StartError::Gap { expected: Index(3), found: Index(4) });
     assert_eq!(with(&|s| s.snapshot = at(0, 2)), StartError::Snapshot);
--- a/crates/consensus/tests/simulation/actions.rs
+++ b/crates/consensus/tests/simulation/actions.rs
@@ -1,27 +1,33 @@
 //! Carrying out a member's actions and the faults of a schedule, and what must hold at the end.
 use crate::schedule::Kind;
 use crate::world::{Step, World, QUIET_MS};
-use consensus::{Action, Event, Role, StoredState};
+use cluster_types::MemberId;
+use consensus::{Action, Event, Message, Role, StoredState};
 use rand::Rng;
 
 impl World<'_> {
+    /// Sends a message over the simulated network, which loses, repeats and delays.
+    fn send(&mut self, host: usize, to: &MemberId, message: &Message) -> Result<(), String> {
+        let sender = &self.hosts[host];
+        let to = sender.config.members.iter().position(|m| m == to).ok_or("a message to nobody")?;
+        let incarnation = sender.stored.incarnation;
+        if self.cuts.get(&(host, to)).is_some_and(|cut| *cut > 0) {
+            return Ok(());
+        }
+        let (lose, twice, late) = self.net;
+        let copies =
+            usize::from(!self.rng.random_ratio(lose, 100)) + usize::from(self.rng.random_ratio(twice, 100));
+        for _ in 0..copies {
+            let (message, at) = (message.clone(), self.rng.random_range(100..late * 1000));
+            self.plan_us(at, Step::Packet { from: host, incarnation, to, message });
+        }
+        Ok(())
+    }
+
     pub fn act(&mut self, host: usize, action: Action) -> Result<(), String> {
         let there = &mut self.hosts[host];
         match action {
-            Action::Send { to, message } => {
-                let to = there.config.members.iter().position(|m| *m == to).ok_or("a message to nobody")?;
-                let incarnation = there.stored.incarnation;
-                if self.cuts.get(&(host, to)).is_some_and(|cut| *cut > 0) {
-                    return Ok(());
-                }
-                let (lose, twice, late) = self.net;
-                let copies = usize::from(!self.rng.random_ratio(lose, 100))
-                    + usize::from(self.rng.random_ratio(twice, 100));
-                for _ in 0..copies {
-                    let (message, at) = (message.clone(), self.rng.random_range(100..late * 1000));
-                    self.plan_us(at, Step::Packet { from: host, incarnation, to, message });
-                }
-            }
+            Action::Send { to, message } => self.send(host, &to, &message)?,
             Action::Persist(batch) => {
                 self.check.written(&mut there.image, &batch)?;
                 there.queue.push_back(batch);
