--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -172,8 +172,8 @@
         // Defaults for an operator who runs one front of his own.
         object.entry("FleetSize").or_insert(1.into());
     }
-    let settings = scheduler::wire::read_settings(setup.clone())
-        .map_err(|reason| Fault { key: "settings".into(), reason })?;
+    let settings = scheduler::simulator_wire::read_settings(setup.clone())
+        .map_err(|error| Fault { key: "settings".into(), reason: error.to_string() })?;
     scheduler::Scheduler::new(settings.clone(), 0)
         .map_err(|e| Fault { key: format!("settings ({})", e.field), reason: e.reason.into() })?;
     let names: NamesIn = section(setup, "settings")?;
@@ -202,7 +202,7 @@
             .map_err(|e| Fault { key: format!("known.{}", e.key), reason: e.reason })?,
         List::Understood(list) => list,
     };
-    check(name, &file, &classes, &plans, &known, &names.zones, settings.hosts)?;
+    check(name, &file, &classes, &plans, &known, &names.zones, settings.gateways)?;
     gathers::check(&file.gather, &gathers::Beside::of(&file, &classes, &names.zones, shards))?;
     let idle = if names.limits.conn_idle_s > 0.0 { names.limits.conn_idle_s } else { 15.0 };
     Ok(Config {
--- a/crates/config/src/targets.rs
+++ b/crates/config/src/targets.rs
@@ -1,6 +1,6 @@
 //! The list of disk boxes: discovery's messages, and the fixed list of a file.
 use crate::{fault, Fault};
-use scheduler::interface::{Micros, NodeEntry, NodeId, NodeState, ShardId};
+use scheduler::interface::{BackendEntry, BackendId, BackendState, Micros, ShardId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct Target {
     /// What the module is told.
-    pub entry: NodeEntry,
+    pub entry: BackendEntry,
     /// Where it listens; none where the list gives nothing usable.
     pub address: Option<SocketAddr>,
     /// How it is spoken to.
@@ -76,18 +76,18 @@
     let mut targets = Vec::with_capacity(read.instances.len());
     for (i, t) in read.instances.into_iter().enumerate() {
         let state = match t.lifecycle.as_str() {
-            "active" => NodeState::Ready,
-            "leaving" => NodeState::Draining,
-            "left" => NodeState::Gone,
+            "active" => BackendState::Ready,
+            "leaving" => BackendState::Draining,
+            "left" => BackendState::Gone,
             other => return fault(format!("instances[{i}].lifecycle"), format!("unknown value {other:?}")),
         };
         let zone = zones.iter().position(|z| *z == t.zone).unwrap_or(zones.len()) as u32;
         let target = t.target.unwrap_or_else(|| format!("iqn.2026-12.lichenrudder:{}", t.instance_id));
         targets.push(Target {
-            entry: NodeEntry {
-                node: NodeId(t.instance_id.into()),
+            entry: BackendEntry {
+                backend: BackendId(t.instance_id.into()),
                 state,
-                started: (t.started_at_ms > 0).then(|| Micros(t.started_at_ms.saturating_mul(1000))),
+                started_at: (t.started_at_ms > 0).then(|| Micros(t.started_at_ms.saturating_mul(1000))),
                 shard: ShardId(t.cell),
                 zone,
             },
--- a/crates/config/tests/platform.rs
+++ b/crates/config/tests/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's JSON: keys that are not known are passed over, the environment has the last word, and times of
 //! discovery become the clock's.
 #![allow(clippy::unwrap_used)]
-use scheduler::interface::{Micros, NodeState};
+use scheduler::interface::{BackendState, Micros};
 
 const FILE: &str = r#"{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","novelty":{"a":1},
  "limits":{"cores":0.5,"memory_mb":24,"sockets":40,"novelty":2},
@@ -35,12 +35,12 @@
     assert_eq!((config.limits.sockets, config.limits.memory_mb), (40, 24));
     let [first, second] = &config.known.targets[..] else { unreachable!() };
     assert_eq!(
-        first.entry.started,
+        first.entry.started_at,
         Some(Micros(1_700_000_000_123_000)),
         "milliseconds there, microseconds here"
     );
-    assert_eq!((first.entry.state, first.entry.zone, first.entry.shard.0), (NodeState::Draining, 1, 3));
-    assert_eq!((second.entry.started, second.address, second.entry.zone), (None, None, 2));
+    assert_eq!((first.entry.state, first.entry.zone, first.entry.shard.0), (BackendState::Draining, 1, 3));
+    assert_eq!((second.entry.started_at, second.address, second.entry.zone), (None, None, 2));
     assert_eq!(config.idle, Micros(15_000_000), "the default");
     assert_eq!(fault.key, "GW_LISTEN");
 }
--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,70 +1,79 @@
-//! Attempts and their ends, and what else the program has to do.
-use crate::{Answer, Bytes, Request};
-use scheduler::interface::{Ending, Micros, NodeId, RequestId};
+//! Attempts, their ends, and the effects that the caller has to carry out.
+use crate::{Bytes, Request, Response};
+use scheduler::interface::{AttemptOutcome, BackendId, Micros, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// An attempt to be made.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's number here.
+    /// The request's number.
     pub id: RequestId,
     /// The attempt's number, from 0.
     pub number: u32,
-    /// Where to.
-    pub node: NodeId,
-    /// What.
+    /// Where to send it.
+    pub backend: BackendId,
+    /// What to send.
     pub request: Rc<Request>,
     /// When it was decided on.
-    pub started: Micros,
-    /// When to stop waiting.
-    pub until: Micros,
-    /// By when it has to begin: the end of the time in which a repeat is known as one.
+    pub started_at: Micros,
+    /// When to stop waiting for the response.
+    pub deadline: Micros,
+    /// When it must have begun: after that, a backend no longer recognizes a repeat as one.
     pub begin_by: Micros,
-    /// Whether its request still waits for its final answer.
-    pub(crate) wanted: Rc<Cell<bool>>,
+    /// Whether its request still waits for its final response.
+    pub(crate) is_wanted: Rc<Cell<bool>>,
 }
 
 impl Attempt {
-    /// Whether it may begin now. Guards what is decided against the time that a connection takes to come up: by then the
-    /// client may have gone, or the time for it may have passed.
+    /// Whether it may begin now.
+    ///
+    /// Establishing a connection takes time: meanwhile the client may have left, or the attempt's time have
+    /// passed.
     pub fn may_begin(&self, now: Micros) -> bool {
-        self.wanted.get() && now < self.until && now < self.begin_by
+        self.is_wanted.get() && now < self.deadline && now < self.begin_by
     }
 
     /// The end of this attempt, without a value.
-    pub fn ended<V>(&self, ending: Ending) -> Ended<V> {
-        let (id, number, node) = (self.id, self.number, self.node.clone());
-        Ended { id, number, node, started: self.started, ending, elsewhere: 0.0, value: None }
+    pub fn ended<V>(&self, outcome: AttemptOutcome) -> AttemptEnd<V> {
+        AttemptEnd {
+            id: self.id,
+            number: self.number,
+            backend: self.backend.clone(),
+            started_at: self.started_at,
+            outcome,
+            remote_units: 0.0,
+            value: None,
+        }
     }
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub struct Ended<V = Bytes> {
-    /// The request's number here.
+pub struct AttemptEnd<V = Bytes> {
+    /// The request's number.
     pub id: RequestId,
     /// The attempt's number.
     pub number: u32,
-    /// The node.
-    pub node: NodeId,
+    /// The backend.
+    pub backend: BackendId,
     /// When it was decided on.
-    pub started: Micros,
+    pub started_at: Micros,
     /// How it ended.
-    pub ending: Ending,
-    /// Units served for the volume through other hosts.
-    pub elsewhere: f64,
+    pub outcome: AttemptOutcome,
+    /// Units served for the volume through other gateways.
+    pub remote_units: f64,
     /// The value, of one that was served.
     pub value: Option<V>,
 }
 
-/// What the program has to do.
+/// What the caller has to do.
 #[derive(Debug)]
 pub enum Effect<T, V = Bytes> {
     /// Make an attempt.
-    Start(Attempt),
-    /// Give a client its final answer.
-    Answer(T, Answer<V>),
-    /// Ask discovery for changes.
+    StartAttempt(Attempt),
+    /// Give a client its final response.
+    Respond(T, Response<V>),
+    /// Subscribe to updates of the list of backends.
     Watch,
 }
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -1,83 +1,110 @@
-//! What is counted.
-use scheduler::interface::Ending;
+//! Counters of requests and attempts.
+use scheduler::interface::AttemptOutcome;
 use std::fmt;
 
-/// Counts since the start.
+/// Counts since the start. Their text is a log line's `key=value` pairs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests taken.
-    pub taken: u64,
-    /// Requests answered as served.
+    /// Requests received.
+    pub received: u64,
+    /// Requests served.
     pub served: u64,
-    /// Requests refused by the module.
-    pub refused: u64,
-    /// Requests refused because a bound was reached.
-    pub bounded: u64,
+    /// Requests rejected by the scheduler.
+    pub rejected: u64,
+    /// Requests rejected because the table was full.
+    pub over_capacity: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Requests under the id of one that was open.
+    /// Requests under the name of an open one.
     pub duplicates: u64,
-    /// Requests whose client left before the answer.
-    pub left: u64,
-    /// Requests that the module had not answered in time.
+    /// Requests whose client left before the response.
+    pub client_left: u64,
+    /// Requests that the scheduler had not finished in time.
     pub overdue: u64,
-    /// Requests refused or failed past half their time, with no attempt written whole.
+    /// Requests rejected or failed past half their time, with no attempt written completely.
     pub late: u64,
     /// Attempts sent.
     pub sent: u64,
     /// Attempts sent beyond a request's first.
-    pub further: u64,
-    /// Attempts by ending: ok, error, full, timeout, connect failed, reset.
-    pub endings: [u64; 6],
-    /// Attempts that a bound of the front's own kept back.
-    pub unsent: u64,
-    /// News of the list.
-    pub news: u64,
-    /// Watches asked for.
+    pub retries: u64,
+    /// Attempts by outcome.
+    pub attempts: AttemptCounters,
+    /// Updates of the list of backends.
+    pub endpoint_updates: u64,
+    /// Watches requested.
     pub watches: u64,
-    /// Settings that were put in force while it ran.
+    /// Settings that took effect while the program ran.
     pub reloads: u64,
-    /// Files that were faulty when they were read again.
-    pub reload_faults: u64,
+    /// Configurations that were invalid when they were read again.
+    pub reload_errors: u64,
 }
 
-impl fmt::Display for Counters {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [ok, error, full, timeout, connect, reset] = self.endings;
-        write!(
-            f,
-            "taken={} served={} refused={} bounded={} failed={} duplicates={} left={} overdue={} late={} sent={} further={} ok={ok} \
-             error={error} full={full} timeout={timeout} connect_failed={connect} reset={reset} unsent={} news={} watches={} \
-             reloads={} reload_faults={}",
-            self.taken,
-            self.served,
-            self.refused,
-            self.bounded,
-            self.failed,
-            self.duplicates,
-            self.left,
-            self.overdue,
-            self.late,
-            self.sent,
-            self.further,
-            self.unsent,
-            self.news,
-            self.watches,
-            self.reloads,
-            self.reload_faults
-        )
+/// Ended attempts, by outcome.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AttemptCounters {
+    /// Served.
+    pub ok: u64,
+    /// Answered with an error.
+    pub error: u64,
+    /// Rejected by the backend.
+    pub rejected: u64,
+    /// Timed out.
+    pub timeout: u64,
+    /// Without a connection.
+    pub connect_failed: u64,
+    /// Whose connection broke.
+    pub reset: u64,
+    /// Not written, because of a bound of the gateway's own.
+    pub unsent: u64,
+}
+
+impl AttemptCounters {
+    /// Counts the end of an attempt.
+    pub(crate) fn record(&mut self, outcome: AttemptOutcome) {
+        let counter = match outcome {
+            AttemptOutcome::Ok => &mut self.ok,
+            AttemptOutcome::Error => &mut self.error,
+            AttemptOutcome::Rejected => &mut self.rejected,
+            AttemptOutcome::Timeout => &mut self.timeout,
+            AttemptOutcome::ConnectFailed => &mut self.connect_failed,
+            AttemptOutcome::Reset => &mut self.reset,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => &mut self.unsent,
+        };
+        *counter += 1;
     }
 }
 
-/// The place of an ending under `endings`; none for an attempt that was not written.
-pub(crate) fn position(ending: Ending) -> Option<usize> {
-    match ending {
-        Ending::Ok => Some(0),
-        Ending::Error => Some(1),
-        Ending::Full => Some(2),
-        Ending::Timeout => Some(3),
-        Ending::ConnectFailed => Some(4),
-        Ending::Reset => Some(5),
-        Ending::Cancelled | Ending::Moot => None,
+impl fmt::Display for Counters {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let AttemptCounters { ok, error, rejected, timeout, connect_failed, reset, unsent } = self.attempts;
+        let pairs = [
+            ("received", self.received),
+            ("served", self.served),
+            ("rejected", self.rejected),
+            ("over_capacity", self.over_capacity),
+            ("failed", self.failed),
+            ("duplicates", self.duplicates),
+            ("client_left", self.client_left),
+            ("overdue", self.overdue),
+            ("late", self.late),
+            ("sent", self.sent),
+            ("retries", self.retries),
+            ("ok", ok),
+            ("error", error),
+            ("backend_rejected", rejected),
+            ("timeout", timeout),
+            ("connect_failed", connect_failed),
+            ("reset", reset),
+            ("unsent", unsent),
+            ("endpoint_updates", self.endpoint_updates),
+            ("watches", self.watches),
+            ("reloads", self.reloads),
+            ("reload_errors", self.reload_errors),
+        ];
+        for (index, (key, count)) in pairs.into_iter().enumerate() {
+            let separator = if index == 0 { "" } else { " " };
+            write!(formatter, "{separator}{key}={count}")?;
+        }
+        Ok(())
     }
 }
--- /dev/null
+++ b/crates/dispatch/src/dispatcher.rs
@@ -0,0 +1,223 @@
+//! The table of open requests, and what happens to them.
+mod entry;
+mod responses;
+mod scheduling;
+
+use crate::{AttemptEnd, Bytes, Counters, Effect, Request, Response};
+use entry::Entry;
+use scheduler::interface::{
+    Action, AttemptOutcome, AttemptReport, BackendId, EndpointUpdate, Event, KeyId, Micros, RequestId,
+    Settings, SettingsError, ShardId, VolumeId,
+};
+use scheduler::{KnownCounts, Scheduler};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::rc::Rc;
+
+/// How long after its client has stopped waiting a request fails that the scheduler left open; a final
+/// response is overdue after 58 ms.
+const OVERDUE_AFTER_US: i64 = 4_000;
+/// Retry-After of requests that are rejected without the scheduler.
+const DEFAULT_RETRY_AFTER: Micros = Micros(100_000);
+/// Maximum number of volumes with units that were reported late.
+const MAX_LATE_REPORTS: usize = 1024;
+
+/// Runs the scheduler and keeps the table of open requests.
+pub struct Dispatcher<T, V = Bytes> {
+    scheduler: Scheduler,
+    table: BTreeMap<RequestId, Entry<T>>,
+    /// The clients' names of requests without a final response.
+    names: BTreeSet<Rc<str>>,
+    /// The scheduler's timers, with their tokens.
+    timers: BTreeSet<(Micros, u64)>,
+    /// When each open request must have its final response.
+    overdue: BTreeSet<(Micros, RequestId)>,
+    /// Kept between events, so that it needn't be allocated for each.
+    actions: Vec<Action>,
+    /// Units served through other gateways, by volume, that were reported after their attempt's end.
+    late_reports: BTreeMap<Rc<str>, f64>,
+    /// Memory that the open requests occupy, in bytes.
+    held_bytes: usize,
+    capacity: Capacity,
+    /// What is to be done, in order.
+    pub effects: VecDeque<Effect<T, V>>,
+    /// Counts since the start.
+    pub counters: Counters,
+}
+
+/// How much the table may hold.
+#[derive(Clone, Copy, Debug)]
+pub struct Capacity {
+    /// Requests.
+    pub requests: usize,
+    /// Memory of the requests, in bytes.
+    pub bytes: usize,
+}
+
+impl<T, V: Default> Dispatcher<T, V> {
+    /// A dispatcher that knows no backend yet.
+    ///
+    /// # Errors
+    ///
+    /// Names the first setting with an invalid value.
+    pub fn new(settings: Settings, seed: u64, capacity: Capacity) -> Result<Self, SettingsError> {
+        Ok(Dispatcher {
+            scheduler: Scheduler::new(settings, seed)?,
+            table: BTreeMap::new(),
+            names: BTreeSet::new(),
+            timers: BTreeSet::new(),
+            overdue: BTreeSet::new(),
+            actions: Vec::new(),
+            late_reports: BTreeMap::new(),
+            held_bytes: 0,
+            capacity,
+            effects: VecDeque::new(),
+            counters: Counters::default(),
+        })
+    }
+
+    /// Replaces the settings and the capacity; open requests stay. The indexes of classes and plans must
+    /// keep their meaning.
+    ///
+    /// # Errors
+    ///
+    /// Names the first setting with an invalid value; nothing has changed then.
+    pub fn reload(
+        &mut self,
+        now: Micros,
+        settings: Settings,
+        capacity: Capacity,
+    ) -> Result<(), SettingsError> {
+        self.scheduler.reload(now, settings)?;
+        self.capacity = capacity;
+        Ok(())
+    }
+
+    /// Accepts a request; its response comes as an effect, possibly at once.
+    pub fn submit(&mut self, now: Micros, id: RequestId, request: Request, ticket: T) {
+        self.counters.received += 1;
+        let bytes = request.memory_bytes();
+        if self.table.len() >= self.capacity.requests || self.held_bytes + bytes > self.capacity.bytes {
+            self.counters.over_capacity += 1;
+            let response = Response::Rejected(Some(DEFAULT_RETRY_AFTER));
+            self.effects.push_back(Effect::Respond(ticket, response));
+            return;
+        }
+        // Backends know requests by their names, and would take one for the other.
+        if !self.names.insert(request.name.clone()) {
+            self.counters.duplicates += 1;
+            let response = Response::Failed("the id is that of an open request");
+            self.effects.push_back(Effect::Respond(ticket, response));
+            return;
+        }
+        let event = arrival_event(now, id, &request);
+        self.held_bytes += bytes;
+        self.overdue.insert((Micros(request.deadline.0 + OVERDUE_AFTER_US), id));
+        self.table.insert(id, Entry::new(Rc::new(request), ticket, now));
+        self.notify(now, event);
+    }
+
+    /// The client has left and needs no response.
+    pub fn client_left(&mut self, now: Micros, id: RequestId) {
+        if !self.table.contains_key(&id) {
+            return;
+        }
+        if self.take_ticket(id).is_some() {
+            self.counters.client_left += 1;
+        }
+        self.remove_if_done(id);
+        self.notify(now, Event::ClientLeft(id));
+    }
+
+    /// The list of backends was updated.
+    pub fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate) {
+        self.counters.endpoint_updates += 1;
+        self.notify(now, Event::Endpoints(update));
+    }
+
+    /// An attempt has ended. The first one that is served is the final response.
+    pub fn attempt_ended(&mut self, now: Micros, end: AttemptEnd<V>) {
+        let Some(entry) = self.table.get_mut(&end.id) else { return };
+        // An end may be reported twice: a connection that is torn down may race its own response.
+        if !entry.is_in_flight || end.number + 1 != entry.attempts {
+            return;
+        }
+        entry.record_end(end.outcome);
+        self.counters.attempts.record(end.outcome);
+        let is_served = end.outcome == AttemptOutcome::Ok;
+        let late_report = if is_served { self.late_reports.remove(&entry.request.volume) } else { None };
+        if is_served {
+            if let Some(ticket) = self.take_ticket(end.id) {
+                self.counters.served += 1;
+                let response = Response::Served(end.value.unwrap_or_default());
+                self.effects.push_back(Effect::Respond(ticket, response));
+            }
+        }
+        if self.table.get(&end.id).is_some_and(|entry| entry.is_abandoned) {
+            self.respond_to_abandoned(now, end.id);
+        }
+        let request_finished = self.table.get(&end.id).is_none_or(|entry| entry.ticket.is_none());
+        self.remove_if_done(end.id);
+        let report = AttemptReport {
+            id: end.id,
+            attempt: end.number,
+            backend: end.backend,
+            outcome: end.outcome,
+            elapsed: Micros(now.0 - end.started_at.0),
+            request_finished,
+            remote_units: end.remote_units + late_report.unwrap_or(0.0),
+        };
+        self.notify(now, Event::AttemptEnded(report));
+    }
+
+    /// Counts units that were served for a volume through other gateways and reported after their attempt's
+    /// end, with the volume's next served attempt.
+    pub fn add_remote_units(&mut self, volume: Rc<str>, units: f64) {
+        // Volumes are as many as clients name: bound the memory.
+        let has_room = self.late_reports.len() < MAX_LATE_REPORTS || self.late_reports.contains_key(&volume);
+        if units > 0.0 && has_room {
+            *self.late_reports.entry(volume).or_default() += units;
+        }
+    }
+
+    /// When [`fire_timers`](Self::fire_timers) must be called next.
+    pub fn next_timer(&self) -> Option<Micros> {
+        let timer = self.timers.first().map(|(at, _)| *at);
+        let overdue = self.overdue.first().map(|(at, _)| *at);
+        timer.into_iter().chain(overdue).min()
+    }
+
+    /// Number of requests without a final response.
+    pub fn unanswered(&self) -> usize {
+        self.names.len()
+    }
+
+    /// Number of requests that have no final response, or an attempt in flight.
+    pub fn open_requests(&self) -> usize {
+        self.table.len()
+    }
+
+    /// Backends that are listed as ready and aren't sent to for now, because they failed.
+    pub fn ejected_backends(&self, now: Micros) -> Vec<BackendId> {
+        self.scheduler.ejected_backends(now)
+    }
+
+    /// Number of backends and volumes that the scheduler knows.
+    pub fn known(&self) -> KnownCounts {
+        self.scheduler.known()
+    }
+}
+
+/// The scheduler's view of a request that arrives.
+fn arrival_event(now: Micros, id: RequestId, request: &Request) -> Event {
+    Event::RequestArrived(scheduler::interface::Request {
+        id,
+        class: request.class,
+        plan: request.plan,
+        volume: VolumeId(request.volume.as_ref().into()),
+        key: (!request.key.is_empty()).then(|| KeyId(request.key.as_ref().into())),
+        shard: request.shard.map(ShardId),
+        units: f64::from(request.units),
+        volume_gateways: request.volume_gateways,
+        timeout: Micros(request.deadline.0 - now.0),
+    })
+}
--- /dev/null
+++ b/crates/dispatch/src/dispatcher/responses.rs
@@ -0,0 +1,99 @@
+//! Final responses: exactly one for each request, whatever causes it.
+use super::entry::Entry;
+use super::{Dispatcher, DEFAULT_RETRY_AFTER, OVERDUE_AFTER_US};
+use crate::{Effect, Response};
+use scheduler::interface::{Event, Micros, RequestId};
+
+impl<T, V: Default> Dispatcher<T, V> {
+    /// The client has left, and somebody may still ask for the outcome: no further attempt begins, and the
+    /// final response says what became of those that have.
+    pub fn abandon(&mut self, now: Micros, id: RequestId) {
+        let Some(entry) = self.table.get_mut(&id).filter(|entry| entry.ticket.is_some()) else { return };
+        entry.is_abandoned = true;
+        entry.is_wanted.set(false);
+        if !entry.is_in_flight {
+            self.respond_to_abandoned(now, id);
+            self.notify(now, Event::ClientLeft(id));
+        }
+    }
+
+    /// All open requests are to have their responses by then, however long their clients wait: the process
+    /// ends.
+    pub fn respond_by(&mut self, deadline: Micros) {
+        let is_later = |entry: &Entry<T>| entry.ticket.is_some() && entry.request.deadline > deadline;
+        let later = self.table.iter().filter(|(_, entry)| is_later(entry));
+        self.overdue.extend(later.map(|(id, _)| (deadline, *id)));
+    }
+
+    /// Fails requests whose time has passed, whatever the scheduler does with them.
+    pub(super) fn fail_overdue(&mut self, now: Micros) {
+        while let Some((at, id)) = self.overdue.first().copied().filter(|(at, _)| *at <= now) {
+            self.overdue.remove(&(at, id));
+            if let Some(ticket) = self.take_ticket(id) {
+                self.counters.overdue += 1;
+                self.counters.failed += 1;
+                self.count_late(now, id);
+                self.effects.push_back(Effect::Respond(ticket, Response::Failed("no answer in time")));
+                self.remove_if_done(id);
+                self.notify(now, Event::ClientLeft(id));
+            }
+        }
+    }
+
+    /// Responds to an abandoned request without an attempt in flight: rejected if it was not executed, else
+    /// failed.
+    pub(super) fn respond_to_abandoned(&mut self, now: Micros, id: RequestId) {
+        let may_have_run = self.table.get(&id).is_some_and(|entry| entry.may_have_run);
+        if may_have_run {
+            self.fail(now, id, "its client has left");
+        } else {
+            self.reject(now, id, Some(DEFAULT_RETRY_AFTER));
+        }
+    }
+
+    /// Responds that the request was rejected.
+    pub(super) fn reject(&mut self, now: Micros, id: RequestId, retry_after: Option<Micros>) {
+        self.count_late(now, id);
+        if let Some(ticket) = self.take_ticket(id) {
+            self.counters.rejected += 1;
+            self.effects.push_back(Effect::Respond(ticket, Response::Rejected(retry_after)));
+        }
+        self.remove_if_done(id);
+    }
+
+    /// Responds that the request failed.
+    pub(super) fn fail(&mut self, now: Micros, id: RequestId, reason: &'static str) {
+        self.count_late(now, id);
+        if let Some(ticket) = self.take_ticket(id) {
+            self.counters.failed += 1;
+            self.effects.push_back(Effect::Respond(ticket, Response::Failed(reason)));
+        }
+        self.remove_if_done(id);
+    }
+
+    /// Takes the ticket of a request that has had no final response yet; the caller responds to it.
+    pub(super) fn take_ticket(&mut self, id: RequestId) -> Option<T> {
+        let entry = self.table.get_mut(&id)?;
+        let ticket = entry.ticket.take()?;
+        entry.is_wanted.set(false);
+        self.names.remove(&entry.request.name);
+        Some(ticket)
+    }
+
+    /// Removes a request that has its final response and no attempt in flight.
+    pub(super) fn remove_if_done(&mut self, id: RequestId) {
+        if !self.table.get(&id).is_some_and(Entry::is_done) {
+            return;
+        }
+        if let Some(entry) = self.table.remove(&id) {
+            self.held_bytes -= entry.request.memory_bytes();
+            self.overdue.remove(&(Micros(entry.request.deadline.0 + OVERDUE_AFTER_US), id));
+        }
+    }
+
+    /// Counts a response that came too late for the client to try again, with nothing sent meanwhile.
+    fn count_late(&mut self, now: Micros, id: RequestId) {
+        let is_late = self.table.get(&id).is_some_and(|entry| entry.is_late(now));
+        self.counters.late += u64::from(is_late);
+    }
+}
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,12 +1,15 @@
-//! The core between fronts and peers. It runs the decision module, keeps the table of requests and their
-//! attempts, and sees to it that each request gets exactly one final answer. It knows no wire and reads no
-//! clock: time is an argument. `T` is whatever the front needs to find its client again, `V` what it calls a value.
+//! The core between a gateway's listeners and its backends.
+//!
+//! [`Dispatcher`] runs the [`scheduler`], keeps the table of open requests and their attempts, and makes
+//! sure that each request gets exactly one final response. It is sans-I/O: it knows no protocol and reads
+//! no clock, and what is to be done comes out as [`Effect`]s. The type parameter `T`, the ticket, is what a
+//! listener needs to find its client again; `V` is its type of values.
 mod attempt;
 mod counters;
+mod dispatcher;
 mod request;
-mod table;
 
-pub use attempt::{Attempt, Effect, Ended};
-pub use counters::Counters;
-pub use request::{Answer, Bytes, Extent, Request};
-pub use table::{Bound, Core};
+pub use attempt::{Attempt, AttemptEnd, Effect};
+pub use counters::{AttemptCounters, Counters};
+pub use dispatcher::{Capacity, Dispatcher};
+pub use request::{Bytes, Extent, Request, Response};
--- a/crates/gateway/src/admin/suspension_files.rs
+++ b/crates/gateway/src/admin/suspension_files.rs
@@ -1,7 +1,7 @@
 //! The files under `TMPDIR` in which a front writes down which chunk servers operators have taken out. Each state is a file of
 //! its own, numbered: written under another name, synced, then renamed. A kill between any two steps leaves the state before.
 use crate::lifecycle::process_files;
-use scheduler::interface::NodeId;
+use scheduler::interface::BackendId;
 use std::collections::BTreeSet;
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -19,7 +19,7 @@
     /// The number.
     pub number: i64,
     /// The chunk servers.
-    pub out: BTreeSet<NodeId>,
+    pub out: BTreeSet<BackendId>,
 }
 
 /// Writes a snapshot down. It is kept once this returns without an error; only then files before it are removed.
@@ -48,7 +48,7 @@
     written(front).into_iter().rev().find_map(|(path, number)| {
         let text = fs::read_to_string(path).ok()?;
         let text = text.strip_suffix(END_LINE)?;
-        Some(Snapshot { number, out: text.lines().map(|line| NodeId(line.into())).collect() })
+        Some(Snapshot { number, out: text.lines().map(|line| BackendId(line.into())).collect() })
     })
 }
 
--- a/crates/gateway/src/admin/suspensions.rs
+++ b/crates/gateway/src/admin/suspensions.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future;
-use scheduler::interface::{NodeEntry, NodeId, NodeState};
+use scheduler::interface::{BackendEntry, BackendId, BackendState};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
 use std::path::PathBuf;
@@ -43,14 +43,14 @@
     writing: Cell<bool>,
     written: Event,
     /// Those that the fronts have settled to take out.
-    settled: RefCell<BTreeSet<NodeId>>,
+    settled: RefCell<BTreeSet<BackendId>>,
     /// Servers that were listed lately, the oldest first.
-    listed: RefCell<(BTreeSet<NodeId>, VecDeque<NodeId>)>,
+    listed: RefCell<(BTreeSet<BackendId>, VecDeque<BackendId>)>,
 }
 
 impl Bans {
     /// All that are taken out.
-    pub fn all(&self) -> Vec<NodeId> {
+    pub fn all(&self) -> Vec<BackendId> {
         self.now.borrow().out.union(&self.settled.borrow()).cloned().collect()
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Notes that a server was listed.
-    pub fn remember(&self, node: &NodeId) {
+    pub fn remember(&self, node: &BackendId) {
         let mut listed = self.listed.borrow_mut();
         let (names, order) = &mut *listed;
         if names.insert(node.clone()) {
@@ -78,16 +78,17 @@
     }
 
     /// What the module is told of an entry of the list.
-    pub fn seen(&self, mut entry: NodeEntry) -> NodeEntry {
-        let out = self.now.borrow().out.contains(&entry.node) || self.settled.borrow().contains(&entry.node);
-        if entry.state == NodeState::Ready && out {
-            entry.state = NodeState::Draining;
+    pub fn seen(&self, mut entry: BackendEntry) -> BackendEntry {
+        let out =
+            self.now.borrow().out.contains(&entry.backend) || self.settled.borrow().contains(&entry.backend);
+        if entry.state == BackendState::Ready && out {
+            entry.state = BackendState::Draining;
         }
         entry
     }
 
     /// The fronts have settled that a server is out, or back; tells whether that changed anything.
-    pub fn settle(&self, node: NodeId, out: bool) -> bool {
+    pub fn settle(&self, node: BackendId, out: bool) -> bool {
         match out {
             true => self.settled.borrow_mut().insert(node),
             false => self.settled.borrow_mut().remove(&node),
@@ -96,7 +97,7 @@
 
     /// Takes a server out, or puts it back; tells whether that changed anything, and none for one that was never listed.
     pub fn set(self: &Rc<Bans>, context: &Rc<Context>, node: &str, out: bool) -> Option<bool> {
-        let node = NodeId(node.into());
+        let node = BackendId(node.into());
         if !self.listed.borrow().0.contains(&node) {
             return None;
         }
--- a/crates/gateway/src/backend/actor.rs
+++ b/crates/gateway/src/backend/actor.rs
@@ -13,7 +13,7 @@
 use config::Speaks;
 use dispatch::Attempt;
 use futures_lite::{future, StreamExt};
-use scheduler::interface::{Ending, Micros, NodeEntry};
+use scheduler::interface::{AttemptOutcome, BackendEntry, Micros};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
 /// What the list says of the disk box; read by attempts that are still waiting for a connection.
 pub struct Place {
     /// Its entry on the list.
-    pub entry: RefCell<NodeEntry>,
+    pub entry: RefCell<BackendEntry>,
     /// Where it listens.
     pub address: Cell<Option<SocketAddr>>,
     /// Whether it has been told to be draining or gone.
@@ -164,7 +164,7 @@
     let _out = place.tally.begin();
     let mut ready = None;
     if let Some(mut free) = free {
-        let rested = Micros(free.since.0 + REST).min(attempt.until);
+        let rested = Micros(free.since.0 + REST).min(attempt.deadline);
         if rested > context.clock.now() {
             Timer::at(context.clock.instant(rested)).await;
         }
@@ -184,7 +184,7 @@
             if let Some(own) = own.filter(|_| fresh) {
                 drop(own.try_send(PeerMail::Free(Box::new(connection))));
             }
-            Some(attempt.ended(Ending::Moot))
+            Some(attempt.ended(AttemptOutcome::NotSent))
         }
         Ok(mut connection) => {
             place.tally.sent(context.clock.now());
@@ -201,10 +201,10 @@
                 Exchanged::Ended(ended) => Some(ended),
                 Exchanged::Begun { parts, length } => {
                     let (passing, coming) = Passing::begin(&context.gauges, length);
-                    let ended = Ended { value: Some(coming), ..attempt.ended(Ending::Ok) };
+                    let ended = Ended { value: Some(coming), ..attempt.ended(AttemptOutcome::Ok) };
                     place.tally.ended(
                         context.clock.now(),
-                        Ending::Ok,
+                        AttemptOutcome::Ok,
                         &attempt.request.volume,
                         attempt.request.units,
                     );
@@ -212,7 +212,7 @@
                     // Guards against a value that never ends, and its client that never reads.
                     connection.wire.reason = Reason::Cut;
                     let passed = pass_on(context, module, &attempt, &mut connection.wire, passing, parts);
-                    let until = context.clock.instant(Micros(attempt.request.until.0 + NEVER_ENDING));
+                    let until = context.clock.instant(Micros(attempt.request.deadline.0 + NEVER_ENDING));
                     keep = future::or(passed, async {
                         Timer::at(until).await;
                         false
@@ -232,7 +232,7 @@
     };
     if let Some(ended) = ended {
         let (volume, units) = (&attempt.request.volume, attempt.request.units);
-        place.tally.ended(context.clock.now(), ended.ending, volume, units);
+        place.tally.ended(context.clock.now(), ended.outcome, volume, units);
         let _ = module.send(Mail::Ended(ended)).await;
     }
 }
--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -11,7 +11,7 @@
 use iscsi::initiator::{Initiator, Told};
 use iscsi::scsi::{self, status};
 use iscsi::BLOCK;
-use scheduler::interface::Ending;
+use scheduler::interface::AttemptOutcome;
 
 /// The LUN and the blocks that a request is about; none where its volume has no LUN.
 fn extent(context: &Context, attempt: &Attempt) -> Option<(u8, Extent)> {
@@ -22,7 +22,7 @@
     let extent = request.extent.unwrap_or_else(|| {
         // A client that names pieces: each has its place on the volume.
         let pieces = u64::from(lun.blocks / lun.piece_blocks).max(1);
-        let piece = u64::from_str_radix(&request.piece, 16).unwrap_or(0) % pieces;
+        let piece = u64::from_str_radix(&request.key, 16).unwrap_or(0) % pieces;
         let blocks = match &request.body {
             Some(body) => body.len().div_ceil(BLOCK) as u32,
             None => request.units.saturating_mul(lun.unit_blocks),
@@ -45,14 +45,14 @@
     let ended = |ended: Ended, keep: bool| (Exchanged::Ended(ended), keep);
     let context = &work.context;
     let Some((lun, extent)) = extent(context, attempt) else {
-        return ended(attempt.ended(Ending::Moot), true);
+        return ended(attempt.ended(AttemptOutcome::NotSent), true);
     };
-    let body = attempt.request.body.as_ref().filter(|_| attempt.request.write).map(|body| {
+    let body = attempt.request.body.as_ref().filter(|_| attempt.request.is_write).map(|body| {
         let mut padded = body.to_vec();
         padded.resize(extent.blocks as usize * BLOCK, 0);
         padded
     });
-    let cdb = scsi::transfer(attempt.request.write, extent.first, extent.blocks);
+    let cdb = scsi::transfer(attempt.request.is_write, extent.first, extent.blocks);
     let expected = extent.blocks as usize * BLOCK;
     let mut out = Vec::new();
     let mut begun = session.is_some();
@@ -65,12 +65,15 @@
         let [.., a, b, c, d] = context.number().0.to_be_bytes();
         session.login(&name, Some(target), [0x80, a, b, c, d, 0], &mut out);
     }
-    let mut late = Timer::at(context.clock.instant(attempt.until));
+    let mut late = Timer::at(context.clock.instant(attempt.deadline));
     let mut written = false;
     loop {
         if !wire.output.push(&out) {
             wire.reason = Reason::Bound;
-            return ended(attempt.ended(if written { Ending::Reset } else { Ending::ConnectFailed }), false);
+            return ended(
+                attempt.ended(if written { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }),
+                false,
+            );
         }
         out.clear();
         let moved = future::or(async { wire.next().await }, async {
@@ -84,7 +87,7 @@
         if whole && !std::mem::replace(&mut written, whole) {
             context.tallies.relayed();
         }
-        let maybe = |ending| if written { ending } else { Ending::ConnectFailed };
+        let maybe = |ending| if written { ending } else { AttemptOutcome::ConnectFailed };
         let ending = match moved {
             Some(Ok(SocketEvent::Wrote)) => continue,
             Some(Ok(SocketEvent::Read)) => loop {
@@ -97,7 +100,7 @@
                             Told::LoggedIn if !begun && !work.may_begin(attempt) => {
                                 let keep = !work.place.closed.get() && wire.input.is_empty();
                                 wire.reason = Reason::Drained;
-                                return ended(attempt.ended(Ending::Moot), keep);
+                                return ended(attempt.ended(AttemptOutcome::NotSent), keep);
                             }
                             Told::LoggedIn if !begun => {
                                 begun = true;
@@ -105,11 +108,12 @@
                             }
                             Told::Done { status: code, data, .. } => {
                                 let ending = match code {
-                                    status::GOOD => Ending::Ok,
-                                    status::BUSY | status::TASK_SET_FULL => Ending::Full,
-                                    _ => Ending::Error,
+                                    status::GOOD => AttemptOutcome::Ok,
+                                    status::BUSY | status::TASK_SET_FULL => AttemptOutcome::Rejected,
+                                    _ => AttemptOutcome::Error,
                                 };
-                                let value = (ending == Ending::Ok).then(|| Value::Whole(Bytes::from(data)));
+                                let value =
+                                    (ending == AttemptOutcome::Ok).then(|| Value::Whole(Bytes::from(data)));
                                 let keep = wire.output.is_empty() && wire.input.is_empty();
                                 wire.reason = Reason::Protocol;
                                 if keep {
@@ -119,28 +123,28 @@
                             }
                             Told::Rejected(_) => {
                                 wire.reason = Reason::Protocol;
-                                break Some(maybe(Ending::Error));
+                                break Some(maybe(AttemptOutcome::Error));
                             }
                             Told::LoggedOut => {
                                 wire.reason = Reason::PeerClosed;
-                                break Some(maybe(Ending::Reset));
+                                break Some(maybe(AttemptOutcome::Reset));
                             }
                             _ => {}
                         }
                     }
                     Err(_) => {
                         wire.reason = Reason::Protocol;
-                        break Some(maybe(Ending::Reset));
+                        break Some(maybe(AttemptOutcome::Reset));
                     }
                 }
             },
             Some(Ok(SocketEvent::End)) | Some(Err(_)) => {
                 wire.reason = Reason::Reset;
-                Some(maybe(Ending::Reset))
+                Some(maybe(AttemptOutcome::Reset))
             }
             None => {
                 wire.reason = Reason::Timeout;
-                Some(maybe(Ending::Timeout))
+                Some(maybe(AttemptOutcome::Timeout))
             }
         };
         if let Some(ending) = ending {
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -9,7 +9,7 @@
 use async_channel::Sender;
 use config::{Target, Targets};
 use dispatch::Attempt;
-use scheduler::interface::{ListNews, Micros, NodeEntry, NodeId, NodeState};
+use scheduler::interface::{BackendEntry, BackendId, BackendState, EndpointUpdate, Micros};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,9 +31,9 @@
     context: Rc<Context>,
     module: Module,
     bans: Rc<Bans>,
-    peers: RefCell<BTreeMap<NodeId, Peer>>,
+    peers: RefCell<BTreeMap<BackendId, Peer>>,
     /// Boxes by the word of changes of configuration: it counts, whatever the list says of them.
-    over: RefCell<BTreeMap<NodeId, Target>>,
+    over: RefCell<BTreeMap<BackendId, Target>>,
     own: Weak<Boxes>,
 }
 
@@ -50,13 +50,13 @@
     }
 
     /// Whether one is listed.
-    pub fn contains(&self, node: &NodeId) -> bool {
+    pub fn contains(&self, node: &BackendId) -> bool {
         self.peers.borrow().contains_key(node)
     }
 
     /// Hands an attempt to its box; false where that can't be done, and it was not sent.
     pub fn start(&self, attempt: Attempt) -> bool {
-        let mailbox = self.peers.borrow().get(&attempt.node).map(|p| p.mail.clone());
+        let mailbox = self.peers.borrow().get(&attempt.backend).map(|p| p.mail.clone());
         mailbox.is_some_and(|m| m.len() < MAILBOX && m.try_send(PeerMail::Start(attempt)).is_ok())
     }
 
@@ -78,16 +78,16 @@
 
     /// A message of discovery, as it counts for this front. Peers first: what the module has started and they have not
     /// must know of a drain.
-    pub fn news(&self, targets: &Targets) -> ListNews {
+    pub fn news(&self, targets: &Targets) -> EndpointUpdate {
         let targets = &*self.lay_over(targets);
         let entries = self.update(&targets.targets, targets.whole);
         let entries = entries.into_iter().map(|entry| {
-            self.bans.remember(&entry.node);
+            self.bans.remember(&entry.backend);
             self.bans.seen(entry)
         });
         match targets.whole {
-            true => ListNews::Full(entries.collect()),
-            false => ListNews::Delta(entries.collect()),
+            true => EndpointUpdate::Full(entries.collect()),
+            false => EndpointUpdate::Delta(entries.collect()),
         }
     }
 
@@ -98,21 +98,21 @@
             return Cow::Borrowed(targets);
         }
         let mut targets = targets.clone();
-        targets.targets.retain(|target| !over.contains_key(&target.entry.node));
+        targets.targets.retain(|target| !over.contains_key(&target.entry.backend));
         targets.targets.extend(over.values().cloned());
         Cow::Owned(targets)
     }
 
     /// These boxes are by the word of changes from now on, and these others as they are given here.
-    pub async fn put(&self, over: BTreeMap<NodeId, Target>, changed: &[Target]) {
+    pub async fn put(&self, over: BTreeMap<BackendId, Target>, changed: &[Target]) {
         self.over.replace(over);
-        changed.iter().for_each(|target| self.bans.remember(&target.entry.node));
+        changed.iter().for_each(|target| self.bans.remember(&target.entry.backend));
         let entries = self.update(changed, false);
         let entries = entries.into_iter().map(|entry| self.bans.seen(entry)).collect();
-        let _ = self.module.send(Mail::News(ListNews::Delta(entries))).await;
+        let _ = self.module.send(Mail::News(EndpointUpdate::Delta(entries))).await;
         // This is no word of discovery: where that is not heard, the module goes on taking care.
         if self.context.config().discovery.is_some() && !self.context.life.watching.get() {
-            let _ = self.module.send(Mail::News(ListNews::Failed)).await;
+            let _ = self.module.send(Mail::News(EndpointUpdate::Failed)).await;
         }
     }
 
@@ -121,17 +121,17 @@
         let mut entries = Vec::new();
         for peer in self.peers.borrow().values() {
             let entry = self.bans.seen(peer.place.entry.borrow().clone());
-            peer.place.closed.set(entry.state != NodeState::Ready);
+            peer.place.closed.set(entry.state != BackendState::Ready);
             drop(peer.mail.try_send(PeerMail::Changed));
             entries.push(entry);
         }
         // Guards the watch: this is no news of discovery, and must not pass for a sign that it was heard.
-        let _ = self.module.send(Mail::News(ListNews::Cached(entries))).await;
+        let _ = self.module.send(Mail::News(EndpointUpdate::Cached(entries))).await;
     }
 
     /// The fronts have settled that a box is out, or back.
     pub async fn settle(&self, node: &str, out: bool) {
-        if self.bans.settle(NodeId(node.into()), out) {
+        if self.bans.settle(BackendId(node.into()), out) {
             self.apply().await;
         }
     }
@@ -160,13 +160,13 @@
 
     /// Starts peers for new entries of the list and tells those that are there. Gives the entries in their order, with starts
     /// by this process's own clock.
-    fn update(&self, targets: &[Target], whole: bool) -> Vec<NodeEntry> {
+    fn update(&self, targets: &[Target], whole: bool) -> Vec<BackendEntry> {
         let mut peers = self.peers.borrow_mut();
         // One that has left is forgotten: its actor ends once nothing is out there, and one that returns is new. Bounds the
         // memory where every server is replaced, and replaced again.
         let leave = |peer: &Peer| peer.place.closed.set(true);
         if whole {
-            let named: BTreeSet<&NodeId> = targets.iter().map(|t| &t.entry.node).collect();
+            let named: BTreeSet<&BackendId> = targets.iter().map(|t| &t.entry.backend).collect();
             peers.retain(|node, peer| {
                 let stays = named.contains(node);
                 if !stays {
@@ -179,25 +179,25 @@
         let mut entries = Vec::with_capacity(targets.len());
         for target in targets {
             let mut entry = target.entry.clone();
-            if entry.state == NodeState::Gone {
-                peers.remove(&entry.node).iter().for_each(leave);
+            if entry.state == BackendState::Gone {
+                peers.remove(&entry.backend).iter().for_each(leave);
                 entries.push(entry);
                 continue;
             }
-            let peer = peers.entry(entry.node.clone()).or_insert_with(|| self.start_peer(target));
+            let peer = peers.entry(entry.backend.clone()).or_insert_with(|| self.start_peer(target));
             let place = &peer.place;
-            let restarted = Start::differs(place.start.get(), entry.started);
-            if let Some(told) = entry.started.filter(|_| restarted) {
+            let restarted = Start::differs(place.start.get(), entry.started_at);
+            if let Some(told) = entry.started_at.filter(|_| restarted) {
                 place.start.set(Some(Start::notified(told, now(told), wall_clock())));
             }
             if restarted || place.address.get() != target.address {
                 place.life.set(place.life.get() + 1);
             }
-            entry.started = entry.started.and(place.start.get()).map(|start| start.at);
+            entry.started_at = entry.started_at.and(place.start.get()).map(|start| start.at);
             place.entry.replace(entry.clone());
             place.speaks.set(target.speaks);
             place.address.set(target.address);
-            place.closed.set(self.bans.seen(entry.clone()).state != NodeState::Ready);
+            place.closed.set(self.bans.seen(entry.clone()).state != BackendState::Ready);
             drop(peer.mail.try_send(PeerMail::Changed));
             entries.push(entry);
         }
@@ -207,7 +207,7 @@
     /// When each start that a message tells counts as notified: now, and those that were told later a little later, so that
     /// of two servers of one shard the one that started last is known.
     fn notification_times(&self, targets: &[Target]) -> impl Fn(Micros) -> Micros {
-        let mut told: Vec<Micros> = targets.iter().filter_map(|target| target.entry.started).collect();
+        let mut told: Vec<Micros> = targets.iter().filter_map(|target| target.entry.started_at).collect();
         told.sort_unstable();
         told.dedup();
         let now = self.context.clock.now().0 - told.len() as i64;
--- a/crates/gateway/src/backend/resp_encoding.rs
+++ b/crates/gateway/src/backend/resp_encoding.rs
@@ -1,12 +1,12 @@
 //! The words of an attempt at a disk box that speaks RESP2: its command, and what a reply says.
 use crate::context::Context;
 use dispatch::{Attempt, Bytes};
-use scheduler::interface::Ending;
+use scheduler::interface::AttemptOutcome;
 
 /// The command of an attempt.
 pub fn command(context: &Context, attempt: &Attempt) -> Vec<u8> {
     let r = &attempt.request;
-    let wait = ((attempt.until.0 - context.clock.now().0) / 1000).max(1);
+    let wait = ((attempt.deadline.0 - context.clock.now().0) / 1000).max(1);
     let config = context.config();
     let class = config.classes.get(r.class).map_or("", |c| c.name.as_str());
     let plan = config.plans.get(r.plan).map_or("", |p| p.as_str());
@@ -14,10 +14,10 @@
     let comma = if r.extra.is_empty() { "" } else { "," };
     let list = format!(
         "c={class},t={plan},d={wait},volume={},units={},shard={shard},hosts={}{comma}{}",
-        r.volume, r.units, r.hosts, r.extra
+        r.volume, r.units, r.volume_gateways, r.extra
     );
-    let verb: &[u8] = if r.write { b"PWRITE" } else { b"PREAD" };
-    let mut words = vec![verb, r.piece.as_bytes(), r.name.as_bytes(), list.as_bytes()];
+    let verb: &[u8] = if r.is_write { b"PWRITE" } else { b"PREAD" };
+    let mut words = vec![verb, r.key.as_bytes(), r.name.as_bytes(), list.as_bytes()];
     words.extend(r.body.as_deref());
     let mut out = Vec::new();
     resp::write_command(&mut out, &words);
@@ -33,12 +33,12 @@
 /// What a reply says: how the attempt ended, the units served elsewhere, the value; none for one that is spoilt.
 /// Guards bookings: only an error line of the exact form says that nothing has run. Guards clients: only an array that
 /// begins with a value serves.
-pub fn outcome(reply: &resp::Reply<'_>) -> Option<(Ending, f64, Option<Bytes>)> {
+pub fn outcome(reply: &resp::Reply<'_>) -> Option<(AttemptOutcome, f64, Option<Bytes>)> {
     match reply {
         resp::Reply::Error(line) => match (line.strip_prefix(b"BUSY"), line.strip_prefix(b"ERR")) {
-            (Some(rest), _) if figures(rest) => Some((Ending::Full, elsewhere(rest), None)),
+            (Some(rest), _) if figures(rest) => Some((AttemptOutcome::Rejected, elsewhere(rest), None)),
             (_, Some(rest)) if rest.iter().all(|b| (b' '..=b'~').contains(b)) => {
-                Some((Ending::Error, elsewhere(rest), None))
+                Some((AttemptOutcome::Error, elsewhere(rest), None))
             }
             _ => None,
         },
@@ -48,7 +48,7 @@
                     Some(resp::Reply::Bulk(Some(figures))) => elsewhere(figures),
                     _ => 0.0,
                 };
-                Some((Ending::Ok, figures, Some(Bytes::from(*value))))
+                Some((AttemptOutcome::Ok, figures, Some(Bytes::from(*value))))
             }
             _ => None,
         },
--- a/crates/gateway/src/backend/resp_exchange.rs
+++ b/crates/gateway/src/backend/resp_exchange.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use dispatch::Attempt;
 use futures_lite::{future, StreamExt};
-use scheduler::interface::Ending;
+use scheduler::interface::AttemptOutcome;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -123,7 +123,7 @@
 pub async fn exchange(context: &Rc<Context>, attempt: &Attempt, wire: &mut Wire) -> (Exchanged, bool) {
     let ended = |ended: Ended, keep: bool| (Exchanged::Ended(ended), keep);
     wire.output.push(&command(context, attempt));
-    let until = context.clock.instant(attempt.until);
+    let until = context.clock.instant(attempt.deadline);
     let mut late = Timer::at(until);
     let mut weight = Weight::new(&context.gauges, |g| &g.arriving);
     loop {
@@ -147,7 +147,7 @@
         // A long value goes on to its client while it comes, where that can take it so.
         let head = resp::long_head(wire.input.contiguous(), resp::LONGEST);
         let passed = |(_, length, _): &(usize, usize, usize)| {
-            attempt.request.piecemeal && !unsent && *length <= value::LONGEST && !context.arriving_full()
+            attempt.request.accepts_stream && !unsent && *length <= value::LONGEST && !context.arriving_full()
         };
         if let Some((parts, length, used)) = head.filter(passed) {
             wire.input.consume(used);
@@ -163,12 +163,12 @@
                     Ok(None) if room => continue,
                     Ok(Some((reply, used))) => {
                         let (ending, elsewhere, value) = match outcome(&reply) {
-                            Some(said) if !unsent || said.0 == Ending::Full => said,
+                            Some(said) if !unsent || said.0 == AttemptOutcome::Rejected => said,
                             // Whatever it answers, it is not this command.
-                            _ if unsent => (Ending::ConnectFailed, 0.0, None),
+                            _ if unsent => (AttemptOutcome::ConnectFailed, 0.0, None),
                             _ => {
                                 wire.reason = Reason::Protocol;
-                                return ended(attempt.ended(Ending::Error), false);
+                                return ended(attempt.ended(AttemptOutcome::Error), false);
                             }
                         };
                         wire.input.consume(used);
@@ -177,13 +177,20 @@
                             wire.reason = Reason::Protocol;
                         }
                         let value = value.map(Value::Whole);
-                        return ended(Ended { elsewhere, value, ..attempt.ended(ending) }, clean);
+                        return ended(
+                            Ended { remote_units: elsewhere, value, ..attempt.ended(ending) },
+                            clean,
+                        );
                     }
                     _ => {
                         wire.reason = Reason::Protocol;
                         // It has run, as far as can be told, and its box is well.
                         return ended(
-                            attempt.ended(if unsent { Ending::ConnectFailed } else { Ending::Error }),
+                            attempt.ended(if unsent {
+                                AttemptOutcome::ConnectFailed
+                            } else {
+                                AttemptOutcome::Error
+                            }),
                             false,
                         );
                     }
@@ -191,17 +198,17 @@
             }
             Some(Ok(SocketEvent::End)) | Some(Err(_)) => {
                 wire.reason = Reason::Reset;
-                Ending::Reset
+                AttemptOutcome::Reset
             }
             None if begun => {
                 wire.reason = Reason::Protocol;
-                Ending::Error
+                AttemptOutcome::Error
             }
             None => {
                 wire.reason = Reason::Timeout;
-                Ending::Timeout
+                AttemptOutcome::Timeout
             }
         };
-        return ended(attempt.ended(if unsent { Ending::ConnectFailed } else { ending }), false);
+        return ended(attempt.ended(if unsent { AttemptOutcome::ConnectFailed } else { ending }), false);
     }
 }
--- a/crates/gateway/src/backend/statistics.rs
+++ b/crates/gateway/src/backend/statistics.rs
@@ -1,6 +1,6 @@
 //! What a front measures of a disk box for those it acts together with: what is out there, when it was last sent to, what it
 //! served for which volume. Nothing is counted where nobody asks.
-use scheduler::interface::{Ending, Micros};
+use scheduler::interface::{AttemptOutcome, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -43,9 +43,9 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&self, now: Micros, ending: Ending, volume: &Rc<str>, units: u32) {
+    pub fn ended(&self, now: Micros, ending: AttemptOutcome, volume: &Rc<str>, units: u32) {
         match ending {
-            Ending::Ok => {
+            AttemptOutcome::Ok => {
                 self.answered.set(Some(now));
                 if self.on.get() {
                     self.fade(now);
@@ -55,9 +55,11 @@
                     }
                 }
             }
-            Ending::Error | Ending::Full => self.answered.set(Some(now)),
-            Ending::Timeout | Ending::ConnectFailed | Ending::Reset => self.failed.set(true),
-            Ending::Cancelled | Ending::Moot => {}
+            AttemptOutcome::Error | AttemptOutcome::Rejected => self.answered.set(Some(now)),
+            AttemptOutcome::Timeout | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
+                self.failed.set(true)
+            }
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
 
--- a/crates/gateway/src/backend/value.rs
+++ b/crates/gateway/src/backend/value.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 
 /// The end of a task of the core, with a value of this program.
-pub type Ended = dispatch::Ended<Value>;
+pub type Ended = dispatch::AttemptEnd<Value>;
 /// A final answer, with a value of this program.
-pub type Answer = dispatch::Answer<Value>;
+pub type Answer = dispatch::Response<Value>;
 
 /// Bytes of one piece, at the most.
 pub const PIECE: usize = 16 * 1024;
--- a/crates/gateway/src/client/command.rs
+++ b/crates/gateway/src/client/command.rs
@@ -68,7 +68,8 @@
     let Some(wait) = wait else { return error("d: not a time in milliseconds") };
     let Some(volume) = volume else { return error("volume: must be 16 hex digits") };
     // Guards disk boxes and the module against what no box can use.
-    let Some(units) = units.filter(|u| (1.0..=config.settings.most_units).contains(&f64::from(*u))) else {
+    let Some(units) = units.filter(|u| (1.0..=config.settings.max_request_units).contains(&f64::from(*u)))
+    else {
         return error("units: not a number from 1 to the largest size");
     };
     let there = |s: &i32| *s >= -1 && config.shards.is_none_or(|n| i64::from(*s) < i64::from(n));
@@ -83,16 +84,16 @@
         name: name.into(),
         class,
         plan,
-        write,
-        piece: piece.into(),
+        is_write: write,
+        key: piece.into(),
         volume: volume.into(),
         units,
         shard: u32::try_from(shard).ok(),
-        hosts,
+        volume_gateways: hosts,
         extra: extra.join(",").into(),
         body: words.get(4).map(|b| Bytes::from(*b)),
         extent: None,
-        piecemeal: true,
-        until: Micros(came.0 + wait - ON_THE_WAY),
+        accepts_stream: true,
+        deadline: Micros(came.0 + wait - ON_THE_WAY),
     })
 }
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -97,8 +97,8 @@
             Reply::Value(format!("${}\r\n", value.len()).into_bytes(), value)
         }
         // Rounded up: a client that came back earlier than told would be refused again.
-        Answer::Refused(Some(wait)) => Reply::text(format!("-BUSY {}\r\n", (wait.0.max(0) + 999) / 1000)),
-        Answer::Refused(None) => Reply::text("-BUSY\r\n"),
+        Answer::Rejected(Some(wait)) => Reply::text(format!("-BUSY {}\r\n", (wait.0.max(0) + 999) / 1000)),
+        Answer::Rejected(None) => Reply::text("-BUSY\r\n"),
         Answer::Failed(reason) => Reply::text(format!("-ERR {reason}\r\n")),
     }
 }
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -132,7 +132,7 @@
     /// Refuses a request that the module is not told of.
     fn refuse(&mut self, class: usize) {
         self.context.tallies.answer(class, 1);
-        self.push(None, Some(worded(Answer::Refused(None))));
+        self.push(None, Some(worded(Answer::Rejected(None))));
     }
 
     /// How long a command may take to be whole, and how long answers may wait unread.
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -72,7 +72,7 @@
         relays: in_order(&config.name, &section.relays),
         keys: section.keys().map_err(|e| e.to_string())?,
         machine,
-        fleet: config.settings.hosts,
+        fleet: config.settings.gateways,
         seed: chance(),
     })
 }
--- a/crates/gateway/src/config_overlay/effective.rs
+++ b/crates/gateway/src/config_overlay/effective.rs
@@ -1,7 +1,7 @@
 //! What changes of configuration come to at this front: settings that lie over the file's own, and boxes of shards.
 use config::{Config, Target, Targets};
 use config_distribution::{Change, Key, Topic};
-use scheduler::interface::NodeId;
+use scheduler::interface::BackendId;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -72,8 +72,8 @@
     }
 
     /// Boxes that count whatever the list says.
-    pub fn boxes(&self) -> BTreeMap<NodeId, Target> {
-        self.boxes.values().map(|target| (target.entry.node.clone(), target.clone())).collect()
+    pub fn boxes(&self) -> BTreeMap<BackendId, Target> {
+        self.boxes.values().map(|target| (target.entry.backend.clone(), target.clone())).collect()
     }
 
     /// What these changes come to, put over what is in force, or over nothing where they are all that there is; else the keys
@@ -157,9 +157,9 @@
         let left = before.into_iter().filter(|(node, _)| !after.contains_key(node));
         let known: &Targets = &config.known;
         left.filter_map(|(node, mut target)| {
-            let listed = known.targets.iter().find(|t| t.entry.node == node).cloned();
+            let listed = known.targets.iter().find(|t| t.entry.backend == node).cloned();
             if listed.is_none() {
-                target.entry.state = scheduler::interface::NodeState::Gone;
+                target.entry.state = scheduler::interface::BackendState::Gone;
             }
             config.discovery.is_none().then(|| listed.unwrap_or(target))
         })
@@ -185,7 +185,7 @@
     use super::*;
     use cluster_types::Index;
     use config_distribution::Class;
-    use scheduler::interface::NodeState;
+    use scheduler::interface::BackendState;
 
     const FILE: &str = include_str!("../../../../deploy/changes-front.toml");
 
@@ -223,13 +223,13 @@
         let one =
             next(&InForce::default(), false, &[change(Topic::Shard(0), "box", entry("box-0", "leaving"))]);
         let one = one.unwrap();
-        assert_eq!(one.boxes[0].entry.state, NodeState::Draining);
+        assert_eq!(one.boxes[0].entry.state, BackendState::Draining);
         let two =
             next(&one.values, false, &[change(Topic::Shard(0), "box", entry("box-9", "active"))]).unwrap();
-        let states: Vec<_> = two.boxes.iter().map(|t| (&*t.entry.node.0, t.entry.state)).collect();
-        assert_eq!(states, [("box-9", NodeState::Ready), ("box-0", NodeState::Ready)]);
+        let states: Vec<_> = two.boxes.iter().map(|t| (&*t.entry.backend.0, t.entry.state)).collect();
+        assert_eq!(states, [("box-9", BackendState::Ready), ("box-0", BackendState::Ready)]);
         let none = next(&two.values, true, &[change(Topic::Shard(0), "colour", json!({}))]).unwrap();
-        assert_eq!((none.boxes[0].entry.state, none.passed_over), (NodeState::Gone, 1));
+        assert_eq!((none.boxes[0].entry.state, none.passed_over), (BackendState::Gone, 1));
         assert!(none.values.boxes().is_empty());
     }
 }
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -10,7 +10,7 @@
 use coordination::{Fellow, Handle, Measures, Seen, Settings, ToAccord, ToFront};
 use futures_lite::future;
 use maintenance::{Rules, Share};
-use scheduler::interface::{Micros, NodeId, NodeState};
+use scheduler::interface::{BackendState, Micros};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -97,7 +97,7 @@
         };
         crate::log::line(format_args!("settled box={id} out={out} {why}"));
         boxes.settle(&id.0, out).await;
-        if let Some(place) = boxes.places().into_iter().find(|p| p.entry.borrow().node.0 == id.0) {
+        if let Some(place) = boxes.places().into_iter().find(|p| p.entry.borrow().backend == id) {
             match (out, leaves) {
                 (true, true) => place.tally.leave(),
                 // However the list tells of its start: it may be cold.
@@ -126,7 +126,7 @@
     }
 }
 
-fn measures(context: &Context, boxes: &Boxes, away: &BTreeSet<NodeId>) -> Measures {
+fn measures(context: &Context, boxes: &Boxes, away: &BTreeSet<BackendId>) -> Measures {
     let (config, now) = (context.config(), context.clock.now());
     let ago = |at: Micros| u64::try_from(now.0 - at.0).unwrap_or(0);
     let warm = config.accord.as_ref().map_or(0, |a| (a.out.warm_s * 1e6) as i64);
@@ -135,18 +135,18 @@
     for place in &places {
         place.tally.on.set(true);
         let entry = place.entry.borrow();
-        let id = BackendId(entry.node.0.clone());
+        let id = entry.backend.clone();
         let (out, sent) = place.tally.out();
         let rates = place.tally.rates(now);
         let silent = place.tally.answered().is_none_or(|at| now.0 - at.0 > SILENT);
-        let warm_up = config.settings.cold.warm_up.0;
+        let warm_up = config.settings.slow_start.duration.0;
         let hall = config.zones.get(entry.zone as usize).map_or("", String::as_str);
         let seen = Seen {
             hall: hall.into(),
-            listed: entry.state != NodeState::Gone,
-            died: entry.state == NodeState::Ready && silent && away.contains(&entry.node),
+            listed: entry.state != BackendState::Gone,
+            died: entry.state == BackendState::Ready && silent && away.contains(&entry.backend),
             cold: place.tally.back().is_some_and(|at| now.0 - at.0 < warm)
-                || entry.started.is_some_and(|at| now.0 - at.0 < warm_up),
+                || entry.started_at.is_some_and(|at| now.0 - at.0 < warm_up),
             out,
             last_send: sent.map(ago),
             units: rates.values().sum(),
@@ -158,9 +158,11 @@
             // Another box that holds the shard could serve it as well; without one its data is nowhere else.
             let others = places.iter().filter(|other| {
                 let other = other.entry.borrow();
-                other.shard == entry.shard && other.state == NodeState::Ready && other.node != entry.node
+                other.shard == entry.shard
+                    && other.state == BackendState::Ready
+                    && other.backend != entry.backend
             });
-            let ids = others.map(|other| BackendId(other.entry.borrow().node.0.clone()));
+            let ids = others.map(|other| other.entry.borrow().backend.clone());
             ids.chain([id.clone()]).for_each(|id| *all.1.entry(id).or_default() += rate);
         }
         measures.boxes.insert(id, seen);
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -9,7 +9,7 @@
 use backoff::{Caller, Failure, Law, LIVENESS};
 use config::Config;
 use futures_lite::{future, StreamExt};
-use scheduler::interface::{ListMode, ListNews, Micros};
+use scheduler::interface::{DiscoveryMode, EndpointUpdate, Micros};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -23,7 +23,7 @@
 
 /// The law for one of all fronts.
 fn law(config: &Config) -> Law {
-    Law::fleet(config.settings.hosts)
+    Law::fleet(config.settings.gateways)
 }
 
 /// Runs until the program ends, which closes the mailbox.
@@ -34,7 +34,7 @@
     let mut caller = Caller::new(law(&config), config.seed, now);
     // Where lists are pushed, what the agent has counts from the first moment on. Else all fronts may start at once, and
     // discovery is one service for all.
-    if config.settings.list_mode == ListMode::Ask {
+    if config.settings.discovery_mode == DiscoveryMode::Subscribe {
         caller.spread(now);
     }
     let mut list = List { context, module, boxes, version: config.known.generation, caller };
@@ -54,7 +54,7 @@
             _ => list.caller.ended(now, Failure::Ended),
         }
         // What leaves from now on is not heard of: the module is to take care.
-        let _ = list.module.send(Mail::News(ListNews::Failed)).await;
+        let _ = list.module.send(Mail::News(EndpointUpdate::Failed)).await;
     }
 }
 
@@ -165,7 +165,7 @@
                 Ok(count) => {
                     // Guards discovery: a watch with nothing to tell is up all the same, and not to be asked for again.
                     if !std::mem::replace(&mut told, true) && count == 0 {
-                        let _ = self.module.send(Mail::News(ListNews::Delta(vec![]))).await;
+                        let _ = self.module.send(Mail::News(EndpointUpdate::Delta(vec![]))).await;
                     }
                     watch.wire.carried += count;
                 }
--- a/crates/gateway/src/iscsi/request.rs
+++ b/crates/gateway/src/iscsi/request.rs
@@ -22,22 +22,22 @@
     let class = config.class(name)?;
     let wait = lun.deadline_ms.map_or(config.classes[class].deadline.0, |ms| ms.saturating_mul(1000) as i64);
     // The module reckons with requests of that size at most.
-    let most = (config.settings.most_units as u32).max(1);
+    let most = (config.settings.max_request_units as u32).max(1);
     Some(Request {
         name: format!("{:016x}", context.number().0).into(),
         class,
         plan: config.plan(&lun.plan)?,
-        write: body.is_some(),
-        piece: format!("{:016x}", lba / u64::from(lun.piece_blocks)).into(),
+        is_write: body.is_some(),
+        key: format!("{:016x}", lba / u64::from(lun.piece_blocks)).into(),
         volume: lun.volume.as_str().into(),
         units: blocks.div_ceil(lun.unit_blocks).clamp(1, most),
         shard: Some(lun.shard),
-        hosts: lun.hosts,
+        volume_gateways: lun.hosts,
         extra: "".into(),
         body,
-        piecemeal: false,
+        accepts_stream: false,
         extent: Some(Extent { first: lba, blocks }),
-        until: Micros(context.clock.now().0 + wait),
+        deadline: Micros(context.clock.now().0 + wait),
     })
 }
 
@@ -45,7 +45,7 @@
 pub fn outcome(answer: &Answer, write: bool) -> Outcome<'_> {
     match answer {
         Answer::Served(value) => Outcome::Good(value.whole()),
-        Answer::Refused(wait) => Outcome::Busy(wait.map(|w| (w.0.max(0) as u64).div_ceil(1000))),
+        Answer::Rejected(wait) => Outcome::Busy(wait.map(|w| (w.0.max(0) as u64).div_ceil(1000))),
         Answer::Failed(_) if write => Outcome::Failed(Sense::WRITE_FAILED),
         Answer::Failed(_) => Outcome::Failed(Sense::READ_FAILED),
     }
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -175,7 +175,7 @@
                 if over(&self.front, request, ticket) {
                     return;
                 }
-                Answer::Refused(None)
+                Answer::Rejected(None)
             }
         };
         self.ready.push_back((slot, answer));
--- a/crates/gateway/src/iscsi/write_record.rs
+++ b/crates/gateway/src/iscsi/write_record.rs
@@ -79,7 +79,7 @@
                 Next::Known
             }
             None if full => {
-                let _ = ticket.to.try_send((ticket.slot, Answer::Refused(Some(Micros(1_000_000)))));
+                let _ = ticket.to.try_send((ticket.slot, Answer::Rejected(Some(Micros(1_000_000)))));
                 Next::Known
             }
             None => {
@@ -95,7 +95,7 @@
     fn answered(&mut self, now: Micros, number: u64, answer: Answer) {
         let Some(key) = self.running.remove(&number) else { return };
         let kept = match &answer {
-            Answer::Refused(_) => None,
+            Answer::Rejected(_) => None,
             // A disk box may answer a write with a value, which no initiator asks for.
             Answer::Served(_) => Some(Answer::Served(Value::default())),
             Answer::Failed(reason) => Some(Answer::Failed(reason)),
@@ -168,7 +168,7 @@
                     record.runs(&key, id);
                     let mail = Mail::Take(id, request, ticket);
                     if module.try_send(mail).is_err() {
-                        record.answered(context.clock.now(), number, Answer::Refused(None));
+                        record.answered(context.clock.now(), number, Answer::Rejected(None));
                     }
                 }
             }
@@ -220,9 +220,9 @@
         let (t, from) = ticket(1);
         assert!(matches!(record.begin(key(5), t.clone()), Next::Run(1)));
         assert!(matches!(record.begin(key(6), t.clone()), Next::Known), "refused at the bound");
-        assert!(matches!(from.try_recv().unwrap().1, Answer::Refused(Some(_))));
-        record.answered(Micros(0), 1, Answer::Refused(None));
-        assert!(matches!(from.try_recv().unwrap().1, Answer::Refused(None)));
+        assert!(matches!(from.try_recv().unwrap().1, Answer::Rejected(Some(_))));
+        record.answered(Micros(0), 1, Answer::Rejected(None));
+        assert!(matches!(from.try_recv().unwrap().1, Answer::Rejected(None)));
         assert!(matches!(record.begin(key(5), t.clone()), Next::Run(2)), "it did not run: a new try");
         record.answered(Micros(0), 2, Answer::Served(Value::Whole(Bytes::from(*b"value"))));
         record.forget(Micros(99));
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::{future, StreamExt};
-use scheduler::interface::{ListNews, Micros};
+use scheduler::interface::{EndpointUpdate, Micros};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -81,7 +81,7 @@
     }
 
     /// Puts a list in force that discovery did not just tell.
-    pub async fn know(&self, known: &config::Targets, as_news: impl Fn(ListNews) -> ListNews) {
+    pub async fn know(&self, known: &config::Targets, as_news: impl Fn(EndpointUpdate) -> EndpointUpdate) {
         let news = as_news(self.boxes.news(known));
         let _ = self.module.send(Mail::News(news)).await;
     }
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -21,7 +21,7 @@
 use crate::scheduler_actor;
 use async_channel::Receiver;
 use async_io::Timer;
-use scheduler::interface::ListNews;
+use scheduler::interface::EndpointUpdate;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -70,7 +70,7 @@
         changing: None,
     };
     let cached = |news| match news {
-        ListNews::Full(entries) => ListNews::Cached(entries),
+        EndpointUpdate::Full(entries) => EndpointUpdate::Cached(entries),
         news => news,
     };
     running.know(&config.known, cached).await;
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -2,7 +2,7 @@
 use crate::backend::value::{Answer, Ended};
 use async_channel::Sender;
 use dispatch::Request;
-use scheduler::interface::{ListNews, NodeId, RequestId, Settings};
+use scheduler::interface::{BackendId, EndpointUpdate, RequestId, Settings};
 use std::rc::Rc;
 
 /// Where an answer goes: a front's connection, and the place in it.
@@ -29,7 +29,7 @@
     /// Units served for a volume through other fronts, told after a long value.
     Told(Rc<str>, f64),
     /// News of the list.
-    News(ListNews),
+    News(EndpointUpdate),
     /// The file was read again: its settings, or none where it was faulty.
     Reload(Option<Box<Settings>>),
     /// Another process of this front has come or gone.
@@ -37,7 +37,7 @@
     /// The program is to end.
     Stopping,
     /// Which disk boxes does the module keep from for now?
-    Avoided(Sender<Vec<NodeId>>),
+    Avoided(Sender<Vec<BackendId>>),
     /// Print the counters.
     Print,
 }
--- a/crates/gateway/src/net/dial.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -8,7 +8,7 @@
 use dispatch::Attempt;
 use futures_lite::future;
 use iscsi::initiator::Initiator;
-use scheduler::interface::{Ending, Micros};
+use scheduler::interface::{AttemptOutcome, Micros};
 use std::io;
 use std::net::SocketAddr;
 
@@ -33,16 +33,16 @@
 }
 
 /// A new connection, or how the attempt ends without one.
-pub async fn connect(work: &Work, attempt: &Attempt) -> Result<Connection, Ending> {
+pub async fn connect(work: &Work, attempt: &Attempt) -> Result<Connection, AttemptOutcome> {
     let Work { context, place, .. } = work;
     if !work.may_begin(attempt) {
-        return Err(Ending::Moot);
+        return Err(AttemptOutcome::NotSent);
     }
-    let Some(address) = place.address.get() else { return Err(Ending::ConnectFailed) };
+    let Some(address) = place.address.get() else { return Err(AttemptOutcome::ConnectFailed) };
     // Guards the module's belief: the front's own bound says nothing about the box. Idle connections make room first.
     while context.gauges.upstream.get() >= context.upstream_bound() {
         if !(work.make_room)() {
-            return Err(Ending::Moot);
+            return Err(AttemptOutcome::NotSent);
         }
         future::yield_now().await;
     }
@@ -50,8 +50,8 @@
     let life = place.life.get();
     let patience = context.config().settings.connect_timeout.0;
     let until = match patience {
-        0 => attempt.until,
-        patience => attempt.until.min(Micros(context.clock.now().0 + patience)),
+        0 => attempt.deadline,
+        patience => attempt.deadline.min(Micros(context.clock.now().0 + patience)),
     };
     let bounds = (context.longest_value() + BESIDE, COMMAND);
     let up = async { dial(address, bounds).await.map_err(|_| Unconnected::Failed) };
@@ -65,13 +65,13 @@
     };
     match future::or(up, late).await {
         Ok(wire) => Ok(Connection { wire, session: None, _count: count, since: context.clock.now(), life }),
-        Err(Unconnected::Abandoned) => Err(Ending::Moot),
+        Err(Unconnected::Abandoned) => Err(AttemptOutcome::NotSent),
         Err(Unconnected::Failed) => {
             crate::log::line(format_args!(
                 "conn kind=box peer={address} carried=0 reason={}",
                 Reason::ConnectFailed
             ));
-            Err(Ending::ConnectFailed)
+            Err(AttemptOutcome::ConnectFailed)
         }
     }
 }
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -136,7 +136,8 @@
         if budget.most() != most && budget.held() == 0 {
             *budget = Budget::new(most);
         }
-        let until = self.context.answer_by().map_or(begin.request.until, |by| by.min(begin.request.until));
+        let until =
+            self.context.answer_by().map_or(begin.request.deadline, |by| by.min(begin.request.deadline));
         let mut out = Vec::new();
         match self.gathers.begin(self.now(), begin.policy.clone(), time(until), &mut out) {
             Ok(id) => {
@@ -146,7 +147,7 @@
             }
             Err(scatter_gather::Full) => {
                 self.context.tallies.answer(begin.request.class, 1);
-                put(&begin, worded(Answer::Refused(Some(AGAIN))));
+                put(&begin, worded(Answer::Rejected(Some(AGAIN))));
             }
         }
         self.carry_out(out);
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -68,9 +68,9 @@
     /// What a client's request gathers; none where it is one of the core's. Bookings never gather.
     pub fn policy(&self, config: &Config, request: &Request) -> Option<Arc<Policy>> {
         let pieces = self.policies.get(&*request.volume)?;
-        let policy = pieces.get(&u64::from_str_radix(&request.piece, 16).ok()?)?;
+        let policy = pieces.get(&u64::from_str_radix(&request.key, 16).ok()?)?;
         let class = config.classes.get(request.class)?;
-        (!request.write && *class.name == *policy.class).then(|| policy.clone())
+        (!request.is_write && *class.name == *policy.class).then(|| policy.clone())
     }
 
     /// Hands a request over; false where there is no room for it.
--- a/crates/gateway/src/scatter_gather/response.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -12,7 +12,7 @@
         Answer::Gathered(gathered) => joined(gathered),
         Answer::Failed(failure) if failure.turned_away() => {
             let micros = |h: std::time::Duration| Micros(i64::try_from(h.as_micros()).unwrap_or(i64::MAX));
-            worded(value::Answer::Refused(failure.hint.map(micros)))
+            worded(value::Answer::Rejected(failure.hint.map(micros)))
         }
         failed => Reply::text(format!("-ERR {}\r\n", failed.told().text())),
     }
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -45,7 +45,7 @@
             // As the iSCSI front asks for blocks.
             let lun = config.iscsi.as_ref()?.luns.iter().find(|l| *l.volume == **volume)?;
             let count = u32::try_from(blocks.len()).ok()?;
-            let most = (config.settings.most_units as u32).max(1);
+            let most = (config.settings.max_request_units as u32).max(1);
             let piece = format!("{:016x}", blocks.first / u64::from(lun.piece_blocks.max(1)));
             let units = count.div_ceil(lun.unit_blocks.max(1)).clamp(1, most);
             (piece.into(), Some(Extent { first: blocks.first, blocks: count }), units)
@@ -58,18 +58,18 @@
         name: format!("{name}~{:x}.{place}", number.0).into(),
         class: client.class,
         plan: client.plan,
-        write: false,
-        piece,
+        is_write: false,
+        key: piece,
         volume: (&**volume).into(),
         units,
         shard: part.shard,
-        hosts: client.hosts,
+        volume_gateways: client.volume_gateways,
         extra: client.extra.clone(),
         body: None,
         // Values come whole: a part that stops half-way must count as missing.
-        piecemeal: false,
+        accepts_stream: false,
         extent,
-        until,
+        deadline: until,
     })
 }
 
@@ -78,7 +78,7 @@
     match answer {
         Answer::Served(Value::Whole(value)) => Ended::Served(value),
         Answer::Served(Value::Coming(_)) => Ended::Failed { reason: "too long".into(), reached: true },
-        Answer::Refused(hint) => {
+        Answer::Rejected(hint) => {
             Ended::Refused(hint.map(|h| Duration::from_micros(u64::try_from(h.0).unwrap_or(0))))
         }
         Answer::Failed(reason) => {
--- a/crates/gateway/src/scheduler_actor.rs
+++ b/crates/gateway/src/scheduler_actor.rs
@@ -5,9 +5,9 @@
 use crate::messages::{Ask, Mail, Ticket};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use dispatch::{Bound, Core, Counters, Effect};
+use dispatch::{Capacity, Counters, Dispatcher, Effect};
 use futures_lite::{future, StreamExt};
-use scheduler::interface::{Ending, Settings, SettingsError};
+use scheduler::interface::{AttemptOutcome, Settings, SettingsError};
 use std::rc::Rc;
 
 /// The most requests that the core holds.
@@ -21,12 +21,12 @@
     watch: Sender<Ask>,
 ) -> Result<(), SettingsError> {
     let config = context.config();
-    let mut core: Core<Ticket, Value> =
-        Core::new(part(&context, &config.settings), config.seed, bound(&context))?;
+    let mut core: Dispatcher<Ticket, Value> =
+        Dispatcher::new(part(&context, &config.settings), config.seed, bound(&context))?;
     let mut mail = Box::pin(mail);
     let (mut second, mut before) = (context.clock.now(), Counters::default());
     loop {
-        let wake = core.next_wake().map(|at| context.clock.instant(at));
+        let wake = core.next_timer().map(|at| context.clock.instant(at));
         let timer = async {
             match wake {
                 Some(at) => drop(Timer::at(at).await),
@@ -39,36 +39,37 @@
             return Ok(());
         }
         let now = context.clock.now();
-        core.wake(now);
+        core.fire_timers(now);
         while let Some(Some(letter)) = next {
             let now = context.clock.now();
             match letter {
                 Mail::Take(id, mut request, ticket) => {
                     // Guards against a kill that finds something unanswered.
                     // One that is passed on while it comes may still be coming then: it is taken whole, in time.
-                    request.piecemeal &= context.life.stopping.get().is_none();
-                    request.until = context.answer_by().map_or(request.until, |by| by.min(request.until));
-                    core.take(now, id, request, ticket);
+                    request.accepts_stream &= context.life.stopping.get().is_none();
+                    request.deadline =
+                        context.answer_by().map_or(request.deadline, |by| by.min(request.deadline));
+                    core.submit(now, id, request, ticket);
                 }
-                Mail::Left(id) => core.left(now, id),
+                Mail::Left(id) => core.client_left(now, id),
                 Mail::Abandoned(id) => core.abandon(now, id),
-                Mail::Ended(ended) => core.ended(now, ended),
-                Mail::Told(volume, units) => core.told_elsewhere(volume, units),
-                Mail::News(news) => core.news(now, news),
-                Mail::Reload(None) => core.counters.reload_faults += 1,
-                Mail::Avoided(to) => drop(to.try_send(core.avoided(now))),
+                Mail::Ended(ended) => core.attempt_ended(now, ended),
+                Mail::Told(volume, units) => core.add_remote_units(volume, units),
+                Mail::News(news) => core.update_endpoints(now, news),
+                Mail::Reload(None) => core.counters.reload_errors += 1,
+                Mail::Avoided(to) => drop(to.try_send(core.ejected_backends(now))),
                 Mail::Reload(Some(settings)) => {
                     core.counters.reloads += 1;
                     put_in_force(&context, &mut core, &settings);
                 }
-                Mail::Stopping => context.answer_by().into_iter().for_each(|by| core.answer_by(by)),
+                Mail::Stopping => context.answer_by().into_iter().for_each(|by| core.respond_by(by)),
                 Mail::Share => put_in_force(&context, &mut core, &context.config().settings),
                 Mail::Print => {
-                    let (nodes, volumes) = core.known();
-                    let (open, boxes) = (core.open(), boxes.len());
+                    let known = core.known();
+                    let (open, boxes) = (core.open_requests(), boxes.len());
                     crate::log::line(format_args!(
-                        "counters {} open={open} boxes={boxes} nodes={nodes} volumes={volumes}",
-                        core.counters
+                        "counters {} open={open} boxes={boxes} nodes={} volumes={}",
+                        core.counters, known.backends, known.volumes
                     ))
                 }
             }
@@ -76,11 +77,12 @@
             next = mail.try_recv().ok().map(Some);
         }
         carry_out(&context, &boxes, &mut core, &watch);
-        context.tallies.open.set(core.open());
+        context.tallies.open.set(core.open_requests());
         context.tallies.unanswered.set(core.unanswered());
         if now.0 - second.0 >= 1_000_000 {
-            let taken = core.counters.taken - before.taken;
-            let refused = core.counters.refused + core.counters.bounded - before.refused - before.bounded;
+            let taken = core.counters.received - before.received;
+            let refused =
+                core.counters.rejected + core.counters.over_capacity - before.rejected - before.over_capacity;
             context.tallies.refusing.set((100 * refused).checked_div(taken).unwrap_or(0));
             (second, before) = (now, core.counters.clone());
         }
@@ -88,33 +90,33 @@
 }
 
 /// An eighth of the memory for what is held here; rings and answers that wait have theirs.
-fn bound(context: &Context) -> Bound {
-    Bound { requests: REQUESTS, bytes: context.memory() / 8 }
+fn bound(context: &Context) -> Capacity {
+    Capacity { requests: REQUESTS, bytes: context.memory() / 8 }
 }
 
 /// Settings as they count for this process, and bounds.
-fn put_in_force(context: &Context, core: &mut Core<Ticket, Value>, settings: &Settings) {
+fn put_in_force(context: &Context, core: &mut Dispatcher<Ticket, Value>, settings: &Settings) {
     if let Err(e) = core.reload(context.clock.now(), part(context, settings), bound(context)) {
         crate::log::line(format_args!("reload error={e}"));
     }
 }
 
-fn carry_out(context: &Context, boxes: &Boxes, core: &mut Core<Ticket, Value>, watch: &Sender<Ask>) {
+fn carry_out(context: &Context, boxes: &Boxes, core: &mut Dispatcher<Ticket, Value>, watch: &Sender<Ask>) {
     while let Some(effect) = core.effects.pop_front() {
         match effect {
-            Effect::Start(attempt) => {
+            Effect::StartAttempt(attempt) => {
                 // Guards against an attempt that is lost at a full mailbox: it was not sent, and ends so. That says
                 // nothing about the box.
                 if !boxes.start(attempt.clone()) {
                     let now = context.clock.now();
-                    core.ended(now, attempt.ended(Ending::Moot));
+                    core.attempt_ended(now, attempt.ended(AttemptOutcome::NotSent));
                 }
             }
             // The connection's mailbox has room for every answer that it is owed; a closed one has gone.
-            Effect::Answer(ticket, answer) => {
+            Effect::Respond(ticket, answer) => {
                 let which = match answer {
                     Answer::Served(_) => 0,
-                    Answer::Refused(_) => 1,
+                    Answer::Rejected(_) => 1,
                     Answer::Failed(_) => 2,
                 };
                 context.tallies.answer(ticket.class, which);
@@ -131,7 +133,7 @@
     // Guards the rules on limits and on cold boxes, which hold for both together.
     if context.life.other.get() != Other::None {
         settings.plans.iter_mut().for_each(|plan| plan.limit_rate /= 2.0);
-        settings.cold.units /= 2.0;
+        settings.slow_start.safe_units /= 2.0;
     }
     settings
 }
--- a/crates/gateway/tests/log.rs
+++ b/crates/gateway/tests/log.rs
@@ -32,7 +32,7 @@
     let mut text = String::new();
     program.child.stderr.take().unwrap().read_to_string(&mut text).unwrap();
     let count = |what: &str| text.matches(what).count();
-    assert_eq!(count("counters taken=1 served=1 refused=0 bounded=0 failed=0 "), 2, "{text}");
+    assert_eq!(count("counters received=1 served=1 rejected=0 over_capacity=0 failed=0 "), 2, "{text}");
     assert_eq!(count("conn kind=client "), 2, "{text}");
     assert_eq!(count("carried=1 reason=peer-closed\n"), 1, "{text}");
     assert_eq!(count("carried=0 reason=protocol\n"), 1, "{text}");
--- a/crates/gateway/tests/tally.rs
+++ b/crates/gateway/tests/tally.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "the program uses the rest")]
 mod tally;
 
-use scheduler::interface::{Ending, Micros};
+use scheduler::interface::{AttemptOutcome, Micros};
 use std::rc::Rc;
 use tally::Tally;
 
@@ -14,7 +14,7 @@
     tally.on.set(true);
     let volume: Rc<str> = "a".into();
     for i in 0..600 {
-        tally.ended(Micros(i * 100_000), Ending::Ok, &volume, 2);
+        tally.ended(Micros(i * 100_000), AttemptOutcome::Ok, &volume, 2);
     }
     let rate = tally.rates(Micros(60_000_000))[&volume];
     assert!((19_000..=21_000).contains(&rate), "20 units a second, told {rate}");
--- a/crates/scale-bench/src/file.rs
+++ b/crates/scale-bench/src/file.rs
@@ -6,7 +6,7 @@
 use config::Config;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use scheduler::interface::{Action, Event, ListNews, Micros};
+use scheduler::interface::{Action, EndpointUpdate, Event, Micros};
 use scheduler::Scheduler;
 use std::net::{Ipv4Addr, SocketAddr};
 use tempfile::NamedTempFile;
@@ -52,7 +52,7 @@
     fn tell(&mut self) {
         let entries = self.config.known.targets.iter().map(|t| t.entry.clone()).collect();
         let mut actions: Vec<Action> = Vec::new();
-        self.module.handle(Micros(self.now), Event::List(ListNews::Full(entries)), &mut actions);
+        self.module.handle(Micros(self.now), Event::Endpoints(EndpointUpdate::Full(entries)), &mut actions);
     }
 
     /// One entry changes, and the file is read again: the processor time of reading and of putting it in force.
@@ -130,6 +130,6 @@
     reading.put("reload_read", "us", &mut play);
     applying.put("reload_apply", "us", &mut play);
     whole.put("reload", "us", &mut play);
-    play.put("known_nodes", held.module.known().0 as f64);
+    play.put("known_nodes", held.module.known().backends as f64);
     Ok(play)
 }
--- a/crates/scale-bench/src/list/mod.rs
+++ b/crates/scale-bench/src/list/mod.rs
@@ -33,48 +33,48 @@
 }
 
 /// Boxes of as many shards, all ready.
-pub fn entries(size: u64) -> Vec<NodeEntry> {
-    (0..size).map(|n| entry(n, NodeState::Ready)).collect()
+pub fn entries(size: u64) -> Vec<BackendEntry> {
+    (0..size).map(|n| entry(n, BackendState::Ready)).collect()
 }
 
-fn entry(n: u64, state: NodeState) -> NodeEntry {
-    let node = NodeId(format!("box-{n:05}").into());
-    NodeEntry { node, state, started: None, shard: ShardId(n as u32), zone: (n % ZONES) as u32 }
+fn entry(n: u64, state: BackendState) -> BackendEntry {
+    let backend = BackendId(format!("box-{n:05}").into());
+    BackendEntry { backend, state, started_at: None, shard: ShardId(n as u32), zone: (n % ZONES) as u32 }
 }
 
 /// Settings as a file of the project has them, with a class of long times before the usual one.
 fn settings(hosts: u32) -> Settings {
-    let class = |aim, deadline| Class {
-        aim,
+    let class = |latency_objective, deadline| Class {
+        latency_objective,
         deadline,
-        worth: 2.0,
-        repeats: Repeats::Safe,
-        repeat_window: Micros(1_000_000),
+        priority_weight: 2.0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_window: Micros(1_000_000),
         in_order: false,
     };
     let plan = |reservation| interface::Plan { reservation, weight: 1.0, limit_rate: 0.0, limit_burst: 0.0 };
-    let cold = ColdRule {
-        units: 11.0,
+    let slow_start = SlowStart {
+        safe_units: 11.0,
         window: Micros(1_000_000),
-        from: 0.18,
-        warm_up: Micros(18_000_000),
-        multiple: 2.0,
+        initial_capacity: 0.18,
+        duration: Micros(18_000_000),
+        overload_factor: 2.0,
     };
     Settings {
-        hosts,
+        gateways: hosts,
         classes: vec![class(LONG, LONG), class(Micros(250_000), Micros(1_200_000))],
         plans: vec![plan(1.7), plan(500.0)],
-        most_units: 6.0,
-        mean_units: 1.96,
-        tells_elsewhere: true,
+        max_request_units: 6.0,
+        mean_request_units: 1.96,
+        reports_remote_units: true,
         max_attempts: 3,
-        max_wait_hint: Micros(1_000_000),
+        max_retry_after: Micros(1_000_000),
         connect_timeout: Micros(250_000),
         tick: Micros(2_000),
-        list_mode: ListMode::Push,
-        ask_within: Micros(10_000_000),
-        cold,
-        order_rest: Micros(0),
+        discovery_mode: DiscoveryMode::Push,
+        max_poll_interval: Micros(10_000_000),
+        slow_start,
+        ordering_pause: Micros(0),
         retry_budget: None,
     }
 }
@@ -89,8 +89,8 @@
         key: None,
         shard: Some(shard),
         units: 1.0,
-        volume_hosts: 1,
-        grace: LONG,
+        volume_gateways: 1,
+        timeout: LONG,
     }
 }
 
@@ -98,7 +98,7 @@
 pub struct Table {
     scheduler: Scheduler,
     now: i64,
-    sent: Vec<(RequestId, NodeId)>,
+    sent: Vec<(RequestId, BackendId)>,
     sends: u64,
     refused: u64,
     actions: Vec<Action>,
@@ -118,11 +118,11 @@
         let ((), took) = cpu::timed(|| scheduler.handle(now, event, actions));
         for action in self.actions.drain(..) {
             match action {
-                Action::Send { id, node, .. } => {
+                Action::Send { id, backend: node, .. } => {
                     self.sends += 1;
                     self.sent.push((id, node));
                 }
-                Action::Refuse { .. } => self.refused += 1,
+                Action::Reject { .. } => self.refused += 1,
                 _ => {}
             }
         }
@@ -130,12 +130,12 @@
     }
 
     /// Tells the whole list.
-    pub fn whole(&mut self, entries: Vec<NodeEntry>) -> f64 {
-        self.tell(Event::List(ListNews::Full(entries)))
+    pub fn whole(&mut self, entries: Vec<BackendEntry>) -> f64 {
+        self.tell(Event::Endpoints(EndpointUpdate::Full(entries)))
     }
 
-    fn change(&mut self, n: u64, state: NodeState) -> f64 {
-        self.tell(Event::List(ListNews::Delta(vec![entry(n, state)])))
+    fn change(&mut self, n: u64, state: BackendState) -> f64 {
+        self.tell(Event::Endpoints(EndpointUpdate::Delta(vec![entry(n, state)])))
     }
 
     /// Requests of so many volumes, spread over the shards. Of those that are sent every other one is served; the
@@ -144,7 +144,7 @@
         for n in 0..u64::from(volumes) * u64::from(REQUESTS) {
             let volume = n % u64::from(volumes);
             let request = request(n + 1, volume, ShardId((n % size) as u32));
-            self.tell(Event::Arrived(request));
+            self.tell(Event::RequestArrived(request));
         }
         for (id, node) in std::mem::take(&mut self.sent).into_iter().step_by(2) {
             self.end(id, node);
@@ -191,12 +191,12 @@
             break;
         }
         let which = rng.random_range(0..size);
-        changes.record(table.change(which, NodeState::Draining));
-        changes.record(table.change(which, NodeState::Ready));
+        changes.record(table.change(which, BackendState::Draining));
+        changes.record(table.change(which, BackendState::Ready));
     }
     changes.put("change", "us", &mut play);
     play.put("changes", changes.count() as f64);
     requests::measure(&mut table, size, &mut play)?;
-    play.put("known_nodes", table.scheduler.known().0 as f64);
+    play.put("known_nodes", table.scheduler.known().backends as f64);
     Ok(play)
 }
--- a/crates/scale-bench/src/list/requests.rs
+++ b/crates/scale-bench/src/list/requests.rs
@@ -35,20 +35,20 @@
 
 /// A request of a volume of its own, in the class of usual times.
 fn short_lived(id: u64, volume: u64) -> Request {
-    let grace = Micros(1_200_000);
-    Request { class: 1, grace, ..request(id, 1 << 40 | volume, ShardId(0)) }
+    let timeout = Micros(1_200_000);
+    Request { class: 1, timeout, ..request(id, 1 << 40 | volume, ShardId(0)) }
 }
 
 /// One request arrives and is served at once, or is taken back where it is not sent: what both took.
 fn one(table: &mut Table, request: Request) -> (f64, Option<f64>) {
     let id = request.id;
     table.sent.clear();
-    let arrived = table.tell(Event::Arrived(request));
+    let arrived = table.tell(Event::RequestArrived(request));
     let sent = table.sent.iter().find(|(sent, _)| *sent == id).cloned();
     let ended = match sent {
         Some((id, node)) => Some(table.end(id, node)),
         None => {
-            table.tell(Event::Left(id));
+            table.tell(Event::ClientLeft(id));
             None
         }
     };
@@ -62,7 +62,7 @@
     for n in 0..16 + WAITING {
         let shard = ShardId((n * size / (16 + WAITING)) as u32);
         let request = request(FIRST + 2 * EACH + n, volume, shard);
-        table.tell(Event::Arrived(Request { units: LARGEST, ..request }));
+        table.tell(Event::RequestArrived(Request { units: LARGEST, ..request }));
     }
     let mut out = std::mem::take(&mut table.sent);
     play.put("credits_out", out.iter().filter(|(id, _)| id.0 >= FIRST + 2 * EACH).count() as f64);
@@ -81,16 +81,16 @@
 
 impl Table {
     /// A request that is out was served: what the module took.
-    pub(super) fn end(&mut self, id: RequestId, node: NodeId) -> f64 {
-        let ending = Ending::Ok;
-        self.tell(Event::Ended(Outcome {
+    pub(super) fn end(&mut self, id: RequestId, node: BackendId) -> f64 {
+        let outcome = AttemptOutcome::Ok;
+        self.tell(Event::AttemptEnded(AttemptReport {
             id,
             attempt: 0,
-            node,
-            ending,
-            took: TOOK,
-            finished: true,
-            elsewhere: 0.0,
+            backend: node,
+            outcome,
+            elapsed: TOOK,
+            request_finished: true,
+            remote_units: 0.0,
         }))
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,17 +1,20 @@
-//! Decisions of a gateway that orders and paces the I/O of many volumes.
+//! Admission, pacing and ordering of the I/O of many volumes, for one gateway.
 //!
-//! [`Scheduler`] is sans-I/O: it is told what happened and when, and answers with the actions to take.
-//! See the README for a complete example and `docs/design.md` for the mechanism.
+//! [`Scheduler`] is sans-I/O: its caller notifies it of events with the time at which they happened, and it
+//! returns the actions to take. See the README for a complete example and `docs/design.md` for the
+//! mechanism.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod decide;
+mod decaying_sum;
 pub mod interface;
-mod settings;
-mod tools;
-pub mod wire;
+mod rng;
+mod scheduler;
+pub mod simulator_wire;
+mod time;
+mod validation;
 
-pub use decide::Scheduler;
+pub use scheduler::{KnownCounts, Scheduler};
 
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,56 +1,82 @@
-//! Shared by the tests: settings and a host that is driven by hand.
+//! Shared by the tests: settings, and a gateway that the test drives step by step.
 #![allow(dead_code)]
 use scheduler::interface::*;
 use scheduler::Scheduler;
+use std::collections::BTreeMap;
 
+/// Microseconds in a millisecond.
 pub const MS: i64 = 1000;
-pub const S: i64 = 1_000_000;
+/// Microseconds in a second.
+pub const SECOND: i64 = 1_000_000;
 
+/// An idempotent class.
 pub fn class() -> Class {
     Class {
-        aim: Micros(200 * MS),
-        deadline: Micros(2 * S),
-        worth: 2.0,
-        repeats: Repeats::Safe,
-        repeat_window: Micros(S),
+        latency_objective: Micros(200 * MS),
+        deadline: Micros(2 * SECOND),
+        priority_weight: 2.0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_window: Micros(SECOND),
         in_order: false,
     }
 }
 
+/// A plan without reservation or limit.
 pub fn plan() -> Plan {
     Plan { reservation: 0.0, weight: 1.0, limit_rate: 0.0, limit_burst: 0.0 }
 }
 
-pub fn settings() -> Settings {
+/// Settings of two gateways, with one class and three plans.
+pub fn default_settings() -> Settings {
     Settings {
-        hosts: 2,
+        gateways: 2,
         classes: vec![class()],
         plans: vec![plan(), Plan { weight: 3.0, ..plan() }, Plan { reservation: 4.0, ..plan() }],
-        most_units: 4.0,
-        mean_units: 2.0,
-        tells_elsewhere: true,
+        max_request_units: 4.0,
+        mean_request_units: 2.0,
+        reports_remote_units: true,
         max_attempts: 3,
-        max_wait_hint: Micros(S),
+        max_retry_after: Micros(SECOND),
         connect_timeout: Micros(200 * MS),
         tick: Micros(MS),
-        list_mode: ListMode::Push,
-        ask_within: Micros(0),
-        cold: ColdRule { units: 8.0, window: Micros(S), from: 0.25, warm_up: Micros(10 * S), multiple: 2.0 },
-        order_rest: Micros(0),
+        discovery_mode: DiscoveryMode::Push,
+        max_poll_interval: Micros(0),
+        slow_start: SlowStart {
+            safe_units: 8.0,
+            window: Micros(SECOND),
+            initial_capacity: 0.25,
+            duration: Micros(10 * SECOND),
+            overload_factor: 2.0,
+        },
+        ordering_pause: Micros(0),
         retry_budget: None,
     }
 }
 
-pub fn entry(name: &str, shard: u32) -> NodeEntry {
-    NodeEntry {
-        node: NodeId(name.into()),
-        state: NodeState::Ready,
-        started: None,
+/// Settings whose first class has a latency objective just below its clients' timeout.
+pub fn settings_with_long_objective() -> Settings {
+    let mut settings = default_settings();
+    settings.classes[0].latency_objective = Micros(1900 * MS);
+    settings
+}
+
+/// An entry of a ready backend that started long ago.
+pub fn entry(name: &str, shard: u32) -> BackendEntry {
+    BackendEntry {
+        backend: BackendId(name.into()),
+        state: BackendState::Ready,
+        started_at: None,
         shard: ShardId(shard),
         zone: 0,
     }
 }
 
+/// An entry of a backend that has been removed.
+pub fn gone_entry(name: &str, shard: u32) -> BackendEntry {
+    BackendEntry { state: BackendState::Gone, ..entry(name, shard) }
+}
+
+/// A request for shard 0, of an idempotent class.
 pub fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -60,48 +86,53 @@
         key: None,
         shard: Some(ShardId(0)),
         units: 2.0,
-        volume_hosts: 1,
-        grace: Micros(2 * S),
+        volume_gateways: 1,
+        timeout: Micros(2 * SECOND),
     }
 }
 
-/// A host, its clock, and every action since the last look.
-pub struct Host {
+/// A gateway's scheduler, its clock and timers, and what it has sent so far.
+pub struct Gateway {
     pub scheduler: Scheduler,
     pub now: i64,
+    /// When each timer expires, and its token.
     timers: Vec<(i64, u64)>,
-    pub attempts: std::collections::BTreeMap<u64, u32>,
-    pub nodes: std::collections::BTreeMap<u64, NodeId>,
+    /// Number of attempts, by request.
+    pub attempts: BTreeMap<u64, u32>,
+    /// The backend of the last attempt, by request.
+    pub backends: BTreeMap<u64, BackendId>,
 }
 
-impl Host {
-    /// A host that has known node `a` with shard 0 and node `b` with shard 1 for long.
-    pub fn new(settings: Settings) -> Host {
-        Host::seeded(settings, 7)
+impl Gateway {
+    /// A gateway that has long known backend `a` with shard 0 and backend `b` with shard 1.
+    pub fn new(settings: Settings) -> Gateway {
+        Gateway::seeded(settings, 7)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Host {
+    /// The same, with another seed of its random numbers.
+    pub fn seeded(settings: Settings, seed: u64) -> Gateway {
         let scheduler = Scheduler::new(settings, seed).expect("settings");
-        let mut host = Host {
+        let mut gateway = Gateway {
             scheduler,
-            now: 100 * S,
+            now: 100 * SECOND,
             timers: vec![],
             attempts: Default::default(),
-            nodes: Default::default(),
+            backends: Default::default(),
         };
-        host.tell(Event::List(ListNews::Cached(vec![entry("a", 0), entry("b", 1)])));
-        host
+        gateway.notify(Event::Endpoints(EndpointUpdate::Cached(vec![entry("a", 0), entry("b", 1)])));
+        gateway
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Notifies the scheduler of an event; returns its actions but for timers.
+    pub fn notify(&mut self, event: Event) -> Vec<Action> {
         let mut actions = vec![];
         self.scheduler.handle(Micros(self.now), event, &mut actions);
-        for a in &actions {
-            match a {
+        for action in &actions {
+            match action {
                 Action::SetTimer { after, token } => self.timers.push((self.now + after.0, *token)),
-                Action::Send { id, node, .. } => {
+                Action::Send { id, backend, .. } => {
                     *self.attempts.entry(id.0).or_default() += 1;
-                    self.nodes.insert(id.0, node.clone());
+                    self.backends.insert(id.0, backend.clone());
                 }
                 _ => {}
             }
@@ -110,52 +141,68 @@
         actions
     }
 
+    /// A request arrives.
     pub fn arrive(&mut self, request: Request) -> Vec<Action> {
-        self.tell(Event::Arrived(request))
+        self.notify(Event::RequestArrived(request))
     }
 
-    /// Ends the last attempt of a request; a served one is final.
-    pub fn end(&mut self, id: u64, ending: Ending, took: i64) -> Vec<Action> {
-        self.end_told(id, ending, took, 0.0)
+    /// Ends the last attempt of a request, after so many microseconds; a served one is final.
+    pub fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome, elapsed: i64) -> Vec<Action> {
+        self.end_attempt_reporting(id, outcome, elapsed, 0.0)
     }
 
-    pub fn end_told(&mut self, id: u64, ending: Ending, took: i64, elsewhere: f64) -> Vec<Action> {
-        let outcome = Outcome {
+    /// The same, with the units that were served through other gateways.
+    pub fn end_attempt_reporting(
+        &mut self,
+        id: u64,
+        outcome: AttemptOutcome,
+        elapsed: i64,
+        remote_units: f64,
+    ) -> Vec<Action> {
+        let report = AttemptReport {
             id: RequestId(id),
             attempt: self.attempts[&id] - 1,
-            node: self.nodes[&id].clone(),
-            ending,
-            took: Micros(took),
-            finished: ending == Ending::Ok,
-            elsewhere,
+            backend: self.backends[&id].clone(),
+            outcome,
+            elapsed: Micros(elapsed),
+            request_finished: outcome == AttemptOutcome::Ok,
+            remote_units,
         };
-        self.tell(Event::Ended(outcome))
+        self.notify(Event::AttemptEnded(report))
     }
 
-    /// Lets time pass and the timers that come due fire.
-    pub fn pass(&mut self, micros: i64) -> Vec<Action> {
+    /// Lets so many microseconds pass, with the timers that expire meanwhile.
+    pub fn advance(&mut self, micros: i64) -> Vec<Action> {
         let until = self.now + micros;
         let mut actions = vec![];
         while let Some(next) = self.timers.iter().copied().filter(|(at, _)| *at <= until).min() {
             self.timers.retain(|t| *t != next);
             self.now = self.now.max(next.0);
-            actions.extend(self.tell(Event::Timer(next.1)));
+            actions.extend(self.notify(Event::TimerFired(next.1)));
         }
         self.now = until;
         actions
     }
 }
 
+/// Notifies a gateway of changed entries.
+pub fn update_list(gateway: &mut Gateway, entries: Vec<BackendEntry>) -> Vec<Action> {
+    gateway.notify(Event::Endpoints(EndpointUpdate::Delta(entries)))
+}
+
+/// Requests of which an attempt was sent.
 pub fn sent(actions: &[Action]) -> Vec<u64> {
     let id = |a: &Action| if let Action::Send { id, .. } = a { Some(id.0) } else { None };
     actions.iter().filter_map(id).collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<u64> {
-    let id = |a: &Action| if let Action::Refuse { id, .. } = a { Some(id.0) } else { None };
+/// Requests that were rejected.
+pub fn rejected(actions: &[Action]) -> Vec<u64> {
+    let id = |a: &Action| if let Action::Reject { id, .. } = a { Some(id.0) } else { None };
     actions.iter().filter_map(id).collect()
 }
 
+/// Requests that failed.
 pub fn failed(actions: &[Action]) -> Vec<u64> {
     let id = |a: &Action| if let Action::Fail { id } = a { Some(id.0) } else { None };
     actions.iter().filter_map(id).collect()
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -1,5 +1,6 @@
 //! The simulator's wire, byte for byte: `golden/` holds sessions and faulty lines as the adapter read and answered them.
-use scheduler::wire::{read_settings, run, WireError};
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+use scheduler::simulator_wire::{read_settings, run, WireError};
 use std::fs;
 use std::path::PathBuf;
 
--- a/crates/scheduler/tests/limits.rs
+++ b/crates/scheduler/tests/policy_files.rs
@@ -1,17 +1,19 @@
-//! The form of the decision modules: all files that the deploy file names under `policy`.
+//! The form of the decision files: all files that the deploy file names under `policy`.
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use std::fs;
 use std::path::Path;
 
 #[test]
-fn decisions_are_in_small_modules_that_policy_names() {
+fn policy_names_all_decision_files_and_they_are_small() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy = fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
     let policy = deploy.lines().find_map(|l| l.strip_prefix("policy = ")).unwrap();
     let mut named: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     named.sort_unstable();
-    let mut files = vec!["crates/scheduler/src/decide.rs".to_owned()];
-    for entry in fs::read_dir(root.join("crates/scheduler/src/decide")).unwrap() {
-        files.push(format!("crates/scheduler/src/decide/{}", entry.unwrap().file_name().to_str().unwrap()));
+    let mut files = vec!["crates/scheduler/src/scheduler.rs".to_owned()];
+    for entry in fs::read_dir(root.join("crates/scheduler/src/scheduler")).unwrap() {
+        files
+            .push(format!("crates/scheduler/src/scheduler/{}", entry.unwrap().file_name().to_str().unwrap()));
     }
     files.sort_unstable();
     assert_eq!(named, files, "policy names the module's files, all of them and no others");
--- a/crates/scheduler/tests/wire.rs
+++ b/crates/scheduler/tests/simulator_wire.rs
@@ -1,5 +1,6 @@
-//! The drill adapter, on lines written for it.
-use scheduler::wire::{run, WireError};
+//! The simulator's wire, on lines written for it.
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+use scheduler::simulator_wire::{run, WireError};
 
 const SETUP: &str = r#"{"FleetSize":1,"Classes":[{"OnTimeS":0.2,"DeadlineS":1.0,"Idempotency":"idempotent",
 "New":[1]}],"Contracts":[{"Guaranteed":1.0,"Proportion":1.0}],"FamilyInfo":{"MostUnits":4,"UnitMean":2.0},
@@ -27,7 +28,7 @@
 "Grade":0,"ShareId":"v","Lane":0}"#;
 
 #[test]
-fn a_request_is_sent_and_a_batch_answered() {
+fn sends_request_and_ends_reply() {
     let mut lines = launch();
     lines.push(JOB.replace('\n', ""));
     lines.push(r#"{"m":"Flush"}"#.into());
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn unknown_names_and_keys_are_skipped_and_a_halted_instance_is_forgotten() {
+fn skips_unknown_messages_and_forgets_halted_instance() {
     let mut lines = launch();
     lines.push(r#"{"m":"Weather","Who":"gateway-0","Sun":true}"#.into());
     lines.push(r#"{"m":"Halt","Who":"gateway-0"}"#.into());
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_malformed_line_is_named_and_leaves_nothing_half_written() {
+fn reports_line_of_malformed_input() {
     for bad in [
         "{\"m\":",
         "[]",
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn settings_that_cannot_work_end_as_fatal_with_the_field() {
+fn reports_invalid_setting_as_fatal() {
     let mut lines = launch();
     lines[1] = lines[1].replace(r#""MaxAttempts":2"#, r#""MaxAttempts":0"#);
     let (_, out) = play(&lines);
