--- a/crates/coordination/src/changes/connection.rs
+++ b/crates/coordination/src/distribution/connection.rs
@@ -1,9 +1,9 @@
 //! One connection between a relay and a subscriber: sealed frames in both directions, until either side ends it. The relay's first
 //! frame is empty and tells its life; all others are for the very life of whom they are for. So nothing that was recorded is
 //! good for anybody who has started again since.
-use super::host::Came;
-use crate::frames;
-use crate::links::{self, within, Counts};
+use crate::distribution::host::Came;
+use crate::frame as frames;
+use crate::network_thread::framing::{self as links, within, Counts};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use cluster_types::MemberId;
--- a/crates/coordination/src/changes/host.rs
+++ b/crates/coordination/src/distribution/host.rs
@@ -1,10 +1,10 @@
 //! The thread of changes: what connections bring, what the log and the front say, and the time come in here, one after the
 //! other; what the machines make of it goes out.
-use super::connection::{Out, Shared};
-use super::mail::{Decide, Letter, Query, State, Told};
-use super::settings::{Role, Settings};
 use crate::clock::Clock;
-use crate::core::Inbox;
+use crate::distribution::connection::{Out, Shared};
+use crate::distribution::mailbox::{Decide, Letter, Query, State, Told};
+use crate::distribution::settings::{Role, Settings};
+use crate::log_thread::thread::Inbox;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
--- a/crates/coordination/src/changes/mod.rs
+++ b/crates/coordination/src/distribution/mod.rs
@@ -2,15 +2,14 @@
 //! way from the log to the relay. One thread of its own drives the machines of the package `changes`; another one writes.
 mod connection;
 mod host;
-mod keep;
-mod log;
-mod mail;
-mod relay;
+pub(crate) mod mailbox;
+mod relay_host;
+mod saved_config;
 mod settings;
 mod start;
-mod subscriber;
+mod subscriber_host;
 
-pub use log::Serves;
-pub use mail::{Decide, Handle, Mailbox, Query, State, Told};
+pub use crate::log_thread::serve_catalogue::Serves;
+pub use mailbox::{Decide, Handle, Mailbox, Query, State, Told};
 pub use settings::{Role, Settings, Upstream};
 pub use start::{start, Started};
--- a/crates/coordination/src/changes/relay.rs
+++ b/crates/coordination/src/distribution/relay_host.rs
@@ -1,8 +1,9 @@
 //! What the machine that serves is told, and does.
-use super::connection::Out;
-use super::host::Host;
-use crate::core::Inbox;
-use crate::{frames, links};
+use crate::distribution::connection::Out;
+use crate::distribution::host::Host;
+use crate::frame as frames;
+use crate::log_thread::thread::Inbox;
+use crate::network_thread::framing as links;
 use cluster_types::MemberId;
 use config_distribution::{Catalogue, Cut, FromRelay, RelayAction, RelayEvent, Report, ToRelay};
 
--- a/crates/coordination/src/changes/start.rs
+++ b/crates/coordination/src/distribution/start.rs
@@ -1,11 +1,11 @@
 //! The start of the host: what is kept is read and the listener is bound first, so that what is wrong ends the start.
-use super::connection::{serve, Shared, CHANNEL, LONGEST};
-use super::host::Host;
-use super::keep;
-use super::mail::{Decide, Handle, Mailbox};
-use super::settings::{Role, Settings};
 use crate::clock::{unix, Clock};
-use crate::links::{self, Counts};
+use crate::distribution::connection::{serve, Shared, CHANNEL, LONGEST};
+use crate::distribution::host::Host;
+use crate::distribution::mailbox::{Decide, Handle, Mailbox};
+use crate::distribution::saved_config as keep;
+use crate::distribution::settings::{Role, Settings};
+use crate::network_thread::framing::{self as links, Counts};
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::Async;
--- a/crates/coordination/src/changes/subscriber.rs
+++ b/crates/coordination/src/distribution/subscriber_host.rs
@@ -1,8 +1,9 @@
 //! What the machine that follows is told, and does.
-use super::connection::{call, Out};
-use super::host::{Calling, Host};
-use super::mail::Decide;
-use crate::{frames, links};
+use crate::distribution::connection::{call, Out};
+use crate::distribution::host::{Calling, Host};
+use crate::distribution::mailbox::Decide;
+use crate::frame as frames;
+use crate::network_thread::framing as links;
 use backoff::Failure;
 use config_distribution::{Action, Change, Event, FromRelay, RelayEvent, ToRelay};
 
--- a/crates/coordination/src/frames.rs
+++ b/crates/coordination/src/frame.rs
@@ -1,6 +1,6 @@
 //! What fronts say to each other over TCP: one frame a message, sealed, with a version.
-use crate::ledger::What;
-use crate::mail::Measures;
+use crate::gateway_message::Measures;
+use crate::state_machine::machine::What;
 use cluster_types::Index;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -3,22 +3,17 @@
 //!
 //! Threads: one for the sockets (membership and frames), one for the log with all that follows from it, one that
 //! writes to the disk. Each has its own state; between them are bounded mailboxes.
-mod apply;
-pub mod calls;
-pub mod changes;
 mod clock;
-mod core;
-pub mod disk;
-pub mod frames;
-pub mod ledger;
-pub mod links;
-mod mail;
-mod net;
+pub mod distribution;
+pub mod frame;
+mod gateway_message;
+pub mod log_thread;
+pub mod network_thread;
 mod settings;
 mod start;
-pub mod store;
-mod turn;
+pub mod state_machine;
+pub mod storage_thread;
 
-pub use mail::{Call, Measures, Seen, ToAccord, ToFront, Told};
+pub use gateway_message::{Call, Measures, Seen, ToAccord, ToFront, Told};
 pub use settings::{Fellow, Settings};
 pub use start::{start, Handle};
--- a/crates/coordination/src/calls.rs
+++ b/crates/coordination/src/log_thread/operator_calls.rs
@@ -1,7 +1,7 @@
 //! Operators' calls: what they ask for goes into the log, and its answer is what the log made of it here.
-use crate::core::Core;
-use crate::ledger::{Ledger, What};
-use crate::mail::{Call, Told};
+use crate::gateway_message::{Call, Told};
+use crate::log_thread::thread::Core;
+use crate::state_machine::machine::{Ledger, What};
 use cluster_types::{Index, MemberId, Time};
 use consensus::Role;
 use maintenance::{Command, Effect, Status, Why};
@@ -145,7 +145,7 @@
     /// What is doubted.
     pub doubts: &'a [(membership::Subject, membership::Verdict)],
     /// What was bad on the links.
-    pub frames: &'a crate::links::Counts,
+    pub frames: &'a crate::network_thread::framing::Counts,
     /// What the log refused.
     pub refused: consensus::Counters,
     /// What the log comes to.
--- a/crates/coordination/src/turn.rs
+++ b/crates/coordination/src/log_thread/periodic.rs
@@ -1,10 +1,10 @@
 //! What is due from time to time: measures go to the leader, what is not in the log yet is said again, and the leader
 //! proposes the next steps.
 use crate::clock::unix;
-use crate::core::{Core, Measured};
-use crate::frames::Frame;
-use crate::ledger::What;
-use crate::mail::{ago, Measures};
+use crate::frame::Frame;
+use crate::gateway_message::{ago, Measures};
+use crate::log_thread::thread::{Core, Measured};
+use crate::state_machine::machine::What;
 use cluster_types::{BackendId, Time};
 use consensus::Role;
 use maintenance::{BoxFact, Command, Presence, Seat, View};
--- a/crates/coordination/src/apply.rs
+++ b/crates/coordination/src/log_thread/raft_host.rs
@@ -1,9 +1,9 @@
 //! What the log and the front's own side say is done here.
-use crate::core::Core;
-use crate::frames::Frame;
-use crate::ledger::{Cataloged, Ledger, What};
-use crate::mail::ToFront;
-use crate::store::Write;
+use crate::frame::Frame;
+use crate::gateway_message::ToFront;
+use crate::log_thread::thread::Core;
+use crate::state_machine::machine::{Cataloged, Ledger, What};
+use crate::storage_thread::writer::Write;
 use cluster_types::{Index, Time};
 use consensus::{Action, Event, Rejection};
 use maintenance::{Command, Effect, Report};
--- a/crates/coordination/src/changes/log.rs
+++ b/crates/coordination/src/log_thread/serve_catalogue.rs
@@ -1,9 +1,9 @@
 //! The way from the log to the machine that serves, and of orders into the log.
-use super::mail::{Letter, Mailbox};
-use crate::calls::{Answer, WAITING};
-use crate::core::Core;
-use crate::ledger::{Cataloged, What};
-use crate::mail::Told;
+use crate::distribution::mailbox::{Letter, Mailbox};
+use crate::gateway_message::Told;
+use crate::log_thread::operator_calls::{Answer, WAITING};
+use crate::log_thread::thread::Core;
+use crate::state_machine::machine::{Cataloged, What};
 use cluster_types::{Index, Time};
 use config_distribution::{Order, Report};
 use std::time::Duration;
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/log_thread/thread.rs
@@ -1,13 +1,13 @@
 //! The thread of the log: what the others said, what the disk has, what the front measured and operators asked come in here, one
 //! after the other; what the machines make of it goes out.
-use crate::calls::Waiting;
 use crate::clock::{unix, Clock};
-use crate::frames::{self, Frame};
-use crate::ledger::{Entry, Ledger, What};
-use crate::mail::{Measures, ToAccord, ToFront};
-use crate::net::View;
+use crate::frame::{self as frames, Frame};
+use crate::gateway_message::{Measures, ToAccord, ToFront};
+use crate::log_thread::operator_calls::Waiting;
+use crate::network_thread::thread::View;
 use crate::settings::Settings;
-use crate::store::{Write, Wrote};
+use crate::state_machine::machine::{Entry, Ledger, What};
+use crate::storage_thread::writer::{Write, Wrote};
 use cluster_types::{Index, MemberId, Time};
 use consensus::{Node, Role};
 use maintenance::{FrontSide, Watch};
@@ -87,11 +87,11 @@
     /// Letters that found the front's mailbox full.
     pub late: std::collections::VecDeque<ToFront>,
     /// What was bad or lost on the links.
-    pub counts: Arc<crate::links::Counts>,
+    pub counts: Arc<crate::network_thread::framing::Counts>,
     /// What membership comes to.
     pub view: Arc<Mutex<View>>,
     /// The server of changes of configuration, where there is one.
-    pub serves: Option<crate::changes::Serves>,
+    pub serves: Option<crate::distribution::Serves>,
     /// Writes a line of the log.
     pub log: fn(&str),
 }
@@ -195,7 +195,12 @@
     }
 
     /// Tells the log something by this front's word, by way of the leader; tells the number under which it is waited for.
-    pub fn say(&mut self, now: Time, what: What, answer: Option<crate::calls::Answer>) -> u64 {
+    pub fn say(
+        &mut self,
+        now: Time,
+        what: What,
+        answer: Option<crate::log_thread::operator_calls::Answer>,
+    ) -> u64 {
         self.ticket += 1;
         let ticket = self.ticket;
         let waiting = Waiting { what: what.clone(), since: now, said: now, answer };
--- a/crates/coordination/src/links.rs
+++ b/crates/coordination/src/network_thread/framing.rs
@@ -1,6 +1,6 @@
 //! Frames over TCP: to each front a link of its own that only sends, from each one that is only read. A frame is its
 //! length in four bytes and a sealed envelope.
-use crate::frames::{self, Frame};
+use crate::frame::{self as frames, Frame};
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::net::CHANNEL;
+use crate::network_thread::thread::CHANNEL;
 
 /// Where frames go that came: from whom, and what; false where there is no room.
 pub type Came = Arc<dyn Fn(MemberId, Frame) -> bool + Send + Sync>;
--- /dev/null
+++ b/crates/coordination/src/network_thread/mod.rs
@@ -0,0 +1,3 @@
+//! The thread of the sockets.
+pub mod framing;
+pub(crate) mod thread;
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/network_thread/thread.rs
@@ -1,7 +1,7 @@
 //! The thread of the sockets: membership over UDP, frames to and from each front over TCP. It decides nothing; what comes
 //! in sealed goes on, what is bad is counted and closes its connection.
 use crate::clock::Clock;
-use crate::links;
+use crate::network_thread::framing as links;
 use crate::settings::Settings;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
--- a/crates/coordination/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -1,13 +1,14 @@
 //! The start of the hosts: the store is read and the sockets are bound first, so that what is wrong ends the start.
-use crate::changes::{Mailbox, Serves};
 use crate::clock::{unix, Clock};
-use crate::core::{Core, Inbox};
-use crate::disk::Disk;
-use crate::ledger::Ledger;
-use crate::mail::{ToAccord, ToFront};
-use crate::net::{self, Net, Sockets, View};
+use crate::distribution::{Mailbox, Serves};
+use crate::gateway_message::{ToAccord, ToFront};
+use crate::log_thread::thread::{Core, Inbox};
+use crate::network_thread::framing as links;
+use crate::network_thread::thread::{self as net, Net, Sockets, View};
 use crate::settings::Settings;
-use crate::{links, store};
+use crate::state_machine::machine::Ledger;
+use crate::storage_thread::store::Disk;
+use crate::storage_thread::writer as store;
 use cluster_types::Time;
 use consensus::{Config, Node};
 use maintenance::{FrontSide, Watch};
--- /dev/null
+++ b/crates/coordination/src/state_machine/mod.rs
@@ -0,0 +1,2 @@
+//! The replicated state machine.
+pub mod machine;
--- /dev/null
+++ b/crates/coordination/src/storage_thread/mod.rs
@@ -0,0 +1,3 @@
+//! The thread that writes to disk.
+pub mod store;
+pub mod writer;
--- a/crates/coordination/src/store.rs
+++ b/crates/coordination/src/storage_thread/writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes. Batches of the log and what the front's own side keeps go to the disk in the order in which they
 //! came; after one has failed, none that came later is written until the disk has been found well again.
-use crate::disk::{Change, Content, Disk, Fault};
+use crate::storage_thread::store::{Change, Content, Disk, Fault};
 use consensus::{StoredState, WriteBatch};
 use serde::de::DeserializeOwned;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -7,8 +7,10 @@
 
 use cluster_types::Index;
 use config_distribution::{FromRelay, Key, Lag, Refusal, Report, ToRelay, Topic};
-use coordination::ledger::{Entry, Ledger, What};
-use coordination::{frames, links, Measures, Seen};
+use coordination::frame as frames;
+use coordination::network_thread::framing as links;
+use coordination::state_machine::machine::{Entry, Ledger, What};
+use coordination::{Measures, Seen};
 use frames::Frame;
 use golden_support::entries::{entries, order};
 use golden_support::{golden, member};
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -3,8 +3,9 @@
 mod golden_support;
 
 use cluster_types::Index;
-use coordination::ledger::Ledger;
-use coordination::{calls, links};
+use coordination::log_thread::operator_calls as calls;
+use coordination::network_thread::framing as links;
+use coordination::state_machine::machine::Ledger;
 use golden_support::entries::entries;
 use golden_support::golden;
 use maintenance::{Fate, Status, Why, Wish};
--- a/crates/coordination/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -7,8 +7,8 @@
 
 use cluster_types::Index;
 use consensus::{Entry, HardState, LogPosition, Payload, Snapshot, Vote, WriteBatch};
-use coordination::disk::{Change, Content, Disk};
-use coordination::store;
+use coordination::storage_thread::store::{Change, Content, Disk};
+use coordination::storage_thread::writer as store;
 use golden_support::{golden, kept};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write;
--- a/crates/coordination/tests/golden_support/entries.rs
+++ b/crates/coordination/tests/golden_support/entries.rs
@@ -2,7 +2,7 @@
 use super::member;
 use cluster_types::{BackendId, Index};
 use config_distribution::{Class, Key, Order, Put, Topic};
-use coordination::ledger::What;
+use coordination::state_machine::machine::What;
 use maintenance::{BoxFact, Command, Presence, Rules, VolumeFact};
 
 /// An order with a key of each topic.
--- a/crates/coordination/tests/keep.rs
+++ b/crates/coordination/tests/saved_config.rs
@@ -1,7 +1,7 @@
 //! What a front keeps of the changes that it has put in force is written in the end, though the folder takes nothing for a
 //! while.
 #![allow(clippy::unwrap_used)]
-#[path = "../src/changes/keep.rs"]
+#[path = "../src/distribution/saved_config.rs"]
 #[allow(dead_code, reason = "the host uses the rest")]
 mod keep;
 
--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -4,7 +4,7 @@
 use async_io::Timer;
 use cluster_types::Index;
 use config_distribution::{Class, Key, Order, Put, Refusal, Topic, Where};
-use coordination::changes::{Query, State, Told};
+use coordination::distribution::{Query, State, Told};
 use coordination::{Call, ToAccord};
 use futures_lite::future;
 use serde::Deserialize;
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -1,5 +1,5 @@
 //! Changes of configuration at this front: what relays tell is put in force whole or not at all, over the file. An actor that
-//! meets the host (`coordination::changes`) through mailboxes; without the section `[changes]` it is never started.
+//! meets the host (`coordination::distribution`) through mailboxes; without the section `[changes]` it is never started.
 use crate::admin::operators::Operators;
 use crate::backend::pool::Boxes;
 use crate::config_overlay::effective::{InForce, Next, Refused};
@@ -9,7 +9,7 @@
 use cluster_types::MemberId;
 use config::{Changes, Config};
 use config_distribution::{Scope, Topic};
-use coordination::changes::{Decide, Handle, Mailbox, Role, Settings, Upstream};
+use coordination::distribution::{Decide, Handle, Mailbox, Role, Settings, Upstream};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -85,7 +85,7 @@
     let settings = settings(&config, section)?;
     let votes = matches!(settings.role, Role::Voter(_));
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let started = coordination::changes::start(settings, mailbox, accord.as_ref(), log)?;
+    let started = coordination::distribution::start(settings, mailbox, accord.as_ref(), log)?;
     let changing = Rc::new(Changing {
         context: context.clone(),
         module: module.clone(),
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -71,7 +71,7 @@
     context: &Rc<Context>,
     module: &Module,
     boxes: &Rc<Boxes>,
-    serves: Option<coordination::changes::Mailbox>,
+    serves: Option<coordination::distribution::Mailbox>,
 ) -> Result<Option<Handle>, String> {
     let config = context.config();
     let Some(section) = &config.accord else { return Ok(None) };
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -82,7 +82,7 @@
     let mailbox = config_overlay::actor::mailbox(&config);
     let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
     on.accord =
-        member::start(&context, &module, &boxes, voter.map(coordination::changes::Mailbox::for_the_log))?;
+        member::start(&context, &module, &boxes, voter.map(coordination::distribution::Mailbox::for_the_log))?;
     running.accord = on.accord.clone();
     on.changing = match mailbox {
         Some(mailbox) => Some(config_overlay::actor::start(&on, mailbox).await?),
