--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -1,5 +1,5 @@
 //! Operators' calls about changes of configuration.
-use crate::config_overlay::actor::Changing;
+use crate::config_overlay::actor::ConfigOverlay;
 use crate::config_overlay::effective::bytes;
 use async_io::Timer;
 use cluster_types::Index;
@@ -15,7 +15,7 @@
 /// Where these calls are.
 pub const FOLDER: &str = "/v1/changes";
 /// A caller is answered within this time, whatever the hosts do.
-const PATIENCE: Duration = Duration::from_millis(1_700);
+const TIMEOUT: Duration = Duration::from_millis(1_700);
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -76,27 +76,27 @@
 
 /// The answer to a call under the folder.
 pub async fn answer(
-    changing: Option<&Changing>,
-    accord: Option<&coordination::Handle>,
+    config_overlay: Option<&ConfigOverlay>,
+    coordination: Option<&coordination::Handle>,
     method: &str,
     target: &str,
     body: &[u8],
 ) -> Vec<u8> {
-    let Some(changing) = changing else {
+    let Some(config_overlay) = config_overlay else {
         return http::answer(404, "Not Found", "changes: not in the configuration\n");
     };
     let rest = target.strip_prefix(FOLDER).unwrap_or_default();
-    match (method, rest.strip_prefix('/').filter(|n| !n.is_empty()), accord) {
-        ("POST", None, Some(accord)) if changing.votes => order(accord, body).await,
+    match (method, rest.strip_prefix('/').filter(|n| !n.is_empty()), coordination) {
+        ("POST", None, Some(coordination)) if config_overlay.votes => order(coordination, body).await,
         ("POST", None, _) => {
-            let what = if changing.handle.control() { "a relay" } else { "a front" };
+            let what = if config_overlay.handle.control() { "a relay" } else { "a front" };
             let why =
                 format!("this is {what} and has no vote: order where [accord] and changes.listen are\n");
             http::answer(409, "Conflict", &why)
         }
-        ("GET", None, _) => ask(changing, Query::State).await,
+        ("GET", None, _) => ask(config_overlay, Query::State).await,
         ("GET", Some(version), _) => match version.parse() {
-            Ok(version) => ask(changing, Query::Where(Index(version))).await,
+            Ok(version) => ask(config_overlay, Query::Where(Index(version))).await,
             Err(_) => http::answer(400, "Bad Request", "version: must be a number\n"),
         },
         _ => http::answer(405, "Method Not Allowed", "GET the state, POST what changes it\n"),
@@ -105,19 +105,19 @@
 
 async fn within<T>(answer: impl std::future::Future<Output = Option<T>>) -> Option<T> {
     let late = async {
-        Timer::after(PATIENCE).await;
+        Timer::after(TIMEOUT).await;
         None
     };
     future::or(answer, late).await
 }
 
-async fn order(accord: &coordination::Handle, body: &[u8]) -> Vec<u8> {
+async fn order(coordination: &coordination::Handle, body: &[u8]) -> Vec<u8> {
     let order = match read(body) {
         Ok(order) => order,
         Err(why) => return http::answer(400, "Bad Request", &format!("{why}\n")),
     };
     let (to, from) = async_channel::bounded(1);
-    if !accord.tell(ToAccord::Call(Call::Change(order), to)) {
+    if !coordination.tell(ToAccord::Call(Call::Change(order), to)) {
         return http::answer(503, "Service Unavailable", "too many calls wait\n");
     }
     match within(async { from.recv().await.ok() }).await {
@@ -133,13 +133,13 @@
     }
 }
 
-async fn ask(changing: &Changing, query: Query) -> Vec<u8> {
+async fn ask(config_overlay: &ConfigOverlay, query: Query) -> Vec<u8> {
     let (to, from) = async_channel::bounded(1);
-    let asked = changing.handle.ask(query, to);
+    let asked = config_overlay.handle.ask(query, to);
     match within(async { from.recv().await.ok().filter(|_| asked) }).await {
         Some(Told::Where(told)) => http::answer(200, "OK", &format!("{}\n", not_yet(&told))),
         Some(Told::State(told)) => {
-            http::answer(200, "OK", &format!("{}\n", state(&told, changing.passed_over())))
+            http::answer(200, "OK", &format!("{}\n", state(&told, config_overlay.passed_over())))
         }
         Some(Told::Elsewhere(relays)) => {
             let why = format!("this is a front and knows of no others: ask {}\n", relays.join(" or "));
--- a/crates/gateway/src/admin/coordination_calls.rs
+++ b/crates/gateway/src/admin/coordination_calls.rs
@@ -9,7 +9,7 @@
 /// Where these calls are.
 pub const FOLDER: &str = "/v1/accord";
 /// A caller is answered within this time, whatever the hosts do.
-const PATIENCE: Duration = Duration::from_millis(1_700);
+const TIMEOUT: Duration = Duration::from_millis(1_700);
 
 /// The answer to a call under the folder.
 pub async fn answer(handle: Option<&Handle>, method: &str, target: &str) -> Vec<u8> {
@@ -27,7 +27,7 @@
         return http::answer(503, "Service Unavailable", "too many calls wait\n");
     }
     let late = async {
-        Timer::after(PATIENCE).await;
+        Timer::after(TIMEOUT).await;
         Told::Late("no answer in time: ask again under the same name\n".into())
     };
     match future::or(async { from.recv().await.unwrap_or(Told::Late("the front ends\n".into())) }, late).await
--- a/crates/gateway/src/admin/health_checks.rs
+++ b/crates/gateway/src/admin/health_checks.rs
@@ -4,8 +4,8 @@
 use crate::admin::operators::{self, Operators};
 use crate::context::Context;
 use crate::net::accept::accept;
-use crate::net::close_reason::Reason;
-use crate::net::connection::{SocketEvent, Wire};
+use crate::net::close_reason::CloseReason;
+use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
 use async_io::{Async, Timer};
 use futures_lite::{future, StreamExt};
@@ -27,7 +27,7 @@
 /// Checks at once; what comes beyond is closed.
 const MOST: usize = 16;
 /// How long one check may take.
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 const BOUNDS: (usize, usize) = (16 * 1024, 4096);
 /// Operators' calls may have bodies, and long answers.
 const OPERATORS: (usize, usize) = (16 * 1024 + http::BODY, 256 * 1024);
@@ -44,14 +44,14 @@
 
 /// The agent's line: whether to send here, and how much, by how full the table is and how much is refused.
 fn line(context: &Context) -> String {
-    if context.life.stopping.get().is_some() {
+    if context.lifecycle.stopping.get().is_some() {
         return "drain\n".into();
     }
-    if !context.life.serving.get() {
+    if !context.lifecycle.serving.get() {
         return "down\n".into();
     }
-    let full = (100 * context.tallies.open.get() / crate::scheduler_actor::REQUESTS) as u64;
-    let weight = 100 - full.max(context.tallies.refusing.get()).min(99);
+    let full = (100 * context.counters.open.get() / crate::scheduler_actor::REQUESTS) as u64;
+    let weight = 100 - full.max(context.counters.refusing.get()).min(99);
     format!("up {weight}%\n")
 }
 
@@ -79,7 +79,7 @@
             http::answer(405, "Method Not Allowed", "GET or HEAD\n")
         }
         Ok(Some((method, target, _))) => {
-            let ready = context.life.serving.get() && context.life.stopping.get().is_none();
+            let ready = context.lifecycle.serving.get() && context.lifecycle.stopping.get().is_none();
             let mut answer = match target {
                 "/healthz" => http::answer(200, "OK", "ok\n"),
                 "/readyz" if ready => http::answer(200, "OK", "ready\n"),
@@ -102,39 +102,39 @@
         Form::Operators(_) => "operator",
     };
     let bounds = if matches!(form, Form::Operators(_)) { OPERATORS } else { BOUNDS };
-    let mut wire = Wire::new(socket, kind, address, bounds);
+    let mut stream = Connection::new(socket, kind, address, bounds);
     if Rc::strong_count(&open) > MOST + 1 {
-        wire.reason = Reason::Bound;
+        stream.reason = CloseReason::Bound;
         return;
     }
     let talk = async {
         let mut answered = false;
         if matches!(form, Form::Agent) {
-            wire.output.push(line(&context).as_bytes());
+            stream.output.push(line(&context).as_bytes());
             answered = true;
         }
         loop {
-            match wire.next().await {
-                Some(Ok(SocketEvent::Wrote)) if answered => return Reason::Done,
+            match stream.next().await {
+                Some(Ok(SocketEvent::Wrote)) if answered => return CloseReason::Done,
                 Some(Ok(SocketEvent::Wrote)) => {}
-                Some(Ok(SocketEvent::Read)) if answered => wire.input.consume(usize::MAX),
+                Some(Ok(SocketEvent::Read)) if answered => stream.input.consume(usize::MAX),
                 Some(Ok(SocketEvent::Read)) => {
-                    if let Some(answer) = page(&context, wire.input.contiguous(), &form).await {
-                        wire.output.push(&answer);
+                    if let Some(answer) = page(&context, stream.input.contiguous(), &form).await {
+                        stream.output.push(&answer);
                         answered = true;
                     }
                 }
                 Some(Ok(SocketEvent::End)) if answered => {}
-                Some(Ok(SocketEvent::End)) | None => return Reason::PeerClosed,
-                Some(Err(_)) => return Reason::Reset,
+                Some(Ok(SocketEvent::End)) | None => return CloseReason::PeerClosed,
+                Some(Err(_)) => return CloseReason::Reset,
             }
         }
     };
     let late = async {
-        Timer::after(PATIENCE).await;
-        Reason::Timeout
+        Timer::after(TIMEOUT).await;
+        CloseReason::Timeout
     };
     let reason = future::or(talk, late).await;
-    wire.carried += 1;
-    wire.reason = reason;
+    stream.carried += 1;
+    stream.reason = reason;
 }
--- a/crates/gateway/src/admin/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -2,11 +2,11 @@
 //! and taking a disk box out or putting it back.
 use crate::admin::config_calls;
 use crate::admin::coordination_calls;
-use crate::admin::suspensions::{Bans, Change};
-use crate::backend::pool::Boxes;
-use crate::config_overlay::actor::Changing;
+use crate::admin::suspensions::{Change, Suspensions};
+use crate::backend::pool::BackendPool;
+use crate::config_overlay::actor::ConfigOverlay;
 use crate::context::Context;
-use crate::messages::{Mail, Module};
+use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use crate::scatter_gather::handle::Gathering;
 use async_io::Timer;
 use futures_lite::future;
@@ -26,15 +26,15 @@
     /// What every actor stands on.
     pub context: Rc<Context>,
     /// The module's mailbox.
-    pub module: Module,
+    pub scheduler: SchedulerMailbox,
     /// The disk boxes.
-    pub boxes: Rc<Boxes>,
+    pub pool: Rc<BackendPool>,
     /// What is taken out by hand.
-    pub bans: Rc<Bans>,
+    pub suspensions: Rc<Suspensions>,
     /// The hosts of what fronts settle among themselves, where there are any.
-    pub accord: Option<coordination::Handle>,
+    pub coordination: Option<coordination::Handle>,
     /// What is in force of changes of configuration, where any come.
-    pub changing: Option<Rc<Changing>>,
+    pub config_overlay: Option<Rc<ConfigOverlay>>,
     /// Answers that are gathered from parts, where there are any.
     pub gathering: Option<Gathering>,
 }
@@ -43,11 +43,11 @@
 pub async fn answer(on: &Operators, method: &str, target: &str, body: &[u8]) -> Vec<u8> {
     let context = &on.context;
     if target.starts_with(coordination_calls::FOLDER) {
-        return coordination_calls::answer(on.accord.as_ref(), method, target).await;
+        return coordination_calls::answer(on.coordination.as_ref(), method, target).await;
     }
     if target.starts_with(config_calls::FOLDER) {
-        let changing = on.changing.as_deref();
-        return config_calls::answer(changing, on.accord.as_ref(), method, target, body).await;
+        let config_overlay = on.config_overlay.as_deref();
+        return config_calls::answer(config_overlay, on.coordination.as_ref(), method, target, body).await;
     }
     let target = target.split('?').next().unwrap_or_default();
     let call = target.strip_prefix(FOLDER).and_then(|rest| rest.rsplit_once('/'));
@@ -56,7 +56,7 @@
         ("GET", "/v1/readyz", _) => http::answer(503, "Service Unavailable", "not ready\n"),
         ("GET", "/v1/metrics", _) => http::answer(200, "OK", &figures(on).await),
         ("POST", _, Some((id, what @ ("suspend" | "resume")))) => {
-            match on.boxes.set(&http::unescape(id), what == "suspend").await {
+            match on.pool.set(&http::unescape(id), what == "suspend").await {
                 Change::Kept => http::answer(200, "OK", "done\n"),
                 Change::NotKeptYet => http::answer(503, "Service Unavailable", NOT_KEPT_YET),
                 Change::Unknown => http::answer(404, "Not Found", "no such chunk server was listed\n"),
@@ -75,14 +75,16 @@
 
 /// Whether this process serves: it listens, knows the boxes, and is not about to end.
 fn ready(context: &Context) -> bool {
-    context.life.listening.get() && context.life.serving.get() && context.life.stopping.get().is_none()
+    context.lifecycle.listening.get()
+        && context.lifecycle.serving.get()
+        && context.lifecycle.stopping.get().is_none()
 }
 
 /// The figures, one on a line.
 async fn figures(on: &Operators) -> String {
     let context = &on.context;
     let (to, from) = async_channel::bounded(1);
-    let _ = on.module.send(Mail::Avoided(to)).await;
+    let _ = on.scheduler.send(SchedulerMessage::Avoided(to)).await;
     let late = async {
         Timer::after(ASKED).await;
         vec![]
@@ -90,22 +92,22 @@
     let mut away = future::or(async { from.recv().await.unwrap_or_default() }, late).await;
     let mut out = String::new();
     let config = context.config();
-    let answers = context.tallies.answers.borrow();
+    let answers = context.counters.answers.borrow();
     for (i, class) in config.classes.iter().enumerate() {
         let [served, refused, failed] = answers.get(i).copied().unwrap_or_default();
         for (what, count) in [("fulfilled", served), ("throttled", refused), ("faulted", failed)] {
             let _ = writeln!(out, "app.operations.{}.{what}={count}", class.name);
         }
     }
-    away.extend(on.bans.all());
+    away.extend(on.suspensions.all());
     away.sort();
     away.dedup();
-    away.retain(|node| on.boxes.contains(node));
-    let (accepted, invalid) = context.tallies.reloads.get();
+    away.retain(|node| on.pool.contains(node));
+    let (accepted, invalid) = context.counters.reloads.get();
     for (what, count) in [
-        ("relayed", context.tallies.relayed.get()),
-        ("open_requests", (context.tallies.unanswered.get() + context.gauges.passing.get()) as u64),
-        ("registry_entries", on.boxes.len() as u64),
+        ("relayed", context.counters.relayed.get()),
+        ("open_requests", (context.counters.unanswered.get() + context.gauges.passing.get()) as u64),
+        ("registry_entries", on.pool.len() as u64),
         ("out_of_rotation", away.len() as u64),
         ("cfg_accepted", accepted),
         ("cfg_invalid", invalid),
--- a/crates/gateway/src/admin/suspensions.rs
+++ b/crates/gateway/src/admin/suspensions.rs
@@ -34,7 +34,7 @@
 
 /// The chunk servers that are taken out, and those that were listed lately.
 #[derive(Default)]
-pub struct Bans {
+pub struct Suspensions {
     /// Those that operators have taken out.
     now: RefCell<Snapshot>,
     /// The number of the newest snapshot that is in a file.
@@ -48,7 +48,7 @@
     listed: RefCell<(BTreeSet<BackendId>, VecDeque<BackendId>)>,
 }
 
-impl Bans {
+impl Suspensions {
     /// All that are taken out.
     pub fn all(&self) -> Vec<BackendId> {
         self.now.borrow().out.union(&self.settled.borrow()).cloned().collect()
@@ -96,7 +96,7 @@
     }
 
     /// Takes a server out, or puts it back; tells whether that changed anything, and none for one that was never listed.
-    pub fn set(self: &Rc<Bans>, context: &Rc<Context>, node: &str, out: bool) -> Option<bool> {
+    pub fn set(self: &Rc<Suspensions>, context: &Rc<Context>, node: &str, out: bool) -> Option<bool> {
         let node = BackendId(node.into());
         if !self.listed.borrow().0.contains(&node) {
             return None;
@@ -135,13 +135,13 @@
     }
 
     /// Sees to it that what is in force is written down, beside everything else: the one thread never waits for a disk.
-    fn keep(self: &Rc<Bans>, context: &Rc<Context>) {
+    fn keep(self: &Rc<Suspensions>, context: &Rc<Context>) {
         let Some(front) = process_files::path(context) else {
             return self.kept.set(self.now.borrow().number);
         };
         if !self.writing.replace(true) {
-            let bans = self.clone();
-            context.executor.spawn(async move { bans.write(front).await }).detach();
+            let suspensions = self.clone();
+            context.executor.spawn(async move { suspensions.write(front).await }).detach();
         }
     }
 
--- a/crates/gateway/src/backend/actor.rs
+++ b/crates/gateway/src/backend/actor.rs
@@ -2,12 +2,12 @@
 use crate::backend::iscsi_exchange;
 use crate::backend::resp_exchange::{exchange, pass_on, Exchanged};
 use crate::backend::start_times::Start;
-use crate::backend::statistics::Tally;
-use crate::backend::value::{Ended, Passing};
+use crate::backend::statistics::BackendStatistics;
+use crate::backend::value::{Ended, ValueWriter};
 use crate::context::Context;
-use crate::messages::{Mail, Module};
-use crate::net::close_reason::Reason;
-use crate::net::dial::{connect, Connection};
+use crate::messages::{SchedulerMailbox, SchedulerMessage};
+use crate::net::close_reason::CloseReason;
+use crate::net::dial::{connect, BackendConnection};
 use async_channel::{Receiver, Sender, WeakSender};
 use async_io::Timer;
 use config::Speaks;
@@ -31,7 +31,7 @@
 const NEVER_ENDING: i64 = 10_000_000;
 
 /// What the list says of the disk box; read by attempts that are still waiting for a connection.
-pub struct Place {
+pub struct Endpoint {
     /// Its entry on the list.
     pub entry: RefCell<BackendEntry>,
     /// Where it listens.
@@ -47,37 +47,37 @@
     /// Its idle connections.
     pub idle: Cell<usize>,
     /// What is measured of it.
-    pub tally: Rc<Tally>,
+    pub statistics: Rc<BackendStatistics>,
     /// Its sessions or connections belong to this life of it.
-    pub life: Cell<u32>,
+    pub incarnation: Cell<u32>,
 }
 
 /// What a box's actor and its attempts need.
 #[derive(Clone)]
-pub struct Work {
+pub struct BackendContext {
     /// What every actor stands on.
     pub context: Rc<Context>,
     /// Where ends of attempts go.
-    pub module: Module,
+    pub scheduler: SchedulerMailbox,
     /// What the list says of the box.
-    pub place: Rc<Place>,
+    pub endpoint: Rc<Endpoint>,
     /// Asks a box that has idle connections to close one; false where none has any.
     pub make_room: Rc<dyn Fn() -> bool>,
 }
 
-impl Work {
+impl BackendContext {
     /// Whether an attempt may begin now, here. Asked in the instant of sending, after whatever was waited for.
     pub fn may_begin(&self, attempt: &Attempt) -> bool {
-        !self.place.closed.get() && attempt.may_begin(self.context.clock.now())
+        !self.endpoint.closed.get() && attempt.may_begin(self.context.clock.now())
     }
 }
 
 /// A peer's mail.
-pub enum PeerMail {
+pub enum BackendMessage {
     /// Make an attempt.
     Start(Attempt),
     /// A connection that is free again.
-    Free(Box<Connection>),
+    Free(Box<BackendConnection>),
     /// The list has changed.
     Changed,
     /// Close the connection that has stood idle the longest: another disk box needs its place.
@@ -87,27 +87,27 @@
 }
 
 /// Whether an idle connection may carry a request: nothing has come on it, not even its end.
-async fn usable(connection: &mut Connection) -> bool {
-    future::poll_once(connection.wire.next()).await.is_none()
+async fn usable(connection: &mut BackendConnection) -> bool {
+    future::poll_once(connection.stream.next()).await.is_none()
 }
 
 /// The connection to be used next: of those that have rested the one used last, else the one that has rested longest.
-fn next_idle(idle: &mut Vec<Connection>, now: Micros) -> Option<Connection> {
+fn next_idle(idle: &mut Vec<BackendConnection>, now: Micros) -> Option<BackendConnection> {
     let rested = idle.iter().rposition(|c| now.0 - c.since.0 >= REST);
     (!idle.is_empty()).then(|| idle.remove(rested.unwrap_or(0)))
 }
 
 /// Runs until its box has left and nothing is out there.
-pub async fn run(work: Work, inbox: Receiver<PeerMail>, own: WeakSender<PeerMail>) {
-    let Work { context, place, .. } = &work;
+pub async fn run(work: BackendContext, inbox: Receiver<BackendMessage>, own: WeakSender<BackendMessage>) {
+    let BackendContext { context, endpoint, .. } = &work;
     let mut inbox = Box::pin(inbox);
-    let mut idle: Vec<Connection> = Vec::new();
+    let mut idle: Vec<BackendConnection> = Vec::new();
     loop {
         let sweep = async {
             Timer::after(Duration::from_secs(1)).await;
-            Some(PeerMail::Changed)
+            Some(BackendMessage::Changed)
         };
-        place.idle.set(idle.len());
+        endpoint.idle.set(idle.len());
         let next = match idle.is_empty() {
             true => inbox.next().await,
             false => future::or(inbox.next(), sweep).await,
@@ -115,53 +115,60 @@
         match next {
             // Forgotten, and nothing is out any more.
             None => {
-                idle.iter_mut().for_each(|c| c.wire.reason = Reason::Drained);
+                idle.iter_mut().for_each(|c| c.stream.reason = CloseReason::Drained);
                 return;
             }
-            Some(PeerMail::Start(attempt)) => {
+            Some(BackendMessage::Start(attempt)) => {
                 let connection = next_idle(&mut idle, context.clock.now());
-                let connection = connection.filter(|c| c.life == place.life.get());
+                let connection = connection.filter(|c| c.incarnation == endpoint.incarnation.get());
                 let attempt = serve(work.clone(), attempt, connection, own.upgrade());
                 context.executor.spawn(attempt).detach();
             }
-            Some(PeerMail::Free(mut connection)) => {
-                if place.closed.get() || connection.life != place.life.get() {
-                    connection.wire.reason = Reason::Drained;
+            Some(BackendMessage::Free(mut connection)) => {
+                if endpoint.closed.get() || connection.incarnation != endpoint.incarnation.get() {
+                    connection.stream.reason = CloseReason::Drained;
                 } else if idle.len() >= KEPT {
-                    connection.wire.reason = Reason::Bound;
+                    connection.stream.reason = CloseReason::Bound;
                 } else {
                     idle.push(*connection);
                 }
             }
-            Some(PeerMail::Spare) => {
+            Some(BackendMessage::Spare) => {
                 if !idle.is_empty() {
-                    idle.remove(0).wire.reason = Reason::Bound;
+                    idle.remove(0).stream.reason = CloseReason::Bound;
                 }
             }
-            Some(PeerMail::Stop) => {
-                idle.iter_mut().for_each(|c| c.wire.reason = Reason::Stopped);
+            Some(BackendMessage::Stop) => {
+                idle.iter_mut().for_each(|c| c.stream.reason = CloseReason::Stopped);
                 return;
             }
-            Some(PeerMail::Changed) => {
+            Some(BackendMessage::Changed) => {
                 let now = context.clock.now();
                 let fresh = (context.config().idle.0 as f64 * FRESH) as i64;
                 for c in idle.iter_mut() {
-                    let dead = place.closed.get() || c.life != place.life.get();
-                    c.wire.reason = if dead { Reason::Drained } else { Reason::Idle };
+                    let dead = endpoint.closed.get() || c.incarnation != endpoint.incarnation.get();
+                    c.stream.reason = if dead { CloseReason::Drained } else { CloseReason::Idle };
                 }
                 idle.retain(|c| {
-                    !place.closed.get() && c.life == place.life.get() && now.0 - c.since.0 < fresh
+                    !endpoint.closed.get()
+                        && c.incarnation == endpoint.incarnation.get()
+                        && now.0 - c.since.0 < fresh
                 });
-                idle.iter_mut().for_each(|c| c.wire.reason = Reason::PeerClosed);
+                idle.iter_mut().for_each(|c| c.stream.reason = CloseReason::PeerClosed);
             }
         }
     }
 }
 
 /// Carries out one attempt and tells the module of its end.
-async fn serve(work: Work, attempt: Attempt, free: Option<Connection>, own: Option<Sender<PeerMail>>) {
-    let Work { context, module, place, .. } = &work;
-    let _out = place.tally.begin();
+async fn serve(
+    work: BackendContext,
+    attempt: Attempt,
+    free: Option<BackendConnection>,
+    own: Option<Sender<BackendMessage>>,
+) {
+    let BackendContext { context, scheduler, endpoint, .. } = &work;
+    let _out = endpoint.statistics.begin();
     let mut ready = None;
     if let Some(mut free) = free {
         let rested = Micros(free.since.0 + REST).min(attempt.deadline);
@@ -178,40 +185,43 @@
         Err(ending) => Some(attempt.ended(ending)),
         // Guards against what has become known while the connection came up: that the box drains or has started again,
         // that the client has gone, that a repeat would not be known as one any more.
-        Ok(mut connection) if connection.life != place.life.get() || !work.may_begin(&attempt) => {
-            connection.wire.reason = Reason::Drained;
-            let fresh = connection.life == place.life.get() && !place.closed.get();
+        Ok(mut connection)
+            if connection.incarnation != endpoint.incarnation.get() || !work.may_begin(&attempt) =>
+        {
+            connection.stream.reason = CloseReason::Drained;
+            let fresh = connection.incarnation == endpoint.incarnation.get() && !endpoint.closed.get();
             if let Some(own) = own.filter(|_| fresh) {
-                drop(own.try_send(PeerMail::Free(Box::new(connection))));
+                drop(own.try_send(BackendMessage::Free(Box::new(connection))));
             }
             Some(attempt.ended(AttemptOutcome::NotSent))
         }
         Ok(mut connection) => {
-            place.tally.sent(context.clock.now());
-            let (ended, mut keep) = match place.speaks.get() {
-                Speaks::Resp => exchange(context, &attempt, &mut connection.wire).await,
+            endpoint.statistics.sent(context.clock.now());
+            let (ended, mut keep) = match endpoint.speaks.get() {
+                Speaks::Resp => exchange(context, &attempt, &mut connection.stream).await,
                 Speaks::Iscsi => {
-                    let target = place.target.borrow().clone();
+                    let target = endpoint.target.borrow().clone();
                     let session = &mut connection.session;
-                    iscsi_exchange::exchange(&work, &attempt, &mut connection.wire, session, &target).await
+                    iscsi_exchange::exchange(&work, &attempt, &mut connection.stream, session, &target).await
                 }
             };
-            connection.wire.carried += 1;
+            connection.stream.carried += 1;
             let ended = match ended {
                 Exchanged::Ended(ended) => Some(ended),
                 Exchanged::Begun { parts, length } => {
-                    let (passing, coming) = Passing::begin(&context.gauges, length);
+                    let (passing, coming) = ValueWriter::begin(&context.gauges, length);
                     let ended = Ended { value: Some(coming), ..attempt.ended(AttemptOutcome::Ok) };
-                    place.tally.ended(
+                    endpoint.statistics.ended(
                         context.clock.now(),
                         AttemptOutcome::Ok,
                         &attempt.request.volume,
                         attempt.request.units,
                     );
-                    let _ = module.send(Mail::Ended(ended)).await;
+                    let _ = scheduler.send(SchedulerMessage::Ended(ended)).await;
                     // Guards against a value that never ends, and its client that never reads.
-                    connection.wire.reason = Reason::Cut;
-                    let passed = pass_on(context, module, &attempt, &mut connection.wire, passing, parts);
+                    connection.stream.reason = CloseReason::Cut;
+                    let passed =
+                        pass_on(context, scheduler, &attempt, &mut connection.stream, passing, parts);
                     let until = context.clock.instant(Micros(attempt.request.deadline.0 + NEVER_ENDING));
                     keep = future::or(passed, async {
                         Timer::at(until).await;
@@ -224,7 +234,7 @@
             if keep {
                 connection.since = context.clock.now();
                 if let Some(own) = own {
-                    drop(own.try_send(PeerMail::Free(Box::new(connection))));
+                    drop(own.try_send(BackendMessage::Free(Box::new(connection))));
                 }
             }
             ended
@@ -232,7 +242,7 @@
     };
     if let Some(ended) = ended {
         let (volume, units) = (&attempt.request.volume, attempt.request.units);
-        place.tally.ended(context.clock.now(), ended.outcome, volume, units);
-        let _ = module.send(Mail::Ended(ended)).await;
+        endpoint.statistics.ended(context.clock.now(), ended.outcome, volume, units);
+        let _ = scheduler.send(SchedulerMessage::Ended(ended)).await;
     }
 }
--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -1,10 +1,10 @@
 //! Attempts at a disk box that speaks iSCSI: each connection is a session that carries one command at a time.
-use crate::backend::actor::Work;
+use crate::backend::actor::BackendContext;
 use crate::backend::resp_exchange::Exchanged;
 use crate::backend::value::{Ended, Value};
 use crate::context::Context;
-use crate::net::close_reason::Reason;
-use crate::net::connection::{SocketEvent, Wire};
+use crate::net::close_reason::CloseReason;
+use crate::net::connection::{Connection, SocketEvent};
 use async_io::Timer;
 use dispatch::{Attempt, Bytes, Extent};
 use futures_lite::{future, StreamExt};
@@ -36,9 +36,9 @@
 /// Logs in where the connection is new, sends the command and gathers its outcome; also tells whether the
 /// connection may be used again.
 pub async fn exchange(
-    work: &Work,
+    work: &BackendContext,
     attempt: &Attempt,
-    wire: &mut Wire,
+    stream: &mut Connection,
     session: &mut Option<Initiator>,
     target: &str,
 ) -> (Exchanged, bool) {
@@ -68,38 +68,38 @@
     let mut late = Timer::at(context.clock.instant(attempt.deadline));
     let mut written = false;
     loop {
-        if !wire.output.push(&out) {
-            wire.reason = Reason::Bound;
+        if !stream.output.push(&out) {
+            stream.reason = CloseReason::Bound;
             return ended(
                 attempt.ended(if written { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }),
                 false,
             );
         }
         out.clear();
-        let moved = future::or(async { wire.next().await }, async {
+        let moved = future::or(async { stream.next().await }, async {
             (&mut late).await;
             None
         });
         let moved = moved.await;
         // Guards bookings: the box has the command once its first PDU is written, whatever data it still asks
         // for, and may have begun to write. Only before that it is sure that nothing ran.
-        let whole = begun && wire.output.is_empty();
+        let whole = begun && stream.output.is_empty();
         if whole && !std::mem::replace(&mut written, whole) {
-            context.tallies.relayed();
+            context.counters.relayed();
         }
         let maybe = |ending| if written { ending } else { AttemptOutcome::ConnectFailed };
         let ending = match moved {
             Some(Ok(SocketEvent::Wrote)) => continue,
             Some(Ok(SocketEvent::Read)) => loop {
-                match session.read(wire.input.contiguous(), &mut out) {
+                match session.read(stream.input.contiguous(), &mut out) {
                     Ok((0, _)) => break None,
                     Ok((used, told)) => {
-                        wire.input.consume(used);
+                        stream.input.consume(used);
                         match told {
                             // Guards against what has become known while the session came up.
                             Told::LoggedIn if !begun && !work.may_begin(attempt) => {
-                                let keep = !work.place.closed.get() && wire.input.is_empty();
-                                wire.reason = Reason::Drained;
+                                let keep = !work.endpoint.closed.get() && stream.input.is_empty();
+                                stream.reason = CloseReason::Drained;
                                 return ended(attempt.ended(AttemptOutcome::NotSent), keep);
                             }
                             Told::LoggedIn if !begun => {
@@ -112,38 +112,38 @@
                                     status::BUSY | status::TASK_SET_FULL => AttemptOutcome::Rejected,
                                     _ => AttemptOutcome::Error,
                                 };
-                                let value =
-                                    (ending == AttemptOutcome::Ok).then(|| Value::Whole(Bytes::from(data)));
-                                let keep = wire.output.is_empty() && wire.input.is_empty();
-                                wire.reason = Reason::Protocol;
+                                let value = (ending == AttemptOutcome::Ok)
+                                    .then(|| Value::Complete(Bytes::from(data)));
+                                let keep = stream.output.is_empty() && stream.input.is_empty();
+                                stream.reason = CloseReason::Protocol;
                                 if keep {
-                                    wire.reason = Reason::PeerClosed;
+                                    stream.reason = CloseReason::PeerClosed;
                                 }
                                 return ended(Ended { value, ..attempt.ended(ending) }, keep);
                             }
                             Told::Rejected(_) => {
-                                wire.reason = Reason::Protocol;
+                                stream.reason = CloseReason::Protocol;
                                 break Some(maybe(AttemptOutcome::Error));
                             }
                             Told::LoggedOut => {
-                                wire.reason = Reason::PeerClosed;
+                                stream.reason = CloseReason::PeerClosed;
                                 break Some(maybe(AttemptOutcome::Reset));
                             }
                             _ => {}
                         }
                     }
                     Err(_) => {
-                        wire.reason = Reason::Protocol;
+                        stream.reason = CloseReason::Protocol;
                         break Some(maybe(AttemptOutcome::Reset));
                     }
                 }
             },
             Some(Ok(SocketEvent::End)) | Some(Err(_)) => {
-                wire.reason = Reason::Reset;
+                stream.reason = CloseReason::Reset;
                 Some(maybe(AttemptOutcome::Reset))
             }
             None => {
-                wire.reason = Reason::Timeout;
+                stream.reason = CloseReason::Timeout;
                 Some(maybe(AttemptOutcome::Timeout))
             }
         };
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -1,11 +1,11 @@
 //! The table of disk boxes: an actor for each that is listed, told what the list says of its box and what was taken out
 //! by hand.
 use crate::admin::suspension_files::Snapshot;
-use crate::admin::suspensions::{Bans, Change};
-use crate::backend::actor::{self, PeerMail, Place, Work};
+use crate::admin::suspensions::{Change, Suspensions};
+use crate::backend::actor::{self, BackendContext, BackendMessage, Endpoint};
 use crate::backend::start_times::{wall_clock, Start};
 use crate::context::Context;
-use crate::messages::{Mail, Module};
+use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use async_channel::Sender;
 use config::{Target, Targets};
 use dispatch::Attempt;
@@ -19,60 +19,64 @@
 const MAILBOX: usize = 1024;
 
 /// A peer, as others see it.
-pub struct Peer {
+pub struct BackendHandle {
     /// Its mailbox.
-    pub mail: Sender<PeerMail>,
+    pub mail: Sender<BackendMessage>,
     /// What the list says.
-    pub place: Rc<Place>,
+    pub endpoint: Rc<Endpoint>,
 }
 
 /// The disk boxes.
-pub struct Boxes {
+pub struct BackendPool {
     context: Rc<Context>,
-    module: Module,
-    bans: Rc<Bans>,
-    peers: RefCell<BTreeMap<BackendId, Peer>>,
+    scheduler: SchedulerMailbox,
+    suspensions: Rc<Suspensions>,
+    handles: RefCell<BTreeMap<BackendId, BackendHandle>>,
     /// Boxes by the word of changes of configuration: it counts, whatever the list says of them.
     over: RefCell<BTreeMap<BackendId, Target>>,
-    own: Weak<Boxes>,
+    own: Weak<BackendPool>,
 }
 
-impl Boxes {
+impl BackendPool {
     /// No boxes yet.
-    pub fn new(context: Rc<Context>, module: Module, bans: Rc<Bans>) -> Rc<Boxes> {
-        let (peers, over) = (RefCell::default(), RefCell::default());
-        Rc::new_cyclic(|own| Boxes { context, module, bans, peers, over, own: own.clone() })
+    pub fn new(
+        context: Rc<Context>,
+        scheduler: SchedulerMailbox,
+        suspensions: Rc<Suspensions>,
+    ) -> Rc<BackendPool> {
+        let (handles, over) = (RefCell::default(), RefCell::default());
+        Rc::new_cyclic(|own| BackendPool { context, scheduler, suspensions, handles, over, own: own.clone() })
     }
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.peers.borrow().len()
+        self.handles.borrow().len()
     }
 
     /// Whether one is listed.
     pub fn contains(&self, node: &BackendId) -> bool {
-        self.peers.borrow().contains_key(node)
+        self.handles.borrow().contains_key(node)
     }
 
     /// Hands an attempt to its box; false where that can't be done, and it was not sent.
     pub fn start(&self, attempt: Attempt) -> bool {
-        let mailbox = self.peers.borrow().get(&attempt.backend).map(|p| p.mail.clone());
-        mailbox.is_some_and(|m| m.len() < MAILBOX && m.try_send(PeerMail::Start(attempt)).is_ok())
+        let mailbox = self.handles.borrow().get(&attempt.backend).map(|p| p.mail.clone());
+        mailbox.is_some_and(|m| m.len() < MAILBOX && m.try_send(BackendMessage::Start(attempt)).is_ok())
     }
 
     /// Ends all idle connections: the program ends.
     pub fn stop(&self) {
-        for peer in self.peers.borrow().values() {
-            let _ = peer.mail.try_send(PeerMail::Stop);
+        for handle in self.handles.borrow().values() {
+            let _ = handle.mail.try_send(BackendMessage::Stop);
         }
     }
 
     /// Asks a box that has idle connections to close one; false where none has any.
     fn make_room(&self) -> bool {
-        self.peers.borrow().values().any(|peer| {
-            let idle = peer.place.idle.get();
-            peer.place.idle.set(idle.saturating_sub(1));
-            idle > 0 && peer.mail.try_send(PeerMail::Spare).is_ok()
+        self.handles.borrow().values().any(|handle| {
+            let idle = handle.endpoint.idle.get();
+            handle.endpoint.idle.set(idle.saturating_sub(1));
+            idle > 0 && handle.mail.try_send(BackendMessage::Spare).is_ok()
         })
     }
 
@@ -82,8 +86,8 @@
         let targets = &*self.lay_over(targets);
         let entries = self.update(&targets.targets, targets.whole);
         let entries = entries.into_iter().map(|entry| {
-            self.bans.remember(&entry.backend);
-            self.bans.seen(entry)
+            self.suspensions.remember(&entry.backend);
+            self.suspensions.seen(entry)
         });
         match targets.whole {
             true => EndpointUpdate::Full(entries.collect()),
@@ -106,53 +110,53 @@
     /// These boxes are by the word of changes from now on, and these others as they are given here.
     pub async fn put(&self, over: BTreeMap<BackendId, Target>, changed: &[Target]) {
         self.over.replace(over);
-        changed.iter().for_each(|target| self.bans.remember(&target.entry.backend));
+        changed.iter().for_each(|target| self.suspensions.remember(&target.entry.backend));
         let entries = self.update(changed, false);
-        let entries = entries.into_iter().map(|entry| self.bans.seen(entry)).collect();
-        let _ = self.module.send(Mail::News(EndpointUpdate::Delta(entries))).await;
+        let entries = entries.into_iter().map(|entry| self.suspensions.seen(entry)).collect();
+        let _ = self.scheduler.send(SchedulerMessage::News(EndpointUpdate::Delta(entries))).await;
         // This is no word of discovery: where that is not heard, the module goes on taking care.
-        if self.context.config().discovery.is_some() && !self.context.life.watching.get() {
-            let _ = self.module.send(Mail::News(EndpointUpdate::Failed)).await;
+        if self.context.config().discovery.is_some() && !self.context.lifecycle.watching.get() {
+            let _ = self.scheduler.send(SchedulerMessage::News(EndpointUpdate::Failed)).await;
         }
     }
 
     /// Puts in force what is taken out now: attempts that still wait for a connection first, then the module.
     pub async fn apply(&self) {
         let mut entries = Vec::new();
-        for peer in self.peers.borrow().values() {
-            let entry = self.bans.seen(peer.place.entry.borrow().clone());
-            peer.place.closed.set(entry.state != BackendState::Ready);
-            drop(peer.mail.try_send(PeerMail::Changed));
+        for handle in self.handles.borrow().values() {
+            let entry = self.suspensions.seen(handle.endpoint.entry.borrow().clone());
+            handle.endpoint.closed.set(entry.state != BackendState::Ready);
+            drop(handle.mail.try_send(BackendMessage::Changed));
             entries.push(entry);
         }
         // Guards the watch: this is no news of discovery, and must not pass for a sign that it was heard.
-        let _ = self.module.send(Mail::News(EndpointUpdate::Cached(entries))).await;
+        let _ = self.scheduler.send(SchedulerMessage::News(EndpointUpdate::Cached(entries))).await;
     }
 
     /// The fronts have settled that a box is out, or back.
     pub async fn settle(&self, node: &str, out: bool) {
-        if self.bans.settle(BackendId(node.into()), out) {
+        if self.suspensions.settle(BackendId(node.into()), out) {
             self.apply().await;
         }
     }
 
     /// What each box is, and what is measured of it.
-    pub fn places(&self) -> Vec<Rc<Place>> {
-        self.peers.borrow().values().map(|p| p.place.clone()).collect()
+    pub fn endpoints(&self) -> Vec<Rc<Endpoint>> {
+        self.handles.borrow().values().map(|p| p.endpoint.clone()).collect()
     }
 
     /// Puts in place what another process of the front has written down; tells whether anything changed.
     pub fn take_over(&self, read: Option<Snapshot>) -> bool {
-        self.bans.take_over(read)
+        self.suspensions.take_over(read)
     }
 
     /// Takes a server out, or puts it back. It is in force at once, whether or not that can be written down in time.
     pub async fn set(&self, node: &str, out: bool) -> Change {
-        let Some(changed) = self.bans.set(&self.context, node, out) else { return Change::Unknown };
+        let Some(changed) = self.suspensions.set(&self.context, node, out) else { return Change::Unknown };
         if changed {
             self.apply().await;
         }
-        match self.bans.is_kept().await {
+        match self.suspensions.is_kept().await {
             true => Change::Kept,
             false => Change::NotKeptYet,
         }
@@ -161,16 +165,16 @@
     /// Starts peers for new entries of the list and tells those that are there. Gives the entries in their order, with starts
     /// by this process's own clock.
     fn update(&self, targets: &[Target], whole: bool) -> Vec<BackendEntry> {
-        let mut peers = self.peers.borrow_mut();
+        let mut handles = self.handles.borrow_mut();
         // One that has left is forgotten: its actor ends once nothing is out there, and one that returns is new. Bounds the
         // memory where every server is replaced, and replaced again.
-        let leave = |peer: &Peer| peer.place.closed.set(true);
+        let leave = |handle: &BackendHandle| handle.endpoint.closed.set(true);
         if whole {
             let named: BTreeSet<&BackendId> = targets.iter().map(|t| &t.entry.backend).collect();
-            peers.retain(|node, peer| {
+            handles.retain(|node, handle| {
                 let stays = named.contains(node);
                 if !stays {
-                    leave(peer);
+                    leave(handle);
                 }
                 stays
             });
@@ -180,25 +184,25 @@
         for target in targets {
             let mut entry = target.entry.clone();
             if entry.state == BackendState::Gone {
-                peers.remove(&entry.backend).iter().for_each(leave);
+                handles.remove(&entry.backend).iter().for_each(leave);
                 entries.push(entry);
                 continue;
             }
-            let peer = peers.entry(entry.backend.clone()).or_insert_with(|| self.start_peer(target));
-            let place = &peer.place;
-            let restarted = Start::differs(place.start.get(), entry.started_at);
+            let handle = handles.entry(entry.backend.clone()).or_insert_with(|| self.start_peer(target));
+            let endpoint = &handle.endpoint;
+            let restarted = Start::differs(endpoint.start.get(), entry.started_at);
             if let Some(told) = entry.started_at.filter(|_| restarted) {
-                place.start.set(Some(Start::notified(told, now(told), wall_clock())));
+                endpoint.start.set(Some(Start::notified(told, now(told), wall_clock())));
             }
-            if restarted || place.address.get() != target.address {
-                place.life.set(place.life.get() + 1);
+            if restarted || endpoint.address.get() != target.address {
+                endpoint.incarnation.set(endpoint.incarnation.get() + 1);
             }
-            entry.started_at = entry.started_at.and(place.start.get()).map(|start| start.at);
-            place.entry.replace(entry.clone());
-            place.speaks.set(target.speaks);
-            place.address.set(target.address);
-            place.closed.set(self.bans.seen(entry.clone()).state != BackendState::Ready);
-            drop(peer.mail.try_send(PeerMail::Changed));
+            entry.started_at = entry.started_at.and(endpoint.start.get()).map(|start| start.at);
+            endpoint.entry.replace(entry.clone());
+            endpoint.speaks.set(target.speaks);
+            endpoint.address.set(target.address);
+            endpoint.closed.set(self.suspensions.seen(entry.clone()).state != BackendState::Ready);
+            drop(handle.mail.try_send(BackendMessage::Changed));
             entries.push(entry);
         }
         entries
@@ -215,10 +219,10 @@
     }
 
     /// The actor of a server that is new on the list.
-    fn start_peer(&self, target: &Target) -> Peer {
+    fn start_peer(&self, target: &Target) -> BackendHandle {
         // Bounds the memory: a mailbox with a bound takes room for all of its messages at once, here 64 KiB a server.
         let (mail, inbox) = async_channel::unbounded();
-        let place = Rc::new(Place {
+        let endpoint = Rc::new(Endpoint {
             entry: RefCell::new(target.entry.clone()),
             address: Cell::new(None),
             closed: Cell::new(false),
@@ -226,18 +230,18 @@
             speaks: Cell::new(target.speaks),
             target: RefCell::new(target.target.clone()),
             idle: Cell::new(0),
-            tally: Rc::default(),
-            life: Cell::new(0),
+            statistics: Rc::default(),
+            incarnation: Cell::new(0),
         });
         let own = self.own.clone();
-        let work = Work {
+        let work = BackendContext {
             context: self.context.clone(),
-            module: self.module.clone(),
-            place: place.clone(),
-            make_room: Rc::new(move || own.upgrade().is_some_and(|boxes| boxes.make_room())),
+            scheduler: self.scheduler.clone(),
+            endpoint: endpoint.clone(),
+            make_room: Rc::new(move || own.upgrade().is_some_and(|pool| pool.make_room())),
         };
         let actor = actor::run(work, inbox, mail.downgrade());
         self.context.executor.spawn(actor).detach();
-        Peer { mail, place }
+        BackendHandle { mail, endpoint }
     }
 }
--- a/crates/gateway/src/backend/statistics.rs
+++ b/crates/gateway/src/backend/statistics.rs
@@ -12,7 +12,7 @@
 
 /// The figures of one box.
 #[derive(Default)]
-pub struct Tally {
+pub struct BackendStatistics {
     /// Whether anybody asks.
     pub on: Cell<bool>,
     /// Attempts that have begun and not ended.
@@ -30,9 +30,9 @@
     as_of: Cell<Micros>,
 }
 
-impl Tally {
+impl BackendStatistics {
     /// An attempt has begun; it counts until its guard is dropped.
-    pub fn begin(self: &Rc<Tally>) -> Out {
+    pub fn begin(self: &Rc<BackendStatistics>) -> Out {
         self.out.set(self.out.get() + 1);
         Out(self.clone())
     }
@@ -112,7 +112,7 @@
 }
 
 /// An attempt that is out, for as long as this lives.
-pub struct Out(Rc<Tally>);
+pub struct Out(Rc<BackendStatistics>);
 
 impl Drop for Out {
     fn drop(&mut self) {
--- a/crates/gateway/src/backend/value.rs
+++ b/crates/gateway/src/backend/value.rs
@@ -20,14 +20,14 @@
 #[derive(Clone, Debug)]
 pub enum Value {
     /// It is here.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It is coming.
-    Coming(Coming),
+    Streamed(StreamedValue),
 }
 
 impl Default for Value {
     fn default() -> Self {
-        Value::Whole(Bytes::from([]))
+        Value::Complete(Bytes::from([]))
     }
 }
 
@@ -35,15 +35,15 @@
     /// The bytes that are here: all, where it is whole.
     pub fn whole(&self) -> &[u8] {
         match self {
-            Value::Whole(bytes) => bytes,
-            Value::Coming(_) => &[],
+            Value::Complete(bytes) => bytes,
+            Value::Streamed(_) => &[],
         }
     }
 }
 
 /// A value that is coming. Its pieces end early where it can't be finished.
 #[derive(Clone, Debug)]
-pub struct Coming {
+pub struct StreamedValue {
     /// Its length.
     pub length: usize,
     /// Its pieces.
@@ -51,19 +51,19 @@
 }
 
 /// The other end: where the pieces are put. One waits at a time, so that a client that is slow makes the box wait.
-pub struct Passing {
+pub struct ValueWriter {
     pieces: Sender<Bytes>,
     /// How many bytes are still to be put.
     pub left: usize,
     _count: Count,
 }
 
-impl Passing {
+impl ValueWriter {
     /// A value of that length.
-    pub fn begin(gauges: &Rc<Gauges>, length: usize) -> (Passing, Value) {
+    pub fn begin(gauges: &Rc<Gauges>, length: usize) -> (ValueWriter, Value) {
         let (to, pieces) = async_channel::bounded(1);
-        let passing = Passing { pieces: to, left: length, _count: Count::up(gauges, |g| &g.passing) };
-        (passing, Value::Coming(Coming { length, pieces }))
+        let passing = ValueWriter { pieces: to, left: length, _count: Count::up(gauges, |g| &g.passing) };
+        (passing, Value::Streamed(StreamedValue { length, pieces }))
     }
 
     /// Puts a piece, once the client has room; false where it has gone.
--- a/crates/gateway/src/client/command.rs
+++ b/crates/gateway/src/client/command.rs
@@ -25,7 +25,7 @@
     let write = match verb.as_slice() {
         b"PREAD" => false,
         b"PWRITE" => true,
-        b"PING" if context.life.serving.get() => return Asked::Now(b"+PONG\r\n".to_vec()),
+        b"PING" if context.lifecycle.serving.get() => return Asked::Now(b"+PONG\r\n".to_vec()),
         b"PING" => return error("not serving yet"),
         b"CLIENT" | b"SELECT" => return Asked::Now(b"+OK\r\n".to_vec()),
         _ => return error("unknown command"),
--- a/crates/gateway/src/client/connection_slots.rs
+++ b/crates/gateway/src/client/connection_slots.rs
@@ -29,14 +29,14 @@
 }
 
 /// All places that are taken.
-pub struct Seats {
+pub struct ConnectionSlots {
     context: Rc<Context>,
     taken: RefCell<BTreeMap<u64, Rc<Entry>>>,
 }
 
 /// One connection's place, given up when dropped.
-pub struct Seat {
-    seats: Rc<Seats>,
+pub struct ConnectionSlot {
+    slots: Rc<ConnectionSlots>,
     number: u64,
     entry: Rc<Entry>,
     /// A letter asks to make room.
@@ -50,26 +50,26 @@
     usual: Cell<bool>,
     since: Cell<Micros>,
     /// How long it may stand idle where places are scarce, and where nearly none are left.
-    patience: (Micros, Micros),
+    timeout: (Micros, Micros),
     asked: Cell<bool>,
     ask: Sender<()>,
 }
 
-impl Seat {
+impl ConnectionSlot {
     /// Takes a place; `patience` is for how long it may stand idle where places are scarce, and nearly none left.
-    pub fn take(seats: &Rc<Seats>, patience: (Micros, Micros)) -> Seat {
+    pub fn take(slots: &Rc<ConnectionSlots>, timeout: (Micros, Micros)) -> ConnectionSlot {
         let (ask, asked) = async_channel::bounded(1);
         let entry = Rc::new(Entry {
             doing: Cell::new(Doing::Silent),
             usual: Cell::new(false),
-            since: Cell::new(seats.context.clock.now()),
-            patience,
+            since: Cell::new(slots.context.clock.now()),
+            timeout,
             asked: Cell::new(false),
             ask,
         });
-        let number = seats.context.number().0;
-        seats.taken.borrow_mut().insert(number, entry.clone());
-        Seat { seats: seats.clone(), number, entry, asked }
+        let number = slots.context.number().0;
+        slots.taken.borrow_mut().insert(number, entry.clone());
+        ConnectionSlot { slots: slots.clone(), number, entry, asked }
     }
 
     /// Says what the connection does now.
@@ -77,7 +77,7 @@
         let before = self.entry.doing.replace(doing);
         if before != doing {
             self.entry.usual.set(self.entry.usual.get() || before == Doing::Idle);
-            self.entry.since.set(self.seats.context.clock.now());
+            self.entry.since.set(self.slots.context.clock.now());
             self.entry.asked.set(false);
         }
     }
@@ -88,16 +88,16 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.seats.taken.borrow_mut().remove(&self.number);
+        self.slots.taken.borrow_mut().remove(&self.number);
     }
 }
 
-impl Seats {
+impl ConnectionSlots {
     /// No place is taken yet.
-    pub fn new(context: Rc<Context>) -> Rc<Seats> {
-        Rc::new(Seats { context, taken: RefCell::default() })
+    pub fn new(context: Rc<Context>) -> Rc<ConnectionSlots> {
+        Rc::new(ConnectionSlots { context, taken: RefCell::default() })
     }
 
     /// The connection that is to make room: silent ones first, then those that asked once, and of these the one idle for
@@ -107,18 +107,18 @@
         let now = context.clock.now();
         // Guards newcomers, whose requests would fail: it costs less that another client opens one more.
         let full = context.gauges.clients.get() >= context.clients_full();
-        let seats = self.taken.borrow();
+        let slots = self.taken.borrow();
         let may = |e: &&Rc<Entry>| {
             let stood = now.0 - e.since.get().0;
             !e.asked.get()
                 && match e.doing.get() {
                     Doing::Silent => stood >= SILENT,
-                    Doing::Idle => stood >= if full { e.patience.1 .0 } else { e.patience.0 .0 },
+                    Doing::Idle => stood >= if full { e.timeout.1 .0 } else { e.timeout.0 .0 },
                     Doing::Busy => false,
                 }
         };
         let turn = |e: &&Rc<Entry>| (e.doing.get() != Doing::Silent, e.usual.get(), e.since.get());
-        seats.values().filter(may).min_by_key(turn).cloned()
+        slots.values().filter(may).min_by_key(turn).cloned()
     }
 
     /// Before one more connection is accepted: where connections are scarce, lets others make room, as far as they can.
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -1,15 +1,15 @@
 //! The platform's front: RESP2 connections of clients.
 use crate::backend::value::Answer;
 use crate::client::arrival_times::Arrivals;
-use crate::client::connection_slots::{Seat, Seats, SHORT};
+use crate::client::connection_slots::{ConnectionSlot, ConnectionSlots, SHORT};
 use crate::client::response::Reply;
 use crate::client::session::{Client, PIPELINE};
 use crate::context::Context;
 use crate::counts::{Count, Weight};
-use crate::messages::{Mail, Module};
+use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use crate::net::accept::accept;
-use crate::net::close_reason::Reason;
-use crate::net::connection::{SocketEvent, Wire};
+use crate::net::close_reason::CloseReason;
+use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
 use crate::scatter_gather::handle::{Gathering, Owed};
 use async_io::{Async, Timer};
@@ -31,25 +31,26 @@
 /// Accepts clients until the program ends.
 pub async fn listen(
     context: Rc<Context>,
-    module: Module,
-    seats: Rc<Seats>,
+    scheduler: SchedulerMailbox,
+    slots: Rc<ConnectionSlots>,
     gathering: Option<Gathering>,
     listener: Async<TcpListener>,
 ) {
     // Guards the descriptors of everything else: beyond the bound some are refused, more are not accepted for now.
     let may = || context.gauges.clients.get() < context.client_bound() + context.beyond_bound();
     let take = |socket, address| {
-        let talk = client(context.clone(), module.clone(), seats.clone(), gathering.clone(), socket, address);
+        let talk =
+            client(context.clone(), scheduler.clone(), slots.clone(), gathering.clone(), socket, address);
         context.executor.spawn(talk).detach();
     };
     // Guards new connections against a process that is about to end, where another listens beside it.
     let over = async || {
-        let _ = context.life.stopped.1.recv().await;
+        let _ = context.lifecycle.stopped.1.recv().await;
         while !context.followed() {
             Timer::after(FOLLOWED).await;
         }
     };
-    accept(listener, may, async || seats.room().await, take, over).await;
+    accept(listener, may, async || slots.room().await, take, over).await;
 }
 
 enum Woken {
@@ -59,19 +60,19 @@
     Moved,
     Tick,
     MakeRoom,
-    End(Reason),
+    End(CloseReason),
 }
 
 async fn client(
     context: Rc<Context>,
-    module: Module,
-    seats: Rc<Seats>,
+    scheduler: SchedulerMailbox,
+    slots: Rc<ConnectionSlots>,
     gathering: Option<Gathering>,
     socket: Socket,
     address: SocketAddr,
 ) {
     let _count = Count::up(&context.gauges, |g| &g.clients);
-    let mut wire = Wire::new(socket, "client", address, BOUNDS);
+    let mut stream = Connection::new(socket, "client", address, BOUNDS);
     let (answers, answered) = async_channel::bounded(PIPELINE);
     let mut answered = Box::pin(answered);
     let idle = Micros((context.config().clients.idle_s * 1e6) as i64);
@@ -81,42 +82,42 @@
         slots: VecDeque::new(),
         first: 0,
         closing: None,
-        seat: Seat::take(&seats, (idle, idle.min(SHORT))),
+        slot: ConnectionSlot::take(&slots, (idle, idle.min(SHORT))),
         rings: Weight::new(&context.gauges, |g| &g.rings),
         came: context.clock.now(),
         arrivals: Arrivals::default(),
         whole_by: None,
         went_on: (0, context.clock.now()),
         context: context.clone(),
-        module: module.clone(),
+        scheduler: scheduler.clone(),
         gathers: gathering.map(|g| Owed::new(g, PIPELINE)),
     };
-    wire.reason = loop {
+    stream.reason = loop {
         // Guards against a client that sends much at once and goes: its end lies behind what there is no room for.
-        if wire.input.room() == 0 && wire.hung_up() {
-            break Reason::PeerClosed;
+        if stream.input.room() == 0 && stream.hung_up() {
+            break CloseReason::PeerClosed;
         }
-        let more = client.read(&mut wire);
+        let more = client.read(&mut stream);
         // What was written makes place for commands that have come already.
-        let wrote = client.write(&mut wire);
-        if let Some(reason) = client.ends(&wire) {
+        let wrote = client.write(&mut stream);
+        if let Some(reason) = client.ends(&stream) {
             break reason;
         }
-        let look = client.settle(&wire);
+        let look = client.settle(&stream);
         // Guards the others: whatever there is to do, each turn is one of many.
         future::yield_now().await;
-        let stopping = context.life.stopping.get().is_some();
+        let stopping = context.lifecycle.stopping.get().is_some();
         let answer = async { Woken::Answer(answered.next().await) };
         let moved = async {
-            match wire.next().await {
-                Some(Ok(SocketEvent::End)) => Woken::End(Reason::PeerClosed),
-                Some(Err(_)) => Woken::End(Reason::Reset),
+            match stream.next().await {
+                Some(Ok(SocketEvent::End)) => Woken::End(CloseReason::PeerClosed),
+                Some(Err(_)) => Woken::End(CloseReason::Reset),
                 _ => Woken::Moved,
             }
         };
         let stop = async {
             match stopping {
-                false => drop(context.life.stopped.1.recv().await),
+                false => drop(context.lifecycle.stopped.1.recv().await),
                 true => future::pending().await,
             }
             Woken::Tick
@@ -128,7 +129,7 @@
             }
             Woken::Tick
         };
-        let asked = client.seat.asked.clone();
+        let asked = client.slot.asked.clone();
         let leave = async {
             let _ = asked.recv().await;
             Woken::MakeRoom
@@ -158,12 +159,12 @@
             // Guards the client: a value that can't be finished ends its connection, and it can tell.
             Woken::Piece(piece) => {
                 if !client.piece(piece) {
-                    break Reason::Cut;
+                    break CloseReason::Cut;
                 }
             }
             Woken::Answer(None) | Woken::Tick | Woken::Moved => {}
             // Only between requests: what has come meanwhile is served.
-            Woken::MakeRoom if client.seat.idle() => break Reason::Idle,
+            Woken::MakeRoom if client.slot.idle() => break CloseReason::Idle,
             Woken::MakeRoom => {}
             Woken::End(reason) => break reason,
         }
@@ -171,17 +172,17 @@
     for slot in client.slots.iter().filter(|s| s.reply.is_none()) {
         match (slot.id, client.gathers.as_ref().filter(|_| slot.gathers)) {
             (Some(id), Some(owed)) => owed.gathering.left(id).await,
-            (Some(id), None) => drop(module.send(Mail::Left(id)).await),
+            (Some(id), None) => drop(scheduler.send(SchedulerMessage::Left(id)).await),
             (None, _) => {}
         }
     }
     // Its seat is free before its descriptor is.
     drop(client);
     // One that makes room does so at once; nothing is owed on it.
-    if matches!(wire.reason, Reason::Protocol | Reason::Bound | Reason::Stopped) {
+    if matches!(stream.reason, CloseReason::Protocol | CloseReason::Bound | CloseReason::Stopped) {
         let late = async {
             Timer::after(LINGER).await;
         };
-        future::or(wire.lingering_close(), late).await;
+        future::or(stream.lingering_close(), late).await;
     }
 }
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -1,5 +1,5 @@
 //! Answers on their way to a client of the platform's front.
-use crate::backend::value::{Answer, Coming, Value};
+use crate::backend::value::{Answer, StreamedValue, Value};
 use crate::context::Context;
 use crate::counts::Gauges;
 use dispatch::Bytes;
@@ -8,7 +8,7 @@
 /// An answer as bytes.
 pub enum Reply {
     /// The head of a bulk string, whose value is coming.
-    Coming(Vec<u8>, Coming),
+    StreamedValue(Vec<u8>, StreamedValue),
     /// All of it.
     Bytes(Vec<u8>),
     /// The head of a bulk string, and its value.
@@ -35,7 +35,7 @@
         let weight = match &reply {
             Reply::Bytes(bytes) => bytes.len(),
             // What is on its way counts where it comes in.
-            Reply::Coming(..) => 0,
+            Reply::StreamedValue(..) => 0,
             Reply::Value(_, value) => value.len(),
             Reply::Pieces(..) => 0,
         };
@@ -67,7 +67,7 @@
     /// What follows after so many bytes, as far as it lies in one piece; empty at the end.
     pub fn from(&self, at: usize) -> &[u8] {
         match self {
-            Reply::Bytes(bytes) | Reply::Coming(bytes, _) => &bytes[at..],
+            Reply::Bytes(bytes) | Reply::StreamedValue(bytes, _) => &bytes[at..],
             Reply::Value(head, value) => match at.checked_sub(head.len()) {
                 None => &head[at..],
                 Some(at) if at < value.len() => &value[at..],
@@ -90,10 +90,10 @@
 /// The words for an answer of the core.
 pub fn worded(answer: Answer) -> Reply {
     match answer {
-        Answer::Served(Value::Coming(coming)) => {
-            Reply::Coming(format!("${}\r\n", coming.length).into_bytes(), coming)
+        Answer::Served(Value::Streamed(coming)) => {
+            Reply::StreamedValue(format!("${}\r\n", coming.length).into_bytes(), coming)
         }
-        Answer::Served(Value::Whole(value)) => {
+        Answer::Served(Value::Complete(value)) => {
             Reply::Value(format!("${}\r\n", value.len()).into_bytes(), value)
         }
         // Rounded up: a client that came back earlier than told would be refused again.
@@ -112,7 +112,7 @@
         let file = include_str!("../../tests/common/config.toml").replace("@IP@", "127.0.0.1");
         let config = config::read("x.toml", &format!("limits = {{ memory_mb = 8 }}\n{file}")).unwrap();
         let context = Context::new(config);
-        let value = || worded(Answer::Served(Value::Whole(Bytes::from(vec![0; resp::LONGEST]))));
+        let value = || worded(Answer::Served(Value::Complete(Bytes::from(vec![0; resp::LONGEST]))));
         let mut waiting: Vec<Waiting> = (0..20).map(|_| Waiting::new(&context, value())).collect();
         let whole = |w: &Waiting| matches!(w.reply, Reply::Value(..));
         assert_eq!(waiting.iter().filter(|w| whole(w)).count(), 16, "an eighth of 8 MB");
--- a/crates/gateway/src/client/response_queue.rs
+++ b/crates/gateway/src/client/response_queue.rs
@@ -2,35 +2,35 @@
 use crate::backend::value::Answer;
 use crate::client::response::{worded, Reply, Waiting};
 use crate::client::session::Client;
-use crate::net::connection::Wire;
+use crate::net::connection::Connection;
 use async_channel::Receiver;
 use dispatch::Bytes;
 
 impl Client {
     /// Puts out the answers whose turn it is, as far as there is room; tells whether there were any.
-    pub fn write(&mut self, wire: &mut Wire) -> bool {
+    pub fn write(&mut self, stream: &mut Connection) -> bool {
         // Guards answers that their box takes long over: they begin to wait unread now, and not when the connection was
         // last looked at, which is when the request came.
-        if wire.output.is_empty() {
-            self.went_on = (wire.written, self.context.clock.now());
+        if stream.output.is_empty() {
+            self.went_on = (stream.written, self.context.clock.now());
         }
         let before = self.first;
         while let Some(waiting) = self.slots.front_mut().and_then(|s| s.reply.as_mut()) {
             // What is not read waits where it counts, and not in many rings.
-            if !wire.output.is_empty() && self.context.rings_full() {
+            if !stream.output.is_empty() && self.context.rings_full() {
                 break;
             }
             let piece = waiting.reply.from(waiting.begun);
             if !piece.is_empty() {
-                let count = piece.len().min(wire.output.room());
+                let count = piece.len().min(stream.output.room());
                 if count == 0 {
                     break;
                 }
-                wire.output.push(&piece[..count]);
+                stream.output.push(&piece[..count]);
                 waiting.begun += count;
                 continue;
             }
-            if let Reply::Coming(bytes, coming) = &mut waiting.reply {
+            if let Reply::StreamedValue(bytes, coming) = &mut waiting.reply {
                 if coming.length > 0 {
                     // The next piece is awaited by the connection's own loop.
                     break;
@@ -51,7 +51,7 @@
     pub fn awaits(&self) -> Option<Receiver<Bytes>> {
         let waiting = self.slots.front()?.reply.as_ref()?;
         match &waiting.reply {
-            Reply::Coming(bytes, coming) if waiting.begun == bytes.len() && coming.length > 0 => {
+            Reply::StreamedValue(bytes, coming) if waiting.begun == bytes.len() && coming.length > 0 => {
                 Some(coming.pieces.clone())
             }
             _ => None,
@@ -62,7 +62,7 @@
     pub fn piece(&mut self, piece: Option<Bytes>) -> bool {
         let waiting = self.slots.front_mut().and_then(|s| s.reply.as_mut());
         let (Some(waiting), Some(piece)) = (waiting, piece) else { return false };
-        if let Reply::Coming(bytes, coming) = &mut waiting.reply {
+        if let Reply::StreamedValue(bytes, coming) = &mut waiting.reply {
             coming.length -= piece.len().min(coming.length);
             *bytes = piece.to_vec();
             waiting.begun = 0;
@@ -72,8 +72,8 @@
 
     pub fn answered(&mut self, slot: u64, answer: Answer) {
         let reply = Waiting::new(&self.context, worded(answer));
-        let place = slot.checked_sub(self.first).and_then(|n| self.slots.get_mut(n as usize));
-        if let Some(slot) = place {
+        let endpoint = slot.checked_sub(self.first).and_then(|n| self.slots.get_mut(n as usize));
+        if let Some(slot) = endpoint {
             slot.reply = Some(reply);
         }
     }
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -2,13 +2,13 @@
 use crate::backend::value::Answer;
 use crate::client::arrival_times::Arrivals;
 use crate::client::command::{understand, Asked};
-use crate::client::connection_slots::{Doing, Seat};
+use crate::client::connection_slots::{ConnectionSlot, Doing};
 use crate::client::response::{worded, Reply, Waiting};
 use crate::context::Context;
 use crate::counts::Weight;
-use crate::messages::{Mail, Module, Ticket};
-use crate::net::close_reason::Reason;
-use crate::net::connection::Wire;
+use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
+use crate::net::close_reason::CloseReason;
+use crate::net::connection::Connection;
 use crate::scatter_gather::handle::{Begin, Owed};
 use async_channel::Sender;
 use dispatch::Request;
@@ -41,15 +41,15 @@
 /// A client's side toward the core, without its connection.
 pub struct Client {
     pub context: Rc<Context>,
-    pub module: Module,
+    pub scheduler: SchedulerMailbox,
     /// Whether it came beyond the bound: it is answered with a refusal and closed, which guards the descriptors.
     pub beyond: bool,
     pub answers: Sender<(u64, Answer)>,
     /// Commands whose answers are not written yet, in order, and the number of the first.
     pub slots: VecDeque<Slot>,
     pub first: u64,
-    pub closing: Option<Reason>,
-    pub seat: Seat,
+    pub closing: Option<CloseReason>,
+    pub slot: ConnectionSlot,
     /// What its rings count for.
     pub rings: Weight,
     pub came: Micros,
@@ -71,8 +71,8 @@
 
     /// Takes in the commands that have come, as many as may be unanswered and as one turn allows; tells whether it
     /// was the turn that ended it.
-    pub fn read(&mut self, wire: &mut Wire) -> bool {
-        self.arrivals.note(wire.read, wire.input.room() > 0, self.context.clock.now());
+    pub fn read(&mut self, stream: &mut Connection) -> bool {
+        self.arrivals.note(stream.read, stream.input.room() > 0, self.context.clock.now());
         let mut left = TURN;
         while self.closing.is_none() && self.slots.len() < PIPELINE {
             // Guards the others against one that sends as fast as it can.
@@ -81,41 +81,41 @@
             }
             left -= 1;
             let now = self.context.clock.now();
-            let room = wire.input.room() > 0;
-            let fault = match resp::command(wire.input.contiguous()) {
+            let room = stream.input.room() > 0;
+            let fault = match resp::command(stream.input.contiguous()) {
                 Ok(Some((words, used))) => {
                     let came = self.arrivals.of_next(used).unwrap_or(now);
                     let asked = understand(&self.context, &words, came);
-                    wire.input.consume(used);
+                    stream.input.consume(used);
                     self.arrivals.use_up(used);
-                    wire.carried += 1;
+                    stream.carried += 1;
                     self.whole_by = None;
                     self.take(asked);
                     continue;
                 }
                 // Each command that has come is refused, and then it ends.
-                Ok(None) if self.beyond && wire.carried > 0 => {
-                    self.closing = Some(Reason::Bound);
+                Ok(None) if self.beyond && stream.carried > 0 => {
+                    self.closing = Some(CloseReason::Bound);
                     return false;
                 }
                 Ok(None) if room => {
-                    if wire.input.is_empty() && wire.carried > 0 {
+                    if stream.input.is_empty() && stream.carried > 0 {
                         self.whole_by = None;
                     } else if self.whole_by.is_none() {
                         self.whole_by = Some(Micros(now.0 + self.limits().0));
                     }
                     // Guards memory against many large halves.
-                    if wire.input.memory() > SMALL && self.context.rings_full() {
+                    if stream.input.memory() > SMALL && self.context.rings_full() {
                         self.push(None, Some(Reply::text("-ERR too much is half there\r\n")));
-                        self.closing = Some(Reason::Bound);
+                        self.closing = Some(CloseReason::Bound);
                         return false;
                     }
                     // Guards descriptors and memory: silent connections, and commands that stay halves.
                     if self.whole_by.is_none_or(|by| now < by) {
                         return false;
                     }
-                    if wire.input.is_empty() {
-                        self.closing = Some(Reason::Idle);
+                    if stream.input.is_empty() {
+                        self.closing = Some(CloseReason::Idle);
                         return false;
                     }
                     "the command was not whole in time"
@@ -124,14 +124,14 @@
                 Err(e) => e.0,
             };
             self.push(None, Some(Reply::text(format!("-ERR Protocol error: {fault}\r\n"))));
-            self.closing = Some(Reason::Protocol);
+            self.closing = Some(CloseReason::Protocol);
         }
         false
     }
 
     /// Refuses a request that the module is not told of.
     fn refuse(&mut self, class: usize) {
-        self.context.tallies.answer(class, 1);
+        self.context.counters.answer(class, 1);
         self.push(None, Some(worded(Answer::Rejected(None))));
     }
 
@@ -142,21 +142,21 @@
     }
 
     /// Tells the others what the connection does, and when it is to be looked at again.
-    pub fn settle(&mut self, wire: &Wire) -> Micros {
+    pub fn settle(&mut self, stream: &Connection) -> Micros {
         let now = self.context.clock.now();
-        let nothing = self.slots.is_empty() && wire.output.is_empty() && wire.input.is_empty();
-        self.seat.set(match (nothing, wire.carried) {
+        let nothing = self.slots.is_empty() && stream.output.is_empty() && stream.input.is_empty();
+        self.slot.set(match (nothing, stream.carried) {
             (true, 0) => Doing::Silent,
             (true, _) => Doing::Idle,
             _ => Doing::Busy,
         });
         let beyond = |ring: &Ring| ring.memory().saturating_sub(SMALL);
-        self.rings.set(beyond(&wire.input) + beyond(&wire.output));
-        if wire.output.is_empty() || wire.written != self.went_on.0 {
-            self.went_on = (wire.written, now);
+        self.rings.set(beyond(&stream.input) + beyond(&stream.output));
+        if stream.output.is_empty() || stream.written != self.went_on.0 {
+            self.went_on = (stream.written, now);
         }
-        let unread = (!wire.output.is_empty()).then_some(Micros(self.went_on.1 .0 + self.limits().1));
-        let looks = self.context.life.stopping.get().is_some() || wire.input.room() == 0;
+        let unread = (!stream.output.is_empty()).then_some(Micros(self.went_on.1 .0 + self.limits().1));
+        let looks = self.context.lifecycle.stopping.get().is_some() || stream.input.room() == 0;
         let waits = if looks { LOOK } else { 20_000_000 };
         let ends = [self.whole_by.filter(|_| self.closing.is_none()), unread];
         let next = ends.into_iter().flatten().min().unwrap_or(Micros(i64::MAX));
@@ -172,7 +172,7 @@
                 let (id, class) = (self.context.number(), request.class);
                 let slot = self.first + self.slots.len() as u64;
                 let ticket = Ticket { slot, to: self.answers.clone(), class };
-                match self.module.try_send(Mail::Take(id, request, ticket)) {
+                match self.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)) {
                     Ok(()) => self.push(Some(id), None),
                     Err(_) => self.refuse(class),
                 }
@@ -197,30 +197,30 @@
     /// Takes an answer that was gathered.
     pub fn gathered(&mut self, slot: u64, reply: Reply) {
         let reply = Waiting::new(&self.context, reply);
-        let place = slot.checked_sub(self.first).and_then(|n| self.slots.get_mut(n as usize));
-        if let Some(slot) = place {
+        let endpoint = slot.checked_sub(self.first).and_then(|n| self.slots.get_mut(n as usize));
+        if let Some(slot) = endpoint {
             slot.reply = Some(reply);
         }
     }
 
     /// Whether the connection is to end now, and why.
-    pub fn ends(&self, wire: &Wire) -> Option<Reason> {
+    pub fn ends(&self, stream: &Connection) -> Option<CloseReason> {
         let context = &self.context;
         let now = context.clock.now();
-        if self.slots.is_empty() && wire.output.is_empty() {
+        if self.slots.is_empty() && stream.output.is_empty() {
             if self.closing.is_some() {
                 return self.closing;
             }
             // One that has just come brings a request that crossed the closing of another.
-            let brings = wire.carried == 0 && now.0 < self.came.0 + CROSSED;
-            if wire.input.is_empty() && context.lingered() && !brings {
-                return Some(Reason::Stopped);
+            let brings = stream.carried == 0 && now.0 < self.came.0 + CROSSED;
+            if stream.input.is_empty() && context.lingered() && !brings {
+                return Some(CloseReason::Stopped);
             }
         }
         // Guards memory and descriptors against clients that ask and do not read.
-        (!wire.output.is_empty()
-            && wire.written == self.went_on.0
+        (!stream.output.is_empty()
+            && stream.written == self.went_on.0
             && now.0 - self.went_on.1 .0 >= self.limits().1)
-            .then_some(Reason::Unread)
+            .then_some(CloseReason::Unread)
     }
 }
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -1,11 +1,11 @@
 //! Changes of configuration at this front: what relays tell is put in force whole or not at all, over the file. An actor that
 //! meets the host (`coordination::changes`) through mailboxes; without the section `[changes]` it is never started.
 use crate::admin::operators::Operators;
-use crate::backend::pool::Boxes;
-use crate::config_overlay::effective::{InForce, Next, Refused};
+use crate::backend::pool::BackendPool;
+use crate::config_overlay::effective::{EffectiveConfig, Next, Refused};
 use crate::context::Context;
 use crate::coordination::member::chance;
-use crate::messages::{Mail, Module};
+use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use cluster_types::MemberId;
 use config::{Changes, Config};
 use config_distribution::{Scope, Topic};
@@ -17,15 +17,15 @@
 use std::time::Duration;
 
 /// What is in force of changes.
-pub struct Changing {
+pub struct ConfigOverlay {
     context: Rc<Context>,
-    module: Module,
-    boxes: Rc<Boxes>,
+    scheduler: SchedulerMailbox,
+    pool: Rc<BackendPool>,
     /// The front's end of the host's mailbox.
     pub handle: Handle,
     /// Whether this machine has a vote in the log.
     pub votes: bool,
-    values: RefCell<InForce>,
+    values: RefCell<EffectiveConfig>,
     passed_over: Cell<u64>,
 }
 
@@ -63,7 +63,8 @@
         admission: (section.admission_bytes_s, section.admission_bytes_s),
         ..config_distribution::Settings::default()
     };
-    let voters = config.accord.iter().flat_map(|accord| &accord.members).map(|member| &member.name);
+    let voters =
+        config.accord.iter().flat_map(|coordination| &coordination.members).map(|member| &member.name);
     let expects = voters.chain(section.relays.iter().map(|relay| &relay.name));
     Ok(Settings {
         me: MemberId(config.name.as_str().into()),
@@ -78,18 +79,18 @@
 }
 
 /// Starts the host; an error names the key. What was kept is in force when this returns.
-pub async fn start(on: &Operators, mailbox: Mailbox) -> Result<Rc<Changing>, String> {
-    let Operators { context, module, boxes, accord, .. } = on;
+pub async fn start(on: &Operators, mailbox: Mailbox) -> Result<Rc<ConfigOverlay>, String> {
+    let Operators { context, scheduler, pool, coordination, .. } = on;
     let config = context.config();
     let Some(section) = &config.changes else { return Err("changes: not in the configuration".into()) };
     let settings = settings(&config, section)?;
     let votes = matches!(settings.role, Role::Voter(_));
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let started = coordination::changes::start(settings, mailbox, accord.as_ref(), log)?;
-    let changing = Rc::new(Changing {
+    let started = coordination::changes::start(settings, mailbox, coordination.as_ref(), log)?;
+    let config_overlay = Rc::new(ConfigOverlay {
         context: context.clone(),
-        module: module.clone(),
-        boxes: boxes.clone(),
+        scheduler: scheduler.clone(),
+        pool: pool.clone(),
         handle: started.handle,
         votes,
         values: RefCell::default(),
@@ -97,20 +98,20 @@
     });
     if started.kept {
         if let Ok(first) = started.decides.recv().await {
-            changing.decide(first).await;
+            config_overlay.decide(first).await;
         }
     }
-    let (follows, decides) = (changing.clone(), started.decides);
+    let (follows, decides) = (config_overlay.clone(), started.decides);
     let follow = async move {
         while let Ok(next) = decides.recv().await {
             follows.decide(next).await;
         }
     };
     context.executor.spawn(follow).detach();
-    Ok(changing)
+    Ok(config_overlay)
 }
 
-impl Changing {
+impl ConfigOverlay {
     /// What lies over the file's settings.
     pub fn settings(&self) -> Vec<Value> {
         self.values.borrow().settings()
@@ -160,11 +161,12 @@
     async fn put(&self, next: Next) {
         // The module first, as where a file is read again.
         if let Some(config) = next.config {
-            let _ = self.module.send(Mail::Reload(Some(Box::new(config.settings.clone())))).await;
+            let _ =
+                self.scheduler.send(SchedulerMessage::Reload(Some(Box::new(config.settings.clone())))).await;
             self.context.configure(config);
         }
-        if !next.boxes.is_empty() {
-            self.boxes.put(next.values.boxes(), &next.boxes).await;
+        if !next.backends.is_empty() {
+            self.pool.put(next.values.backends(), &next.backends).await;
         }
         self.passed_over.set(self.passed_over.get() + next.passed_over);
         self.values.replace(next.values);
--- a/crates/gateway/src/config_overlay/effective.rs
+++ b/crates/gateway/src/config_overlay/effective.rs
@@ -17,24 +17,24 @@
     Settings,
     Box(u32),
     /// Nothing that it knows.
-    Other,
+    OtherProcess,
 }
 
 fn kind(key: &Key) -> Kind {
     match (&key.topic, &*key.name) {
         (Topic::Fleet | Topic::Region(_) | Topic::Zone(_), SETTINGS) => Kind::Settings,
         (Topic::Shard(shard), BOX) => Kind::Box(*shard),
-        _ => Kind::Other,
+        _ => Kind::OtherProcess,
     }
 }
 
 /// Values by their keys, read and understood.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct EffectiveConfig {
     /// What lies over the file's settings, in the order in which it does: the fleet's, the region's, the zone's.
     settings: BTreeMap<Key, Value>,
     /// Boxes of shards.
-    boxes: BTreeMap<Key, Target>,
+    backends: BTreeMap<Key, Target>,
 }
 
 /// Why a key can't be taken.
@@ -44,11 +44,11 @@
 #[derive(Debug)]
 pub struct Next {
     /// What is to be in force.
-    pub values: InForce,
+    pub values: EffectiveConfig,
     /// The configuration, where that changes.
     pub config: Option<Config>,
     /// Boxes that are to be told.
-    pub boxes: Vec<Target>,
+    pub backends: Vec<Target>,
     /// Keys that mean nothing here.
     pub passed_over: u64,
 }
@@ -65,15 +65,15 @@
     }
 }
 
-impl InForce {
+impl EffectiveConfig {
     /// What lies over the file's settings.
     pub fn settings(&self) -> Vec<Value> {
         self.settings.values().cloned().collect()
     }
 
     /// Boxes that count whatever the list says.
-    pub fn boxes(&self) -> BTreeMap<BackendId, Target> {
-        self.boxes.values().map(|target| (target.entry.backend.clone(), target.clone())).collect()
+    pub fn backends(&self) -> BTreeMap<BackendId, Target> {
+        self.backends.values().map(|target| (target.entry.backend.clone(), target.clone())).collect()
     }
 
     /// What these changes come to, put over what is in force, or over nothing where they are all that there is; else the keys
@@ -84,18 +84,18 @@
         config: &Config,
         put: impl Fn(&[Value]) -> Result<Config, String>,
     ) -> Result<Next, Refused> {
-        let mut values = if whole { InForce::default() } else { self.clone() };
+        let mut values = if whole { EffectiveConfig::default() } else { self.clone() };
         let (mut refused, mut passed_over, mut changed) = (vec![], 0, vec![]);
         for change in changes {
             let (key, value) = (&change.key, change.value.as_deref());
             let read = match (kind(key), value) {
-                (Kind::Other, _) => {
+                (Kind::OtherProcess, _) => {
                     passed_over += 1;
                     Ok(())
                 }
                 (_, None) => {
                     values.settings.remove(key);
-                    values.boxes.remove(key);
+                    values.backends.remove(key);
                     Ok(())
                 }
                 (Kind::Settings, Some(bytes)) => read_settings(bytes).map(|value| {
@@ -103,7 +103,7 @@
                 }),
                 (Kind::Box(shard), Some(bytes)) => read_box(shard, bytes, &config.zones).map(|target| {
                     changed.push(target.clone());
-                    values.boxes.insert(key.clone(), target);
+                    values.backends.insert(key.clone(), target);
                 }),
             };
             refused.extend(read.err().map(|why| (key.clone(), why)));
@@ -119,13 +119,13 @@
             }
         }
         changed.extend(self.given_back(&values, config));
-        Ok(Next { values, config: settings, boxes: changed, passed_over })
+        Ok(Next { values, config: settings, backends: changed, passed_over })
     }
 
     /// Which of the settings that are new can't be taken: those with which a configuration is faulty that was good without.
     fn at_fault(
         &self,
-        values: &InForce,
+        values: &EffectiveConfig,
         why: String,
         put: impl Fn(&[Value]) -> Result<Config, String>,
     ) -> Refused {
@@ -152,8 +152,8 @@
 
     /// Boxes that were by the word of changes and are not any more: as the file lists them, else gone where no discovery will
     /// tell.
-    fn given_back(&self, values: &InForce, config: &Config) -> Vec<Target> {
-        let (before, after) = (self.boxes(), values.boxes());
+    fn given_back(&self, values: &EffectiveConfig, config: &Config) -> Vec<Target> {
+        let (before, after) = (self.backends(), values.backends());
         let left = before.into_iter().filter(|(node, _)| !after.contains_key(node));
         let known: &Targets = &config.known;
         left.filter_map(|(node, mut target)| {
@@ -194,7 +194,7 @@
         Change { version: Index(1), class: Class::Configuration, key, value }
     }
 
-    fn next(on: &InForce, whole: bool, changes: &[Change]) -> Result<Next, Refused> {
+    fn next(on: &EffectiveConfig, whole: bool, changes: &[Change]) -> Result<Next, Refused> {
         let config = config::read("front.toml", FILE).unwrap();
         let put = |over: &[Value]| config.put_under(|_| None, over).map_err(|e| e.to_string());
         on.next((whole, changes), &config, put)
@@ -208,7 +208,7 @@
         let other =
             change(Topic::Shard(1), "box", json!({"instanceId": "b", "cell": 2, "lifecycle": "active"}));
         let refused = |changes: &[Change]| -> Vec<String> {
-            let refused = next(&InForce::default(), false, changes).unwrap_err();
+            let refused = next(&EffectiveConfig::default(), false, changes).unwrap_err();
             refused.into_iter().map(|(key, why)| format!("{key}: {why}")).collect()
         };
         let told = refused(&[good.clone(), bad]);
@@ -219,17 +219,20 @@
 
     #[test]
     fn a_box_that_is_withdrawn_is_as_the_file_lists_it_or_gone() {
-        let entry = |id: &str, life: &str| json!({"instanceId": id, "cell": 0, "lifecycle": life});
-        let one =
-            next(&InForce::default(), false, &[change(Topic::Shard(0), "box", entry("box-0", "leaving"))]);
+        let entry = |id: &str, lifecycle: &str| json!({"instanceId": id, "cell": 0, "lifecycle": lifecycle});
+        let one = next(
+            &EffectiveConfig::default(),
+            false,
+            &[change(Topic::Shard(0), "box", entry("box-0", "leaving"))],
+        );
         let one = one.unwrap();
-        assert_eq!(one.boxes[0].entry.state, BackendState::Draining);
+        assert_eq!(one.backends[0].entry.state, BackendState::Draining);
         let two =
             next(&one.values, false, &[change(Topic::Shard(0), "box", entry("box-9", "active"))]).unwrap();
-        let states: Vec<_> = two.boxes.iter().map(|t| (&*t.entry.backend.0, t.entry.state)).collect();
+        let states: Vec<_> = two.backends.iter().map(|t| (&*t.entry.backend.0, t.entry.state)).collect();
         assert_eq!(states, [("box-9", BackendState::Ready), ("box-0", BackendState::Ready)]);
         let none = next(&two.values, true, &[change(Topic::Shard(0), "colour", json!({}))]).unwrap();
-        assert_eq!((none.boxes[0].entry.state, none.passed_over), (BackendState::Gone, 1));
-        assert!(none.values.boxes().is_empty());
+        assert_eq!((none.backends[0].entry.state, none.passed_over), (BackendState::Gone, 1));
+        assert!(none.values.backends().is_empty());
     }
 }
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -17,18 +17,18 @@
 
 /// The other process of this front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Other {
+pub enum OtherProcess {
     /// There is none.
     #[default]
     None,
     /// It came before this one and still serves.
-    Before(usize),
+    Predecessor(usize),
     /// It came after this one; the number of descriptors that it holds.
-    After(usize),
+    Successor(usize),
 }
 
 /// How far the program's life has come.
-pub struct Life {
+pub struct Lifecycle {
     /// Since when the program is to end.
     pub stopping: Cell<Option<Micros>>,
     /// By when all must be answered then.
@@ -44,12 +44,12 @@
     /// Whether a watch of discovery is up.
     pub watching: Cell<bool>,
     /// The other process of this front, while one lives.
-    pub other: Cell<Other>,
+    pub other: Cell<OtherProcess>,
 }
 
 /// What happened so far, for operators and balancers.
 #[derive(Default)]
-pub struct Tallies {
+pub struct ProcessCounters {
     /// Answers by class: served, refused, failed.
     pub answers: RefCell<Vec<[u64; 3]>>,
     /// Attempts that were written whole.
@@ -64,7 +64,7 @@
     pub refusing: Cell<u64>,
 }
 
-impl Tallies {
+impl ProcessCounters {
     /// Counts a final answer of a class: served, refused or failed.
     pub fn answer(&self, class: usize, which: usize) {
         let mut answers = self.answers.borrow_mut();
@@ -89,9 +89,9 @@
     /// What is open.
     pub gauges: Rc<Gauges>,
     /// How far the program's life has come.
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     /// What happened so far.
-    pub tallies: Tallies,
+    pub counters: ProcessCounters,
     config: RefCell<Rc<Config>>,
     next: Cell<u64>,
 }
@@ -99,7 +99,7 @@
 impl Context {
     /// A context in which nothing has begun.
     pub fn new(config: Config) -> Rc<Context> {
-        let life = Life {
+        let lifecycle = Lifecycle {
             stopping: Cell::new(None),
             answer_by: Cell::new(None),
             stopped: async_channel::bounded(1),
@@ -107,14 +107,14 @@
             listening: Cell::new(false),
             heard: Cell::new(false),
             watching: Cell::new(false),
-            other: Cell::new(Other::None),
+            other: Cell::new(OtherProcess::None),
         };
         Rc::new(Context {
             executor: LocalExecutor::new(),
             clock: Clock::start(),
             gauges: Rc::default(),
-            life,
-            tallies: Tallies::default(),
+            lifecycle,
+            counters: ProcessCounters::default(),
             config: RefCell::new(Rc::new(config)),
             next: Cell::new(0),
         })
@@ -145,26 +145,26 @@
     pub fn begin_stopping(&self) {
         let (since, config) = (self.clock.now(), self.config());
         let longest_deadline = config.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
-        self.life.stopping.set(Some(since));
-        self.life.answer_by.set(Some(shutdown_times::over(since, longest_deadline)));
-        self.life.stopped.0.close();
+        self.lifecycle.stopping.set(Some(since));
+        self.lifecycle.answer_by.set(Some(shutdown_times::over(since, longest_deadline)));
+        self.lifecycle.stopped.0.close();
     }
 
     /// Whether the program ends and connections are to be closed between requests: at once where another process
     /// serves their clients.
     pub fn lingered(&self) -> bool {
-        let closes = if self.followed() { self.life.stopping.get() } else { self.answer_by() };
+        let closes = if self.followed() { self.lifecycle.stopping.get() } else { self.answer_by() };
         closes.is_some_and(|at| self.clock.now() >= at)
     }
 
     /// Whether another process has come that takes over.
     pub fn followed(&self) -> bool {
-        matches!(self.life.other.get(), Other::After(_))
+        matches!(self.lifecycle.other.get(), OtherProcess::Successor(_))
     }
 
     /// When the program ends: by when everything must be answered that is taken on from now on.
     pub fn answer_by(&self) -> Option<Micros> {
-        self.life.answer_by.get()
+        self.lifecycle.answer_by.get()
     }
 
     /// Descriptors that are held.
@@ -175,16 +175,18 @@
     /// Descriptors that may be held in all: what another process does not hold, and a quarter at least.
     fn descriptors(&self) -> usize {
         let all = self.config.borrow().limits.sockets.min(1024);
-        match self.life.other.get() {
-            Other::None => all,
-            Other::Before(held) | Other::After(held) => all.saturating_sub(held + MARGIN).max(all / 4),
+        match self.lifecycle.other.get() {
+            OtherProcess::None => all,
+            OtherProcess::Predecessor(held) | OtherProcess::Successor(held) => {
+                all.saturating_sub(held + MARGIN).max(all / 4)
+            }
         }
     }
 
     /// Memory that counts, in bytes; a half while there are two processes.
     pub fn memory(&self) -> usize {
         let all = self.config.borrow().limits.memory_mb.min(192) as usize * 1024 * 1024;
-        if self.life.other.get() == Other::None {
+        if self.lifecycle.other.get() == OtherProcess::None {
             all
         } else {
             all / 2
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -1,9 +1,9 @@
 //! This front among those that it acts together with: what they have settled is done here, and what is measured here is
 //! told to them. An actor that meets the hosts (`accord`) through two mailboxes; without the section `[accord]` it is
 //! never started.
-use crate::backend::pool::Boxes;
+use crate::backend::pool::BackendPool;
 use crate::context::Context;
-use crate::messages::{Mail, Module};
+use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use async_channel::Receiver;
 use async_io::Timer;
 use cluster_types::{BackendId, MemberId, Volume, Zone};
@@ -18,7 +18,7 @@
 /// How often this front measures. A drain is reported by the first figures that show nothing out.
 const MEASURE: Duration = Duration::from_millis(100);
 /// Letters of the hosts that may wait.
-const LETTERS: usize = 1024;
+const MAILBOX_CAPACITY: usize = 1024;
 /// The module is asked what it keeps away from; no answer in that time counts as nothing.
 const ASKED: Duration = Duration::from_millis(50);
 /// A box that the module keeps away from, and that has answered nothing for so long, is found dead here.
@@ -69,26 +69,26 @@
 /// Starts the hosts, where the configuration has them; an error names the key.
 pub fn start(
     context: &Rc<Context>,
-    module: &Module,
-    boxes: &Rc<Boxes>,
+    scheduler: &SchedulerMailbox,
+    pool: &Rc<BackendPool>,
     serves: Option<coordination::changes::Mailbox>,
 ) -> Result<Option<Handle>, String> {
     let config = context.config();
     let Some(section) = &config.accord else { return Ok(None) };
-    let (to_front, letters) = async_channel::bounded(LETTERS);
+    let (to_front, letters) = async_channel::bounded(MAILBOX_CAPACITY);
     let log = |line: &str| crate::log::line(format_args!("{line}"));
     let handle = coordination::start(settings(context, section)?, to_front, serves, log)?;
-    context.executor.spawn(follow(context.clone(), boxes.clone(), letters)).detach();
-    let measuring = measure(context.clone(), module.clone(), boxes.clone(), handle.clone());
+    context.executor.spawn(follow(context.clone(), pool.clone(), letters)).detach();
+    let measuring = measure(context.clone(), scheduler.clone(), pool.clone(), handle.clone());
     context.executor.spawn(measuring).detach();
     Ok(Some(handle))
 }
 
 /// Does what the fronts have settled.
-async fn follow(context: Rc<Context>, boxes: Rc<Boxes>, letters: Receiver<ToFront>) {
-    while let Ok(letter) = letters.recv().await {
-        let leaves = matches!(letter, ToFront::Drain { .. });
-        let (id, out, why) = match letter {
+async fn follow(context: Rc<Context>, pool: Rc<BackendPool>, letters: Receiver<ToFront>) {
+    while let Ok(message) = letters.recv().await {
+        let leaves = matches!(message, ToFront::Drain { .. });
+        let (id, out, why) = match message {
             ToFront::Drain { id, grant } => (id, true, format!("grant={}", grant.map_or(0, |g| g.0))),
             // Without a part the box stays drained at this front; others begin.
             ToFront::Undrain { id, share: Share::Part(0) } => (id, true, "part=0".into()),
@@ -96,12 +96,12 @@
             ToFront::Undrain { id, share: Share::Whole } => (id, false, "part=whole".into()),
         };
         crate::log::line(format_args!("settled box={id} out={out} {why}"));
-        boxes.settle(&id.0, out).await;
-        if let Some(place) = boxes.places().into_iter().find(|p| p.entry.borrow().backend == id) {
+        pool.settle(&id.0, out).await;
+        if let Some(endpoint) = pool.endpoints().into_iter().find(|p| p.entry.borrow().backend == id) {
             match (out, leaves) {
-                (true, true) => place.tally.leave(),
+                (true, true) => endpoint.statistics.leave(),
                 // However the list tells of its start: it may be cold.
-                (false, _) => place.tally.come_back(context.clock.now()),
+                (false, _) => endpoint.statistics.come_back(context.clock.now()),
                 (true, false) => {}
             }
         }
@@ -109,11 +109,11 @@
 }
 
 /// Measures until the program ends.
-async fn measure(context: Rc<Context>, module: Module, boxes: Rc<Boxes>, handle: Handle) {
+async fn measure(context: Rc<Context>, scheduler: SchedulerMailbox, pool: Rc<BackendPool>, handle: Handle) {
     loop {
         Timer::after(MEASURE).await;
         let (to, from) = async_channel::bounded(1);
-        let asked = module.try_send(Mail::Avoided(to)).is_ok();
+        let asked = scheduler.try_send(SchedulerMessage::Avoided(to)).is_ok();
         let late = async {
             Timer::after(ASKED).await;
             vec![]
@@ -122,41 +122,41 @@
             true => future::or(async { from.recv().await.unwrap_or_default() }, late).await,
             false => vec![],
         };
-        handle.tell(ToAccord::Measured(measures(&context, &boxes, &away.into_iter().collect())));
+        handle.tell(ToAccord::Measured(measures(&context, &pool, &away.into_iter().collect())));
     }
 }
 
-fn measures(context: &Context, boxes: &Boxes, away: &BTreeSet<BackendId>) -> Measures {
+fn measures(context: &Context, pool: &BackendPool, away: &BTreeSet<BackendId>) -> Measures {
     let (config, now) = (context.config(), context.clock.now());
     let ago = |at: Micros| u64::try_from(now.0 - at.0).unwrap_or(0);
     let warm = config.accord.as_ref().map_or(0, |a| (a.out.warm_s * 1e6) as i64);
-    let mut measures = Measures { whole: context.life.serving.get(), ..Measures::default() };
-    let places = boxes.places();
-    for place in &places {
-        place.tally.on.set(true);
-        let entry = place.entry.borrow();
+    let mut measures = Measures { whole: context.lifecycle.serving.get(), ..Measures::default() };
+    let endpoints = pool.endpoints();
+    for endpoint in &endpoints {
+        endpoint.statistics.on.set(true);
+        let entry = endpoint.entry.borrow();
         let id = entry.backend.clone();
-        let (out, sent) = place.tally.out();
-        let rates = place.tally.rates(now);
-        let silent = place.tally.answered().is_none_or(|at| now.0 - at.0 > SILENT);
+        let (out, sent) = endpoint.statistics.out();
+        let rates = endpoint.statistics.rates(now);
+        let silent = endpoint.statistics.answered().is_none_or(|at| now.0 - at.0 > SILENT);
         let warm_up = config.settings.slow_start.duration.0;
         let hall = config.zones.get(entry.zone as usize).map_or("", String::as_str);
         let seen = Seen {
             hall: hall.into(),
             listed: entry.state != BackendState::Gone,
             died: entry.state == BackendState::Ready && silent && away.contains(&entry.backend),
-            cold: place.tally.back().is_some_and(|at| now.0 - at.0 < warm)
+            cold: endpoint.statistics.back().is_some_and(|at| now.0 - at.0 < warm)
                 || entry.started_at.is_some_and(|at| now.0 - at.0 < warm_up),
             out,
             last_send: sent.map(ago),
             units: rates.values().sum(),
-            failed: place.tally.take_failed(),
+            failed: endpoint.statistics.take_failed(),
         };
         for (volume, rate) in rates {
             let all = measures.volumes.entry(Volume::from(&*volume)).or_default();
             all.0 += rate;
             // Another box that holds the shard could serve it as well; without one its data is nowhere else.
-            let others = places.iter().filter(|other| {
+            let others = endpoints.iter().filter(|other| {
                 let other = other.entry.borrow();
                 other.shard == entry.shard
                     && other.state == BackendState::Ready
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,9 +1,9 @@
 //! The list's actor: one watch at discovery, resumed from the last version. When it calls is `backoff`'s to say.
-use crate::backend::pool::Boxes;
+use crate::backend::pool::BackendPool;
 use crate::context::Context;
 use crate::discovery::watch::{fault, Watch};
-use crate::messages::{Ask, Mail, Module};
-use crate::net::close_reason::Reason;
+use crate::messages::{DiscoveryMessage, SchedulerMailbox, SchedulerMessage};
+use crate::net::close_reason::CloseReason;
 use async_channel::Receiver;
 use async_io::Timer;
 use backoff::{Caller, Failure, Law, LIVENESS};
@@ -17,9 +17,9 @@
 use std::task::Poll;
 
 /// The list's mailbox.
-type Asked = Pin<Box<Receiver<Ask>>>;
+type Asked = Pin<Box<Receiver<DiscoveryMessage>>>;
 /// A call that has no answer yet.
-type Call = Pin<Box<dyn Future<Output = Result<Box<Watch>, Reason>>>>;
+type Call = Pin<Box<dyn Future<Output = Result<Box<Watch>, CloseReason>>>>;
 
 /// The law for one of all fronts.
 fn law(config: &Config) -> Law {
@@ -27,7 +27,12 @@
 }
 
 /// Runs until the program ends, which closes the mailbox.
-pub async fn run(context: Rc<Context>, module: Module, boxes: Rc<Boxes>, asked: Receiver<Ask>) {
+pub async fn run(
+    context: Rc<Context>,
+    scheduler: SchedulerMailbox,
+    pool: Rc<BackendPool>,
+    asked: Receiver<DiscoveryMessage>,
+) {
     let mut asked = Box::pin(asked);
     let config = context.config();
     let now = context.clock.now().0;
@@ -37,45 +42,45 @@
     if config.settings.discovery_mode == DiscoveryMode::Subscribe {
         caller.spread(now);
     }
-    let mut list = List { context, module, boxes, version: config.known.generation, caller };
+    let mut list = List { context, scheduler, pool, version: config.known.generation, caller };
     loop {
         // Read each time: a reload may have given another address, which is asked from the version that is held.
         let config = list.context.config();
         list.caller.obey(law(&config));
         let reason = match config.discovery {
             Some(discovery) => list.watch(discovery, &mut asked).await,
-            None => asked.next().await.map_or(Reason::Stopped, |_| Reason::Replaced),
+            None => asked.next().await.map_or(CloseReason::Stopped, |_| CloseReason::Replaced),
         };
         let now = list.context.clock.now().0;
         match reason {
-            Reason::Stopped => return,
-            Reason::Replaced => list.caller.moved(now),
-            Reason::Timeout => list.caller.ended(now, Failure::Silent),
+            CloseReason::Stopped => return,
+            CloseReason::Replaced => list.caller.moved(now),
+            CloseReason::Timeout => list.caller.ended(now, Failure::Silent),
             _ => list.caller.ended(now, Failure::Ended),
         }
         // What leaves from now on is not heard of: the module is to take care.
-        let _ = list.module.send(Mail::News(EndpointUpdate::Failed)).await;
+        let _ = list.scheduler.send(SchedulerMessage::News(EndpointUpdate::Failed)).await;
     }
 }
 
 /// What the watch goes on from.
 struct List {
     context: Rc<Context>,
-    module: Module,
-    boxes: Rc<Boxes>,
+    scheduler: SchedulerMailbox,
+    pool: Rc<BackendPool>,
     version: i64,
     caller: Caller,
 }
 
 enum Woken {
-    Asked(Option<Ask>),
-    Answered(u64, Result<Box<Watch>, Reason>),
-    Moved(Result<(), Reason>),
+    Asked(Option<DiscoveryMessage>),
+    Answered(u64, Result<Box<Watch>, CloseReason>),
+    Moved(Result<(), CloseReason>),
     Due,
 }
 
 /// Whichever call has ended or is up, by its number; none ever where there is no call.
-async fn answered(calls: &mut Vec<(u64, Call)>) -> (u64, Result<Box<Watch>, Reason>) {
+async fn answered(calls: &mut Vec<(u64, Call)>) -> (u64, Result<Box<Watch>, CloseReason>) {
     future::poll_fn(|cx| {
         for n in 0..calls.len() {
             if let Poll::Ready(answer) = calls[n].1.as_mut().poll(cx) {
@@ -88,43 +93,43 @@
 }
 
 /// What a call that failed tells of discovery. A reset may be one that waited too long, too.
-fn failure(reason: Reason) -> Failure {
+fn failure(reason: CloseReason) -> Failure {
     match reason {
-        Reason::ConnectFailed => Failure::Down,
+        CloseReason::ConnectFailed => Failure::Down,
         _ => Failure::Overbooked,
     }
 }
 
 /// Waits for a letter that ends what is done; the module's, that asks for a watch, is answered by what is done already.
-async fn letter(asked: &mut Asked) -> Woken {
+async fn message(asked: &mut Asked) -> Woken {
     loop {
         match asked.next().await {
-            Some(Ask::Watch) => {}
+            Some(DiscoveryMessage::Watch) => {}
             other => return Woken::Asked(other),
         }
     }
 }
 
-fn ends(letter: Option<Ask>) -> Reason {
-    letter.map_or(Reason::Stopped, |_| Reason::Replaced)
+fn ends(message: Option<DiscoveryMessage>) -> CloseReason {
+    message.map_or(CloseReason::Stopped, |_| CloseReason::Replaced)
 }
 
 impl List {
     /// Calls until one is up, and follows that watch until it ends; tells why.
-    async fn watch(&mut self, discovery: SocketAddr, asked: &mut Asked) -> Reason {
+    async fn watch(&mut self, discovery: SocketAddr, asked: &mut Asked) -> CloseReason {
         match self.call(discovery, asked).await {
             Err(reason) => reason,
             Ok(mut watch) => {
                 self.caller.up(self.context.clock.now().0);
-                self.context.life.watching.set(true);
-                watch.wire.reason = self.follow(&mut watch, asked).await;
-                self.context.life.watching.set(false);
-                watch.wire.reason
+                self.context.lifecycle.watching.set(true);
+                watch.stream.reason = self.follow(&mut watch, asked).await;
+                self.context.lifecycle.watching.set(false);
+                watch.stream.reason
             }
         }
     }
 
-    async fn call(&mut self, discovery: SocketAddr, asked: &mut Asked) -> Result<Box<Watch>, Reason> {
+    async fn call(&mut self, discovery: SocketAddr, asked: &mut Asked) -> Result<Box<Watch>, CloseReason> {
         let context = self.context.clone();
         let mut calls: Vec<(u64, Call)> = Vec::new();
         loop {
@@ -140,13 +145,13 @@
                 let (number, answer) = answered(&mut calls).await;
                 Woken::Answered(number, answer)
             };
-            match future::or(future::or(letter(asked), answer), next).await {
+            match future::or(future::or(message(asked), answer), next).await {
                 Woken::Answered(_, Ok(watch)) => return Ok(watch),
                 Woken::Answered(number, Err(reason)) => {
                     self.caller.failed(context.clock.now().0, number, failure(reason));
                 }
                 // Guards against a watch at an old address, which tells nothing any more.
-                Woken::Asked(letter) => return Err(ends(letter)),
+                Woken::Asked(message) => return Err(ends(message)),
                 Woken::Moved(_) => {}
                 Woken::Due => {
                     let call = self.caller.call(context.clock.now().0);
@@ -157,7 +162,7 @@
         }
     }
 
-    async fn follow(&mut self, watch: &mut Watch, asked: &mut Asked) -> Reason {
+    async fn follow(&mut self, watch: &mut Watch, asked: &mut Asked) -> CloseReason {
         let context = self.context.clone();
         let (mut heard, mut told, mut came) = (context.clock.now(), false, false);
         loop {
@@ -165,14 +170,15 @@
                 Ok(count) => {
                     // Guards discovery: a watch with nothing to tell is up all the same, and not to be asked for again.
                     if !std::mem::replace(&mut told, true) && count == 0 {
-                        let _ = self.module.send(Mail::News(EndpointUpdate::Delta(vec![]))).await;
+                        let _ =
+                            self.scheduler.send(SchedulerMessage::News(EndpointUpdate::Delta(vec![]))).await;
                     }
-                    watch.wire.carried += count;
+                    watch.stream.carried += count;
                 }
                 Err(reason) => return reason,
             }
             if watch.done {
-                return Reason::Done;
+                return CloseReason::Done;
             }
             if std::mem::take(&mut came) && watch.objects.alive() {
                 heard = context.clock.now();
@@ -182,32 +188,32 @@
                 Timer::at(context.clock.instant(Micros(heard.0 + LIVENESS))).await;
                 Woken::Due
             };
-            match future::or(future::or(letter(asked), moved), silent).await {
+            match future::or(future::or(message(asked), moved), silent).await {
                 Woken::Moved(Ok(())) => came = true,
                 Woken::Answered(..) => {}
                 Woken::Moved(Err(reason)) => return reason,
-                Woken::Asked(letter) => return ends(letter),
-                Woken::Due => return Reason::Timeout,
+                Woken::Asked(message) => return ends(message),
+                Woken::Due => return CloseReason::Timeout,
             }
         }
     }
 
     /// Takes in what has come on a watch; tells how many objects.
-    async fn take(&mut self, watch: &mut Watch) -> Result<u64, Reason> {
+    async fn take(&mut self, watch: &mut Watch) -> Result<u64, CloseReason> {
         let mut count = 0;
-        self.context.life.heard.set(true);
+        self.context.lifecycle.heard.set(true);
         loop {
-            let place = match watch.first.take() {
-                Some(place) => Some(place),
+            let endpoint = match watch.first.take() {
+                Some(endpoint) => Some(endpoint),
                 None => watch.objects.next().map_err(|_| fault(&"not a stream of objects"))?,
             };
-            let Some(place) = place else { return Ok(count) };
-            let news = config::targets(watch.objects.at(place), &self.context.config().zones)
+            let Some(endpoint) = endpoint else { return Ok(count) };
+            let news = config::targets(watch.objects.at(endpoint), &self.context.config().zones)
                 .map_err(|e| fault(&e))?;
             count += 1;
             self.version = news.generation;
-            let _ = self.module.send(Mail::News(self.boxes.news(&news))).await;
-            self.context.life.serving.set(true);
+            let _ = self.scheduler.send(SchedulerMessage::News(self.pool.news(&news))).await;
+            self.context.lifecycle.serving.set(true);
         }
     }
 }
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -72,8 +72,8 @@
     }
 
     /// The bytes of a place.
-    pub fn at(&self, place: Range<usize>) -> &[u8] {
-        self.body.get(place).unwrap_or_default()
+    pub fn at(&self, endpoint: Range<usize>) -> &[u8] {
+        self.body.get(endpoint).unwrap_or_default()
     }
 
     /// Whether a line ended between objects since this was last asked: the stream is up.
--- a/crates/gateway/src/iscsi/server.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -1,15 +1,15 @@
 //! The iSCSI front: connections of initiators.
 use crate::backend::value::Answer;
-use crate::client::connection_slots::{Doing, Seat, Seats};
+use crate::client::connection_slots::{ConnectionSlot, ConnectionSlots, Doing};
 use crate::context::Context;
 use crate::counts::Count;
 use crate::iscsi::session::{Session, ANSWER};
 use crate::iscsi::shared::Front;
 use crate::iscsi::write_record;
-use crate::messages::Module;
+use crate::messages::SchedulerMailbox;
 use crate::net::accept::accept;
-use crate::net::close_reason::Reason;
-use crate::net::connection::{SocketEvent, Wire};
+use crate::net::close_reason::CloseReason;
+use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
 use async_io::{Async, Timer};
 use config::{Iscsi, Lun};
@@ -34,8 +34,8 @@
 /// Accepts initiators until the program ends.
 pub async fn listen(
     context: Rc<Context>,
-    module: Module,
-    seats: Rc<Seats>,
+    scheduler: SchedulerMailbox,
+    slots: Rc<ConnectionSlots>,
     iscsi: Iscsi,
     listener: Async<TcpListener>,
 ) {
@@ -47,20 +47,20 @@
     };
     let (record, notes) = async_channel::bounded(write_record::MOST);
     let kept = iscsi.record_s.saturating_mul(1_000_000) as i64;
-    context.executor.spawn(write_record::run(context.clone(), module.clone(), notes, kept)).detach();
+    context.executor.spawn(write_record::run(context.clone(), scheduler.clone(), notes, kept)).detach();
     let front = Rc::new(Front {
         context: context.clone(),
-        module,
+        scheduler,
         iscsi,
         shown: Rc::new(shown),
         record,
         sessions: RefCell::default(),
     });
     let take = |socket, address| {
-        context.executor.spawn(session(front.clone(), seats.clone(), socket, address)).detach();
+        context.executor.spawn(session(front.clone(), slots.clone(), socket, address)).detach();
     };
     let may = || context.gauges.clients.get() < context.client_bound();
-    accept(listener, may, async || seats.room().await, take, async || future::pending().await).await;
+    accept(listener, may, async || slots.room().await, take, async || future::pending().await).await;
 }
 
 enum Woken {
@@ -68,15 +68,15 @@
     Moved,
     Tick,
     MakeRoom,
-    End(Reason),
+    End(CloseReason),
 }
 
-async fn session(front: Rc<Front>, seats: Rc<Seats>, socket: Socket, address: SocketAddr) {
+async fn session(front: Rc<Front>, slots: Rc<ConnectionSlots>, socket: Socket, address: SocketAddr) {
     let context = front.context.clone();
     let _count = Count::up(&context.gauges, |g| &g.clients);
-    let mut wire = Wire::new(socket, "initiator", address, BOUNDS);
+    let mut stream = Connection::new(socket, "initiator", address, BOUNDS);
     if Rc::strong_count(&front) > SESSIONS + 1 {
-        wire.reason = Reason::Bound;
+        stream.reason = CloseReason::Bound;
         return;
     }
     let (answers, answered) = async_channel::bounded(ANSWERS);
@@ -84,19 +84,19 @@
     let mut session = Session::new(front, answers);
     let replaced = session.replaced.1.clone();
     let begun = context.clock.now();
-    let seat = Seat::take(&seats, (STANDS, STANDS));
+    let slot = ConnectionSlot::take(&slots, (STANDS, STANDS));
     let mut went_on = (0, 0, begun);
-    wire.reason = loop {
-        session.answer(&mut wire);
-        session.read(&mut wire).await;
-        if let Some(reason) = session.ends(&wire, begun) {
+    stream.reason = loop {
+        session.answer(&mut stream);
+        session.read(&mut stream).await;
+        if let Some(reason) = session.ends(&stream, begun) {
             break reason;
         }
-        if let Some(reason) = session.stands_still(&wire, &mut went_on) {
+        if let Some(reason) = session.stands_still(&stream, &mut went_on) {
             break reason;
         }
-        let nothing = !session.target.busy() && session.ready.is_empty() && wire.output.is_empty();
-        seat.set(match (nothing && wire.input.is_empty(), wire.carried) {
+        let nothing = !session.target.busy() && session.ready.is_empty() && stream.output.is_empty();
+        slot.set(match (nothing && stream.input.is_empty(), stream.carried) {
             (true, 0) => Doing::Silent,
             (true, _) if session.name.is_some() => Doing::Idle,
             _ => Doing::Busy,
@@ -105,29 +105,29 @@
         future::yield_now().await;
         let answer = async { Woken::Answer(answered.next().await) };
         let moved = async {
-            match wire.next().await {
-                Some(Ok(SocketEvent::End)) => Woken::End(Reason::PeerClosed),
-                Some(Err(_)) => Woken::End(Reason::Reset),
+            match stream.next().await {
+                Some(Ok(SocketEvent::End)) => Woken::End(CloseReason::PeerClosed),
+                Some(Err(_)) => Woken::End(CloseReason::Reset),
                 _ => Woken::Moved,
             }
         };
         let gone = async {
             let _ = replaced.recv().await;
-            Woken::End(Reason::Replaced)
+            Woken::End(CloseReason::Replaced)
         };
         let tick = async {
-            let wait = if context.life.stopping.get().is_some() { 50 } else { 500 };
+            let wait = if context.lifecycle.stopping.get().is_some() { 50 } else { 500 };
             Timer::after(Duration::from_millis(wait)).await;
             Woken::Tick
         };
         let leave = async {
-            let _ = seat.asked.recv().await;
+            let _ = slot.asked.recv().await;
             Woken::MakeRoom
         };
         match future::or(future::or(answer, moved), future::or(leave, future::or(gone, tick))).await {
             Woken::Answer(Some(answer)) => session.ready.push_back(answer),
             Woken::Answer(None) | Woken::Moved | Woken::Tick => {}
-            Woken::MakeRoom if seat.idle() => break Reason::Idle,
+            Woken::MakeRoom if slot.idle() => break CloseReason::Idle,
             Woken::MakeRoom => {}
             Woken::End(reason) => break reason,
         }
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -3,9 +3,9 @@
 use crate::iscsi::request::{outcome, request};
 use crate::iscsi::shared::{Front, Name};
 use crate::iscsi::write_record::{Key, Note};
-use crate::messages::{Mail, Ticket};
-use crate::net::close_reason::Reason;
-use crate::net::connection::Wire;
+use crate::messages::{SchedulerMessage, Ticket};
+use crate::net::close_reason::CloseReason;
+use crate::net::connection::Connection;
 use async_channel::{Receiver, Sender};
 use dispatch::{Bytes, Request};
 use iscsi::target::{Event, Target};
@@ -18,7 +18,7 @@
 pub const ANSWER: usize = iscsi::LONGEST + 16 * 1024;
 
 /// A read or write that is on its way.
-struct Work {
+struct BackendContext {
     tag: u32,
     write: bool,
     read: Option<RequestId>,
@@ -35,11 +35,11 @@
     /// Closed once another session takes its place.
     pub replaced: (Sender<()>, Receiver<()>),
     answers: Sender<(u64, Answer)>,
-    works: BTreeMap<u64, Work>,
+    works: BTreeMap<u64, BackendContext>,
     next: u64,
     pub ready: VecDeque<(u64, Answer)>,
     unacknowledged: VecDeque<(u32, Key)>,
-    closing: Option<Reason>,
+    closing: Option<CloseReason>,
 }
 
 impl Session {
@@ -60,38 +60,38 @@
     }
 
     /// Answers what is ready, as far as there is room.
-    pub fn answer(&mut self, wire: &mut Wire) {
+    pub fn answer(&mut self, stream: &mut Connection) {
         let mut out = Vec::new();
-        while wire.output.room() >= ANSWER {
+        while stream.output.room() >= ANSWER {
             let Some((slot, answer)) = self.ready.pop_front() else { break };
             let Some(work) = self.works.remove(&slot) else { continue };
             let status = self.target.answer(work.tag, outcome(&answer, work.write), &mut out);
             if let (Some(status), Some(key)) = (status, work.key) {
                 self.unacknowledged.push_back((status, key));
             }
-            wire.output.push(&out);
+            stream.output.push(&out);
             out.clear();
         }
     }
 
     /// Takes in the PDUs that have come, as far as there is room for what they may have us say.
-    pub async fn read(&mut self, wire: &mut Wire) {
+    pub async fn read(&mut self, stream: &mut Connection) {
         let (mut out, mut events) = (Vec::new(), Vec::new());
-        while self.closing.is_none() && wire.output.room() >= ANSWER {
-            let full = wire.input.room() == 0;
-            match self.target.read(wire.input.contiguous(), &mut out, &mut events) {
-                Ok(0) if full => self.closing = Some(Reason::Protocol),
+        while self.closing.is_none() && stream.output.room() >= ANSWER {
+            let full = stream.input.room() == 0;
+            match self.target.read(stream.input.contiguous(), &mut out, &mut events) {
+                Ok(0) if full => self.closing = Some(CloseReason::Protocol),
                 Ok(0) => break,
                 Ok(used) => {
-                    wire.input.consume(used);
-                    wire.carried += 1;
+                    stream.input.consume(used);
+                    stream.carried += 1;
                 }
-                Err(_) => self.closing = Some(Reason::Protocol),
+                Err(_) => self.closing = Some(CloseReason::Protocol),
             }
             for event in events.drain(..) {
                 self.act(event).await;
             }
-            wire.output.push(&out);
+            stream.output.push(&out);
             out.clear();
         }
     }
@@ -110,9 +110,10 @@
             Event::Read { tag, lun, lba, blocks } => {
                 let id = self.front.context.number();
                 let request = request(&self.front.context, &self.front.iscsi, lun, lba, blocks, None);
-                let ticket = self.begin(Work { tag, write: false, read: Some(id), key: None }, &request);
+                let ticket =
+                    self.begin(BackendContext { tag, write: false, read: Some(id), key: None }, &request);
                 self.hand_over(ticket, request, |front, request, ticket| {
-                    front.module.try_send(Mail::Take(id, request, ticket)).is_ok()
+                    front.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)).is_ok()
                 });
             }
             Event::Write { tag, lun, lba, data } => {
@@ -129,7 +130,7 @@
                     blocks,
                     Some(Bytes::from(data)),
                 );
-                let work = Work { tag, write: true, read: None, key: Some(key.clone()) };
+                let work = BackendContext { tag, write: true, read: None, key: Some(key.clone()) };
                 let ticket = self.begin(work, &request);
                 self.hand_over(ticket, request, |front, request, ticket| {
                     front.record.try_send(Note::Begin(key, request, ticket)).is_ok()
@@ -138,7 +139,7 @@
             Event::Aborted(tag) => {
                 let slot = self.works.iter().find(|(_, w)| w.tag == tag).map(|(s, _)| *s);
                 if let Some(id) = slot.and_then(|s| self.works.remove(&s)).and_then(|w| w.read) {
-                    let _ = self.front.module.send(Mail::Left(id)).await;
+                    let _ = self.front.scheduler.send(SchedulerMessage::Left(id)).await;
                 }
             }
             Event::Acknowledged(upto) => {
@@ -149,11 +150,11 @@
                     let _ = self.front.record.send(Note::Acknowledged(key)).await;
                 }
             }
-            Event::Close => self.closing = Some(Reason::Done),
+            Event::Close => self.closing = Some(CloseReason::Done),
         }
     }
 
-    fn begin(&mut self, work: Work, request: &Option<Request>) -> Ticket {
+    fn begin(&mut self, work: BackendContext, request: &Option<Request>) -> Ticket {
         let class = request.as_ref().map_or(0, |r| r.class);
         let slot = self.next;
         self.next += 1;
@@ -182,31 +183,31 @@
     }
 
     /// Whether the session is to end now, and why.
-    pub fn ends(&self, wire: &Wire, begun: Micros) -> Option<Reason> {
+    pub fn ends(&self, stream: &Connection, begun: Micros) -> Option<CloseReason> {
         let context = &self.front.context;
-        let (now, written) = (context.clock.now(), wire.output.is_empty());
+        let (now, written) = (context.clock.now(), stream.output.is_empty());
         if written && self.closing.is_some() {
             return self.closing;
         }
         if written && self.ready.is_empty() && !self.target.busy() && context.lingered() {
-            return Some(Reason::Stopped);
+            return Some(CloseReason::Stopped);
         }
         // Guards sessions against connections that never log in.
         let login = (context.config().clients.command_s * 1e6) as i64;
-        (self.name.is_none() && now.0 - begun.0 >= login).then_some(Reason::Idle)
+        (self.name.is_none() && now.0 - begun.0 >= login).then_some(CloseReason::Idle)
     }
 
     /// Why the session is to end where neither a half PDU nor what waits to be read has gone on in time.
     // Guards memory and descriptors, as it does on the other front.
-    pub fn stands_still(&self, wire: &Wire, went_on: &mut (u64, u64, Micros)) -> Option<Reason> {
+    pub fn stands_still(&self, stream: &Connection, went_on: &mut (u64, u64, Micros)) -> Option<CloseReason> {
         let (now, clients) = (self.front.context.clock.now(), self.front.context.config().clients);
-        let nothing = wire.input.is_empty() && wire.output.is_empty();
-        if nothing || (went_on.0, went_on.1) != (wire.carried, wire.written) {
-            *went_on = (wire.carried, wire.written, now);
+        let nothing = stream.input.is_empty() && stream.output.is_empty();
+        if nothing || (went_on.0, went_on.1) != (stream.carried, stream.written) {
+            *went_on = (stream.carried, stream.written, now);
         }
-        let (limit, reason) = match wire.output.is_empty() {
-            true => (clients.command_s, Reason::Protocol),
-            false => (clients.unread_s, Reason::Unread),
+        let (limit, reason) = match stream.output.is_empty() {
+            true => (clients.command_s, CloseReason::Protocol),
+            false => (clients.unread_s, CloseReason::Unread),
         };
         (now.0 - went_on.2 .0 >= (limit * 1e6) as i64).then_some(reason)
     }
@@ -223,7 +224,7 @@
         for work in self.works.into_values() {
             // A write that has begun goes on, and its result is on the record.
             match (work.read, work.key) {
-                (Some(id), _) => drop(self.front.module.send(Mail::Left(id)).await),
+                (Some(id), _) => drop(self.front.scheduler.send(SchedulerMessage::Left(id)).await),
                 (None, Some(key)) => drop(self.front.record.send(Note::Left(key)).await),
                 (None, None) => {}
             }
--- a/crates/gateway/src/iscsi/shared.rs
+++ b/crates/gateway/src/iscsi/shared.rs
@@ -1,7 +1,7 @@
 //! What all sessions of the iSCSI front share.
 use crate::context::Context;
 use crate::iscsi::write_record::Note;
-use crate::messages::Module;
+use crate::messages::SchedulerMailbox;
 use async_channel::Sender;
 use config::Iscsi;
 use iscsi::target::Shown;
@@ -20,7 +20,7 @@
     /// What every actor stands on.
     pub context: Rc<Context>,
     /// The module's mailbox.
-    pub module: Module,
+    pub scheduler: SchedulerMailbox,
     /// The front's section of the configuration.
     pub iscsi: Iscsi,
     /// What initiators are shown.
--- a/crates/gateway/src/iscsi/write_record.rs
+++ b/crates/gateway/src/iscsi/write_record.rs
@@ -6,7 +6,7 @@
 //! run: it is forgotten, and its reissue is a new try. So is one that no session waits for any more and that had not begun.
 use crate::backend::value::{Answer, Value};
 use crate::context::Context;
-use crate::messages::{Mail, Module, Ticket};
+use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use dispatch::Request;
@@ -33,7 +33,7 @@
 }
 
 enum State {
-    Running(Vec<Ticket>),
+    SignalLoop(Vec<Ticket>),
     Done(Answer, Micros),
 }
 
@@ -69,7 +69,7 @@
         let full = self.entries.len() >= self.most;
         match self.entries.get_mut(&key).map(|e| &mut e.state) {
             // Guards against a booking that runs twice: cut off, its initiator sends it again after a reconnect.
-            Some(State::Running(waiting)) => {
+            Some(State::SignalLoop(waiting)) => {
                 waiting.retain(|t| !t.to.is_closed());
                 waiting.push(ticket);
                 Next::Known
@@ -85,8 +85,10 @@
             None => {
                 self.next += 1;
                 self.running.insert(self.next, key.clone());
-                self.entries
-                    .insert(key, Entry { number: self.next, id: None, state: State::Running(vec![ticket]) });
+                self.entries.insert(
+                    key,
+                    Entry { number: self.next, id: None, state: State::SignalLoop(vec![ticket]) },
+                );
                 Next::Run(self.next)
             }
         }
@@ -107,7 +109,7 @@
             }
             None => self.entries.remove(&key),
         };
-        if let Some(Entry { state: State::Running(waiting), .. }) = entry {
+        if let Some(Entry { state: State::SignalLoop(waiting), .. }) = entry {
             for ticket in waiting {
                 let _ = ticket.to.try_send((ticket.slot, answer.clone()));
             }
@@ -124,7 +126,7 @@
     /// A session has ended: gives the number of a write for which no session waits any more.
     fn left(&mut self, key: &Key) -> Option<RequestId> {
         let entry = self.entries.get_mut(key)?;
-        let State::Running(waiting) = &mut entry.state else { return None };
+        let State::SignalLoop(waiting) = &mut entry.state else { return None };
         waiting.retain(|ticket| !ticket.to.is_closed());
         entry.id.filter(|_| waiting.is_empty())
     }
@@ -149,7 +151,7 @@
 }
 
 /// Runs until the program ends.
-pub async fn run(context: Rc<Context>, module: Module, notes: Receiver<Note>, kept: i64) {
+pub async fn run(context: Rc<Context>, scheduler: SchedulerMailbox, notes: Receiver<Note>, kept: i64) {
     let (to, answers): (Sender<(u64, Answer)>, _) = async_channel::bounded(MOST);
     let (mut notes, mut answers) = (Box::pin(notes), Box::pin(answers));
     let mut record = Record::new(MOST, kept);
@@ -166,8 +168,8 @@
                     let ticket = Ticket { slot: number, to: to.clone(), class: request.class };
                     let id = context.number();
                     record.runs(&key, id);
-                    let mail = Mail::Take(id, request, ticket);
-                    if module.try_send(mail).is_err() {
+                    let mail = SchedulerMessage::Take(id, request, ticket);
+                    if scheduler.try_send(mail).is_err() {
                         record.answered(context.clock.now(), number, Answer::Rejected(None));
                     }
                 }
@@ -175,7 +177,7 @@
             Woken::Note(Some(Note::Acknowledged(key))) => record.acknowledged(&key),
             Woken::Note(Some(Note::Left(key))) => {
                 if let Some(id) = record.left(&key) {
-                    let _ = module.send(Mail::Abandoned(id)).await;
+                    let _ = scheduler.send(SchedulerMessage::Abandoned(id)).await;
                 }
             }
             Woken::Answer(Some((number, answer))) => record.answered(context.clock.now(), number, answer),
@@ -224,7 +226,7 @@
         record.answered(Micros(0), 1, Answer::Rejected(None));
         assert!(matches!(from.try_recv().unwrap().1, Answer::Rejected(None)));
         assert!(matches!(record.begin(key(5), t.clone()), Next::Run(2)), "it did not run: a new try");
-        record.answered(Micros(0), 2, Answer::Served(Value::Whole(Bytes::from(*b"value"))));
+        record.answered(Micros(0), 2, Answer::Served(Value::Complete(Bytes::from(*b"value"))));
         record.forget(Micros(99));
         assert!(matches!(record.begin(key(5), t.clone()), Next::Known));
         record.forget(Micros(100));
--- a/crates/gateway/src/lifecycle/handover.rs
+++ b/crates/gateway/src/lifecycle/handover.rs
@@ -2,10 +2,10 @@
 //! live they share the machine, the limits of volumes and what servers in slow start bear: each counts on a half of these,
 //! and on the descriptors that the other does not hold. What operators have taken out goes over in a file too.
 use crate::admin::suspension_files;
-use crate::backend::pool::Boxes;
-use crate::context::{Context, Other};
+use crate::backend::pool::BackendPool;
+use crate::context::{Context, OtherProcess};
 use crate::lifecycle::process_lock::ProcessLock;
-use crate::messages::{Mail, Module};
+use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,12 +21,17 @@
     if let Err(error) = lock.take() {
         crate::log::line(format_args!("handover error={error}"));
     }
-    context.life.other.set(lock.look());
+    context.lifecycle.other.set(lock.look());
     Some(lock)
 }
 
 /// Looks for the other process until this one ends, and puts in force what follows from it.
-pub async fn run(context: Rc<Context>, module: Module, boxes: Rc<Boxes>, mut lock: ProcessLock) {
+pub async fn run(
+    context: Rc<Context>,
+    scheduler: SchedulerMailbox,
+    pool: Rc<BackendPool>,
+    mut lock: ProcessLock,
+) {
     loop {
         let descriptors = context.held();
         // A disk may take its time, and the one thread must not wait for it.
@@ -35,19 +40,20 @@
             let _ = lock.take();
             lock.tell(descriptors);
             let found = lock.look();
-            let bans = (found != Other::None).then(|| suspension_files::read(lock.front())).flatten();
-            (lock, found, bans)
+            let suspensions =
+                (found != OtherProcess::None).then(|| suspension_files::read(lock.front())).flatten();
+            (lock, found, suspensions)
         });
-        let (back, found, bans) = looked.await;
+        let (back, found, suspensions) = looked.await;
         lock = back;
-        let before = context.life.other.replace(found);
+        let before = context.lifecycle.other.replace(found);
         if std::mem::discriminant(&before) != std::mem::discriminant(&found) {
             crate::log::line(format_args!("handover other={found:?}"));
-            let _ = module.send(Mail::Share).await;
+            let _ = scheduler.send(SchedulerMessage::Share).await;
         }
         // The calls of operators may reach either; what they take out must be out for both.
-        if boxes.take_over(bans) {
-            boxes.apply().await;
+        if pool.take_over(suspensions) {
+            pool.apply().await;
         }
         Timer::after(LOOK).await;
     }
--- a/crates/gateway/src/lifecycle/process_lock.rs
+++ b/crates/gateway/src/lifecycle/process_lock.rs
@@ -1,6 +1,6 @@
 //! The lock by which a process of a front shows that it lives: a locked file of its own under `TMPDIR`. A file whose lock can
 //! be had is one of a process that has ended.
-use crate::context::{Context, Other};
+use crate::context::{Context, OtherProcess};
 use crate::lifecycle::process_files;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Seek, Write};
@@ -83,8 +83,8 @@
     }
 
     /// The other process, where one lives.
-    pub fn look(&self) -> Other {
-        let mut found = Other::None;
+    pub fn look(&self) -> OtherProcess {
+        let mut found = OtherProcess::None;
         for (number, path) in self.others() {
             match File::open(&path).map(|file| file.try_lock()) {
                 // What a killed process has left.
@@ -93,7 +93,8 @@
                     let held = std::fs::read_to_string(&path).ok().and_then(|t| t.trim().parse().ok());
                     let held = held.unwrap_or(0);
                     let after = self.held.as_ref().is_some_and(|own| number > own.number);
-                    found = if after { Other::After(held) } else { Other::Before(held) };
+                    found =
+                        if after { OtherProcess::Successor(held) } else { OtherProcess::Predecessor(held) };
                 }
                 _ => {}
             }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,8 +1,8 @@
 //! While the program serves, signals are followed; after SIGTERM it ends once all is answered.
-use crate::backend::pool::Boxes;
-use crate::config_overlay::actor::Changing;
+use crate::backend::pool::BackendPool;
+use crate::config_overlay::actor::ConfigOverlay;
 use crate::context::Context;
-use crate::messages::{Ask, Mail, Module};
+use crate::messages::{DiscoveryMessage, SchedulerMailbox, SchedulerMessage};
 use crate::net::resource_shortage::RETRY;
 use async_channel::Sender;
 use async_io::Timer;
@@ -23,35 +23,35 @@
 const GOODBYE: Duration = Duration::from_millis(300);
 
 /// What signals act on.
-pub struct Running {
+pub struct SignalLoop {
     /// What every actor stands on.
     pub context: Rc<Context>,
     /// The module's mailbox.
-    pub module: Module,
+    pub scheduler: SchedulerMailbox,
     /// The disk boxes.
-    pub boxes: Rc<Boxes>,
+    pub pool: Rc<BackendPool>,
     /// The list's mailbox.
-    pub watch: Sender<Ask>,
+    pub watch: Sender<DiscoveryMessage>,
     /// The hosts of what fronts settle among themselves, where there are any.
-    pub accord: Option<coordination::Handle>,
+    pub coordination: Option<coordination::Handle>,
     /// What is in force of changes of configuration, where any come.
-    pub changing: Option<Rc<Changing>>,
+    pub config_overlay: Option<Rc<ConfigOverlay>>,
 }
 
-impl Running {
+impl SignalLoop {
     /// Reads the file again. A good one is put in force at once, a faulty one changes nothing; either way requests and
     /// connections stay as they are.
     async fn reload(&self) {
         let context = &self.context;
         let old = context.config();
-        let (accepted, invalid) = context.tallies.reloads.get();
-        let over = self.changing.as_ref().map(|c| c.settings()).unwrap_or_default();
+        let (accepted, invalid) = context.counters.reloads.get();
+        let over = self.config_overlay.as_ref().map(|c| c.settings()).unwrap_or_default();
         let (new, kept) = match old.reload_under(|key| std::env::var(key).ok(), &over) {
             Ok(read) => read,
             Err(e) => {
                 crate::log::line(format_args!("reload error={e}"));
-                context.tallies.reloads.set((accepted, invalid + 1));
-                return drop(self.module.send(Mail::Reload(None)).await);
+                context.counters.reloads.set((accepted, invalid + 1));
+                return drop(self.scheduler.send(SchedulerMessage::Reload(None)).await);
             }
         };
         for key in kept {
@@ -59,31 +59,33 @@
         }
         crate::log::line(format_args!("reload discovery={:?}", new.discovery));
         // The module first: whatever a front understands by the new file must mean the same to it.
-        let _ = self.module.send(Mail::Reload(Some(Box::new(new.settings.clone())))).await;
+        let _ = self.scheduler.send(SchedulerMessage::Reload(Some(Box::new(new.settings.clone())))).await;
         let (moved, fixed) = (new.discovery != old.discovery, new.discovery.is_none());
         let known = new.known.clone();
         let keys = |c: &config::Config| c.accord.as_ref().and_then(|a| a.keys().ok());
-        if let (Some(accord), Some(keys)) = (&self.accord, keys(&new).filter(|k| Some(*k) != keys(&old))) {
-            accord.rekey(keys);
+        if let (Some(coordination), Some(keys)) =
+            (&self.coordination, keys(&new).filter(|k| Some(*k) != keys(&old)))
+        {
+            coordination.rekey(keys);
         }
-        if let Some(changing) = &self.changing {
-            changing.rekey(&old, &new);
+        if let Some(config_overlay) = &self.config_overlay {
+            config_overlay.rekey(&old, &new);
         }
         context.configure(new);
-        context.tallies.reloads.set((accepted + 1, invalid));
+        context.counters.reloads.set((accepted + 1, invalid));
         if fixed {
             self.know(&known, |entries| entries).await;
-            context.life.serving.set(context.life.serving.get() || !known.targets.is_empty());
+            context.lifecycle.serving.set(context.lifecycle.serving.get() || !known.targets.is_empty());
         }
         if moved {
-            let _ = self.watch.send(Ask::Moved).await;
+            let _ = self.watch.send(DiscoveryMessage::Moved).await;
         }
     }
 
     /// Puts a list in force that discovery did not just tell.
     pub async fn know(&self, known: &config::Targets, as_news: impl Fn(EndpointUpdate) -> EndpointUpdate) {
-        let news = as_news(self.boxes.news(known));
-        let _ = self.module.send(Mail::News(news)).await;
+        let news = as_news(self.pool.news(known));
+        let _ = self.scheduler.send(SchedulerMessage::News(news)).await;
     }
 
     /// Follows the signals until the program has ended all that it owed.
@@ -91,7 +93,7 @@
         let context = &self.context;
         while let Some(signal) = signals.next().await {
             match signal {
-                Ok(Signal::Usr1) => drop(self.module.send(Mail::Print).await),
+                Ok(Signal::Usr1) => drop(self.scheduler.send(SchedulerMessage::Print).await),
                 Ok(Signal::Hup) => self.reload().await,
                 Ok(_) => break,
                 // The system could not tell of a signal: none has come that ends the program.
@@ -103,17 +105,17 @@
         }
         context.begin_stopping();
         let since = context.clock.now();
-        let (open, clients) = (context.tallies.open.get(), context.gauges.clients.get());
+        let (open, clients) = (context.counters.open.get(), context.gauges.clients.get());
         crate::log::line(format_args!("stop open={open} clients={clients}"));
-        let _ = self.module.send(Mail::Stopping).await;
+        let _ = self.scheduler.send(SchedulerMessage::Stopping).await;
         self.wind_up(&mut signals, since).await;
-        let _ = self.module.send(Mail::Print).await;
+        let _ = self.scheduler.send(SchedulerMessage::Print).await;
         // What is still open ends now, each with its line.
         self.watch.close();
-        self.boxes.stop();
-        if let Some(accord) = &self.accord {
+        self.pool.stop();
+        if let Some(coordination) = &self.coordination {
             // Nothing is sent any more: those who wait for this front's word need not.
-            accord.tell(coordination::ToAccord::Stopping);
+            coordination.tell(coordination::ToAccord::Stopping);
             Timer::after(GOODBYE).await;
         }
         Timer::after(Duration::from_millis(5)).await;
@@ -133,7 +135,7 @@
             };
             match future::or(signal, tick).await {
                 Some(Signal::Hup) => self.reload().await,
-                Some(Signal::Usr1) => drop(self.module.send(Mail::Print).await),
+                Some(Signal::Usr1) => drop(self.scheduler.send(SchedulerMessage::Print).await),
                 _ => {}
             }
             let now = context.clock.now();
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -2,20 +2,20 @@
 use crate::admin::health_checks::{self, Form};
 use crate::admin::operators::Operators;
 use crate::admin::suspension_files;
-use crate::admin::suspensions::Bans;
-use crate::backend::pool::Boxes;
-use crate::client::connection_slots::Seats;
+use crate::admin::suspensions::Suspensions;
+use crate::backend::pool::BackendPool;
+use crate::client::connection_slots::ConnectionSlots;
 use crate::client::resp_server;
 use crate::config_overlay;
-use crate::context::{Context, Other};
+use crate::context::{Context, OtherProcess};
 use crate::coordination::member;
 use crate::discovery::endpoint_list;
 use crate::iscsi::server;
 use crate::lifecycle::handover;
 use crate::lifecycle::process_files;
-use crate::lifecycle::shutdown::Running;
-use crate::messages::{Mail, MAILBOX};
-use crate::net::listeners::{self, bind, Sharing};
+use crate::lifecycle::shutdown::SignalLoop;
+use crate::messages::{SchedulerMessage, MAILBOX};
+use crate::net::listeners::{self, bind, AddressSharing};
 use crate::scatter_gather;
 use crate::scatter_gather::handle::Gathering;
 use crate::scheduler_actor;
@@ -31,83 +31,83 @@
 /// Runs the program by what its environment names.
 pub fn start() -> Result<(), String> {
     let config = config::from_env(|key| std::env::var(key).ok()).map_err(|e| e.to_string())?;
-    let (module, inbox) = async_channel::bounded(MAILBOX);
+    let (scheduler, inbox) = async_channel::bounded(MAILBOX);
     let context = Context::new(config);
-    let bans = Rc::new(Bans::default());
-    let boxes = Boxes::new(context.clone(), module.clone(), bans.clone());
+    let suspensions = Rc::new(Suspensions::default());
+    let pool = BackendPool::new(context.clone(), scheduler.clone(), suspensions.clone());
     let on = Operators {
         context: context.clone(),
-        module,
-        boxes,
-        bans,
-        accord: None,
-        changing: None,
+        scheduler,
+        pool,
+        suspensions,
+        coordination: None,
+        config_overlay: None,
         gathering: None,
     };
     async_io::block_on(context.executor.run(serve(on, inbox)))
 }
 
-async fn serve(mut on: Operators, inbox: Receiver<Mail>) -> Result<(), String> {
-    let Operators { context, module, boxes, bans, .. } = on.clone();
+async fn serve(mut on: Operators, inbox: Receiver<SchedulerMessage>) -> Result<(), String> {
+    let Operators { context, scheduler, pool, suspensions, .. } = on.clone();
     let config = context.config();
     let lock = handover::begin(&context);
-    let follows = context.life.other.get() != Other::None;
-    let sharing = if lock.is_some() { Sharing::Beside } else { Sharing::Alone };
+    let follows = context.lifecycle.other.get() != OtherProcess::None;
+    let sharing = if lock.is_some() { AddressSharing::WithOtherProcess } else { AddressSharing::Exclusive };
     if let Some(lock) = lock {
-        let looks = handover::run(context.clone(), module.clone(), boxes.clone(), lock);
+        let looks = handover::run(context.clone(), scheduler.clone(), pool.clone(), lock);
         context.executor.spawn(looks).detach();
     }
     let signals = listeners::signals().await?;
     let (watch, asked) = async_channel::bounded(4);
     // Before anything is served: what an earlier process had banned.
-    bans.take_over(process_files::path(&context).and_then(|front| suspension_files::read(&front)));
-    let mut running = Running {
+    suspensions.take_over(process_files::path(&context).and_then(|front| suspension_files::read(&front)));
+    let mut running = SignalLoop {
         context: context.clone(),
-        module: module.clone(),
-        boxes: boxes.clone(),
+        scheduler: scheduler.clone(),
+        pool: pool.clone(),
         watch: watch.clone(),
-        accord: None,
-        changing: None,
+        coordination: None,
+        config_overlay: None,
     };
     let cached = |news| match news {
         EndpointUpdate::Full(entries) => EndpointUpdate::Cached(entries),
         news => news,
     };
     running.know(&config.known, cached).await;
-    let actor = scheduler_actor::run(context.clone(), boxes.clone(), inbox, watch);
+    let actor = scheduler_actor::run(context.clone(), pool.clone(), inbox, watch);
     context.executor.spawn(actor).detach();
-    let actor = endpoint_list::run(context.clone(), module.clone(), boxes.clone(), asked);
+    let actor = endpoint_list::run(context.clone(), scheduler.clone(), pool.clone(), asked);
     context.executor.spawn(actor).detach();
-    context.life.serving.set(!config.known.targets.is_empty());
+    context.lifecycle.serving.set(!config.known.targets.is_empty());
     let mailbox = config_overlay::actor::mailbox(&config);
     let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
-    on.accord =
-        member::start(&context, &module, &boxes, voter.map(coordination::changes::Mailbox::for_the_log))?;
-    running.accord = on.accord.clone();
-    on.changing = match mailbox {
+    on.coordination =
+        member::start(&context, &scheduler, &pool, voter.map(coordination::changes::Mailbox::for_the_log))?;
+    running.coordination = on.coordination.clone();
+    on.config_overlay = match mailbox {
         Some(mailbox) => Some(config_overlay::actor::start(&on, mailbox).await?),
         None => None,
     };
-    running.changing = on.changing.clone();
+    running.config_overlay = on.config_overlay.clone();
     if let Some((gathering, inbox)) = Gathering::new(&config) {
-        let (context, boxes) = (context.clone(), boxes.clone());
+        let (context, pool) = (context.clone(), pool.clone());
         let actor =
-            scatter_gather::actor::run(context.clone(), module.clone(), boxes, gathering.clone(), inbox);
+            scatter_gather::actor::run(context.clone(), scheduler.clone(), pool, gathering.clone(), inbox);
         context.executor.spawn(actor).detach();
         on.gathering = Some(gathering);
     }
     let gathering = on.gathering.clone();
     if let Some(at) = config.admin {
-        let listener = bind("admin", at, Sharing::Alone).await?;
+        let listener = bind("admin", at, AddressSharing::Exclusive).await?;
         let form = Form::Operators(on);
         context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
     }
     // Guards clients of a front that follows another, which still serves: they come here once the list is fresh.
-    let patience = context.clock.now().0 + FRESH;
+    let timeout = context.clock.now().0 + FRESH;
     while follows
         && config.discovery.is_some()
-        && !context.life.heard.get()
-        && context.clock.now().0 < patience
+        && !context.lifecycle.heard.get()
+        && context.clock.now().0 < timeout
     {
         Timer::after(Duration::from_millis(5)).await;
     }
@@ -115,22 +115,23 @@
         Some(at) => Some(bind("GW_LISTEN", at, sharing).await?),
         None => None,
     };
-    context.life.listening.set(true);
-    let (name, at, other) = (&config.name, config.listen, context.life.other.get());
+    context.lifecycle.listening.set(true);
+    let (name, at, other) = (&config.name, config.listen, context.lifecycle.other.get());
     crate::log::line(format_args!("start name={name} listen={at:?} other={other:?}"));
-    let seats = Seats::new(context.clone());
+    let slots = ConnectionSlots::new(context.clone());
     if let Some(listener) = listener {
-        let front = resp_server::listen(context.clone(), module.clone(), seats.clone(), gathering, listener);
+        let front =
+            resp_server::listen(context.clone(), scheduler.clone(), slots.clone(), gathering, listener);
         context.executor.spawn(front).detach();
     }
     if let Some(front) = &config.iscsi {
-        let listener = bind("iscsi.listen", front.listen, Sharing::Alone).await?;
-        let front = server::listen(context.clone(), module, seats, front.clone(), listener);
+        let listener = bind("iscsi.listen", front.listen, AddressSharing::Exclusive).await?;
+        let front = server::listen(context.clone(), scheduler, slots, front.clone(), listener);
         context.executor.spawn(front).detach();
     }
     for (key, what, form) in [("agent", &config.agent, Form::Agent), ("health", &config.health, Form::Http)] {
         if let Some(at) = what {
-            let listener = bind(&format!("{key}.listen"), at.listen, Sharing::Alone).await?;
+            let listener = bind(&format!("{key}.listen"), at.listen, AddressSharing::Exclusive).await?;
             context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
         }
     }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -17,7 +17,7 @@
 }
 
 /// The module's mail.
-pub enum Mail {
+pub enum SchedulerMessage {
     /// A front has taken a request.
     Take(RequestId, Request, Ticket),
     /// Its client has gone.
@@ -43,13 +43,13 @@
 }
 
 /// The module's mailbox.
-pub type Module = Sender<Mail>;
+pub type SchedulerMailbox = Sender<SchedulerMessage>;
 
 /// The most mail that may wait for the module.
 pub const MAILBOX: usize = 8192;
 
 /// The list's mail.
-pub enum Ask {
+pub enum DiscoveryMessage {
     /// The module asks for the watch, perhaps anew.
     Watch,
     /// Discovery has another address, or there is none any more.
--- a/crates/gateway/src/net/close_reason.rs
+++ b/crates/gateway/src/net/close_reason.rs
@@ -3,7 +3,7 @@
 
 /// Why a connection ended; the code on its log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum CloseReason {
     /// The other side closed it.
     PeerClosed,
     /// It broke.
@@ -32,22 +32,22 @@
     Replaced,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::PeerClosed => "peer-closed",
-            Reason::Reset => "reset",
-            Reason::Protocol => "protocol",
-            Reason::Timeout => "timeout",
-            Reason::ConnectFailed => "connect-failed",
-            Reason::Idle => "idle",
-            Reason::Drained => "drained",
-            Reason::Stopped => "stopped",
-            Reason::Bound => "bound",
-            Reason::Unread => "unread",
-            Reason::Cut => "cut",
-            Reason::Done => "done",
-            Reason::Replaced => "replaced",
+            CloseReason::PeerClosed => "peer-closed",
+            CloseReason::Reset => "reset",
+            CloseReason::Protocol => "protocol",
+            CloseReason::Timeout => "timeout",
+            CloseReason::ConnectFailed => "connect-failed",
+            CloseReason::Idle => "idle",
+            CloseReason::Drained => "drained",
+            CloseReason::Stopped => "stopped",
+            CloseReason::Bound => "bound",
+            CloseReason::Unread => "unread",
+            CloseReason::Cut => "cut",
+            CloseReason::Done => "done",
+            CloseReason::Replaced => "replaced",
         })
     }
 }
--- a/crates/gateway/src/net/connection.rs
+++ b/crates/gateway/src/net/connection.rs
@@ -1,5 +1,5 @@
 //! A connection: a stream of what happens on it, with one ring buffer a direction.
-use crate::net::close_reason::Reason;
+use crate::net::close_reason::CloseReason;
 use crate::net::socket::Socket;
 use futures_lite::{Stream, StreamExt};
 use ring_buffer::Ring;
@@ -20,7 +20,7 @@
 }
 
 /// The connection. It logs its end, with the reason that was set last.
-pub struct Wire {
+pub struct Connection {
     socket: Socket,
     kind: &'static str,
     address: SocketAddr,
@@ -34,15 +34,20 @@
     /// Commands or answers that it carried.
     pub carried: u64,
     /// The reason for its end.
-    pub reason: Reason,
+    pub reason: CloseReason,
     ended: bool,
 }
 
-impl Wire {
+impl Connection {
     /// A connection that is up.
-    pub fn new(socket: Socket, kind: &'static str, address: SocketAddr, bounds: (usize, usize)) -> Wire {
+    pub fn new(
+        socket: Socket,
+        kind: &'static str,
+        address: SocketAddr,
+        bounds: (usize, usize),
+    ) -> Connection {
         let (input, output) = (Ring::new(bounds.0), Ring::new(bounds.1));
-        Wire {
+        Connection {
             socket,
             kind,
             address,
@@ -51,7 +56,7 @@
             written: 0,
             read: 0,
             carried: 0,
-            reason: Reason::PeerClosed,
+            reason: CloseReason::PeerClosed,
             ended: false,
         }
     }
@@ -61,8 +66,8 @@
         kind: &'static str,
         address: SocketAddr,
         bounds: (usize, usize),
-    ) -> io::Result<Wire> {
-        Ok(Wire::new(Socket::connect(address).await?, kind, address, bounds))
+    ) -> io::Result<Connection> {
+        Ok(Connection::new(Socket::connect(address).await?, kind, address, bounds))
     }
 
     /// Shuts the sending and reads on, to no end, until the other side has closed. Prevents the loss of answers on their way: a close over
@@ -87,7 +92,7 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for Connection {
     fn drop(&mut self) {
         crate::log::line(format_args!(
             "conn kind={} peer={} carried={} reason={}",
@@ -96,7 +101,7 @@
     }
 }
 
-impl Stream for Wire {
+impl Stream for Connection {
     type Item = io::Result<SocketEvent>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
--- a/crates/gateway/src/net/listeners.rs
+++ b/crates/gateway/src/net/listeners.rs
@@ -10,28 +10,32 @@
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
 /// A shortage that lasts longer ends the start.
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Who else may listen at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sharing {
+pub enum AddressSharing {
     /// Nobody.
-    Alone,
+    Exclusive,
     /// Another process of this front.
-    Beside,
+    WithOtherProcess,
 }
 
 /// Listens; an error names the key of the configuration.
-pub async fn bind(key: &str, address: SocketAddr, sharing: Sharing) -> Result<Async<TcpListener>, String> {
+pub async fn bind(
+    key: &str,
+    address: SocketAddr,
+    sharing: AddressSharing,
+) -> Result<Async<TcpListener>, String> {
     let listener = once_there_is(|| listen(address, sharing)).await;
     listener.map_err(|e| format!("{key}: cannot listen on {address}: {e}"))
 }
 
-fn listen(address: SocketAddr, sharing: Sharing) -> io::Result<Async<TcpListener>> {
+fn listen(address: SocketAddr, sharing: AddressSharing) -> io::Result<Async<TcpListener>> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
-    if sharing == Sharing::Beside {
+    if sharing == AddressSharing::WithOtherProcess {
         sockopt::set_socket_reuseport(&socket, true)?;
     }
     net::bind(&socket, &address)?;
@@ -47,7 +51,7 @@
 
 /// Makes a call until the machine has what it needs.
 async fn once_there_is<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     loop {
         match call() {
             Err(error) if is_shortage(&error) && Instant::now() < end => drop(Timer::after(RETRY).await),
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -1,9 +1,9 @@
 //! The actor that gathers: each part is a request of its own in the module, with its own credits, limits and attempts.
-use crate::backend::pool::Boxes;
+use crate::backend::pool::BackendPool;
 use crate::backend::value::Answer;
 use crate::client::response::{worded, Reply};
 use crate::context::Context;
-use crate::messages::{Mail, Module, Ticket};
+use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use crate::scatter_gather::handle::{Begin, Gathering, Letter};
 use crate::scatter_gather::response::reply;
 use crate::scatter_gather::shard_requests::{ended, part, Part};
@@ -35,8 +35,8 @@
 
 struct Actor {
     context: Rc<Context>,
-    module: Module,
-    boxes: Rc<Boxes>,
+    scheduler: SchedulerMailbox,
+    pool: Rc<BackendPool>,
     gathers: Gathers<Bytes>,
     open: BTreeMap<GatherId, Open>,
     clients: BTreeMap<RequestId, GatherId>,
@@ -49,7 +49,7 @@
 
 /// The hall in which this front stands, where that is known.
 fn own_hall(context: &Context) -> Option<Zone> {
-    context.config().accord.as_ref().map(|accord| Zone(accord.hall.as_str().into()))
+    context.config().accord.as_ref().map(|coordination| Zone(coordination.hall.as_str().into()))
 }
 
 enum Woken {
@@ -61,8 +61,8 @@
 /// Runs until the program ends.
 pub async fn run(
     context: Rc<Context>,
-    module: Module,
-    boxes: Rc<Boxes>,
+    scheduler: SchedulerMailbox,
+    pool: Rc<BackendPool>,
     gathering: Gathering,
     inbox: Receiver<Letter>,
 ) {
@@ -72,8 +72,8 @@
     let mut actor = Actor {
         gathers: Gathers::new(GATHERS, halls, Budget::new(0)),
         context,
-        module,
-        boxes,
+        scheduler,
+        pool,
         open: BTreeMap::new(),
         clients: BTreeMap::new(),
         out: BTreeMap::new(),
@@ -91,8 +91,8 @@
             Woken::Tick
         };
         let part = async { Woken::Part(parts.next().await) };
-        let letter = async { Woken::Letter(inbox.next().await) };
-        let woken = future::or(future::or(part, letter), timer).await;
+        let message = async { Woken::Letter(inbox.next().await) };
+        let woken = future::or(future::or(part, message), timer).await;
         match woken {
             Woken::Part(Some((id, answer))) => actor.ended(RequestId(id), answer),
             Woken::Letter(Some(Letter::Begin(begin))) => actor.begin(begin),
@@ -109,7 +109,7 @@
         actor.tick();
         gathering.counts.replace(actor.gathers.shared.counts.clone());
         for id in std::mem::take(&mut actor.left) {
-            let _ = actor.module.send(Mail::Left(id)).await;
+            let _ = actor.scheduler.send(SchedulerMessage::Left(id)).await;
         }
         // Guards the others against a crowd of gathers.
         future::yield_now().await;
@@ -146,7 +146,7 @@
                 self.open.insert(id, Open { begin, parts });
             }
             Err(scatter_gather::Full) => {
-                self.context.tallies.answer(begin.request.class, 1);
+                self.context.counters.answer(begin.request.class, 1);
                 put(&begin, worded(Answer::Rejected(Some(AGAIN))));
             }
         }
@@ -164,8 +164,8 @@
     fn ended(&mut self, id: RequestId, answer: Answer) {
         // One that was given up may have been answered already.
         let Some(part) = self.out.remove(&id) else { return };
-        let result = ended(&self.context, &self.boxes, &part, answer);
-        self.handle(part.gather, Event::Ended { part: part.place, result });
+        let result = ended(&self.context, &self.pool, &part, answer);
+        self.handle(part.gather, Event::Ended { part: part.endpoint, result });
     }
 
     fn tick(&mut self) {
@@ -219,19 +219,21 @@
     }
 
     /// Asks for a part; false where that can't be done, and nothing ran. One whose gather has its answer is left out.
-    fn ask(&mut self, id: GatherId, place: usize, until: Micros) -> bool {
+    fn ask(&mut self, id: GatherId, endpoint: usize, until: Micros) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         let (number, asked) = (self.context.number(), self.context.clock.now());
-        let request = part(&self.context.config(), &open.begin, place, number, until);
-        let hall = open.begin.policy.parts.get(place).map(|p| p.hall.clone());
+        let request = part(&self.context.config(), &open.begin, endpoint, number, until);
+        let hall = open.begin.policy.parts.get(endpoint).map(|p| p.hall.clone());
         let (Some(request), Some(hall)) = (request, hall) else { return false };
         let ticket = Ticket { slot: number.0, to: self.answers.clone(), class: request.class };
         // Guards answers: the mailbox has room for so many.
-        if self.out.len() >= PARTS || self.module.try_send(Mail::Take(number, request, ticket)).is_err() {
+        if self.out.len() >= PARTS
+            || self.scheduler.try_send(SchedulerMessage::Take(number, request, ticket)).is_err()
+        {
             return false;
         }
-        self.out.insert(number, Part { gather: id, place, hall, asked, until });
-        if let Some(part) = open.parts.get_mut(place) {
+        self.out.insert(number, Part { gather: id, endpoint, hall, asked, until });
+        if let Some(part) = open.parts.get_mut(endpoint) {
             *part = Some(number);
         }
         true
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// The most letters that may wait for the actor; a client whose request finds no room is turned away.
-const LETTERS: usize = 4096;
+const MAILBOX_CAPACITY: usize = 4096;
 
 /// A client's request that is to be gathered.
 pub struct Begin {
@@ -60,7 +60,7 @@
                 policies.entry(policy.volume.0.clone()).or_default().insert(piece, policy.clone());
             }
         }
-        let (letters, inbox) = async_channel::bounded(LETTERS);
+        let (letters, inbox) = async_channel::bounded(MAILBOX_CAPACITY);
         let handle = Gathering { policies: Rc::new(policies), letters, counts: Rc::default() };
         (!config.gathers.is_empty()).then_some((handle, inbox))
     }
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -1,5 +1,5 @@
 //! Parts of a gather as requests of the module, and the module's answers as their ends.
-use crate::backend::pool::Boxes;
+use crate::backend::pool::BackendPool;
 use crate::backend::value::{Answer, Value};
 use crate::context::Context;
 use crate::scatter_gather::handle::Begin;
@@ -19,7 +19,7 @@
     /// Its gather.
     pub gather: GatherId,
     /// Its place in the tier.
-    pub place: usize,
+    pub endpoint: usize,
     /// Its hall.
     pub hall: Zone,
     /// When it was asked.
@@ -32,12 +32,12 @@
 pub fn part(
     config: &Config,
     begin: &Begin,
-    place: usize,
+    endpoint: usize,
     number: RequestId,
     until: Micros,
 ) -> Option<Request> {
     let (policy, client) = (&begin.policy, &begin.request);
-    let part = policy.parts.get(place)?;
+    let part = policy.parts.get(endpoint)?;
     let volume = &policy.volume_of(part).0;
     let (piece, extent, units) = match (&part.piece, &part.blocks) {
         (Some(piece), _) => (Rc::from(&**piece), None, client.units),
@@ -55,7 +55,7 @@
     // The number makes it unique: the client may use its own name again while late parts still run.
     let name = client.name.get(..NAME).unwrap_or(&client.name);
     Some(Request {
-        name: format!("{name}~{:x}.{place}", number.0).into(),
+        name: format!("{name}~{:x}.{endpoint}", number.0).into(),
         class: client.class,
         plan: client.plan,
         is_write: false,
@@ -74,15 +74,15 @@
 }
 
 /// How a part ended.
-pub fn ended(context: &Context, boxes: &Boxes, part: &Part, answer: Answer) -> Ended<Bytes> {
+pub fn ended(context: &Context, pool: &BackendPool, part: &Part, answer: Answer) -> Ended<Bytes> {
     match answer {
-        Answer::Served(Value::Whole(value)) => Ended::Served(value),
-        Answer::Served(Value::Coming(_)) => Ended::Failed { reason: "too long".into(), reached: true },
+        Answer::Served(Value::Complete(value)) => Ended::Served(value),
+        Answer::Served(Value::Streamed(_)) => Ended::Failed { reason: "too long".into(), reached: true },
         Answer::Rejected(hint) => {
             Ended::Refused(hint.map(|h| Duration::from_micros(u64::try_from(h.0).unwrap_or(0))))
         }
         Answer::Failed(reason) => {
-            let reached = answers(context, boxes, part);
+            let reached = answers(context, pool, part);
             Ended::Failed { reason: reason.into(), reached }
         }
     }
@@ -90,11 +90,11 @@
 
 /// Whether a box of the part's hall has answered anything since the part was asked: then the hall can be reached, and the
 /// failure says nothing against it.
-fn answers(context: &Context, boxes: &Boxes, part: &Part) -> bool {
+fn answers(context: &Context, pool: &BackendPool, part: &Part) -> bool {
     let config = context.config();
-    boxes.places().iter().any(|place| {
-        let zone = place.entry.borrow().zone as usize;
+    pool.endpoints().iter().any(|endpoint| {
+        let zone = endpoint.entry.borrow().zone as usize;
         let there = config.zones.get(zone).is_some_and(|hall| **hall == *part.hall.0);
-        there && place.tally.answered().is_some_and(|at| at >= part.asked)
+        there && endpoint.statistics.answered().is_some_and(|at| at >= part.asked)
     })
 }
--- a/crates/gateway/tests/tally.rs
+++ b/crates/gateway/tests/tally.rs
@@ -6,11 +6,11 @@
 
 use scheduler::interface::{AttemptOutcome, Micros};
 use std::rc::Rc;
-use tally::Tally;
+use tally::BackendStatistics;
 
 #[test]
 fn a_steady_rate_is_told_as_it_is_and_fades_once_it_ends() {
-    let tally = Rc::new(Tally::default());
+    let tally = Rc::new(BackendStatistics::default());
     tally.on.set(true);
     let volume: Rc<str> = "a".into();
     for i in 0..600 {
@@ -24,7 +24,7 @@
 
 #[test]
 fn an_attempt_is_out_for_as_long_as_its_guard_lives() {
-    let tally = Rc::new(Tally::default());
+    let tally = Rc::new(BackendStatistics::default());
     let (one, two) = (tally.begin(), tally.begin());
     tally.sent(Micros(5));
     assert_eq!(tally.out(), (2, Some(Micros(5))));
