--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,17 +1,10 @@
 //! Bootstrapping the group: the one entry that needs all members.
+use crate::bootstrap_hello::BootstrapHello;
 use crate::entry::{Incarnations, Payload};
 use crate::message::Message;
 use crate::node::Node;
 use crate::role::Role;
-use cluster_types::{MemberId, Time};
-
-/// A member's report that its store holds no bootstrapped log.
-#[derive(Clone, Debug)]
-pub(crate) struct BootstrapHello {
-    pub(crate) incarnation: u64,
-    pub(crate) term: u64,
-    pub(crate) received_at: Time,
-}
+use cluster_types::MemberId;
 
 impl Node {
     /// The one member that bootstraps the group. All members are needed anyway, and two that ask would split the votes.
