--- a/crates/coordination/src/changes/connection.rs
+++ b/crates/coordination/src/changes/connection.rs
@@ -114,7 +114,7 @@
     /// The life of the relay at the other end.
     async fn hello(&mut self) -> Result<(), String> {
         let opened = self.opened().await?;
-        self.on.sealer.borrow_mut().learn(&opened.from, opened.life);
+        self.on.sealer.borrow_mut().learn_incarnation(&opened.from, opened.incarnation);
         self.carried = 0;
         Ok(())
     }
@@ -128,7 +128,7 @@
             return Err("stale".into());
         }
         if self.carried == 1 {
-            self.on.sealer.borrow_mut().learn(&opened.from, opened.life);
+            self.on.sealer.borrow_mut().learn_incarnation(&opened.from, opened.incarnation);
         }
         frames::read(&opened.body).map_err(|why| {
             self.on.counts.unread.fetch_add(1, Ordering::Relaxed);
--- a/crates/coordination/src/changes/host.rs
+++ b/crates/coordination/src/changes/host.rs
@@ -132,8 +132,8 @@
             Letter::Decided(refused) => self.follow(config_distribution::Event::Decided { refused }),
             Letter::Ask(query, to) => drop(to.try_send(self.answer(query))),
             Letter::Rekey(keys) => {
-                self.shared.sealer.borrow_mut().rekey(keys.clone());
-                self.shared.opener.borrow_mut().rekey(keys);
+                self.shared.sealer.borrow_mut().set_keys(keys.clone());
+                self.shared.opener.borrow_mut().set_keys(keys);
                 (self.log)("changes keys changed");
             }
         }
--- a/crates/coordination/src/changes/start.rs
+++ b/crates/coordination/src/changes/start.rs
@@ -82,10 +82,13 @@
     let work = move || {
         let me = settings.me.clone();
         let keys = Keys::new(settings.keys.0, settings.keys.1);
-        let life = message_auth::life(unix(), 0);
+        let life = message_auth::new_incarnation(unix(), 0);
         let sealer = Sealer::new(keys.clone(), me.clone(), life);
-        let sealer = Rc::new(RefCell::new(sealer.channel(CHANNEL).bound(LONGEST)));
-        let opener = Opener::new(keys, me.clone()).living(life).bound(LONGEST).most(NAMES);
+        let sealer = Rc::new(RefCell::new(sealer.on_channel(CHANNEL).with_max_bytes(LONGEST)));
+        let opener = Opener::new(keys, me.clone())
+            .with_incarnation(life)
+            .with_max_bytes(LONGEST)
+            .with_max_senders(NAMES);
         let (came, connections) = async_channel::bounded(CAME);
         let counts = Arc::new(Counts::default());
         let shared = Shared { sealer, opener: Rc::new(RefCell::new(opener)), came, counts };
--- a/crates/coordination/src/disk.rs
+++ b/crates/coordination/src/disk.rs
@@ -127,7 +127,7 @@
         let write = self.begin_write()?;
         let start = {
             let mut meta = write.open_table(META).map_err(words("the store's meta data"))?;
-            let start = message_auth::life(unix, number(&meta, "start")?.unwrap_or(0));
+            let start = message_auth::new_incarnation(unix, number(&meta, "start")?.unwrap_or(0));
             meta.insert("start", start.to_be_bytes().as_slice()).map_err(words("the store's meta data"))?;
             start
         };
--- a/crates/coordination/src/links.rs
+++ b/crates/coordination/src/links.rs
@@ -6,7 +6,7 @@
 use async_io::{Async, Timer};
 use cluster_types::MemberId;
 use futures_lite::{future, AsyncRead, AsyncReadExt, AsyncWriteExt};
-use message_auth::{Opened, Opener, Sealer, FRAME};
+use message_auth::{Opened, Opener, Sealer, MAX_FRAME_BYTES};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -148,7 +148,7 @@
 ) -> (u64, String) {
     let mut carried = 0;
     loop {
-        let opened = match next(&mut stream, CHANNEL, (carried, FRAME), &opener, &counts).await {
+        let opened = match next(&mut stream, CHANNEL, (carried, MAX_FRAME_BYTES), &opener, &counts).await {
             Ok(opened) => opened,
             Err(why) => return (carried, why),
         };
@@ -197,6 +197,6 @@
     }
     opener.borrow_mut().open_on(channel, &bytes).map_err(|why| {
         counts.refused.fetch_add(1, Ordering::Relaxed);
-        format!("{why:?}").to_lowercase()
+        why.to_string()
     })
 }
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -75,14 +75,16 @@
     let executor = Rc::new(LocalExecutor::new());
     let keys = Keys::new(net.settings.keys.0, net.settings.keys.1);
     let sealer = Sealer::new(keys.clone(), net.settings.me.clone(), net.start);
-    let sealer = Rc::new(RefCell::new(sealer.channel(CHANNEL).bound(message_auth::FRAME)));
-    let opener = Opener::new(keys.clone(), net.settings.me.clone()).bound(message_auth::FRAME);
+    let sealer =
+        Rc::new(RefCell::new(sealer.on_channel(CHANNEL).with_max_bytes(message_auth::MAX_FRAME_BYTES)));
+    let opener =
+        Opener::new(keys.clone(), net.settings.me.clone()).with_max_bytes(message_auth::MAX_FRAME_BYTES);
     let opener = Rc::new(RefCell::new(opener));
     let rekey = {
         let (sealer, opener) = (sealer.clone(), opener.clone());
         move |keys: &Keys| {
-            sealer.borrow_mut().rekey(keys.clone());
-            opener.borrow_mut().rekey(keys.clone());
+            sealer.borrow_mut().set_keys(keys.clone());
+            opener.borrow_mut().set_keys(keys.clone());
         }
     };
     for (member, frames) in &net.outbox {
@@ -138,7 +140,7 @@
             return;
         }
     };
-    let mut buffer = vec![0; 2 * message_auth::DATAGRAM];
+    let mut buffer = vec![0; 2 * message_auth::MAX_DATAGRAM_BYTES];
     let mut actions = Vec::new();
     let mut shown = Time(0);
     loop {
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -28,8 +28,9 @@
 
 /// What a link carries: a length and a sealed envelope around `body`.
 fn sent(channel: u8, body: &[u8]) -> Vec<u8> {
-    let sealer =
-        Sealer::new(Keys::new(KEY, None), member(1), 1 << 60).channel(channel).bound(message_auth::FRAME);
+    let sealer = Sealer::new(Keys::new(KEY, None), member(1), 1 << 60)
+        .on_channel(channel)
+        .with_max_bytes(message_auth::MAX_FRAME_BYTES);
     let mut out = Vec::new();
     assert!(links::put(&mut out, Some(&member(2)), body, &RefCell::new(sealer)));
     out
@@ -39,9 +40,10 @@
 fn received(channel: u8, bytes: &[u8]) -> Vec<u8> {
     let (length, sealed) = bytes.split_at(4);
     assert_eq!(u32::from_be_bytes(length.try_into().unwrap()) as usize, sealed.len());
-    let mut opener = Opener::new(Keys::new(KEY, None), member(2)).bound(message_auth::FRAME);
+    let mut opener =
+        Opener::new(Keys::new(KEY, None), member(2)).with_max_bytes(message_auth::MAX_FRAME_BYTES);
     let opened = opener.open_on(channel, sealed).unwrap();
-    assert_eq!((opened.from, opened.life), (member(1), 1 << 60));
+    assert_eq!((opened.from, opened.incarnation), (member(1), 1 << 60));
     opened.body.to_vec()
 }
 
--- a/crates/gateway/tests/changes/strangers.rs
+++ b/crates/gateway/tests/changes/strangers.rs
@@ -37,14 +37,14 @@
 /// The life of a relay, as its first frame tells it.
 pub fn life(relay: &Machine) -> u64 {
     let mut opener = Opener::new(Keys::new(key(), None), "front-9".into());
-    opener.open_on(FORM.1, &hello(&mut dial(relay))).unwrap().life
+    opener.open_on(FORM.1, &hello(&mut dial(relay))).unwrap().incarnation
 }
 
 /// A request for all changes, sealed under that key for that life of a relay.
 pub fn request(key: [u8; 32], (relay, its): (&str, Option<u64>), life: u64) -> Vec<u8> {
     let scope = Scope::of([Topic::Shard(0)]);
     let message = ToRelay::Subscribe { lineage: 0, scope, from: ::cluster_types::Index(0) };
-    let mut sealer = Sealer::new(Keys::new(key, None), "front-9".into(), life).channel(FORM.1);
+    let mut sealer = Sealer::new(Keys::new(key, None), "front-9".into(), life).on_channel(FORM.1);
     let body = postcard::to_stdvec(&(FORM.0, message)).unwrap();
     framed(&sealer.seal_to(&relay.into(), its, &body).unwrap())
 }
@@ -86,5 +86,5 @@
 
 /// Signs as one of that name.
 pub fn sealer(name: &str, key: [u8; 32]) -> Sealer {
-    Sealer::new(Keys::new(key, None), name.into(), 1 << 60).channel(FORM.1)
+    Sealer::new(Keys::new(key, None), name.into(), 1 << 60).on_channel(FORM.1)
 }
--- a/crates/membership/src/bench.rs
+++ b/crates/membership/src/bench.rs
@@ -38,7 +38,7 @@
         settings.allowed = vec!["10.0.0.0/24".parse().unwrap()];
         settings.most = most;
         let mut liar = Sealer::new(keys(), name(1), LIFE);
-        liar.learn(&name(0), LIFE);
+        liar.learn_incarnation(&name(0), LIFE);
         let victim = Members::new(settings, keys(), Time(0), 1).unwrap();
         let mut bench = Bench { victim, liar, now: Time(0), out: Vec::new() };
         bench.tell((2..5).map(|which| record(which, 0, State::Alive)).collect());
--- a/crates/membership/src/lies_tests.rs
+++ b/crates/membership/src/lies_tests.rs
@@ -35,7 +35,7 @@
         Action::Send { to, bytes } if *to == address(1) => Some(bytes),
         _ => None,
     });
-    let mut opener = Opener::new(keys(), name(1)).living(LIFE);
+    let mut opener = Opener::new(keys(), name(1)).with_incarnation(LIFE);
     let packets: Vec<Packet> =
         sent.map(|bytes| Packet::read(&opener.open(bytes).unwrap().body).unwrap()).collect();
     assert!(packets.iter().any(|packet| packet.ahead == ahead + 1), "{packets:?}");
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -13,7 +13,7 @@
 use crate::table::{Merged, Table};
 use crate::wire::Record;
 use cluster_types::{MemberId, Time};
-use message_auth::{Counts, Keys, Opener, Sealer};
+use message_auth::{Keys, OpenCounters, Opener, Sealer};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use std::collections::VecDeque;
@@ -56,8 +56,8 @@
         let (member, hall, at) = (name.clone(), settings.me.hall.clone(), settings.me.at);
         let mut members = Members {
             me: Record { member, hall, at, life, ahead: 0, state: State::Alive },
-            sealer: Sealer::new(keys.clone(), name.clone(), life).bound(settings.datagram),
-            opener: Opener::new(keys, name).living(life).bound(settings.datagram),
+            sealer: Sealer::new(keys.clone(), name.clone(), life).with_max_bytes(settings.datagram),
+            opener: Opener::new(keys, name).with_incarnation(life).with_max_bytes(settings.datagram),
             rng: SmallRng::seed_from_u64(seed),
             table: Table::new(settings.most, settings.forget),
             news: Queue::default(),
@@ -93,8 +93,8 @@
             Event::Observed(seen) => self.observed(seen, now, out),
             Event::Roster(seeds) => self.roster(seeds, now, out),
             Event::Keys(keys) => {
-                self.sealer.rekey(keys.clone());
-                self.opener.rekey(keys);
+                self.sealer.set_keys(keys.clone());
+                self.opener.set_keys(keys);
             }
         }
         self.send_late(now, out);
@@ -162,8 +162,8 @@
     }
 
     /// Which envelopes were opened and refused.
-    pub fn envelopes(&self) -> &Counts {
-        self.opener.counts()
+    pub fn envelopes(&self) -> &OpenCounters {
+        self.opener.counters()
     }
 
     /// Equal where two members hold the same view, and the same claims.
@@ -205,8 +205,10 @@
                 return false;
             }
             Merged::New { changed } => {
-                if handed != Handed::Own && self.sealer.life_of(&member).is_none_or(|known| known < life) {
-                    self.sealer.learn(&member, life);
+                if handed != Handed::Own
+                    && self.sealer.incarnation_of(&member).is_none_or(|known| known < life)
+                {
+                    self.sealer.learn_incarnation(&member, life);
                 }
                 self.news.put(About::Member(member.clone()));
                 if changed {
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -43,8 +43,8 @@
         };
         let state = if packet.message == Message::Leave { State::Left } else { State::Alive };
         let (member, hall, at) = (opened.from.clone(), packet.hall.clone(), packet.at);
-        let record = Record { member, hall, at, life: opened.life, ahead: packet.ahead, state };
-        if opened.life == 0 || record.incarnation() == u64::MAX {
+        let record = Record { member, hall, at, life: opened.incarnation, ahead: packet.ahead, state };
+        if opened.incarnation == 0 || record.incarnation() == u64::MAX {
             self.figures.malformed += 1;
         } else if opened.fresh {
             self.believe(record, packet, now, out);
@@ -74,14 +74,14 @@
             }
         };
         if self.farewell.is_none() {
-            self.answer(&opened.from, at, opened.life, Message::Ack { number }, now, out);
+            self.answer(&opened.from, at, opened.incarnation, Message::Ack { number }, now, out);
         }
     }
 
     fn believe(&mut self, record: Record, packet: Packet, now: Time, out: &mut Vec<Action>) {
         let (from, life) = (record.member.clone(), record.life);
         if self.farewell.is_some() {
-            self.sealer.learn(&from, life);
+            self.sealer.learn_incarnation(&from, life);
             // Whoever still asks has not heard that we leave.
             if matches!(packet.message, Message::Ping { .. }) {
                 self.send(&from, Message::Leave, Addressed::Known, Weight::Probe, now, out);
@@ -94,7 +94,7 @@
             return;
         }
         // It knows its life best, whatever others said of it.
-        self.sealer.learn(&from, life);
+        self.sealer.learn_incarnation(&from, life);
         let before = self.me.ahead;
         for news in packet.news {
             match news {
--- a/crates/membership/src/send.rs
+++ b/crates/membership/src/send.rs
@@ -115,12 +115,13 @@
     ) {
         let Some(at) = self.table.get(to).map(|entry| entry.record.at) else { return };
         let mut packet = self.packet(message);
-        let life = self.sealer.life_of(to).filter(|_| addressed == Addressed::Known);
+        let life = self.sealer.incarnation_of(to).filter(|_| addressed == Addressed::Known);
         // What is not for a known life may not be believed: news would be told in vain.
         if life.is_some() {
             let spare = usize::try_from(self.budget.spare(now)).unwrap_or(usize::MAX);
-            let plain =
-                self.settings.datagram - self.sealer.room(Some(to)) + packet.write().len() + HEADS as usize;
+            let plain = self.settings.datagram - self.sealer.max_body_bytes(Some(to))
+                + packet.write().len()
+                + HEADS as usize;
             let room = (self.settings.datagram + HEADS as usize).min(spare).saturating_sub(plain + 4);
             packet.news = self.news_for(to, room, weight, now);
         }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,7 +1,7 @@
 //! What an operator may set.
 use crate::names::Seed;
 use ipnet::IpNet;
-use message_auth::{DATAGRAM, NAME};
+use message_auth::{MAX_DATAGRAM_BYTES as DATAGRAM, MAX_NAME_BYTES as NAME};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub struct Settings {
     /// This front.
     pub me: Seed,
-    /// Its life, see `message_auth::life`.
+    /// Its life, see `message_auth::new_incarnation`.
     pub life: u64,
     /// The configured fronts; this one may be among them.
     pub seeds: Vec<Seed>,
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -3,7 +3,7 @@
 use crate::digest::Digest;
 use crate::names::{Kind, State, Subject};
 use cluster_types::{MemberId, Zone};
-use message_auth::NAME;
+use message_auth::MAX_NAME_BYTES as NAME;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -58,7 +58,7 @@
     pub hall: Zone,
     /// Its datagram address.
     pub at: SocketAddr,
-    /// When its process started, see `message_auth::life`; 0: never heard from.
+    /// When its process started, see `message_auth::new_incarnation`; 0: never heard from.
     pub life: u64,
     /// By how much the incarnation is above the life: a few bytes less on the wire.
     pub ahead: u64,
--- a/crates/membership/tests/bad.rs
+++ b/crates/membership/tests/bad.rs
@@ -49,8 +49,11 @@
             }
         }
     }
-    let refused =
-        sim.up().into_iter().flat_map(|which| sim.machine(which).envelopes().all()).map(|(_, count)| count);
+    let refused = sim
+        .up()
+        .into_iter()
+        .flat_map(|which| sim.machine(which).envelopes().rejections())
+        .map(|(_, count)| count);
     (outcome(&sim), refused.sum())
 }
 
--- a/crates/message-auth/src/keys.rs
+++ b/crates/message-auth/src/keys.rs
@@ -1,33 +1,50 @@
-//! The two keys.
-use crate::header::MAC;
+//! The keys that messages are signed and verified with.
+use crate::SIGNATURE_BYTES;
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 use std::fmt;
 use std::sync::Arc;
 
-/// A key, set up for signing.
+/// The length of a secret, in bytes.
+const SECRET_BYTES: usize = 32;
+
+/// The block size of SHA-256, in bytes: HMAC pads shorter keys with zeros up to it.
+const BLOCK_BYTES: usize = 64;
+
+/// A key, prepared for signing.
 #[derive(Clone)]
 struct Key(Arc<Hmac<Sha256>>);
 
 impl Key {
-    fn new(secret: [u8; 32]) -> Key {
-        let mut block = [0; 64];
-        block[..32].copy_from_slice(&secret);
+    fn new(secret: [u8; SECRET_BYTES]) -> Key {
+        let mut block = [0; BLOCK_BYTES];
+        block[..SECRET_BYTES].copy_from_slice(&secret);
         Key(Arc::new(Hmac::new(&block.into())))
     }
 
-    fn sign(&self, bytes: &[u8]) -> [u8; MAC] {
-        Hmac::clone(&self.0).chain_update(bytes).finalize().into_bytes().into()
+    fn sign(&self, message: &[u8]) -> [u8; SIGNATURE_BYTES] {
+        Hmac::clone(&self.0).chain_update(message).finalize().into_bytes().into()
     }
 
-    /// In constant time.
-    fn signed(&self, bytes: &[u8], mac: &[u8]) -> bool {
-        Hmac::clone(&self.0).chain_update(bytes).verify_slice(mac).is_ok()
+    /// Takes the same time whichever byte differs.
+    fn verify(&self, message: &[u8], signature: &[u8]) -> bool {
+        Hmac::clone(&self.0).chain_update(message).verify_slice(signature).is_ok()
     }
 }
 
-/// One key to sign with, and another that is accepted too while keys change. The change takes three steps, each done at all
-/// members before the next: all `expect` the new key, all `rotate` to it, all `retire` the old one.
+/// Which of the two keys a message is signed with.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum KeySlot {
+    /// The key that this member signs with.
+    Current,
+    /// The key that is accepted besides.
+    Other,
+}
+
+/// The key to sign with, and another that is accepted besides while keys are rotated.
+///
+/// A rotation takes three steps, each done at all members before the next: all `expect` the new key, all `rotate` to it,
+/// all `retire` the old one.
 #[derive(Clone)]
 pub struct Keys {
     current: Key,
@@ -35,17 +52,17 @@
 }
 
 impl Keys {
-    /// Signs with the current one, opens with either.
-    pub fn new(current: [u8; 32], other: Option<[u8; 32]>) -> Keys {
+    /// Signs with `current`, and accepts messages under either key.
+    pub fn new(current: [u8; SECRET_BYTES], other: Option<[u8; SECRET_BYTES]>) -> Keys {
         Keys { current: Key::new(current), other: other.map(Key::new) }
     }
 
-    /// Accepts a new key besides; it takes the place of the other one.
-    pub fn expect(&self, next: [u8; 32]) -> Keys {
+    /// Accepts `next` besides the current key, in place of the other one.
+    pub fn expect(&self, next: [u8; SECRET_BYTES]) -> Keys {
         Keys { current: self.current.clone(), other: Some(Key::new(next)) }
     }
 
-    /// Signs with the other key from now on, and goes on accepting the one before. Without another one, nothing changes.
+    /// Signs with the other key, and still accepts the current one. Without another key nothing changes.
     pub fn rotate(&self) -> Keys {
         match &self.other {
             Some(other) => Keys { current: other.clone(), other: Some(self.current.clone()) },
@@ -58,54 +75,24 @@
         Keys { current: self.current.clone(), other: None }
     }
 
-    pub(crate) fn sign(&self, bytes: &[u8]) -> [u8; MAC] {
-        self.current.sign(bytes)
+    /// The signature of a message under the current key.
+    pub fn sign(&self, message: &[u8]) -> [u8; SIGNATURE_BYTES] {
+        self.current.sign(message)
     }
 
-    /// Under which key a message is signed: whether that is the current one. None: under neither.
-    pub(crate) fn check(&self, bytes: &[u8], mac: &[u8]) -> Option<bool> {
-        if self.current.signed(bytes, mac) {
-            return Some(true);
+    /// The key that a message is signed with, or `None` if it is signed with neither.
+    pub fn verify(&self, message: &[u8], signature: &[u8]) -> Option<KeySlot> {
+        if self.current.verify(message, signature) {
+            return Some(KeySlot::Current);
         }
-        self.other.as_ref().is_some_and(|key| key.signed(bytes, mac)).then_some(false)
+        let other = self.other.as_ref()?;
+        other.verify(message, signature).then_some(KeySlot::Other)
     }
 }
 
 impl fmt::Debug for Keys {
-    /// Guards against keys in a log.
+    /// Never shows a key, so that none reaches a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Keys").field("two", &self.other.is_some()).finish_non_exhaustive()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn signs_as_the_published_examples_do() {
-        // RFC 4231, test case 1: a key shorter than the block is filled up with zeros.
-        let mut secret = [0; 32];
-        secret[..20].copy_from_slice(&[0x0b; 20]);
-        let mac = Key::new(secret).sign(b"Hi There");
-        let hex: String = mac.iter().map(|b| format!("{b:02x}")).collect();
-        assert_eq!(hex, "b0344c61d8db38535ca8afceaf0bf12b881dc200c9833da726e9376c2e32cff7");
-    }
-
-    #[test]
-    fn a_key_is_never_shown() {
-        assert_eq!(format!("{:?}", Keys::new([7; 32], None)), "Keys { two: false, .. }");
-    }
-
-    #[test]
-    fn rotating_keeps_both_until_the_old_one_retires() {
-        let old = Keys::new([1; 32], None);
-        let (expecting, message) = (old.expect([2; 32]), b"message");
-        let rotated = expecting.rotate();
-        assert_eq!(expecting.check(message, &rotated.sign(message)), Some(false));
-        assert_eq!(rotated.check(message, &old.sign(message)), Some(false));
-        assert_eq!(rotated.check(message, &rotated.sign(message)), Some(true));
-        assert_eq!(rotated.retire().check(message, &old.sign(message)), None);
-        assert_eq!(old.rotate().check(message, &old.sign(message)), Some(true));
-    }
-}
--- a/crates/message-auth/src/lib.rs
+++ b/crates/message-auth/src/lib.rs
@@ -1,58 +1,42 @@
-//! Signed and replay-proof messages between fronts.
+//! Authenticated messages between members, protected against replay.
 //!
-//! A message is signed with HMAC-SHA256 under a key that all fronts share, and opened under either of two keys, so
-//! that keys change in service. It names its sender, the sender's *life* (its start, only ever growing), a number
-//! within that life and, if wanted, the one member that it is for, together with that member's life. The signature
-//! is looked at before anything else moves: a forged message changes a counter and nothing besides.
+//! A message is signed with HMAC-SHA256 under a key that all members share; a second key is accepted besides, so that keys
+//! can be rotated in service. Each message names its sender, the sender's *incarnation* (see [`new_incarnation`]), a
+//! sequence number within that incarnation and channel and, if wanted, the one member that it is addressed to, together with
+//! that member's incarnation. The signature is verified before any other state changes: a forged message increments a
+//! counter and does nothing else.
 //!
-//! What it can't do: whoever holds the key can speak in any member's name.
+//! Bodies are authenticated, not encrypted. Any holder of the key can sign in any member's name.
 mod header;
+mod incarnation;
 mod keys;
-mod open;
-mod refusal;
-mod seal;
-mod window;
+mod opener;
+mod rejection;
+pub mod replay_window;
+mod sealer;
+mod sender_table;
 
-pub use keys::Keys;
-pub use open::{Opened, Opener};
-pub use refusal::{Counts, Refusal};
-pub use seal::Sealer;
+pub use header::HeaderError;
+pub use incarnation::new_incarnation;
+pub use keys::{KeySlot, Keys};
+pub use opener::{Opened, Opener};
+pub use rejection::{OpenCounters, Rejection};
+pub use sealer::{SealError, Sealer};
 
-use std::time::Duration;
+/// The default bound of a message, in bytes: a datagram of that size passes every usual link in one piece.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// A datagram's bound unless another is stated: it passes every usual link in one piece.
-pub const DATAGRAM: usize = 1_200;
+/// The bound of a message on a stream, in bytes: enough for a chunk of a snapshot.
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
-/// The bound of frames on a stream: room for a piece of a snapshot.
-pub const FRAME: usize = 4 << 20;
+/// The number of channels that a sender may use, numbered from 0.
+pub const MAX_CHANNELS: u8 = 16;
 
-/// So many channels a sender may have.
-pub const CHANNELS: u8 = 16;
+/// The default number of senders that an [`Opener`] keeps replay windows for.
+pub const MAX_SENDERS: usize = 1_024;
 
-/// So many senders an opener remembers; one more is refused unless one of them was released.
-pub const SENDERS: usize = 1_024;
+/// The bound of a member's name, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// Names are no longer than that, in bytes.
-pub const NAME: usize = 64;
-
-/// The life of a member that starts now: the Unix time in milliseconds in its upper bits, and always above the life
-/// before it, as far as that is known (0: not known). Guards against a clock that was put back between two starts: hosts
-/// that have a disk keep the last life there.
-pub fn life(unix: Duration, before: u64) -> u64 {
-    let millis = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX).min(u64::MAX >> 20);
-    (millis << 20).max(before.saturating_add(1))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_life_grows_though_the_clock_goes_back() {
-        let first = life(Duration::from_secs(1_800_000_000), 0);
-        let second = life(Duration::from_secs(1_700_000_000), first);
-        assert!(second > first);
-        assert!(life(Duration::from_secs(1_900_000_000), second) > second);
-        assert!(life(Duration::MAX, 0) > second);
-    }
-}
+/// The length of a signature, in bytes.
+pub const SIGNATURE_BYTES: usize = 32;
--- a/crates/message-auth/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Holds the bytes of signed messages: each file under `golden/` is one message under a fixed key.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::MemberId;
-use message_auth::{life, Keys, Opened, Opener, Refusal, Sealer, FRAME};
+use message_auth::{new_incarnation, Keys, Opened, Opener, Rejection, Sealer, MAX_FRAME_BYTES};
 use rstest::rstest;
 use std::path::Path;
 use std::time::Duration;
@@ -29,13 +29,13 @@
 }
 
 fn opener() -> Opener {
-    Opener::new(keys(), receiver()).living(RECEIVER_INCARNATION)
+    Opener::new(keys(), receiver()).with_incarnation(RECEIVER_INCARNATION)
 }
 
 /// What the receiver reads from a file.
-fn opened(number: u64, fresh: bool, body: &[u8]) -> Opened {
+fn opened(sequence: u64, fresh: bool, body: &[u8]) -> Opened {
     let from = "front-1".into();
-    Opened { from, life: SENDER_INCARNATION, number, fresh, body: body.to_vec() }
+    Opened { from, incarnation: SENDER_INCARNATION, sequence, fresh, body: body.to_vec() }
 }
 
 #[test]
@@ -54,7 +54,7 @@
     assert_eq!(sealer().seal_to(&receiver(), to, b"body").unwrap(), bytes);
     let mut learnt = sealer();
     if let Some(incarnation) = to {
-        learnt.learn(&receiver(), incarnation);
+        learnt.learn_incarnation(&receiver(), incarnation);
     }
     assert_eq!(learnt.seal(Some(&receiver()), b"body").unwrap(), bytes);
     assert_eq!(opener().open(&bytes), Ok(opened(1, fresh, b"body")));
@@ -64,10 +64,10 @@
 fn holds_bytes_of_frame_on_each_end_of_the_channels() {
     for (name, channel) in [("stream_channel_1.bin", 1), ("stream_channel_15.bin", 15)] {
         let bytes = golden(name);
-        let mut sealer = sealer().channel(channel).bound(FRAME);
-        sealer.learn(&receiver(), RECEIVER_INCARNATION);
+        let mut sealer = sealer().on_channel(channel).with_max_bytes(MAX_FRAME_BYTES);
+        sealer.learn_incarnation(&receiver(), RECEIVER_INCARNATION);
         assert_eq!(sealer.seal(Some(&receiver()), &[0xab; 1_500]).unwrap(), bytes);
-        let mut opener = opener().bound(FRAME);
+        let mut opener = opener().with_max_bytes(MAX_FRAME_BYTES);
         assert_eq!(opener.open_on(channel, &bytes), Ok(opened(1, true, &[0xab; 1_500])));
     }
 }
@@ -95,19 +95,19 @@
         }
     }
     let mut retired = Opener::new(rotated.retire(), receiver());
-    assert_eq!(retired.open(&golden("broadcast.bin")), Err(Refusal::Forged));
+    assert_eq!(retired.open(&golden("broadcast.bin")), Err(Rejection::Forged));
 }
 
 #[test]
 fn holds_layout_of_an_incarnation() {
-    assert_eq!(life(Duration::from_millis(1_800_000_000_123), 0), 1_800_000_000_123 << 20);
-    assert_eq!(life(Duration::from_secs(1), SENDER_INCARNATION), SENDER_INCARNATION + 1);
-    assert_eq!(life(Duration::MAX, 0), (u64::MAX >> 20) << 20);
+    assert_eq!(new_incarnation(Duration::from_millis(1_800_000_000_123), 0), 1_800_000_000_123 << 20);
+    assert_eq!(new_incarnation(Duration::from_secs(1), SENDER_INCARNATION), SENDER_INCARNATION + 1);
+    assert_eq!(new_incarnation(Duration::MAX, 0), (u64::MAX >> 20) << 20);
 }
 
 #[test]
-fn holds_names_of_refusal_counters() {
-    let names: Vec<&str> = Refusal::ALL.iter().map(|reason| reason.name()).collect();
+fn holds_names_of_rejection_counters() {
+    let names: Vec<&str> = Rejection::ALL.iter().map(|reason| reason.name()).collect();
     let expected = ["foreign", "forged", "replayed", "stale", "oversized", "version", "malformed", "crowded"];
     assert_eq!(names, expected);
 }
--- a/crates/scale-bench/src/log/group.rs
+++ b/crates/scale-bench/src/log/group.rs
@@ -5,7 +5,7 @@
 use crate::{cpu, Error};
 use cluster_types::{MemberId, Time};
 use consensus::{Action, Config, Event, Message, Node, Role, Stored};
-use message_auth::{Keys, Opener, Sealer, FRAME};
+use message_auth::{Keys, Opener, Sealer, MAX_FRAME_BYTES};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
@@ -66,8 +66,8 @@
             let config = Config::new(me.clone(), names.clone());
             let node = Node::new(config, Stored::empty(life), Time(0), rng.random());
             let node = node.map_err(|e| Error::part("consensus", e))?;
-            let sealer = Sealer::new(keys.clone(), me.clone(), life).bound(FRAME);
-            let opener = Opener::new(keys.clone(), me).bound(FRAME);
+            let sealer = Sealer::new(keys.clone(), me.clone(), life).with_max_bytes(MAX_FRAME_BYTES);
+            let opener = Opener::new(keys.clone(), me).with_max_bytes(MAX_FRAME_BYTES);
             Ok(Host { node, sealer, opener, written: 0, cpu_us: 0.0, sent_bytes: 0 })
         };
         let hosts = (0..count).map(&mut host).collect::<Result<Vec<_>, _>>()?;
