--- a/crates/coordination/src/calls.rs
+++ b/crates/coordination/src/calls.rs
@@ -142,7 +142,7 @@
     /// All members as they are held.
     pub members: &'a [membership::Member],
     /// What membership did and refused.
-    pub figures: &'a membership::Figures,
+    pub figures: &'a membership::Counters,
     /// What is doubted.
     pub doubts: &'a [(membership::Subject, membership::Verdict)],
     /// What was bad on the links.
@@ -160,14 +160,14 @@
     let (commit, applied) = (of.commit.0, of.ledger.applied.0);
     let _ = writeln!(out, "log commit={commit} applied={applied} lease={}", of.leased);
     for m in of.members {
-        let _ = writeln!(out, "member {} hall={} state={:?}", m.member, m.hall, m.state);
+        let _ = writeln!(out, "member {} hall={} state={:?}", m.member, m.zone, m.state);
     }
     let _ = writeln!(out, "membership {}", of.figures);
     let _ = writeln!(out, "frames {:?}", of.frames);
     let (refused, desk) = (&of.refused, &of.ledger.desk);
     let _ = writeln!(out, "refused {refused:?} commands={} unread={}", desk.refused(), of.ledger.unread);
     for (subject, verdict) in of.doubts {
-        let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
+        let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.score, verdict.sources);
     }
     for (name, _) in desk.open() {
         if let Some(status) = desk.status(name) {
--- a/crates/coordination/src/net.rs
+++ b/crates/coordination/src/net.rs
@@ -8,7 +8,7 @@
 use async_io::{Async, Timer};
 use cluster_types::{MemberId, Time};
 use futures_lite::future;
-use membership::{Action, Event, Members};
+use membership::{Action, Event, Membership};
 use message_auth::{Keys, Opener, Sealer};
 use parking_lot::Mutex;
 use std::cell::RefCell;
@@ -29,7 +29,7 @@
     /// What is doubted now.
     pub doubts: Vec<(membership::Subject, membership::Verdict)>,
     /// What was done and refused.
-    pub figures: membership::Figures,
+    pub figures: membership::Counters,
 }
 
 /// The sockets, bound before anything is started, so that a fault ends the start.
@@ -110,16 +110,16 @@
     let all = &net.settings.members;
     let seed = |(member, fellow): (&MemberId, &crate::settings::Fellow)| membership::Seed {
         member: member.clone(),
-        hall: fellow.hall.clone(),
-        at: fellow.at,
+        zone: fellow.hall.clone(),
+        address: fellow.at,
     };
     let me = membership::Seed {
         member: net.settings.me.clone(),
-        hall: net.settings.hall.clone(),
-        at: net.settings.listen,
+        zone: net.settings.hall.clone(),
+        address: net.settings.listen,
     };
     let mut settings = membership::Settings::new(me, net.start, all.iter().map(seed).collect());
-    settings.bytes = u64::from(net.settings.bytes_s);
+    settings.bytes_per_second = u64::from(net.settings.bytes_s);
     settings
 }
 
@@ -131,7 +131,7 @@
 
 async fn membership(net: &Net, keys: Keys, udp: Async<UdpSocket>, rekey: &dyn Fn(&Keys)) {
     let now = net.clock.now();
-    let mut members = match Members::new(settings(net), keys, now, net.settings.seed) {
+    let mut members = match Membership::new(settings(net), keys, now, net.settings.seed) {
         Ok(members) => members,
         Err(e) => {
             (net.log)(&format!("accord members error={e}"));
@@ -161,7 +161,7 @@
         match woken {
             Woken::Told(Some(event)) => {
                 // Keys change in service, for datagrams and frames alike.
-                if let Event::Keys(keys) = &event {
+                if let Event::KeysChanged(keys) = &event {
                     rekey(keys);
                     (net.log)("accord keys changed");
                 }
@@ -182,17 +182,18 @@
                     // What can't be sent now is lost, as it might be on the way.
                     let _ = future::poll_once(udp.send_to(&bytes, to)).await;
                 }
-                Action::Changed { member, state, incarnation } => {
+                Action::MemberChanged { member, state, incarnation } => {
                     (net.log)(&format!("accord member={member} state={state:?} incarnation={incarnation}"))
                 }
-                Action::Evidence(_) => {}
+                Action::ClaimsChanged(_) => {}
             }
         }
         if now.since(shown) >= Duration::from_millis(200) {
             shown = now;
-            let doubts = members.subjects(now).into_iter().map(|s| (s.clone(), members.verdict(&s, now)));
+            let doubts =
+                members.negative_subjects(now).into_iter().map(|s| (s.clone(), members.verdict(&s, now)));
             let doubts = doubts.collect();
-            *net.view.lock() = View { members: members.view(), doubts, figures: *members.figures() };
+            *net.view.lock() = View { members: members.view(), doubts, figures: *members.counters() };
         }
         if net.told.is_closed() {
             return;
--- a/crates/coordination/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -52,7 +52,8 @@
 
     /// Signs with the first of these keys from now on, and opens under either.
     pub fn rekey(&self, keys: ([u8; 32], Option<[u8; 32]>)) {
-        let _ = self.members.try_send(membership::Event::Keys(message_auth::Keys::new(keys.0, keys.1)));
+        let _ =
+            self.members.try_send(membership::Event::KeysChanged(message_auth::Keys::new(keys.0, keys.1)));
     }
 
     /// Where this front's server of changes tells what the others' are to know.
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -23,38 +23,39 @@
     ledger.unread = 3;
     let member = |number, state| membership::Member {
         member: golden_support::member(number),
-        hall: "h-1".into(),
-        at: "127.0.0.1:9".parse().unwrap(),
-        life: 5,
+        zone: "h-1".into(),
+        address: "127.0.0.1:9".parse().unwrap(),
+        base_incarnation: 5,
         incarnation: 6,
         state,
     };
     let all = [
-        member(1, membership::State::Alive),
-        member(2, membership::State::Suspect),
-        member(3, membership::State::Dead),
-        member(4, membership::State::Left),
+        member(1, membership::MemberState::Alive),
+        member(2, membership::MemberState::Suspect),
+        member(3, membership::MemberState::Dead),
+        member(4, membership::MemberState::Left),
     ];
-    let figures = membership::Figures {
-        probes: 1,
-        failed: 2,
-        refuted: 3,
-        sent: 4,
-        bytes: 5,
-        put_off: 6,
-        dropped: 7,
-        filled: 8,
+    let figures = membership::Counters {
+        probes_started: 1,
+        probes_failed: 2,
+        refutations: 3,
+        datagrams_sent: 4,
+        bytes_sent: 5,
+        messages_deferred: 6,
+        messages_dropped: 7,
+        syncs_truncated: 8,
         malformed: 9,
-        unsure: 10,
-        strangers: 11,
-        crowded: 12,
-        claims_refused: 13,
-        claims_disowned: 14,
-        stood_still: 15,
+        not_fresh: 10,
+        disallowed_addresses: 11,
+        members_over_limit: 12,
+        claims_rejected: 13,
+        claims_refuted: 14,
+        stalls: 15,
     };
-    let verdict = membership::Verdict { doubt: 0.456, sources: 2, newest: None, kinds: Default::default() };
+    let verdict =
+        membership::Verdict { score: 0.456, sources: 2, newest_age: None, kinds: Default::default() };
     let doubts = [
-        (membership::Subject::Box("b-1".into()), verdict.clone()),
+        (membership::Subject::Backend("b-1".into()), verdict.clone()),
         (membership::Subject::Zone("h-1".into()), verdict),
     ];
     let frames = links::Counts::default();
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,93 +1,105 @@
-//! A digest of what a member holds: where two differ, it says in which part.
-use crate::names::Subject;
-use crate::wire::Record;
+//! A digest of what a member knows: where two digests differ, they tell in which part.
+use crate::claim::Subject;
+use crate::wire::MemberRecord;
 use cluster_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Members fall into so many parts by their names, claims by their subjects.
+/// Members fall into this many parts by their names, claims by their subjects.
 const PARTS: usize = 4;
 
-/// A sum of hashes, which does not depend on their order.
+/// A wrapping sum of hashes: it doesn't depend on their order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-struct Sum([u8; 4]);
+struct HashSum([u8; 4]);
 
-impl Sum {
+impl HashSum {
     fn add(&mut self, hash: u32) {
         self.0 = u32::from_le_bytes(self.0).wrapping_add(hash).to_le_bytes();
     }
 
-    fn take(&mut self, hash: u32) {
+    fn subtract(&mut self, hash: u32) {
         self.0 = u32::from_le_bytes(self.0).wrapping_sub(hash).to_le_bytes();
     }
 }
 
-/// Of all live members and all claims that count.
+/// The digest of the live members and of the claims that count.
+///
+/// It is sent to other members: the hashes are part of the wire form.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Digest {
-    members: [Sum; PARTS],
-    claims: [Sum; PARTS],
+    members: [HashSum; PARTS],
+    claims: [HashSum; PARTS],
 }
 
-fn hash(bytes: impl Iterator<Item = u8>) -> u32 {
-    let fold = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, fold);
+/// FNV-1a with 64 bits, folded to 32.
+fn fnv1a(bytes: impl Iterator<Item = u8>) -> u32 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0000_0100_0000_01b3;
+    let hash = bytes.fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME));
     (hash ^ (hash >> 32)) as u32
 }
 
-fn part(member: &MemberId) -> usize {
-    hash(member.0.bytes()) as usize % PARTS
+fn part_of_member(member: &MemberId) -> usize {
+    fnv1a(member.0.bytes()) as usize % PARTS
 }
 
-fn label(subject: &Subject) -> impl Iterator<Item = u8> + '_ {
-    let (kind, text) = match subject {
-        Subject::Box(name) => (0, &name.0),
-        Subject::Zone(name) => (1, &name.0),
+fn part_of_subject(subject: &Subject) -> usize {
+    fnv1a(subject_bytes(subject)) as usize % PARTS
+}
+
+fn subject_bytes(subject: &Subject) -> impl Iterator<Item = u8> + '_ {
+    let kind = match subject {
+        Subject::Backend(_) => 0,
+        Subject::Zone(_) => 1,
     };
-    text.bytes().chain([kind])
+    subject.name().bytes().chain([kind])
+}
+
+fn hash_of_member(record: &MemberRecord) -> u32 {
+    let name = record.member.0.bytes();
+    fnv1a(name.chain(record.incarnation().to_le_bytes()).chain([record.state as u8]))
 }
 
-fn claim_hash(subject: &Subject, source: &MemberId, number: u64) -> u32 {
-    hash(label(subject).chain(source.0.bytes()).chain(number.to_le_bytes()))
+fn hash_of_claim(subject: &Subject, source: &MemberId, number: u64) -> u32 {
+    fnv1a(subject_bytes(subject).chain(source.0.bytes()).chain(number.to_le_bytes()))
 }
 
 impl Digest {
-    /// Adds a member, if it is live.
-    pub fn add(&mut self, record: &Record) {
-        if record.state.live() {
-            let tail = record.incarnation().to_le_bytes().into_iter().chain([record.state as u8]);
-            self.members[part(&record.member)].add(hash(record.member.0.bytes().chain(tail)));
+    /// Adds a member if it is live.
+    pub fn add_member(&mut self, record: &MemberRecord) {
+        if record.state.is_live() {
+            self.members[part_of_member(&record.member)].add(hash_of_member(record));
         }
     }
 
     /// Adds a claim.
-    pub fn claim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
-        self.claims[hash(label(subject)) as usize % PARTS].add(claim_hash(subject, source, number));
+    pub fn add_claim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
+        self.claims[part_of_subject(subject)].add(hash_of_claim(subject, source, number));
     }
 
-    /// Takes a claim out again.
-    pub(crate) fn unclaim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
-        self.claims[hash(label(subject)) as usize % PARTS].take(claim_hash(subject, source, number));
+    /// Removes a claim that was added.
+    pub(crate) fn remove_claim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
+        self.claims[part_of_subject(subject)].subtract(hash_of_claim(subject, source, number));
     }
 
-    /// These members with those claims.
-    pub(crate) fn with(self, claims: &Digest) -> Digest {
-        Digest { members: self.members, claims: claims.claims }
+    /// The members of this digest with the claims of another.
+    pub(crate) fn with_claims_of(self, other: &Digest) -> Digest {
+        Digest { members: self.members, claims: other.claims }
     }
 
     /// Whether the two differ in the part that a member falls into.
-    pub(crate) fn differs(&self, other: &Digest, member: &MemberId) -> bool {
-        let part = part(member);
+    pub(crate) fn differs_for_member(&self, other: &Digest, member: &MemberId) -> bool {
+        let part = part_of_member(member);
         self.members[part] != other.members[part]
     }
 
-    /// Whether the two differ in some claims.
+    /// Whether the two differ in any claims.
     pub(crate) fn claims_differ(&self, other: &Digest) -> bool {
         self.claims != other.claims
     }
 
     /// Whether the two differ in the part that the claims about a subject fall into.
-    pub(crate) fn differs_about(&self, other: &Digest, subject: &Subject) -> bool {
-        let part = hash(label(subject)) as usize % PARTS;
+    pub(crate) fn differs_for_subject(&self, other: &Digest, subject: &Subject) -> bool {
+        let part = part_of_subject(subject);
         self.claims[part] != other.claims[part]
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,37 +1,44 @@
-//! Which fronts are there, after SWIM, with evidence about boxes and halls on the same messages.
+//! Group membership of the gateways, after SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2017),
+//! and claims about backends and zones in the same datagrams.
 //!
-//! Free of I/O: datagrams, time and a seed in, datagrams and news out. Each member probes one other a period, in rounds of random
-//! order; who does not answer is asked for through others, then suspected, and after a time that grows with the logarithm
-//! of the number of members held dead. A member that hears of its own suspicion disproves it with a higher incarnation.
-//! What a member holds of another is ordered by incarnation, then Alive, Suspect, Dead, Left; merging takes the higher, so
-//! that the order in which news come does not matter.
+//! The crate is free of I/O: [`Membership`] takes datagrams, the time and a seed for its random choices, and returns
+//! datagrams and changes. Each period a member probes one other, in rounds of random order. A member that doesn't answer is
+//! probed through others, then suspected and, after a time that grows with the logarithm of the number of members, held dead.
+//! A member that receives its own suspicion refutes it with a higher incarnation. What is known of a member is ordered by
+//! incarnation, then alive, suspect, dead, left; merging takes the higher, so that the order in which updates arrive doesn't
+//! matter.
 //!
-//! Three things go beyond the published protocol. Nobody is held dead on others' word: it only starts one's own suspicion.
-//! Each message tells a digest of what its sender holds, and where two differ the free room of the next messages carries that part
-//! of the members and claims. Dead members and silent seeds are contacted from time to time, so that halves of a split find
-//! together again.
-mod budget;
+//! Three things depart from the published protocols:
+//! - No member is held dead because others report it: a report only starts a suspicion at the receiver.
+//! - Each packet carries a digest of what its sender knows. Where two members differ, the remaining space of their next
+//!   packets carries the members and claims of the differing parts (anti-entropy).
+//! - Dead members and silent seeds are contacted from time to time, so that the parts of a healed partition merge again.
+//!
+//! From Lifeguard it takes the local health multiplier and the nacks of indirect probes.
+mod claim;
+pub mod claim_table;
+mod counters;
 mod digest;
-mod evidence;
-mod gossip;
-mod health;
-mod machine;
-mod names;
+mod event;
+mod leave_announcement;
+mod local_health;
+mod member;
+mod member_entry;
+mod member_table;
+mod outgoing;
+mod pings;
 mod probe;
-mod receive;
-mod roster;
-mod send;
+mod protocol;
+pub mod send_budget;
 mod settings;
-mod table;
-mod verdict;
+mod update_batch;
+pub mod update_queue;
 pub mod wire;
 
+pub use claim::{ClaimKind, Ejection, Observation, Subject, Verdict};
+pub use counters::Counters;
 pub use digest::Digest;
-pub use machine::Members;
-pub use names::{Action, Event, Figures, Kind, Member, Observation, Seed, Shun, State, Subject, Verdict};
-pub use settings::{Fault, Settings};
-
-#[cfg(test)]
-mod bench;
-#[cfg(test)]
-mod lies_tests;
+pub use event::{Action, Event};
+pub use member::{Member, MemberState, Seed};
+pub use protocol::Membership;
+pub use settings::{Settings, SettingsError};
--- /dev/null
+++ b/crates/membership/src/protocol/leaving.rs
@@ -0,0 +1,40 @@
+//! Leaving the group.
+use super::Membership;
+use crate::event::Action;
+use crate::leave_announcement::LeaveAnnouncement;
+use crate::member::MemberState;
+use crate::outgoing::Outgoing;
+use crate::wire::Message;
+
+/// How many members each announcement is sent to.
+const ANNOUNCEMENT_FANOUT: usize = 5;
+
+impl Membership {
+    /// Begins to leave: other members are notified a few times, then this one is silent.
+    pub(super) fn start_leaving(&mut self) {
+        if self.leave.is_some() {
+            return;
+        }
+        self.me.state = MemberState::Left;
+        self.probe = None;
+        self.deferred.clear();
+        self.leave = Some(LeaveAnnouncement::new(self.now));
+        let (member, incarnation) = (self.me.member.clone(), self.me.incarnation());
+        self.actions.push(Action::MemberChanged { member, state: MemberState::Left, incarnation });
+    }
+
+    /// Sends the announcement if it is due.
+    pub(super) fn announce_leave(&mut self) {
+        if !self.leave.as_mut().is_some_and(|leave| leave.take_due(self.now)) {
+            return;
+        }
+        for member in self.random_live_members(ANNOUNCEMENT_FANOUT, None) {
+            self.send(Outgoing::new(&member, Message::Leave));
+        }
+    }
+
+    /// Whether the leave was announced as often as it is to be: the process may end.
+    pub fn has_left(&self) -> bool {
+        self.leave.as_ref().is_some_and(LeaveAnnouncement::is_finished)
+    }
+}
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,164 +1,208 @@
-//! What an operator may set.
-use crate::names::Seed;
+//! The settings of a member, and their bounds.
+use crate::member::Seed;
+use cluster_types::MemberId;
 use ipnet::IpNet;
-use message_auth::{MAX_DATAGRAM_BYTES as DATAGRAM, MAX_NAME_BYTES as NAME};
+use message_auth::{MAX_DATAGRAM_BYTES, MAX_NAME_BYTES};
 use std::collections::BTreeSet;
-use std::fmt;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// What is wrong with the settings.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// At which key.
-    pub key: &'static str,
-    /// Why.
-    pub reason: String,
-}
+const MAX_MEMBERS: usize = 1_000;
+const MAX_CLAIM_VALIDITY: Duration = Duration::from_secs(3_600);
+const DATAGRAM_BYTES: RangeInclusive<usize> = 700..=60_000;
+const MIN_BYTES_PER_SECOND: u64 = 1_024;
+const MAX_SEND_BYTES: u64 = 1 << 30;
+const MIN_BURST_DATAGRAMS: u64 = 4;
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.reason)
-    }
+/// What is wrong with settings. The text begins with the field.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// A seed's name, zone or port is out of bounds.
+    #[error("seeds: {0}: a name of 1 to {MAX_NAME_BYTES} bytes, a zone of no more, a port")]
+    Seed(MemberId),
+    /// Two seeds have the same name.
+    #[error("seeds: two of one name")]
+    DuplicateSeed,
+    /// There are more seeds than members may be known.
+    #[error("seeds: more than may be known at once")]
+    TooManySeeds,
+    /// The process has no incarnation.
+    #[error("incarnation: must be above 0")]
+    ZeroIncarnation,
+    /// `max_members` is out of bounds.
+    #[error("max_members: must be 1 to {MAX_MEMBERS}")]
+    MaxMembers,
+    /// An interval or a validity is 0.
+    #[error("probe_period: spans must be above 0")]
+    ZeroSpan,
+    /// `probe_timeout` is out of bounds.
+    #[error("probe_timeout: must be at most a third of the period, so that an answer through others fits")]
+    ProbeTimeout,
+    /// `max_claim_validity` is too long.
+    #[error("max_claim_validity: must be at most an hour")]
+    MaxClaimValidity,
+    /// A multiplier or the fanout is 0.
+    #[error("suspicion_multiplier: suspicion, retransmit and fanout must be above 0")]
+    ZeroMultiplier,
+    /// `max_datagram_bytes` is out of bounds.
+    #[error("max_datagram_bytes: must be {} to {}", DATAGRAM_BYTES.start(), DATAGRAM_BYTES.end())]
+    MaxDatagramBytes,
+    /// `bytes_per_second` or `burst_bytes` is out of bounds.
+    #[error("bytes_per_second: at least {MIN_BYTES_PER_SECOND} a second and a burst of four datagrams")]
+    SendBudget,
+    /// `max_claims_per_source` is 0.
+    #[error("max_claims_per_source: must be above 0")]
+    ZeroClaims,
+    /// A share isn't one.
+    #[error("max_ejected_share: shares must be 0 to 1")]
+    Share,
 }
 
-impl std::error::Error for Fault {}
-
-/// The settings of one member. All members should have the same, but for `me` and `life`.
+/// The settings of one member. All members should have the same, except for `me` and `incarnation`.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This front.
+    /// This member.
     pub me: Seed,
-    /// Its life, see `message_auth::new_incarnation`.
-    pub life: u64,
-    /// The configured fronts; this one may be among them.
+    /// The incarnation of this process, see [`message_auth::new_incarnation`].
+    pub incarnation: u64,
+    /// The configured members; this one may be among them.
     pub seeds: Vec<Seed>,
-    /// Others may join from addresses in these networks.
-    pub allowed: Vec<IpNet>,
-    /// At most so many others are known at once.
-    pub most: usize,
-    /// One probe each period.
-    pub period: Duration,
-    /// How long an answer may take before others are asked.
-    pub timeout: Duration,
-    /// So many others are asked.
-    pub indirect: usize,
-    /// A suspicion lasts so many periods, times the logarithm (base 10, from 1) of the number of live members.
-    pub suspicion: u32,
-    /// Each piece of news is passed on so many times the natural logarithm of the number of live members.
-    pub retransmit: u32,
-    /// How often news are told besides those on probes.
-    pub gossip: Duration,
-    /// To how many members then.
-    pub fanout: usize,
+    /// Members that aren't configured may join from addresses in these networks.
+    pub allowed_networks: Vec<IpNet>,
+    /// How many other members are known at once.
+    pub max_members: usize,
+    /// SWIM's protocol period: one probe is started in each.
+    pub probe_period: Duration,
+    /// How long a direct answer may take before other members are asked to probe.
+    pub probe_timeout: Duration,
+    /// How many members are asked.
+    pub indirect_probes: usize,
+    /// A suspicion lasts this many periods, times the logarithm (base 10, at least 1) of the number of live members.
+    pub suspicion_multiplier: u32,
+    /// Each update is sent this many times the natural logarithm of the number of live members.
+    pub retransmit_multiplier: u32,
+    /// How often updates are sent besides those on probes.
+    pub gossip_interval: Duration,
+    /// To how many members they are sent then.
+    pub gossip_fanout: usize,
     /// How often a dead member or silent seed is contacted.
-    pub contact: Duration,
-    /// After what time a dead member that is not configured is forgotten.
-    pub forget: Duration,
-    /// At most so many bytes are sent a second, with IP and UDP heads.
-    pub bytes: u64,
-    /// So many at once.
-    pub burst: u64,
-    /// The bound of one datagram.
-    pub datagram: usize,
-    /// At most so many claims of one source are held.
-    pub claims: usize,
-    /// No claim counts for longer.
-    pub longest: Duration,
-    /// At most this share of all boxes is shunned.
-    pub share: f32,
-    /// The share of its usual work that a shunned box still gets.
-    pub trickle: f32,
+    pub reconnect_interval: Duration,
+    /// How long a dead member that isn't configured is remembered.
+    pub forget_after: Duration,
+    /// The bound of bytes sent a second, with IP and UDP headers.
+    pub bytes_per_second: u64,
+    /// How many of them may be sent at once.
+    pub burst_bytes: u64,
+    /// The bound of a datagram's payload, in bytes.
+    pub max_datagram_bytes: usize,
+    /// How many claims of one source are held.
+    pub max_claims_per_source: usize,
+    /// How long a claim may count.
+    pub max_claim_validity: Duration,
+    /// The share of all backends that may be ejected, from 0 to 1.
+    pub max_ejected_share: f32,
+    /// The share of its usual traffic that an ejected backend still gets, from 0 to 1.
+    pub ejected_traffic_share: f32,
 }
 
 impl Settings {
-    /// With the usual values.
-    pub fn new(me: Seed, life: u64, seeds: Vec<Seed>) -> Settings {
+    /// The default settings.
+    pub fn new(me: Seed, incarnation: u64, seeds: Vec<Seed>) -> Settings {
         Settings {
             me,
-            life,
+            incarnation,
             seeds,
-            allowed: Vec::new(),
-            most: 256,
-            period: Duration::from_secs(1),
-            timeout: Duration::from_millis(300),
-            indirect: 3,
-            suspicion: 4,
-            retransmit: 2,
-            gossip: Duration::from_millis(250),
-            fanout: 2,
-            contact: Duration::from_secs(4),
-            forget: Duration::from_secs(600),
-            bytes: 8_192,
-            burst: 16_384,
-            datagram: DATAGRAM,
-            claims: 256,
-            longest: Duration::from_secs(120),
-            share: 0.2,
-            trickle: 0.02,
+            allowed_networks: Vec::new(),
+            max_members: 256,
+            probe_period: Duration::from_secs(1),
+            probe_timeout: Duration::from_millis(300),
+            indirect_probes: 3,
+            suspicion_multiplier: 4,
+            retransmit_multiplier: 2,
+            gossip_interval: Duration::from_millis(250),
+            gossip_fanout: 2,
+            reconnect_interval: Duration::from_secs(4),
+            forget_after: Duration::from_secs(600),
+            bytes_per_second: 8_192,
+            burst_bytes: 16_384,
+            max_datagram_bytes: MAX_DATAGRAM_BYTES,
+            max_claims_per_source: 256,
+            max_claim_validity: Duration::from_secs(120),
+            max_ejected_share: 0.2,
+            ejected_traffic_share: 0.02,
         }
     }
 
-    /// Whether all is within its bounds.
-    pub fn check(&self) -> Result<(), Fault> {
-        let no = |key, reason: &str| Err(Fault { key, reason: reason.into() });
-        check_seeds(&self.me, &self.seeds, self.most)?;
-        if self.life == 0 {
-            return no("life", "must be above 0");
+    /// Checks that all fields are within their bounds.
+    ///
+    /// # Errors
+    /// The first field that isn't.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        validate_seeds(&self.me, &self.seeds, self.max_members)?;
+        if self.incarnation == 0 {
+            return Err(SettingsError::ZeroIncarnation);
         }
-        if self.most == 0 || self.most > 1_000 {
-            return no("most", "must be 1 to 1000");
+        if self.max_members == 0 || self.max_members > MAX_MEMBERS {
+            return Err(SettingsError::MaxMembers);
         }
-        if self.period.is_zero() || self.gossip.is_zero() || self.contact.is_zero() || self.longest.is_zero()
-        {
-            return no("period", "spans must be above 0");
+        self.validate_spans()?;
+        if self.suspicion_multiplier == 0 || self.retransmit_multiplier == 0 || self.gossip_fanout == 0 {
+            return Err(SettingsError::ZeroMultiplier);
         }
-        if self.timeout.is_zero() || self.timeout * 3 > self.period {
-            return no(
-                "timeout",
-                "must be at most a third of the period, so that an answer through others fits",
-            );
+        self.validate_sizes()?;
+        let is_share = |share| (0.0..=1.0).contains(&share);
+        if !is_share(self.max_ejected_share) || !is_share(self.ejected_traffic_share) {
+            return Err(SettingsError::Share);
         }
-        if self.longest > Duration::from_secs(3_600) {
-            return no("longest", "must be at most an hour");
+        Ok(())
+    }
+
+    fn validate_spans(&self) -> Result<(), SettingsError> {
+        let spans =
+            [self.probe_period, self.gossip_interval, self.reconnect_interval, self.max_claim_validity];
+        if spans.iter().any(Duration::is_zero) {
+            return Err(SettingsError::ZeroSpan);
         }
-        if self.suspicion == 0 || self.retransmit == 0 || self.fanout == 0 {
-            return no("suspicion", "suspicion, retransmit and fanout must be above 0");
+        if self.probe_timeout.is_zero() || self.probe_timeout * 3 > self.probe_period {
+            return Err(SettingsError::ProbeTimeout);
         }
-        if self.datagram < 700 || self.datagram > 60_000 {
-            return no("datagram", "must be 700 to 60000");
+        if self.max_claim_validity > MAX_CLAIM_VALIDITY {
+            return Err(SettingsError::MaxClaimValidity);
         }
-        if self.bytes < 1_024
-            || self.bytes > 1 << 30
-            || self.burst < 4 * self.datagram as u64
-            || self.burst > 1 << 30
-        {
-            return no("bytes", "at least 1024 a second and a burst of four datagrams");
+        Ok(())
+    }
+
+    fn validate_sizes(&self) -> Result<(), SettingsError> {
+        if !DATAGRAM_BYTES.contains(&self.max_datagram_bytes) {
+            return Err(SettingsError::MaxDatagramBytes);
         }
-        if self.claims == 0 {
-            return no("claims", "must be above 0");
+        let min_burst_bytes = MIN_BURST_DATAGRAMS * self.max_datagram_bytes as u64;
+        let rate_fits = (MIN_BYTES_PER_SECOND..=MAX_SEND_BYTES).contains(&self.bytes_per_second);
+        let burst_fits = (min_burst_bytes..=MAX_SEND_BYTES).contains(&self.burst_bytes);
+        if !rate_fits || !burst_fits {
+            return Err(SettingsError::SendBudget);
         }
-        if !(0.0..=1.0).contains(&self.share) || !(0.0..=1.0).contains(&self.trickle) {
-            return no("share", "shares must be 0 to 1");
+        if self.max_claims_per_source == 0 {
+            return Err(SettingsError::ZeroClaims);
         }
         Ok(())
     }
 }
 
-/// Whether the configured fronts are as they should be.
-pub(crate) fn check_seeds(me: &Seed, seeds: &[Seed], most: usize) -> Result<(), Fault> {
-    let no = |reason: String| Err(Fault { key: "seeds", reason });
-    let mut names = BTreeSet::new();
+/// Checks the configured members.
+pub(crate) fn validate_seeds(me: &Seed, seeds: &[Seed], max_members: usize) -> Result<(), SettingsError> {
     for seed in seeds.iter().chain([me]) {
-        let (name, hall) = (seed.member.0.len(), seed.hall.0.len());
-        if name == 0 || name > NAME || hall > NAME || seed.at.port() == 0 {
-            return no(format!("{}: a name of 1 to {NAME} bytes, a hall of no more, a port", seed.member));
+        let (name, zone) = (seed.member.0.len(), seed.zone.0.len());
+        if name == 0 || name > MAX_NAME_BYTES || zone > MAX_NAME_BYTES || seed.address.port() == 0 {
+            return Err(SettingsError::Seed(seed.member.clone()));
         }
     }
+    let mut names = BTreeSet::new();
     if seeds.iter().any(|seed| !names.insert(&seed.member)) {
-        return no("two of one name".into());
+        return Err(SettingsError::DuplicateSeed);
     }
-    if seeds.iter().filter(|seed| seed.member != me.member).count() > most {
-        return no("more than may be known at once".into());
+    if seeds.iter().filter(|seed| seed.member != me.member).count() > max_members {
+        return Err(SettingsError::TooManySeeds);
     }
     Ok(())
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,176 +1,227 @@
-//! The packets that members exchange, and the bounds of their fields. Encoded with postcard: the order of variants and fields is
-//! part of the form.
+//! The packets that members exchange, and the bounds of their fields.
+//!
+//! They are encoded with postcard and signed by [`message_auth`]: the order of the variants and fields is part of the form, their
+//! names are not.
+use crate::claim::{ClaimKind, Subject};
 use crate::digest::Digest;
-use crate::names::{Kind, State, Subject};
+use crate::member::MemberState;
 use cluster_types::{MemberId, Zone};
-use message_auth::MAX_NAME_BYTES as NAME;
+use message_auth::MAX_NAME_BYTES;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Ill news of incarnations from here on are refused, and claims of such numbers: whoever is misspoken of can always go above.
-pub const CEILING: u64 = u64::MAX - (1 << 32);
+/// Members that are not alive and claims are rejected from this incarnation or number on, so that a misreported member can
+/// always refute with a higher one.
+pub const MAX_REFUTABLE: u64 = u64::MAX - (1 << 32);
 
-/// A box's or hall's name is no longer.
-pub const LABEL: usize = 128;
+/// The bound of a backend's or zone's name in a claim, in bytes.
+pub const MAX_SUBJECT_BYTES: usize = 128;
+
+/// Why a packet is rejected. Nothing of a rejected packet is used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// The bytes are no packet.
+    #[error("not a packet: {0}")]
+    Encoding(#[from] postcard::Error),
+    /// Bytes follow the packet.
+    #[error("{0} bytes follow the packet")]
+    TrailingBytes(usize),
+    /// A name is empty where it mustn't be, or too long.
+    #[error("a name is out of bounds")]
+    Name,
+    /// An address has port 0.
+    #[error("an address has port 0")]
+    Port,
+    /// An incarnation or a claim's number is out of bounds.
+    #[error("an incarnation or number is out of bounds")]
+    Number,
+}
 
 /// What a packet is sent for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A direct probe.
     Ping {
-        /// Matches the answer to the probe.
-        number: u32,
+        /// The sender's number of the ping.
+        sequence: u32,
     },
     /// The answer to a ping.
     Ack {
         /// The ping's number.
-        number: u32,
+        sequence: u32,
     },
-    /// Asks the receiver to probe another member (SWIM's ping-req).
-    Ask {
-        /// The asking member's number of the probe.
-        number: u32,
+    /// Asks the receiver to probe another member: SWIM's ping-req.
+    PingRequest {
+        /// The sender's number of the probe.
+        sequence: u32,
         /// The member to probe.
-        whom: MemberId,
+        target: MemberId,
     },
-    /// The member that was to be probed answered.
-    Heard {
+    /// The target of a ping request answered.
+    IndirectAck {
         /// The request's number.
-        number: u32,
+        sequence: u32,
     },
-    /// The member that was to be probed did not answer in time (Lifeguard's nack).
-    Deaf {
+    /// The target of a ping request didn't answer in time: Lifeguard's nack.
+    IndirectNack {
         /// The request's number.
-        number: u32,
+        sequence: u32,
     },
     /// Carries updates only.
-    News,
+    Gossip,
     /// The sender leaves the group.
     Leave,
 }
 
-/// The state of a member.
+/// What is known of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     /// Its name.
     pub member: MemberId,
     /// Its zone.
-    pub hall: Zone,
-    /// Its datagram address.
-    pub at: SocketAddr,
-    /// When its process started, see `message_auth::new_incarnation`; 0: never heard from.
-    pub life: u64,
-    /// By how much the incarnation is above the life: a few bytes less on the wire.
-    pub ahead: u64,
+    pub zone: Zone,
+    /// The address it receives datagrams at.
+    pub address: SocketAddr,
+    /// The incarnation that its process started with, see [`message_auth::new_incarnation`]; 0: it never answered.
+    pub base_incarnation: u64,
+    /// How far its incarnation is above the base: fewer bytes than the incarnation.
+    pub incarnation_offset: u64,
     /// Its state.
-    pub state: State,
+    pub state: MemberState,
 }
 
-impl Record {
-    /// The SWIM incarnation.
+impl MemberRecord {
+    /// Its incarnation: the base, raised by each refutation.
     pub fn incarnation(&self) -> u64 {
-        self.life.wrapping_add(self.ahead)
+        self.base_incarnation.wrapping_add(self.incarnation_offset)
     }
 
-    fn sound(&self) -> bool {
-        let name = self.member.0.len();
-        name > 0
-            && name <= NAME
-            && self.hall.0.len() <= NAME
-            && self.at.port() > 0
-            && self.life > 0
-            && self.incarnation() < if self.state == State::Alive { u64::MAX } else { CEILING }
+    fn validate(&self) -> Result<(), DecodeError> {
+        validate_name(&self.member.0, MAX_NAME_BYTES)?;
+        validate_optional_name(&self.zone.0)?;
+        validate_port(self.address)?;
+        let bound = if self.state == MemberState::Alive { u64::MAX } else { MAX_REFUTABLE };
+        if self.base_incarnation == 0 || self.incarnation() >= bound {
+            return Err(DecodeError::Number);
+        }
+        Ok(())
     }
 }
 
-/// A claim about a box or hall.
+/// A claim about a backend or zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
-    /// The member that made the claim.
+pub struct ClaimRecord {
+    /// The member that made it.
     pub source: MemberId,
-    /// Counted by its source, from its life on.
+    /// The source's number of the claim: it counts up from the incarnation of its process.
     pub number: u64,
     /// What the claim is about.
     pub subject: Subject,
     /// What is claimed.
-    pub kind: Kind,
+    pub kind: ClaimKind,
     /// How certain the source is: 255 is certain.
-    pub weight: u8,
-    /// The claim's age when the packet is sent, in milliseconds.
+    pub confidence: u8,
+    /// The time since it was made, in milliseconds.
     pub age_ms: u32,
-    /// How long the claim counts from its making, in milliseconds.
-    pub lasts_ms: u32,
+    /// How long it counts from its making, in milliseconds.
+    pub valid_for_ms: u32,
 }
 
-impl Told {
-    fn sound(&self) -> bool {
-        let label = match &self.subject {
-            Subject::Box(name) => name.0.len(),
-            Subject::Zone(name) => name.0.len(),
-        };
-        let source = self.source.0.len();
-        label > 0 && label <= LABEL && source > 0 && source <= NAME && self.number < CEILING
+impl ClaimRecord {
+    fn validate(&self) -> Result<(), DecodeError> {
+        validate_name(self.subject.name(), MAX_SUBJECT_BYTES)?;
+        validate_name(&self.source.0, MAX_NAME_BYTES)?;
+        if self.number >= MAX_REFUTABLE {
+            return Err(DecodeError::Number);
+        }
+        Ok(())
     }
 }
 
-/// An update that packets carry.
+/// What a packet tells besides its message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum News {
-    /// About a member.
-    Member(Record),
-    /// About a backend or a zone.
-    Claim(Told),
+pub enum Update {
+    /// What the sender knows of a member.
+    Member(MemberRecord),
+    /// A claim that the sender holds.
+    Claim(ClaimRecord),
 }
 
-impl News {
-    fn sound(&self) -> bool {
+impl Update {
+    fn validate(&self) -> Result<(), DecodeError> {
         match self {
-            News::Member(record) => record.sound(),
-            News::Claim(told) => told.sound(),
+            Update::Member(record) => record.validate(),
+            Update::Claim(record) => record.validate(),
         }
     }
 
-    /// Its bytes on the wire.
-    pub fn size(&self) -> usize {
+    /// Its size on the wire, in bytes.
+    pub fn encoded_size(&self) -> usize {
+        // An update that can't be encoded fits into no packet.
         postcard::experimental::serialized_size(self).unwrap_or(usize::MAX)
     }
 }
 
-/// A whole message: what it is for, how its sender stands, and news.
+/// The body of a signed datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
     /// What it is sent for.
     pub message: Message,
     /// The sender's zone.
-    pub hall: Zone,
-    /// The sender's datagram address.
-    pub at: SocketAddr,
-    /// The sender's incarnation above its life.
-    pub ahead: u64,
-    /// Of all live members as the sender holds them.
+    pub zone: Zone,
+    /// The address at which the sender receives datagrams.
+    pub address: SocketAddr,
+    /// How far the sender's incarnation is above the one in the signed header.
+    pub incarnation_offset: u64,
+    /// Of all live members and claims as the sender knows them.
     pub digest: Digest,
-    /// Updates that the receiver may not have.
-    pub news: Vec<News>,
+    /// Members and claims that the receiver may not know.
+    pub updates: Vec<Update>,
 }
 
 impl Packet {
     /// Encodes the packet.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
+        // Postcard fails on sequences of unknown length only, and a packet has none.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// None: not a packet, or a part of it out of bounds. Nothing of such a packet is taken.
-    pub fn read(bytes: &[u8]) -> Option<Packet> {
-        let (packet, rest) = postcard::take_from_bytes::<Packet>(bytes).ok()?;
-        let whom = match &packet.message {
-            Message::Ask { whom, .. } => whom.0.len(),
-            _ => 0,
-        };
-        let sound = rest.is_empty()
-            && whom <= NAME
-            && packet.hall.0.len() <= NAME
-            && packet.at.port() > 0
-            && packet.news.iter().all(News::sound);
-        sound.then_some(packet)
+    /// Decodes a packet, and checks the bounds of all its fields.
+    ///
+    /// # Errors
+    /// When the bytes are no packet, or one of its fields is out of bounds.
+    pub fn decode(bytes: &[u8]) -> Result<Packet, DecodeError> {
+        let (packet, rest) = postcard::take_from_bytes::<Packet>(bytes)?;
+        if !rest.is_empty() {
+            return Err(DecodeError::TrailingBytes(rest.len()));
+        }
+        if let Message::PingRequest { target, .. } = &packet.message {
+            validate_optional_name(&target.0)?;
+        }
+        validate_optional_name(&packet.zone.0)?;
+        validate_port(packet.address)?;
+        packet.updates.iter().try_for_each(Update::validate)?;
+        Ok(packet)
+    }
+}
+
+fn validate_name(name: &str, max_bytes: usize) -> Result<(), DecodeError> {
+    if name.is_empty() || name.len() > max_bytes {
+        return Err(DecodeError::Name);
+    }
+    Ok(())
+}
+
+fn validate_optional_name(name: &str) -> Result<(), DecodeError> {
+    if name.len() > MAX_NAME_BYTES {
+        return Err(DecodeError::Name);
+    }
+    Ok(())
+}
+
+fn validate_port(address: SocketAddr) -> Result<(), DecodeError> {
+    if address.port() == 0 {
+        return Err(DecodeError::Port);
     }
+    Ok(())
 }
--- a/crates/membership/tests/bad.rs
+++ b/crates/membership/tests/security.rs
@@ -1,31 +1,40 @@
-//! Forged and replayed messages, and keys that change in service.
+//! Forged and replayed messages, and the rotation of keys.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod sim;
 
-use cluster_types::MemberId;
-use membership::{Event, Figures, Member, State};
+use cluster_types::{MemberId, Time};
+use membership::{Counters, Event, Member, MemberState};
 use message_auth::Keys;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use sim::{seeds, Sim, KEY};
 use std::time::Duration;
 
-const NEXT: [u8; 32] = [77; 32];
+const NEXT_KEY: [u8; 32] = [77; 32];
 
 fn secs(secs: u64) -> Duration {
     Duration::from_secs(secs)
 }
 
-/// All that a run came to, but for the counts of what was refused.
-type Outcome = (Vec<Vec<Member>>, Vec<Figures>, Vec<(cluster_types::Time, usize, MemberId, State)>);
+/// All that a run led to, except for the counts of rejected messages.
+#[derive(Debug, PartialEq)]
+struct Outcome {
+    views: Vec<Vec<Member>>,
+    counters: Vec<Counters>,
+    changes: Vec<(Time, usize, MemberId, MemberState)>,
+}
 
 fn outcome(sim: &Sim) -> Outcome {
-    let views = sim.up().iter().map(|which| sim.view(*which)).collect();
-    let figures = sim.up().iter().map(|which| *sim.machine(*which).figures()).collect();
-    (views, figures, sim.changes.clone())
+    let running = sim.running();
+    Outcome {
+        views: running.iter().map(|index| sim.view(*index)).collect(),
+        counters: running.iter().map(|index| *sim.membership(*index).counters()).collect(),
+        changes: sim.changes.clone(),
+    }
 }
 
-/// A run with a death and a loss, with or without somebody who copies, changes and sends on what passes.
+/// A run with a death and some loss, with or without an attacker who copies, changes and resends datagrams. Returns the
+/// number of rejected messages too.
 fn run(seed: u64, attacked: bool) -> (Outcome, u64) {
     let mut sim = Sim::started(5, seed);
     (sim.loss, sim.tap) = (0.05, Some(Vec::new()));
@@ -38,90 +47,88 @@
         let seen = sim.tap.as_mut().map(std::mem::take).unwrap_or_default();
         for (from, to, bytes) in seen.into_iter().filter(|_| attacked) {
             let after = Duration::from_micros(attacker.random_range(500_000..5_000_000));
-            // What was lost may come late: that is no attack. What arrived comes again, is changed, or goes astray.
+            // A lost datagram may arrive late: that is no attack. One that arrived is replayed, forged, or sent to another member.
             let mut forged = bytes.clone();
             let at = attacker.random_range(0..forged.len());
             forged[at] ^= 1 << attacker.random_range(0..8);
             sim.inject(from, to, forged, after);
             sim.inject(from, (to + 1) % 4, bytes.clone(), after);
-            if sim.arrived(to, &bytes) {
+            if sim.was_delivered(to, &bytes) {
                 sim.inject(from, to, bytes, after);
             }
         }
     }
-    let refused = sim
-        .up()
-        .into_iter()
-        .flat_map(|which| sim.machine(which).envelopes().rejections())
-        .map(|(_, count)| count);
-    (outcome(&sim), refused.sum())
+    let rejections =
+        sim.running().into_iter().flat_map(|index| sim.membership(index).open_counters().rejections());
+    let rejected = rejections.map(|(_, count)| count).sum();
+    (outcome(&sim), rejected)
 }
 
 #[test]
 fn forged_and_replayed_messages_change_nothing() {
     seeds(8, |seed| {
-        let ((calm, _), (attacked, refused)) = (run(seed, false), run(seed, true));
-        assert!(refused > 300, "{refused}");
-        assert_eq!(calm, attacked);
+        let ((undisturbed, _), (attacked, rejected)) = (run(seed, false), run(seed, true));
+        assert!(rejected > 300, "{rejected}");
+        assert_eq!(undisturbed, attacked);
     });
 }
 
 #[test]
-fn what_was_recorded_before_a_restart_changes_nothing_after_it() {
+fn messages_recorded_before_restart_change_nothing_after_it() {
     seeds(8, |seed| {
         let mut sim = Sim::started(5, seed);
         sim.tap = Some(Vec::new());
-        sim.settle(secs(5));
-        // There was a time when 3 was held dead, and 4 had another life.
+        sim.converge(secs(5));
+        // The record has a time when 3 was held dead, and 4 had another incarnation.
         sim.kill(3);
         sim.run(secs(10));
         sim.kill(4);
         sim.start(3);
         sim.run(secs(1));
         sim.start(4);
-        sim.settle(secs(20));
+        sim.converge(secs(20));
         let record = sim.tap.take().unwrap();
-        for which in 0..3 {
-            sim.kill(which);
-            sim.start(which);
+        for index in 0..3 {
+            sim.kill(index);
+            sim.start(index);
         }
-        sim.settle(secs(20));
-        let (before, views) = (sim.changes.len(), outcome(&sim).0);
+        sim.converge(secs(20));
+        let (before, views) = (sim.changes.len(), outcome(&sim).views);
         for (from, to, bytes) in record {
             let after = Duration::from_micros(sim.rng.random_range(0..3_000_000));
             sim.inject(from, to, bytes, after);
         }
         sim.run(secs(10));
         assert_eq!(sim.changes[before..], []);
-        assert_eq!(outcome(&sim).0, views);
+        assert_eq!(outcome(&sim).views, views);
     });
 }
 
 #[test]
-fn keys_change_in_service_and_no_member_is_lost() {
-    let steps: [fn(&Keys) -> Keys; 3] = [|keys| keys.expect(NEXT), Keys::rotate, Keys::retire];
+fn key_rotation_loses_no_member() {
+    let steps: [fn(&Keys) -> Keys; 3] = [|keys| keys.expect(NEXT_KEY), Keys::rotate, Keys::retire];
     seeds(4, |seed| {
         let mut sim = Sim::started(25, seed);
         sim.loss = 0.01;
-        sim.settle(secs(10));
+        sim.converge(secs(10));
         let before = sim.changes.len();
         for step in steps {
-            for which in 0..25 {
-                let keys = step(&sim.nodes[which].keys);
-                sim.nodes[which].keys = keys.clone();
-                sim.event(which, Event::Keys(keys));
+            for index in 0..25 {
+                let keys = step(&sim.nodes[index].keys);
+                sim.nodes[index].keys = keys.clone();
+                sim.event(index, Event::KeysChanged(keys));
                 sim.run(Duration::from_millis(200));
             }
         }
         sim.run(secs(10));
-        let dead = sim.changes[before..].iter().find(|(_, _, _, state)| *state == State::Dead);
+        let dead = sim.changes[before..].iter().find(|(_, _, _, state)| *state == MemberState::Dead);
         assert_eq!(dead, None);
-        assert_eq!(sim.settle(secs(5)), Duration::ZERO);
-        // One that was forgotten, and signs with the old key still, is held dead and believed nothing.
+        assert_eq!(sim.converge(secs(5)), Duration::ZERO);
+        // A member that was forgotten, and still signs with the old key, is held dead and its messages are rejected.
         sim.nodes[9].keys = Keys::new(KEY, None);
         sim.kill(9);
         sim.start(9);
         sim.run(secs(15));
-        assert_eq!(sim.state(0, 9), Some(State::Dead));
+        assert_eq!(sim.state(0, 9), Some(MemberState::Dead));
     });
 }
--- a/crates/membership/tests/sim/check.rs
+++ b/crates/membership/tests/sim/check.rs
@@ -1,83 +1,86 @@
-//! Names, what is looked at in a network of members, and runs under many seeds.
+//! The names and addresses of simulated members, what is checked in a network of them, and runs under many seeds.
 use super::Sim;
 use cluster_types::MemberId;
-use membership::{Member, Members, Seed, State};
+use membership::{Member, MemberState, Membership, Seed};
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-pub fn name(which: usize) -> MemberId {
-    MemberId::from(format!("front-{which:03}").as_str())
+pub fn name(index: usize) -> MemberId {
+    MemberId::from(format!("front-{index:03}").as_str())
 }
 
-pub fn address(which: usize) -> SocketAddr {
-    (Ipv4Addr::new(10, 0, (which / 200) as u8, (which % 200) as u8 + 1), 7_000).into()
+pub fn address(index: usize) -> SocketAddr {
+    (Ipv4Addr::new(10, 0, (index / 200) as u8, (index % 200) as u8 + 1), 7_000).into()
 }
 
-pub fn of(at: SocketAddr) -> Option<usize> {
-    (0..300).find(|which| address(*which) == at)
+pub fn index_of(at: SocketAddr) -> Option<usize> {
+    (0..300).find(|index| address(*index) == at)
 }
 
-pub fn seed(which: usize) -> Seed {
-    Seed { member: name(which), hall: format!("hall-{}", which % 3).as_str().into(), at: address(which) }
+pub fn seed(index: usize) -> Seed {
+    let zone = format!("hall-{}", index % 3);
+    Seed { member: name(index), zone: zone.as_str().into(), address: address(index) }
 }
 
 impl Sim {
-    /// No member ever sends more than the bound, whatever happens.
-    pub fn check_bytes(&self, which: usize) {
-        let node = &self.nodes[which];
-        let Some(machine) = &node.machine else { return };
+    /// No member ever sends more than its bound, whatever happens.
+    pub fn assert_bytes_bounded(&self, index: usize) {
+        let node = &self.nodes[index];
+        let Some(membership) = &node.membership else { return };
         let span = self.now.since(node.started).as_secs_f64();
-        let bound = node.settings.burst as f64 + node.settings.bytes as f64 * span;
-        assert!(machine.figures().bytes as f64 <= bound + 1.0, "{which} sent {}", machine.figures().bytes);
+        let bound = node.settings.burst_bytes as f64 + node.settings.bytes_per_second as f64 * span;
+        let sent = membership.counters().bytes_sent;
+        assert!(sent as f64 <= bound + 1.0, "{index} sent {sent}");
     }
 
-    pub fn up(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|which| self.nodes[*which].machine.is_some()).collect()
+    /// The members that run.
+    pub fn running(&self) -> Vec<usize> {
+        (0..self.nodes.len()).filter(|index| self.nodes[*index].membership.is_some()).collect()
     }
 
-    pub fn machine(&self, which: usize) -> &Members {
-        self.nodes[which].machine.as_ref().unwrap()
+    pub fn membership(&self, index: usize) -> &Membership {
+        self.nodes[index].membership.as_ref().unwrap()
     }
 
-    pub fn view(&self, which: usize) -> Vec<Member> {
-        self.machine(which).view()
+    pub fn view(&self, index: usize) -> Vec<Member> {
+        self.membership(index).view()
     }
 
-    /// Whom that one holds how.
-    pub fn state(&self, which: usize, whom: usize) -> Option<State> {
-        self.view(which).into_iter().find(|member| member.member == name(whom)).map(|member| member.state)
+    /// The state of `other` as the member knows it.
+    pub fn state(&self, index: usize, other: usize) -> Option<MemberState> {
+        self.view(index).into_iter().find(|member| member.member == name(other)).map(|member| member.state)
     }
 
-    /// Why not all that run hold exactly those that run, if so.
-    pub fn differs(&self) -> Option<String> {
-        let up = self.up();
-        let names: BTreeSet<MemberId> = up.iter().map(|which| name(*which)).collect();
-        let digests: BTreeSet<_> = up.iter().map(|which| self.machine(*which).digest()).collect();
-        for which in &up {
-            let view = self.view(*which);
-            let alive = view.iter().filter(|member| member.state == State::Alive);
+    /// Why not all that run know exactly those that run as alive, if so.
+    pub fn disagreement(&self) -> Option<String> {
+        let running = self.running();
+        let names: BTreeSet<MemberId> = running.iter().map(|index| name(*index)).collect();
+        let digests: BTreeSet<_> = running.iter().map(|index| self.membership(*index).digest()).collect();
+        for index in &running {
+            let view = self.view(*index);
+            let alive = view.iter().filter(|member| member.state == MemberState::Alive);
             let alive: BTreeSet<MemberId> = alive.map(|member| member.member.clone()).collect();
             if alive != names {
                 let odd: Vec<_> = alive.symmetric_difference(&names).map(ToString::to_string).collect();
-                return Some(format!("{} differs in {odd:?}", name(*which)));
+                return Some(format!("{} differs in {odd:?}", name(*index)));
             }
         }
         (digests.len() > 1).then(|| "digests differ".into())
     }
 
-    /// Runs until all hold one view; how long that took. It must take no longer than that.
-    pub fn settle(&mut self, within: Duration) -> Duration {
+    /// Runs until all have one view, which must take no longer than `within`; returns how long it took.
+    pub fn converge(&mut self, within: Duration) -> Duration {
         let from = self.now;
-        while let Some(why) = self.differs() {
-            assert!(self.now.since(from) < within, "after {:?}: {why}", self.now.since(from));
+        while let Some(reason) = self.disagreement() {
+            assert!(self.now.since(from) < within, "after {:?}: {reason}", self.now.since(from));
             self.run(Duration::from_millis(250));
         }
         self.now.since(from)
     }
 }
 
-/// Runs under many seeds, on a few threads: the usual number, MEMBERS_TIMES as many if that is set. Prints the seed where a run
+/// Runs under many seeds on a few threads: `usual` ones, MEMBERS_TIMES as many if that is set. Prints the seed of a run that
 /// fails.
 pub fn seeds(usual: u64, run: impl Fn(u64) + Sync) {
     let times: u64 = std::env::var("MEMBERS_TIMES").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -88,9 +91,9 @@
             scope.spawn(move || {
                 for seed in (thread..count).step_by(4) {
                     let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| run(seed)));
-                    if let Err(why) = result {
+                    if let Err(panic) = result {
                         eprintln!("failed under seed {seed}");
-                        std::panic::resume_unwind(why);
+                        std::panic::resume_unwind(panic);
                     }
                 }
             });
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,8 +1,8 @@
-//! A network of members under one seed: loss, doubling, delay and with it reordering, one-way cuts, processes that stand
-//! still, end and start anew. Each process has a clock of its own origin.
+//! A simulated network of members under one seed: loss, duplication, delay and with it reordering, blocked directions, and
+//! processes that are stalled, killed and started again. Each process has a clock of its own origin.
 #![allow(dead_code, unused_imports, clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::{MemberId, Time};
-use membership::{Action, Event, Members, Settings, State};
+use membership::{Action, Event, MemberState, Membership, Settings};
 use message_auth::Keys;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,27 +15,30 @@
 
 pub const KEY: [u8; 32] = [9; 32];
 
-/// The first so many members are configured at all; the others join.
+/// How many members are configured; the others join.
 pub const SEEDS: usize = 3;
 
+/// The incarnations of a process that is started again are this far apart.
+pub const INCARNATION_STEP: u64 = 1 << 20;
+
 pub struct Node {
-    pub machine: Option<Members>,
+    pub membership: Option<Membership>,
     pub settings: Settings,
     pub keys: Keys,
-    /// Its clock's lead over the simulated time.
-    offset: u64,
+    /// How far its clock is ahead of the simulated time, in microseconds.
+    clock_offset: u64,
     pub started: Time,
-    still_until: Time,
+    stalled_until: Time,
 }
 
 impl Node {
     pub fn clock(&self, now: Time) -> Time {
-        Time(now.0 + self.offset)
+        Time(now.0 + self.clock_offset)
     }
 
     fn wake(&self) -> Option<Time> {
-        let wake = self.machine.as_ref()?.wake()?;
-        Some(Time(wake.0.saturating_sub(self.offset)).max(self.still_until))
+        let wake = self.membership.as_ref()?.wake()?;
+        Some(Time(wake.0.saturating_sub(self.clock_offset)).max(self.stalled_until))
     }
 }
 
@@ -43,170 +46,185 @@
     pub now: Time,
     pub nodes: Vec<Node>,
     pub rng: SmallRng,
+    /// The share of datagrams that is lost.
     pub loss: f64,
-    pub doubled: f64,
+    /// The share of datagrams that is duplicated.
+    pub duplication: f64,
     pub delay_ms: (u64, u64),
-    /// From whom to whom nothing passes.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// From whom to whom nothing is delivered.
+    pub blocked: BTreeSet<(usize, usize)>,
     /// Every datagram that was sent, if wanted.
     pub tap: Option<Vec<(usize, usize, Vec<u8>)>>,
-    /// Who held whom how, from when on.
-    pub changes: Vec<(Time, usize, MemberId, State)>,
-    /// Which datagrams were taken, as long as there is a tap.
-    taken: BTreeSet<(usize, Vec<u8>)>,
-    wire: BTreeMap<(Time, u64), (usize, SocketAddr, Vec<u8>)>,
-    count: u64,
+    /// When a member changed its view of another, and to which state.
+    pub changes: Vec<(Time, usize, MemberId, MemberState)>,
+    /// The datagrams that were delivered, as long as there is a tap.
+    delivered: BTreeSet<(usize, Vec<u8>)>,
+    in_flight: BTreeMap<(Time, u64), (usize, SocketAddr, Vec<u8>)>,
+    sent: u64,
     wakes: Vec<Option<Time>>,
 }
 
 impl Sim {
+    /// Members that aren't started yet.
     pub fn new(count: usize, seed_of_run: u64) -> Sim {
         let mut sim = Sim {
             now: Time(0),
             nodes: Vec::new(),
             rng: SmallRng::seed_from_u64(seed_of_run),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
             delay_ms: (1, 5),
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             tap: None,
             changes: Vec::new(),
-            taken: BTreeSet::new(),
-            wire: BTreeMap::new(),
-            count: 0,
+            delivered: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
+            sent: 0,
             wakes: vec![None; count],
         };
-        for which in 0..count {
-            let mut settings = Settings::new(seed(which), 1 << 20, (0..SEEDS.min(count)).map(seed).collect());
-            settings.allowed = vec!["10.0.0.0/16".parse().unwrap()];
-            let (machine, keys, offset) = (None, Keys::new(KEY, None), sim.rng.random_range(0..1 << 40));
-            let (started, still_until) = (Time(0), Time(0));
-            sim.nodes.push(Node { machine, settings, keys, offset, started, still_until });
+        for index in 0..count {
+            let seeds = (0..SEEDS.min(count)).map(seed).collect();
+            let mut settings = Settings::new(seed(index), INCARNATION_STEP, seeds);
+            settings.allowed_networks = vec!["10.0.0.0/16".parse().unwrap()];
+            sim.nodes.push(Node {
+                membership: None,
+                settings,
+                keys: Keys::new(KEY, None),
+                clock_offset: sim.rng.random_range(0..1 << 40),
+                started: Time(0),
+                stalled_until: Time(0),
+            });
         }
         sim
     }
 
-    /// All started at about the same time.
+    /// Members that are started at about the same time.
     pub fn started(count: usize, seed_of_run: u64) -> Sim {
         let mut sim = Sim::new(count, seed_of_run);
-        (0..count).for_each(|which| sim.start(which));
+        (0..count).for_each(|index| sim.start(index));
         sim
     }
 
-    pub fn start(&mut self, which: usize) {
+    pub fn start(&mut self, index: usize) {
         let seed = self.rng.random();
-        let node = &mut self.nodes[which];
-        node.settings.life += 1 << 20;
+        let node = &mut self.nodes[index];
+        node.settings.incarnation += INCARNATION_STEP;
         node.started = self.now;
         let clock = node.clock(self.now);
-        node.machine = Some(Members::new(node.settings.clone(), node.keys.clone(), clock, seed).unwrap());
-        self.event(which, Event::Tick);
+        let membership = Membership::new(node.settings.clone(), node.keys.clone(), clock, seed);
+        node.membership = Some(membership.unwrap());
+        self.event(index, Event::Tick);
     }
 
-    pub fn kill(&mut self, which: usize) {
-        self.check_bytes(which);
-        self.nodes[which].machine = None;
-        self.wakes[which] = None;
+    pub fn kill(&mut self, index: usize) {
+        self.assert_bytes_bounded(index);
+        self.nodes[index].membership = None;
+        self.wakes[index] = None;
     }
 
-    pub fn stand_still(&mut self, which: usize, span: Duration) {
-        self.nodes[which].still_until = self.now + span;
-        self.wakes[which] = self.nodes[which].wake();
+    pub fn stall(&mut self, index: usize, span: Duration) {
+        self.nodes[index].stalled_until = self.now + span;
+        self.wakes[index] = self.nodes[index].wake();
     }
 
-    pub fn split(&mut self, left: &BTreeSet<usize>) {
+    /// Blocks everything between `left` and the others.
+    pub fn partition(&mut self, left: &BTreeSet<usize>) {
         for one in 0..self.nodes.len() {
             for other in 0..self.nodes.len() {
                 if left.contains(&one) != left.contains(&other) {
-                    self.cut.insert((one, other));
+                    self.blocked.insert((one, other));
                 }
             }
         }
     }
 
+    /// Ends all blocks and stalls.
     pub fn heal(&mut self) {
-        self.cut.clear();
-        for which in 0..self.nodes.len() {
-            self.nodes[which].still_until = self.now;
-            self.wakes[which] = self.nodes[which].wake();
+        self.blocked.clear();
+        for index in 0..self.nodes.len() {
+            self.nodes[index].stalled_until = self.now;
+            self.wakes[index] = self.nodes[index].wake();
         }
     }
 
-    pub fn event(&mut self, which: usize, event: Event) {
+    pub fn event(&mut self, index: usize, event: Event) {
         let now = self.now;
-        let node = &mut self.nodes[which];
-        let (clock, bound, mut out) = (node.clock(now), node.settings.datagram, Vec::new());
-        let Some(machine) = &mut node.machine else { return };
-        machine.handle(clock, event, &mut out);
+        let node = &mut self.nodes[index];
+        let (clock, bound, mut out) = (node.clock(now), node.settings.max_datagram_bytes, Vec::new());
+        let Some(membership) = &mut node.membership else { return };
+        membership.handle(clock, event, &mut out);
         for action in out {
             match action {
                 Action::Send { to, bytes } => {
                     assert!(bytes.len() <= bound);
-                    if let Some(to) = check::of(to) {
-                        self.send(which, to, bytes);
+                    if let Some(to) = check::index_of(to) {
+                        self.send(index, to, bytes);
                     }
                 }
-                Action::Changed { member, state, .. } => self.changes.push((now, which, member, state)),
-                Action::Evidence(_) => {}
+                Action::MemberChanged { member, state, .. } => self.changes.push((now, index, member, state)),
+                Action::ClaimsChanged(_) => {}
             }
         }
-        self.wakes[which] = self.nodes[which].wake();
+        self.wakes[index] = self.nodes[index].wake();
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         if let Some(tap) = &mut self.tap {
             tap.push((from, to, bytes.clone()));
         }
-        let copies = if self.rng.random_bool(self.doubled) { 2 } else { 1 };
+        let copies = if self.rng.random_bool(self.duplication) { 2 } else { 1 };
         for _ in 0..copies {
-            if to < self.nodes.len() && !self.cut.contains(&(from, to)) && !self.rng.random_bool(self.loss) {
+            let reaches = to < self.nodes.len() && !self.blocked.contains(&(from, to));
+            if reaches && !self.rng.random_bool(self.loss) {
                 let micros = self.rng.random_range(self.delay_ms.0 * 1_000..=self.delay_ms.1 * 1_000);
                 self.inject(from, to, bytes.clone(), Duration::from_micros(micros));
             }
         }
     }
 
+    /// Delivers a datagram after a delay.
     pub fn inject(&mut self, from: usize, to: usize, bytes: Vec<u8>, after: Duration) {
-        self.count += 1;
-        self.wire.insert((self.now + after, self.count), (to, address(from), bytes));
+        self.sent += 1;
+        self.in_flight.insert((self.now + after, self.sent), (to, address(from), bytes));
     }
 
-    /// Whether a datagram came to that one.
-    pub fn arrived(&self, to: usize, bytes: &[u8]) -> bool {
-        self.taken.contains(&(to, bytes.to_vec()))
+    /// Whether a datagram was delivered to a member.
+    pub fn was_delivered(&self, to: usize, bytes: &[u8]) -> bool {
+        self.delivered.contains(&(to, bytes.to_vec()))
     }
 
     pub fn run(&mut self, span: Duration) {
         let (end, mut steps_at) = (self.now + span, (self.now, 0));
         loop {
-            let wake = (0..self.nodes.len()).filter_map(|which| Some((self.wakes[which]?, which))).min();
-            let datagram = self.wire.first_key_value().map(|(key, _)| key.0);
-            let Some(next) =
-                wake.map(|wake| wake.0).into_iter().chain(datagram).min().filter(|at| *at <= end)
-            else {
-                break;
-            };
+            let wake = (0..self.nodes.len()).filter_map(|index| Some((self.wakes[index]?, index))).min();
+            let datagram = self.in_flight.first_key_value().map(|(key, _)| key.0);
+            let next = wake.map(|wake| wake.0).into_iter().chain(datagram).min();
+            let Some(next) = next.filter(|at| *at <= end) else { break };
             self.now = self.now.max(next);
             steps_at = if steps_at.0 == self.now { (self.now, steps_at.1 + 1) } else { (self.now, 0) };
-            assert!(steps_at.1 < 10_000, "time stands still at {:?}", self.now);
+            assert!(steps_at.1 < 10_000, "time doesn't advance at {:?}", self.now);
             if datagram == Some(next) {
-                let (_, (to, from, bytes)) = self.wire.pop_first().unwrap();
-                let until = self.nodes[to].still_until;
-                if until > self.now {
-                    // It waits in the socket's buffer.
-                    self.count += 1;
-                    self.wire.insert((until, self.count), (to, from, bytes));
-                } else {
-                    if self.tap.is_some() {
-                        self.taken.insert((to, bytes.clone()));
-                    }
-                    self.event(to, Event::Datagram { from, bytes });
-                }
-            } else if let Some((_, which)) = wake {
-                self.event(which, Event::Tick);
+                self.deliver_next();
+            } else if let Some((_, index)) = wake {
+                self.event(index, Event::Tick);
             }
         }
         self.now = end;
-        (0..self.nodes.len()).for_each(|which| self.check_bytes(which));
+        (0..self.nodes.len()).for_each(|index| self.assert_bytes_bounded(index));
+    }
+
+    fn deliver_next(&mut self) {
+        let (_, (to, from, bytes)) = self.in_flight.pop_first().unwrap();
+        let stalled_until = self.nodes[to].stalled_until;
+        if stalled_until > self.now {
+            // It waits in the socket's buffer.
+            self.sent += 1;
+            self.in_flight.insert((stalled_until, self.sent), (to, from, bytes));
+        } else {
+            if self.tap.is_some() {
+                self.delivered.insert((to, bytes.clone()));
+            }
+            self.event(to, Event::Datagram { from, bytes });
+        }
     }
 }
--- a/crates/scale-bench/src/lib.rs
+++ b/crates/scale-bench/src/lib.rs
@@ -13,7 +13,7 @@
 //! | [`list`] | `scheduler::Scheduler` | the front's table of boxes and its mailboxes |
 //! | [`file`](mod@file) | `config::from_env`, `Config::reload`, `Scheduler::reload` and its whole list | the front's table of boxes; nothing of the reading |
 //! | [`targets`] | `config::targets` | HTTP and the socket; the sender, which is not the project's |
-//! | [`members`](mod@members) | `membership::Members` with `message-auth` | sockets: delay and loss are drawn |
+//! | [`members`](mod@members) | `membership::Membership` with `message-auth` | sockets: delay and loss are drawn |
 //! | [`log`] | `consensus::Node`, `message-auth` and postcard for each message | sockets and disks, whose delays are drawn; the host's own frame round a message, of a few bytes |
 //! | [`front`] | the program itself, as a process | traffic, discovery, other fronts |
 //! | [`path`] | the program itself, as a process | disks: stand-in boxes take a fixed time for each read, and share their cores with clients of this tool |
--- a/crates/scale-bench/src/members/mod.rs
+++ b/crates/scale-bench/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Membership of many fronts: `membership::Members`, in simulated time.
+//! Membership of many fronts: `membership::Membership`, in simulated time.
 mod load;
 mod world;
 
--- a/crates/scale-bench/src/members/world.rs
+++ b/crates/scale-bench/src/members/world.rs
@@ -3,7 +3,7 @@
 use super::Options;
 use crate::plan::Bound;
 use crate::{cpu, Error};
-use ::membership::{Action, Event, Members, Seed, Settings, State};
+use ::membership::{Action, Event, MemberState, Membership, Seed, Settings};
 use cluster_types::{MemberId, Time};
 use message_auth::Keys;
 use rand::rngs::SmallRng;
@@ -39,7 +39,7 @@
     keys: Keys,
     settings: Vec<Settings>,
     addresses: HashMap<SocketAddr, usize>,
-    members: Vec<Option<Members>>,
+    members: Vec<Option<Membership>>,
     wakes: Vec<Option<Time>>,
     agenda: BTreeMap<(Time, u64), (usize, Due)>,
     planned: u64,
@@ -57,16 +57,20 @@
         let address = |n: usize| SocketAddr::from((Ipv4Addr::from(0x0a00_0001 + n as u32), PORT));
         let fellow = |n: usize| Seed {
             member: MemberId::from(format!("front-{n:04}").as_str()),
-            hall: format!("zone-{:02}", n % ZONES).as_str().into(),
-            at: address(n),
+            zone: format!("zone-{:02}", n % ZONES).as_str().into(),
+            address: address(n),
         };
         let all: Vec<Seed> = (0..count).map(fellow).collect();
         let set = |me: &Seed| {
             let usual = Settings::new(me.clone(), LIFE, all.clone());
-            Settings { bytes: options.bytes_s, most: usual.most.max(count.saturating_sub(1)), ..usual }
+            Settings {
+                bytes_per_second: options.bytes_s,
+                max_members: usual.max_members.max(count.saturating_sub(1)),
+                ..usual
+            }
         };
         let settings: Vec<Settings> = all.iter().map(set).collect();
-        settings.iter().try_for_each(Settings::check).map_err(|e| Error::part("members", e))?;
+        settings.iter().try_for_each(Settings::validate).map_err(|e| Error::part("members", e))?;
         let mut world = World {
             now: Time(0),
             bound,
@@ -110,8 +114,8 @@
     /// Starts a member's process, under a life above those before.
     pub fn start(&mut self, which: usize) -> Result<(), Error> {
         let settings = &mut self.settings[which];
-        settings.life += LIFE;
-        let members = Members::new(settings.clone(), self.keys.clone(), self.now, self.rng.random());
+        settings.incarnation += LIFE;
+        let members = Membership::new(settings.clone(), self.keys.clone(), self.now, self.rng.random());
         self.members[which] = Some(members.map_err(|e| Error::part("members", e))?);
         self.up += 1;
         self.give(which, Event::Tick);
@@ -136,7 +140,9 @@
             return false;
         };
         let digest = first.digest();
-        let alive = || first.view().iter().filter(|m| m.state == State::Alive && m.life > 0).count();
+        let alive = || {
+            first.view().iter().filter(|m| m.state == MemberState::Alive && m.base_incarnation > 0).count()
+        };
         self.members.iter().flatten().all(|other| other.digest() == digest) && alive() == self.up
     }
 
@@ -148,8 +154,8 @@
         within: Duration,
     ) -> Result<Option<Duration>, Stopped> {
         let (from, name) = (self.now, self.settings[which].me.member.clone());
-        let holds = |members: &Members| {
-            members.view().iter().any(|m| m.member == name && m.state.live() && m.life > 0)
+        let holds = |members: &Membership| {
+            members.view().iter().any(|m| m.member == name && m.state.is_live() && m.base_incarnation > 0)
         };
         let others = |w: &World| -> Vec<usize> {
             (0..w.members.len()).filter(|n| *n != which && w.members[*n].is_some()).collect()
@@ -200,7 +206,7 @@
             }
             Due::Wake => {}
             Due::Datagram { from, bytes } => {
-                let from = self.settings[from].me.at;
+                let from = self.settings[from].me.address;
                 self.give(whom, Event::Datagram { from, bytes });
             }
         }
@@ -214,21 +220,25 @@
 
     fn give(&mut self, whom: usize, event: Event) {
         let Some(member) = &mut self.members[whom] else { return };
-        let (now, before, mut out) = (self.now, *member.figures(), Vec::new());
+        let (now, before, mut out) = (self.now, *member.counters(), Vec::new());
         let ((), took) = cpu::timed(|| member.handle(now, event, &mut out));
-        let (after, wake) = (*member.figures(), member.wake());
+        let (after, wake) = (*member.counters(), member.wake());
         self.load.cpu_us += took;
-        self.load.messages += after.sent - before.sent;
-        self.load.bytes += after.bytes - before.bytes;
+        self.load.messages += after.datagrams_sent - before.datagrams_sent;
+        self.load.bytes += after.bytes_sent - before.bytes_sent;
         for action in out {
             match action {
                 Action::Send { to, bytes } => self.send(whom, to, bytes),
-                Action::Changed { member, state, .. } => match &mut self.followed {
-                    Some((followed, held)) if *followed == member && state.live() => drop(held.insert(whom)),
-                    Some((followed, held)) if *followed == member => drop(held.remove(&whom)),
+                Action::MemberChanged { member, state, .. } => match &mut self.followed {
+                    Some((followed, held)) if *followed == member && state.is_live() => {
+                        held.insert(whom);
+                    }
+                    Some((followed, held)) if *followed == member => {
+                        held.remove(&whom);
+                    }
                     _ => {}
                 },
-                Action::Evidence(_) => {}
+                Action::ClaimsChanged(_) => {}
             }
         }
         let Some(wake) = wake.map(|wake| wake.max(now)) else { return };
--- a/crates/scale-bench/tests/parts.rs
+++ b/crates/scale-bench/tests/parts.rs
@@ -92,7 +92,7 @@
 #[test]
 fn members_beyond_the_programs_bound_are_an_error() {
     let error = members::run(&plan(&[2_300], 5), &network(1)).unwrap_err().to_string();
-    assert!(error.starts_with("members: most: must be 1 to 1000"), "{error}");
+    assert!(error.starts_with("members: max_members: must be 1 to 1000"), "{error}");
 }
 
 #[test]
