--- a/crates/coordination/src/apply.rs
+++ b/crates/coordination/src/apply.rs
@@ -81,7 +81,7 @@
                 let leader = leader.as_ref().map_or("none", |l| &l.0);
                 (self.log)(&format!("accord role={role:?} term={term} leader={leader}"));
                 // A leader begins with nothing of what an earlier one knew.
-                self.watch = maintenance::Watch::new();
+                self.watch = maintenance::StageTimer::new();
                 self.proposed.clear();
                 self.leases.clear();
             }
@@ -95,23 +95,25 @@
             boxes.iter().map(|b| b.0.to_string()).collect::<Vec<_>>().join(",")
         };
         let line = match effect {
-            Effect::Drain { grant, boxes } => {
+            Effect::Drain { grant, backends: boxes } => {
                 format!("accord drain grant={} boxes={}", grant.0, names(boxes))
             }
-            Effect::Free { grant, name, boxes } => {
+            Effect::Drained { grant, name, backends: boxes } => {
                 format!("accord open grant={} wish={name} boxes={}", grant.0, names(boxes))
             }
-            Effect::Return { id, number, stage } => {
+            Effect::Recovering { backend: id, step: number, stage } => {
                 format!("accord return box={id} number={} stage={stage:?}", number.0)
             }
-            Effect::In { id } => format!("accord in box={id}"),
-            Effect::Missed { name, boxes } => format!("accord missed wish={name} boxes={}", names(boxes)),
-            Effect::Overdue { grant, name, boxes } => {
+            Effect::InService { backend: id } => format!("accord in box={id}"),
+            Effect::DeadlineMissed { name, backends: boxes } => {
+                format!("accord missed wish={name} boxes={}", names(boxes))
+            }
+            Effect::Overdue { grant, name, backends: boxes } => {
                 format!("accord overdue grant={} wish={name} boxes={}", grant.0, names(boxes))
             }
-            Effect::Gone { name, id } => format!("accord gone wish={name} box={id}"),
+            Effect::Unlisted { name, backend: id } => format!("accord gone wish={name} box={id}"),
             Effect::Ended(status) => format!("accord ended wish={}", status.name),
-            Effect::Told(_) | Effect::Refused { .. } => return,
+            Effect::Status(_) | Effect::Rejected { .. } => return,
         };
         (self.log)(&line);
     }
@@ -128,18 +130,24 @@
     /// Does what the front's own side says.
     pub fn own_action(&mut self, now: Time, action: maintenance::Action) {
         match action {
-            maintenance::Action::Drain { id, grant } => self.late.push_back(ToFront::Drain { id, grant }),
-            maintenance::Action::Undrain { id, share } => self.late.push_back(ToFront::Undrain { id, share }),
+            maintenance::Action::Drain { backend: id, order: grant } => {
+                self.late.push_back(ToFront::Drain { id, grant })
+            }
+            maintenance::Action::Undrain { backend: id, quota: share } => {
+                self.late.push_back(ToFront::Undrain { id, share })
+            }
             maintenance::Action::Report(report) => {
                 let member = self.settings.me.clone();
                 let command = match report {
-                    Report::Drained { grant } => Command::Drained { grant, member },
-                    Report::Staged { id, number } => Command::Staged { id, number, member },
+                    Report::Drained { grant } => Command::ReportDrained { grant, member },
+                    Report::StageAcknowledged { backend, step } => {
+                        Command::AcknowledgeStage { backend, step, member }
+                    }
                 };
                 // It makes its report again by itself, so nobody waits for this one.
                 self.forward(now, 0, What::Maintenance(command));
             }
-            maintenance::Action::Keep { serial, kept } => {
+            maintenance::Action::Persist { serial, orders: kept } => {
                 if let Ok(bytes) = postcard::to_stdvec(&kept) {
                     let _ = self.disk.try_send(Write::Kept(serial, bytes));
                 }
--- a/crates/coordination/src/calls.rs
+++ b/crates/coordination/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::mail::{Call, Told};
 use cluster_types::{Index, MemberId, Time};
 use consensus::Role;
-use maintenance::{Command, Effect, Status, Why};
+use maintenance::{Command, Effect, Rejection, RequestStatus};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -29,16 +29,16 @@
 }
 
 /// How a wish stands, in words.
-pub fn words(status: &Status) -> String {
+pub fn words(status: &RequestStatus) -> String {
     let mut out = format!("wish {}\n", status.name);
-    for (id, fate) in &status.wish.boxes {
-        let _ = writeln!(out, "box {id} {}", format!("{fate:?}").to_lowercase());
+    for (id, outcome) in &status.request.backends {
+        let _ = writeln!(out, "box {id} {outcome}");
     }
-    for (grant, fronts) in &status.waits_for {
+    for (grant, fronts) in &status.undrained_members {
         let fronts: Vec<_> = fronts.iter().map(|m| m.0.to_string()).collect();
         let _ = writeln!(out, "grant {} waits for {}", grant.0, fronts.join(" "));
     }
-    if let Some(why) = &status.why {
+    if let Some(why) = &status.waiting_reason {
         let _ = writeln!(out, "waits because {why}");
     }
     out
@@ -57,12 +57,12 @@
                 return drop(to.try_send(told));
             }
             Call::Wish { name, boxes, work_ms, by_ms, together } => {
-                Command::Wish { name, boxes, work_ms, by_ms, together }
+                Command::Request { name, backends: boxes, work_ms, deadline_ms: by_ms, all_at_once: together }
             }
             Call::Withdraw { name } => Command::Withdraw { name },
-            Call::Returned { name, id } => Command::Returned { name, id },
-            Call::Done { name } => Command::Done { name },
-            Call::Excuse { member } => Command::Excuse { member },
+            Call::Returned { name, id } => Command::ReturnBackend { name, backend: id },
+            Call::Done { name } => Command::Finish { name },
+            Call::Excuse { member } => Command::DeclareDead { member },
             Call::Change(order) => return self.order(now, order, to),
         };
         if self.waiting.len() >= WAITING {
@@ -77,13 +77,17 @@
         let mut told = Told::Yes("done\n".into());
         for effect in effects {
             match effect {
-                Effect::Told(status) | Effect::Ended(status) => told = Told::Yes(words(status)),
-                Effect::Refused { what, why: why @ (Why::Unknown | Why::NotListed(_) | Why::NotPresent) } => {
-                    told = Told::Unknown(format!("{what}: {why}\n"));
+                Effect::Status(status) | Effect::Ended(status) => told = Told::Yes(words(status)),
+                Effect::Rejected {
+                    command,
+                    reason:
+                        reason @ (Rejection::Unknown | Rejection::NotListed(_) | Rejection::MemberNotPresent),
+                } => {
+                    told = Told::Unknown(format!("{command}: {reason}\n"));
                     break;
                 }
-                Effect::Refused { what, why } => {
-                    told = Told::No(format!("{what}: {why}\n"));
+                Effect::Rejected { command, reason } => {
+                    told = Told::No(format!("{command}: {reason}\n"));
                     break;
                 }
                 _ => {}
@@ -114,7 +118,7 @@
             term,
             leader,
             commit: self.node.commit(),
-            leased: self.front.leased(self.clock.now()),
+            leased: self.front.has_lease(self.clock.now()),
             members: &view.members,
             figures: &view.figures,
             doubts: &view.doubts,
@@ -165,16 +169,21 @@
     let _ = writeln!(out, "membership {}", of.figures);
     let _ = writeln!(out, "frames {:?}", of.frames);
     let (refused, desk) = (&of.refused, &of.ledger.desk);
-    let _ = writeln!(out, "refused {refused:?} commands={} unread={}", desk.refused(), of.ledger.unread);
+    let _ = writeln!(
+        out,
+        "refused {refused:?} commands={} unread={}",
+        desk.rejected_commands(),
+        of.ledger.unread
+    );
     for (subject, verdict) in of.doubts {
         let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
     }
-    for (name, _) in desk.open() {
+    for (name, _) in desk.open_requests() {
         if let Some(status) = desk.status(name) {
             out.push_str(&words(&status));
         }
     }
-    for id in desk.out() {
+    for id in desk.out_backends() {
         let _ = writeln!(out, "out {id}");
     }
     out
--- a/crates/coordination/src/core.rs
+++ b/crates/coordination/src/core.rs
@@ -10,7 +10,7 @@
 use crate::store::{Write, Wrote};
 use cluster_types::{Index, MemberId, Time};
 use consensus::{Node, Role};
-use maintenance::{FrontSide, Watch};
+use maintenance::{MemberAgent, StageTimer};
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
@@ -59,9 +59,9 @@
     /// What it comes to.
     pub ledger: Ledger,
     /// This front's own side.
-    pub front: FrontSide,
+    pub front: MemberAgent,
     /// How long boxes that come back have done well.
-    pub watch: Watch,
+    pub watch: StageTimer,
     /// What each front measured last.
     pub measured: BTreeMap<MemberId, Measured>,
     /// Calls and commands that are not in the log yet, by this front's number.
@@ -102,7 +102,7 @@
         let mut turn = Time(0);
         loop {
             let now = self.clock.now();
-            let wakes = [self.node.wake(), self.front.wake(), Some(turn + TURN)];
+            let wakes = [self.node.wake(), self.front.next_wakeup(), Some(turn + TURN)];
             let wake = wakes.into_iter().flatten().min().unwrap_or(now + TURN);
             match inbox.recv_timeout(wake.since(now).max(Duration::from_millis(1))) {
                 Ok(first) => {
@@ -135,7 +135,11 @@
             Inbox::Tell(ToAccord::Stopping) => {
                 self.leaving = true;
                 let (member, presence) = (self.settings.me.clone(), maintenance::Presence::Left);
-                self.say(now, What::Maintenance(maintenance::Command::Roster { member, presence }), None);
+                self.say(
+                    now,
+                    What::Maintenance(maintenance::Command::SetPresence { member, presence }),
+                    None,
+                );
             }
             Inbox::Reports(reports) => {
                 let frame = Frame::Reports(reports);
@@ -144,7 +148,7 @@
             Inbox::Disk(Wrote::Batch(batch)) => self.log_event(consensus::Event::Persisted { batch }),
             Inbox::Disk(Wrote::Failed(batch)) => self.log_event(consensus::Event::PersistFailed { batch }),
             Inbox::Disk(Wrote::Recovered) => self.log_event(consensus::Event::Recovered),
-            Inbox::Disk(Wrote::Kept(serial)) => self.own(now, maintenance::Event::Saved { serial }),
+            Inbox::Disk(Wrote::Kept(serial)) => self.own(now, maintenance::Event::Persisted { serial }),
         }
     }
 
@@ -172,7 +176,7 @@
     pub fn leased(&mut self, asked: Time, span: Duration) {
         let until = asked + span.min(self.settings.lease).mul_f64(1.0 - self.settings.drift);
         let now = self.clock.now();
-        self.own(now, maintenance::Event::Lease { until });
+        self.own(now, maintenance::Event::LeaseRenewed { until });
     }
 
     /// Puts an entry into the log, where this front leads.
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -2,7 +2,7 @@
 //! and no chance in here.
 use cluster_types::{Index, MemberId};
 use config_distribution::{Catalogue, Change, Order, Scope};
-use maintenance::{Command, Desk, Effect, Rules};
+use maintenance::{Command, Effect, MaintenanceState, Rules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -63,7 +63,7 @@
     /// The last entry that was applied.
     pub applied: Index,
     /// Boxes taken out for work.
-    pub desk: Desk,
+    pub desk: MaintenanceState,
     /// Entries that could not be read.
     pub unread: u64,
     /// Changes of configuration.
@@ -84,7 +84,7 @@
 impl Ledger {
     /// Before the first entry.
     pub fn new() -> Ledger {
-        Ledger { desk: Desk::new(Rules::default()), ..Ledger::default() }
+        Ledger { desk: MaintenanceState::new(Rules::default()), ..Ledger::default() }
     }
 
     /// Applies an entry. One that can't be read changes nothing, the same everywhere, and is counted.
@@ -195,7 +195,7 @@
     #[test]
     fn a_snapshot_without_a_catalogue_is_as_it_was_before_there_were_any() {
         let ledger = Ledger { applied: Index(9), unread: 2, ..Ledger::new() };
-        let before = postcard::to_stdvec(&(Index(9), Desk::new(Rules::default()), 2u64)).unwrap();
+        let before = postcard::to_stdvec(&(Index(9), MaintenanceState::new(Rules::default()), 2u64)).unwrap();
         assert_eq!(ledger.snapshot().unwrap(), before);
         assert_eq!(Ledger::restore(&before).unwrap().applied, Index(9));
     }
--- a/crates/coordination/src/mail.rs
+++ b/crates/coordination/src/mail.rs
@@ -1,7 +1,7 @@
 //! Letters between the hosts and the front. Neither waits for the other: mailboxes are bounded, and what finds one full is
 //! counted and said again by its next turn.
 use cluster_types::{BackendId, Index, MemberId, Time, Volume, Zone};
-use maintenance::Share;
+use maintenance::Quota;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -127,7 +127,7 @@
         /// The box.
         id: BackendId,
         /// How far.
-        share: Share,
+        share: Quota,
     },
 }
 
--- a/crates/coordination/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -10,7 +10,7 @@
 use crate::{links, store};
 use cluster_types::Time;
 use consensus::{Config, Node};
-use maintenance::{FrontSide, Watch};
+use maintenance::{MemberAgent, StageTimer};
 use parking_lot::Mutex;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -95,7 +95,7 @@
     let now = clock.now();
     let node = Node::new(config(&settings), stored, now, settings.seed ^ begun).map_err(|e| fault(&e))?;
     let mut orders = Vec::new();
-    let front = FrontSide::new(DRAIN, kept, now, &mut orders);
+    let front = MemberAgent::new(DRAIN, kept, now, &mut orders);
 
     let (inbox, letters) = sync_channel(INBOX);
     let (disk_to, writes) = sync_channel(WRITES);
@@ -130,7 +130,7 @@
         node,
         ledger: Ledger::new(),
         front,
-        watch: Watch::new(),
+        watch: StageTimer::new(),
         measured: BTreeMap::new(),
         waiting: BTreeMap::new(),
         ticket: begun,
--- a/crates/coordination/src/turn.rs
+++ b/crates/coordination/src/turn.rs
@@ -7,7 +7,7 @@
 use crate::mail::{ago, Measures};
 use cluster_types::{BackendId, Time};
 use consensus::Role;
-use maintenance::{BoxFact, Command, Presence, Seat, View};
+use maintenance::{BackendFacts, ClusterView, Command, MemberStanding, Presence};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -26,7 +26,10 @@
         for (id, seen) in &measures.boxes {
             let last_send = seen.last_send.map(|span| ago(now, span));
             let (id, out) = (id.clone(), seen.out);
-            self.own(now, maintenance::Event::Figures { id, out, last_send, at: now });
+            self.own(
+                now,
+                maintenance::Event::InFlight { backend: id, in_flight: out, last_send, measured_at: now },
+            );
         }
         let seen = self.ledger.applied;
         let me = self.settings.me.clone();
@@ -52,11 +55,11 @@
     /// Says that this front is there, under this start of it.
     fn present(&mut self, now: Time) {
         let (me, life) = (self.settings.me.clone(), self.start);
-        let there = self.ledger.desk.seat_of(&me) == Some(Seat::Present { life });
+        let there = self.ledger.desk.standing(&me) == Some(MemberStanding::Present { incarnation: life });
         if !there && !self.leaving && now.since(self.last[2]) >= AGAIN {
             self.last[2] = now;
-            let presence = Presence::Present { life };
-            self.forward(now, 0, What::Maintenance(Command::Roster { member: me, presence }));
+            let presence = Presence::Present { incarnation: life };
+            self.forward(now, 0, What::Maintenance(Command::SetPresence { member: me, presence }));
         }
     }
 
@@ -99,10 +102,10 @@
         }
         let me = self.settings.me.clone();
         let failing = self.failing(now);
-        self.watch.look(now, &self.ledger.desk, &failing);
+        self.watch.update(now, &self.ledger.desk, &failing);
         let mut commands = Vec::new();
-        if !self.ledger.desk.rules_are(&self.settings.rules) {
-            commands.push(Command::Rules(self.settings.rules.clone()));
+        if *self.ledger.desk.rules() != self.settings.rules {
+            commands.push(Command::SetRules(self.settings.rules.clone()));
         } else {
             let at_ms = u64::try_from(unix().as_millis()).unwrap_or(u64::MAX);
             let view = self.collected(now);
@@ -126,8 +129,8 @@
 
     /// What all fronts measured, put together. A box is listed where one front has it on its list, dead where more than half
     /// of them find it so, cold where any does.
-    fn collected(&self, now: Time) -> View {
-        let mut view = View { well_ms: self.watch.well_ms(now), ..View::default() };
+    fn collected(&self, now: Time) -> ClusterView {
+        let mut view = ClusterView { healthy_ms: self.watch.healthy_ms(now), ..ClusterView::default() };
         let mut found: BTreeMap<BackendId, (usize, usize)> = BTreeMap::new();
         let mut fresh = BTreeSet::new();
         view.seen = self.ledger.applied;
@@ -138,14 +141,14 @@
             whole &= measured.measures.whole;
             most = most.max(measured.measures.reserved);
             for (id, seen) in &measured.measures.boxes {
-                let fact = view.boxes.entry(id.clone()).or_insert_with(|| BoxFact {
-                    hall: seen.hall.clone(),
-                    listed: false,
-                    died: false,
-                    cold: false,
+                let fact = view.backends.entry(id.clone()).or_insert_with(|| BackendFacts {
+                    zone: seen.hall.clone(),
+                    is_listed: false,
+                    has_failed: false,
+                    is_warming_up: false,
                 });
-                fact.listed |= seen.listed;
-                fact.cold |= seen.cold;
+                fact.is_listed |= seen.listed;
+                fact.is_warming_up |= seen.cold;
                 let (all, died) = found.entry(id.clone()).or_default();
                 *all += 1;
                 *died += usize::from(seen.died);
@@ -159,20 +162,20 @@
                 let fact = view.volumes.entry(volume.clone()).or_default();
                 fact.reserved += reserved;
                 for (id, carries) in boxes {
-                    *fact.boxes.entry(id.clone()).or_default() += carries;
+                    *fact.backends.entry(id.clone()).or_default() += carries;
                 }
             }
         }
         for (id, (all, died)) in found {
-            if let Some(fact) = view.boxes.get_mut(&id) {
-                fact.died = 2 * died > all;
+            if let Some(fact) = view.backends.get_mut(&id) {
+                fact.has_failed = 2 * died > all;
             }
         }
         // A volume is not owed more than is reserved, nor more than it asks for: what it does not use can't be missing.
         for fact in view.volumes.values_mut() {
             fact.reserved = fact.reserved.min(most);
         }
-        view.whole = whole && self.ledger.desk.present().all(|m| fresh.contains(m));
+        view.is_complete = whole && self.ledger.desk.present_members().all(|m| fresh.contains(m));
         view
     }
 }
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -7,7 +7,7 @@
 use coordination::{calls, links};
 use golden_support::entries::entries;
 use golden_support::golden;
-use maintenance::{Fate, Status, Why, Wish};
+use maintenance::{BackendOutcome, MaintenanceRequest, Rejection, RequestStatus};
 
 /// Bytes of a golden file of the state machine's entries.
 fn file(name: &str) -> Vec<u8> {
@@ -101,23 +101,24 @@
 #[test]
 fn maintenance_status_for_operators_keeps_its_text() {
     let fates = [
-        ("b-1", Fate::Waiting),
-        ("b-2", Fate::Out(Index(300))),
-        ("b-3", Fate::Back),
-        ("b-4", Fate::Missed),
-        ("b-5", Fate::Withdrawn),
-        ("b-6", Fate::Gone),
+        ("b-1", BackendOutcome::Waiting),
+        ("b-2", BackendOutcome::Granted(Index(300))),
+        ("b-3", BackendOutcome::Returned),
+        ("b-4", BackendOutcome::DeadlineMissed),
+        ("b-5", BackendOutcome::Withdrawn),
+        ("b-6", BackendOutcome::Unlisted),
     ];
-    let wish = Wish {
-        number: Index(5),
-        boxes: fates.map(|(id, fate)| (id.into(), fate)).into(),
+    let request = MaintenanceRequest {
+        index: Index(5),
+        backends: fates.map(|(id, fate)| (id.into(), fate)).into(),
         work_ms: 1,
-        by_ms: None,
-        together: false,
+        deadline_ms: None,
+        all_at_once: false,
     };
     let members = [golden_support::member(1), golden_support::member(2)].into();
-    let waits_for = [(Index(300), members)].into();
-    let status = Status { name: "w-1".into(), wish, waits_for, why: Some(Why::NoFronts) };
+    let undrained_members = [(Index(300), members)].into();
+    let waiting_reason = Some(Rejection::NoMemberPresent);
+    let status = RequestStatus { name: "w-1".into(), request, undrained_members, waiting_reason };
     let golden = std::fs::read_to_string(golden("maintenance_status.txt")).unwrap_or_default();
     assert_eq!(calls::words(&status), golden);
 }
--- a/crates/coordination/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -78,7 +78,7 @@
 }
 
 fn check_content(content: &Content) {
-    let kept: maintenance::Kept = postcard::from_bytes(content.kept.as_deref().unwrap()).unwrap();
+    let kept: maintenance::PersistedOrders = postcard::from_bytes(content.kept.as_deref().unwrap()).unwrap();
     assert_eq!(kept, golden_support::kept());
     let stored = store::stored(content).unwrap();
     assert_eq!((stored.life, &stored.hard, stored.snapshot), (LIFE, &hard(4), Some(snapshot())));
--- a/crates/coordination/tests/golden_support/mod.rs
+++ b/crates/coordination/tests/golden_support/mod.rs
@@ -3,7 +3,7 @@
 pub mod entries;
 
 use cluster_types::{Index, MemberId};
-use maintenance::{Action, Event, FrontSide, Kept, Order};
+use maintenance::{Action, Event, MemberAgent, MemberOrder, PersistedOrders};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -14,18 +14,18 @@
 
 /// What a front keeps of two orders of the replicated state, by way of the machine that writes it.
 #[allow(dead_code, reason = "used by the tests of the store alone")]
-pub fn kept() -> Kept {
+pub fn kept() -> PersistedOrders {
     let mut actions = Vec::new();
     let now = cluster_types::Time(1_000_000);
-    let mut front = FrontSide::new(Duration::from_millis(250), None, now, &mut actions);
-    front.handle(now, Event::Lease { until: now + Duration::from_secs(9) }, &mut actions);
+    let mut front = MemberAgent::new(Duration::from_millis(250), None, now, &mut actions);
+    front.handle(now, Event::LeaseRenewed { until: now + Duration::from_secs(9) }, &mut actions);
     let orders = [
-        ("b-1".into(), Order::Drain { grant: Index(300), heard: false }),
-        ("b-2".into(), Order::Part { number: Index(301), part: 250, heard: true }),
+        ("b-1".into(), MemberOrder::Drain { grant: Index(300), is_reported: false }),
+        ("b-2".into(), MemberOrder::Ramp { step: Index(301), permille: 250, is_reported: true }),
     ];
     front.handle(now, Event::Orders { index: Index(302), orders: orders.into() }, &mut actions);
     let kept = actions.into_iter().filter_map(|action| match action {
-        Action::Keep { kept, .. } => Some(kept),
+        Action::Persist { orders, .. } => Some(orders),
         _ => None,
     });
     kept.last().expect("it keeps what it was ordered")
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -9,7 +9,7 @@
 use cluster_types::{BackendId, MemberId, Volume, Zone};
 use coordination::{Fellow, Handle, Measures, Seen, Settings, ToAccord, ToFront};
 use futures_lite::future;
-use maintenance::{Rules, Share};
+use maintenance::{Quota, Rules};
 use scheduler::interface::{Micros, NodeId, NodeState};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -34,9 +34,9 @@
     let stage = ms(section.out.stage_s).max(1);
     // Stages of a quarter, a half and all of the cold budget; the last lasts until the box is warm.
     let rules = Rules {
-        out: section.out.most,
-        out_hall: section.out.per_hall,
-        out_volume: section.out.per_volume,
+        max_out: section.out.most,
+        max_out_per_zone: section.out.per_hall,
+        max_out_per_volume: section.out.per_volume,
         stages: vec![250, 500, 1000],
         stage_ms: stage,
         ..Rules::default()
@@ -91,9 +91,9 @@
         let (id, out, why) = match letter {
             ToFront::Drain { id, grant } => (id, true, format!("grant={}", grant.map_or(0, |g| g.0))),
             // Without a part the box stays drained at this front; others begin.
-            ToFront::Undrain { id, share: Share::Part(0) } => (id, true, "part=0".into()),
-            ToFront::Undrain { id, share: Share::Part(part) } => (id, false, format!("part={part}")),
-            ToFront::Undrain { id, share: Share::Whole } => (id, false, "part=whole".into()),
+            ToFront::Undrain { id, share: Quota::Permille(0) } => (id, true, "part=0".into()),
+            ToFront::Undrain { id, share: Quota::Permille(part) } => (id, false, format!("part={part}")),
+            ToFront::Undrain { id, share: Quota::Full } => (id, false, "part=whole".into()),
         };
         crate::log::line(format_args!("settled box={id} out={out} {why}"));
         boxes.settle(&id.0, out).await;
--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -1,192 +1,170 @@
-//! What stands in the log, and what applying it brings about.
-use crate::facts::{BoxFact, VolumeFact};
+//! Commands of the replicated log.
+use crate::facts::{BackendFacts, VolumeFacts};
+use crate::limits;
+use crate::quota::Quotas;
 use crate::rules::Rules;
-use crate::status::Status;
-use crate::why::Why;
-use cluster_types::{BackendId, Index, MemberId};
+use cluster_types::{BackendId, Index, MemberId, Volume};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
-/// Whether a front serves, by its own word.
+/// Whether a member serves, by its own report. Stored and sent: the variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Presence {
-    /// It serves. A new life says that it was started again, and that what it reported before no longer holds.
+    /// It serves. A new incarnation means that it has restarted and that its earlier reports no longer hold.
     Present {
-        /// The start of the process.
-        life: u64,
+        /// The start of the member's process.
+        incarnation: u64,
     },
-    /// It has left by its own word and sends nothing any more.
+    /// It has left the cluster and sends nothing to backends any more.
     Left,
 }
 
-/// A command of the log.
+/// A command of the log. Stored and sent: the variants and their fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// The operators' rules.
-    Rules(Rules),
-    /// An operator wishes these boxes out.
-    Wish {
-        /// By this name it is withdrawn and asked for; repeated with the same content it is told how it stands.
+    /// Replaces the operators' rules.
+    SetRules(Rules),
+    /// An operator requests maintenance.
+    Request {
+        /// Identifies the request. Repeated with the same content, the command reports the request's status.
         name: String,
-        /// The boxes.
-        boxes: BTreeSet<BackendId>,
-        /// How long each may be out.
+        /// The backends to take out of service.
+        backends: BTreeSet<BackendId>,
+        /// How long each may be out of service, in milliseconds.
         work_ms: u64,
-        /// The Unix time after which nothing of it is begun.
-        by_ms: Option<u64>,
-        /// All at once, or none.
-        together: bool,
+        /// The Unix time in milliseconds after which nothing of it is granted.
+        deadline_ms: Option<u64>,
+        /// Whether the backends are granted all at once or not at all.
+        all_at_once: bool,
     },
-    /// Takes a wish back: what waits is dropped, what only drains comes back, what is open stays out until it is put back.
+    /// Withdraws a request: waiting backends are dropped, draining ones recover, and open ones stay out until returned.
     Withdraw {
-        /// The wish.
+        /// The request.
         name: String,
     },
-    /// The leader takes boxes of a wish out. Its position in the log is the grant's number.
+    /// The leader takes a batch out of service. The command's log index identifies the grant.
     Grant {
-        /// The wish.
+        /// The request.
         name: String,
-        /// One box, or all that wait of a wish that goes together.
-        boxes: BTreeSet<BackendId>,
+        /// One backend, or all that wait of a request that is granted all at once.
+        backends: BTreeSet<BackendId>,
     },
-    /// A front has drained all boxes of a grant. Only its own word counts.
-    Drained {
+    /// A member has drained all backends of a grant. Counts only from the member itself.
+    ReportDrained {
         /// The grant.
         grant: Index,
-        /// The front.
+        /// The member.
         member: MemberId,
     },
-    /// The operator has put a box of a wish back.
-    Returned {
-        /// The wish.
+    /// The operator has finished work on one backend of a request.
+    ReturnBackend {
+        /// The request.
         name: String,
-        /// The box.
-        id: BackendId,
+        /// The backend.
+        backend: BackendId,
     },
-    /// The operator has put all of a wish back, and what still waits is dropped.
-    Done {
-        /// The wish.
+    /// The operator has finished work on all backends of a request; those that still wait are dropped.
+    Finish {
+        /// The request.
         name: String,
     },
-    /// The leader gives the fronts their parts of a returning box's cold budget.
-    Stage {
-        /// The box.
-        id: BackendId,
-        /// The number of the step that this follows; a late one does not count.
+    /// The leader assigns quotas of a recovering backend's cold budget.
+    SetStage {
+        /// The backend.
+        backend: BackendId,
+        /// The recovery step that this one follows; if another came between, the command is rejected.
         after: Index,
         /// The stage.
         stage: usize,
-        /// Parts per thousand of the cold budget; a front that is not named has none.
-        parts: BTreeMap<MemberId, u16>,
-    },
-    /// A front keeps to its part. Only its own word counts.
-    Staged {
-        /// The box.
-        id: BackendId,
-        /// The step.
-        number: Index,
-        /// The front.
+        /// The members' quotas; a member without one sends nothing.
+        quotas: Quotas,
+    },
+    /// A member keeps to its quota. Counts only from the member itself.
+    AcknowledgeStage {
+        /// The backend.
+        backend: BackendId,
+        /// The recovery step.
+        step: Index,
+        /// The member.
         member: MemberId,
     },
-    /// A returning box is warm and counts as in.
-    Warm {
-        /// The box.
-        id: BackendId,
-        /// The step that it was in.
-        number: Index,
+    /// A backend has passed its last recovery stage and is in service again.
+    CompleteRecovery {
+        /// The backend.
+        backend: BackendId,
+        /// The recovery step that it was at.
+        step: Index,
     },
-    /// What the leader has collected of the fronts' measures.
+    /// What the leader has collected of the members' measurements.
     Observe {
-        /// All of it was measured by fronts that stood there in the log, or later.
+        /// Every member whose measurements are included had applied the log up to here.
         seen: Index,
-        /// Whether, with this, all boxes and volumes are known.
-        whole: bool,
-        /// Boxes of which something has changed.
-        boxes: BTreeMap<BackendId, BoxFact>,
-        /// Volumes of which something has changed, or which were measured again; one without boxes is forgotten.
-        volumes: BTreeMap<cluster_types::Volume, VolumeFact>,
-    },
-    /// A front's own word on itself.
-    Roster {
-        /// The front.
+        /// Whether, with this command, all backends and volumes are known.
+        is_complete: bool,
+        /// Backends that have changed.
+        backends: BTreeMap<BackendId, BackendFacts>,
+        /// Volumes that have changed or were measured again; one without backends is forgotten.
+        volumes: BTreeMap<Volume, VolumeFacts>,
+    },
+    /// A member's report on its own presence.
+    SetPresence {
+        /// The member.
         member: MemberId,
-        /// What it says.
+        /// Its presence.
         presence: Presence,
     },
-    /// An operator answers for a front that is dead and did not leave: it counts as having left.
-    Excuse {
-        /// The front.
+    /// An operator confirms that a member is dead that did not leave: it counts as having left.
+    DeclareDead {
+        /// The member.
         member: MemberId,
     },
-    /// Time has passed.
+    /// Advances the log's time.
     Tick,
 }
 
-/// What a command brought about.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Effect {
-    /// How a wish stands, to whoever asked by this command.
-    Told(Status),
-    /// The command changed nothing.
-    Refused {
-        /// Which command, and of what.
-        what: String,
-        /// Why.
-        why: Why,
-    },
-    /// Boxes are to be drained by all fronts.
-    Drain {
-        /// The grant.
-        grant: Index,
-        /// The boxes.
-        boxes: BTreeSet<BackendId>,
-    },
-    /// All fronts have drained: the operator is told "open it".
-    Free {
-        /// The grant.
-        grant: Index,
-        /// The wish.
-        name: String,
-        /// The boxes.
-        boxes: BTreeSet<BackendId>,
-    },
-    /// A box comes back, by these parts of its cold budget.
-    Return {
-        /// The box.
-        id: BackendId,
-        /// The step.
-        number: Index,
-        /// The stage; none before the first.
-        stage: Option<usize>,
-    },
-    /// A box counts as in.
-    In {
-        /// The box.
-        id: BackendId,
-    },
-    /// The deadline has passed; these boxes are not taken out.
-    Missed {
-        /// The wish.
-        name: String,
-        /// The boxes.
-        boxes: BTreeSet<BackendId>,
-    },
-    /// Boxes have been open for longer than stated. They go on counting as out.
-    Overdue {
-        /// The grant.
-        grant: Index,
-        /// The wish.
-        name: String,
-        /// The boxes.
-        boxes: BTreeSet<BackendId>,
-    },
-    /// A box that waited is no longer listed and is not taken out.
-    Gone {
-        /// The wish.
-        name: String,
-        /// The box.
-        id: BackendId,
-    },
-    /// Nothing of a wish is to come any more.
-    Ended(Status),
+/// A short description of a command for the reply to whoever issued it, such as `withdraw rack-7`.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct CommandLabel {
+    kind: &'static str,
+    subject: String,
+}
+
+impl CommandLabel {
+    fn new(kind: &'static str, subject: &str) -> CommandLabel {
+        CommandLabel { kind, subject: subject.chars().take(limits::NAME_BYTES).collect() }
+    }
+
+    /// Describes a log entry that is not applied, whatever its command.
+    pub(crate) fn entry(index: Index) -> CommandLabel {
+        CommandLabel::new("entry", &index.0.to_string())
+    }
+}
+
+impl From<&Command> for CommandLabel {
+    fn from(command: &Command) -> CommandLabel {
+        match command {
+            Command::SetRules(_) => CommandLabel::new("rules", ""),
+            Command::Request { name, .. } => CommandLabel::new("wish", name),
+            Command::Withdraw { name } => CommandLabel::new("withdraw", name),
+            Command::Grant { name, .. } => CommandLabel::new("grant", name),
+            Command::ReportDrained { member, .. } => CommandLabel::new("drained", &member.0),
+            Command::ReturnBackend { name, .. } => CommandLabel::new("returned", name),
+            Command::Finish { name } => CommandLabel::new("done", name),
+            Command::SetStage { backend, .. } => CommandLabel::new("stage", &backend.0),
+            Command::AcknowledgeStage { member, .. } => CommandLabel::new("staged", &member.0),
+            Command::CompleteRecovery { backend, .. } => CommandLabel::new("warm", &backend.0),
+            Command::Observe { .. } => CommandLabel::new("observe", ""),
+            Command::SetPresence { member, .. } => CommandLabel::new("roster", &member.0),
+            Command::DeclareDead { member } => CommandLabel::new("excuse", &member.0),
+            Command::Tick => CommandLabel::new("tick", ""),
+        }
+    }
+}
+
+impl fmt::Display for CommandLabel {
+    /// The wording of the operators' interface, which its clients parse.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} {}", self.kind, self.subject)
+    }
 }
--- a/crates/maintenance/src/facts.rs
+++ b/crates/maintenance/src/facts.rs
@@ -1,135 +1,176 @@
-//! What is known of boxes and volumes: replicated, so that every front checks bounds by the same facts.
+//! What is known of backends and volumes: replicated, so that every member checks bounds by the same facts.
 use crate::limits;
 use cluster_types::{BackendId, Index, Volume, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a box.
+/// What is known of a backend. Stored and sent: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BoxFact {
-    /// Its hall.
-    pub hall: Zone,
+pub struct BackendFacts {
+    /// Its zone.
+    pub zone: Zone,
     /// Whether discovery lists it.
-    pub listed: bool,
-    /// Whether it has died by itself.
-    pub died: bool,
-    /// Whether it is cold.
-    pub cold: bool,
+    pub is_listed: bool,
+    /// Whether it has failed.
+    pub has_failed: bool,
+    /// Whether it is warming up.
+    pub is_warming_up: bool,
 }
 
-/// What is known of a volume.
+impl BackendFacts {
+    /// Whether it can serve requests, as far as it is not under maintenance.
+    pub(crate) fn is_available(&self) -> bool {
+        self.is_listed && !self.has_failed
+    }
+}
+
+/// What is known of a volume. Stored and sent: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VolumeFact {
-    /// What is reserved for it.
+pub struct VolumeFacts {
+    /// The capacity that is reserved for it.
     pub reserved: u64,
-    /// The boxes where it lies, and what each can carry for it as the fronts measured it, in the reservation's unit. Boxes
-    /// that are out stand here too as long as the volume lies there.
-    pub boxes: BTreeMap<BackendId, u64>,
+    /// The backends that store it, with the capacity that members measured for it at each, in the unit of the reservation.
+    /// Backends that are out of service are included as long as they store it.
+    pub backends: BTreeMap<BackendId, u64>,
+}
+
+/// The log entry that facts come from.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EntryPosition {
+    pub(crate) index: Index,
+    pub(crate) time_ms: u64,
 }
 
-/// A box as held.
+/// A backend and when its facts changed. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Known {
-    pub(crate) fact: BoxFact,
-    /// When it last changed. Guards against an observation that was made before.
+pub(crate) struct KnownBackend {
+    pub(crate) facts: BackendFacts,
+    /// The entry that changed the facts last. Observations made before it are ignored.
     pub(crate) changed: Index,
-    /// The log's time at which it was no longer listed.
-    pub(crate) gone_ms: Option<u64>,
-    /// The volumes that lie there.
+    /// The log time at which discovery stopped listing it.
+    pub(crate) unlisted_since_ms: Option<u64>,
+    /// The volumes that it stores.
     pub(crate) volumes: BTreeSet<Volume>,
 }
 
-/// A volume as held.
+/// A volume and when it was measured. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Measured {
-    pub(crate) fact: VolumeFact,
+pub(crate) struct MeasuredVolume {
+    pub(crate) facts: VolumeFacts,
+    /// The entry that measured it last. Observations made before it are ignored.
     pub(crate) changed: Index,
-    /// The log's time at which it was measured.
-    pub(crate) at_ms: u64,
+    /// The log time of that entry.
+    pub(crate) measured_ms: u64,
 }
 
-/// All that is known.
+/// All known facts. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Facts {
-    pub(crate) boxes: BTreeMap<BackendId, Known>,
-    pub(crate) volumes: BTreeMap<Volume, Measured>,
-    /// The log's time as of which all was known.
-    pub(crate) whole_ms: Option<u64>,
-    /// Facts that were refused at a bound.
-    pub(crate) over: u64,
+pub(crate) struct FactStore {
+    pub(crate) backends: BTreeMap<BackendId, KnownBackend>,
+    pub(crate) volumes: BTreeMap<Volume, MeasuredVolume>,
+    /// The log time at which all backends and volumes were last known.
+    pub(crate) complete_ms: Option<u64>,
+    /// Facts that were dropped at one of the limits.
+    pub(crate) dropped: u64,
 }
 
-impl Facts {
-    pub(crate) fn fact(&self, id: &BackendId) -> Option<&BoxFact> {
-        self.boxes.get(id).map(|k| &k.fact)
+impl FactStore {
+    pub(crate) fn backend(&self, backend: &BackendId) -> Option<&BackendFacts> {
+        self.backends.get(backend).map(|known| &known.facts)
+    }
+
+    pub(crate) fn is_listed(&self, backend: &BackendId) -> bool {
+        self.backend(backend).is_some_and(|facts| facts.is_listed)
+    }
+
+    pub(crate) fn has_failed(&self, backend: &BackendId) -> bool {
+        self.backend(backend).is_some_and(|facts| facts.has_failed)
     }
 
-    pub(crate) fn volumes_of(&self, id: &BackendId) -> impl Iterator<Item = (&Volume, &Measured)> {
-        let names = self.boxes.get(id).into_iter().flat_map(|k| k.volumes.iter());
-        names.filter_map(|v| self.volumes.get_key_value(v))
+    /// The volumes that a backend stores.
+    pub(crate) fn volumes_of(&self, backend: &BackendId) -> impl Iterator<Item = (&Volume, &MeasuredVolume)> {
+        let volumes = self.backends.get(backend).into_iter().flat_map(|known| known.volumes.iter());
+        volumes.filter_map(|volume| self.volumes.get_key_value(volume))
     }
 
-    /// Takes in what is known of a box. What changed after `seen` stays. Tells whether anything changed.
-    pub(crate) fn learn_box(
+    /// Records what was observed of a backend once the log was applied up to `seen`, unless it has changed after that.
+    /// Returns whether anything changed. A backend that was never listed is not recorded.
+    pub(crate) fn observe_backend(
         &mut self,
-        at: (Index, u64),
+        entry: EntryPosition,
         seen: Index,
-        id: &BackendId,
-        fact: &BoxFact,
+        backend: &BackendId,
+        facts: &BackendFacts,
     ) -> bool {
-        let full = self.boxes.len() >= limits::KNOWN;
-        let known = match self.boxes.get_mut(id) {
+        let is_full = self.backends.len() >= limits::BACKENDS;
+        let known = match self.backends.get_mut(backend) {
             Some(known) => known,
-            None if full => {
-                self.over += 1;
+            None if is_full => {
+                self.dropped += 1;
                 return false;
             }
-            None if !fact.listed => return false,
-            None => self.boxes.entry(id.clone()).or_default(),
+            None if !facts.is_listed => return false,
+            None => self.backends.entry(backend.clone()).or_default(),
         };
-        if known.changed > seen || (known.fact == *fact && known.changed != Index(0)) {
+        let is_new = known.changed == Index(0);
+        if known.changed > seen || (known.facts == *facts && !is_new) {
             return false;
         }
-        known.gone_ms = if fact.listed { None } else { known.gone_ms.or(Some(at.1)) };
-        known.fact = fact.clone();
-        known.changed = at.0;
+        known.unlisted_since_ms =
+            if facts.is_listed { None } else { known.unlisted_since_ms.or(Some(entry.time_ms)) };
+        known.facts = facts.clone();
+        known.changed = entry.index;
         true
     }
 
-    /// Takes in what is known of a volume; one without boxes is forgotten. Boxes that are not known carry nothing.
-    pub(crate) fn learn_volume(&mut self, at: (Index, u64), seen: Index, id: &Volume, fact: &VolumeFact) {
-        let held = self.volumes.get(id);
-        if held.is_some_and(|m| m.changed > seen) {
+    /// Records what was observed of a volume once the log was applied up to `seen`, unless it has changed after that. A
+    /// volume without backends is forgotten; unknown backends are left out.
+    pub(crate) fn observe_volume(
+        &mut self,
+        entry: EntryPosition,
+        seen: Index,
+        volume: &Volume,
+        facts: &VolumeFacts,
+    ) {
+        let known = self.volumes.get(volume);
+        if known.is_some_and(|known| known.changed > seen) {
             return;
         }
-        if fact.boxes.len() > limits::CARRIERS || (held.is_none() && self.volumes.len() >= limits::VOLUMES) {
-            self.over += 1;
+        let is_full = known.is_none() && self.volumes.len() >= limits::VOLUMES;
+        if is_full || facts.backends.len() > limits::BACKENDS_PER_VOLUME {
+            self.dropped += 1;
             return;
         }
-        if let Some(old) = self.volumes.remove(id) {
-            old.fact.boxes.keys().filter(|b| !fact.boxes.contains_key(*b)).for_each(|b| {
-                self.boxes.get_mut(b).map(|k| k.volumes.remove(id));
-            });
-        }
-        let mut fact = fact.clone();
-        fact.boxes.retain(|b, _| self.boxes.contains_key(b));
-        for id_of_box in fact.boxes.keys() {
-            if let Some(known) = self.boxes.get_mut(id_of_box) {
-                known.volumes.insert(id.clone());
+        self.remove_volume(volume);
+        let mut facts = facts.clone();
+        facts.backends.retain(|backend, _| self.backends.contains_key(backend));
+        for backend in facts.backends.keys() {
+            if let Some(known) = self.backends.get_mut(backend) {
+                known.volumes.insert(volume.clone());
             }
         }
-        if !fact.boxes.is_empty() {
-            self.volumes.insert(id.clone(), Measured { fact, changed: at.0, at_ms: at.1 });
+        if !facts.backends.is_empty() {
+            let measured = MeasuredVolume { facts, changed: entry.index, measured_ms: entry.time_ms };
+            self.volumes.insert(volume.clone(), measured);
+        }
+    }
+
+    fn remove_volume(&mut self, volume: &Volume) {
+        let Some(removed) = self.volumes.remove(volume) else { return };
+        for backend in removed.facts.backends.keys() {
+            if let Some(known) = self.backends.get_mut(backend) {
+                known.volumes.remove(volume);
+            }
         }
     }
 
-    /// Forgets a box altogether.
-    pub(crate) fn forget(&mut self, id: &BackendId) {
-        let Some(known) = self.boxes.remove(id) else { return };
+    /// Forgets a backend, and volumes that only it stored.
+    pub(crate) fn forget_backend(&mut self, backend: &BackendId) {
+        let Some(known) = self.backends.remove(backend) else { return };
         for name in known.volumes {
             let Some(volume) = self.volumes.get_mut(&name) else { continue };
-            volume.fact.boxes.remove(id);
-            if volume.fact.boxes.is_empty() {
+            volume.facts.backends.remove(backend);
+            if volume.facts.backends.is_empty() {
                 self.volumes.remove(&name);
             }
         }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,72 +1,56 @@
-//! Boxes taken out for work, in an order that the fronts settle.
+//! Coordinated maintenance of backends: which may be taken out of service, when, and how they return to full load.
 //!
-//! Two halves, both without I/O. [`Desk`] is the replicated state machine: all fronts apply the same log and come to the
-//! same state; the log's leader asks [`Desk::propose`] what to put into the log next, and [`Desk::apply`] checks every
-//! rule again by the replicated facts, so that a late proposal of a deposed leader breaks nothing. [`FrontSide`] is a
-//! front's own machine: it follows what the desk orders of this front, as far as its lease goes.
+//! The crate does no I/O and has two halves. [`MaintenanceState`] is a replicated state machine: every member applies the
+//! same log and arrives at the same state. The leader asks [`MaintenanceState::propose`] which commands to append next;
+//! [`MaintenanceState::apply`] checks every rule again against replicated facts, so a late proposal of a deposed leader
+//! can violate none. [`MemberAgent`] runs on each member and carries out what the state orders of that member, for as
+//! long as its lease lasts.
 //!
-//! What counts as out: a box that is granted, until it is warm again; one that died by itself; one that is cold; one that
-//! discovery no longer lists, for `gone_ms`. A grant never makes more of them than [`Rules`] state. What breaks by itself may
-//! well do so; then nothing goes out but what is dead itself, to be repaired, and of that never more at once than stated.
+//! A backend counts as out of service while it is granted or recovering, while it has failed or is warming up, and, for
+//! [`Rules::unlisted_grace_ms`], after discovery has stopped listing it. A grant never brings the number of such backends
+//! above [`Rules`]. Failures may do so; then only backends that have failed themselves are granted, for repair, and
+//! never more of them at once than the rules allow.
 //!
-//! Times in the log are the leaders' Unix times, which differ by what their clocks do. Nothing that protects a bound hangs
-//! on them: they only judge deadlines, what is overdue, how old a measure is and when a gone box is forgotten. The stages of
-//! coming back go by spans on the leader's steady clock ([`Watch`]).
+//! Times in the log are Unix times of successive leaders and differ by the error of their clocks. No bound depends on
+//! them: they decide deadlines, overdue work, the age of measurements and when an unlisted backend is forgotten. The
+//! stages of a recovery are timed on the leader's steady clock ([`StageTimer`]).
 #![deny(missing_docs)]
 
-mod back;
-mod bounds;
+mod admission;
 mod command;
-mod desk;
+mod effect;
 mod facts;
-mod front;
-mod grants;
-mod hold;
-mod propose;
+mod grant;
+pub mod limits;
+mod member_agent;
+mod order;
+mod proposal;
+mod queries;
+mod quota;
+mod recovery;
+mod rejection;
+mod request;
 mod roster;
 mod rules;
-mod share;
+mod stage_timer;
+mod state;
 mod status;
-mod watch;
-mod why;
-mod wish;
+mod transitions;
 
-pub use back::Returning;
-pub use bounds::Bound;
-pub use command::{Command, Effect, Presence};
-pub use desk::Desk;
-pub use facts::{BoxFact, VolumeFact};
-pub use front::{Action, Event, FrontSide, Kept, Order, Report, Share};
-pub use grants::Grant;
-pub use propose::View;
-pub use roster::Seat;
-pub use rules::{Fault, Rules};
-pub use share::parts;
-pub use status::Status;
-pub use watch::Watch;
-pub use why::Why;
-pub use wish::{Fate, Wish};
-
-/// The bounds of what the desk holds; what goes beyond is refused.
-pub mod limits {
-    /// Wishes that are open.
-    pub const WISHES: usize = 64;
-    /// Boxes of a wish.
-    pub const BOXES: usize = 64;
-    /// Boxes of all wishes that are open.
-    pub const WAITING: usize = 512;
-    /// Bytes of a wish's name.
-    pub const NAME: usize = 128;
-    /// Wishes that have ended and are remembered.
-    pub const HISTORY: usize = 256;
-    /// Boxes known.
-    pub const KNOWN: usize = 4096;
-    /// Volumes known.
-    pub const VOLUMES: usize = 8192;
-    /// Boxes of a volume.
-    pub const CARRIERS: usize = 256;
-    /// Fronts known.
-    pub const FRONTS: usize = 256;
-    /// Boxes or volumes in one `Observe`.
-    pub const OBSERVED: usize = 128;
-}
+pub use admission::Bound;
+pub use command::{Command, CommandLabel, Presence};
+pub use effect::Effect;
+pub use facts::{BackendFacts, VolumeFacts};
+pub use grant::Grant;
+pub use member_agent::{Action, Event, MemberAgent, PersistedOrders, Report};
+pub use order::{MemberOrder, Quota};
+pub use proposal::ClusterView;
+pub use quota::{distribute_quotas, Quotas};
+pub use recovery::Recovery;
+pub use rejection::Rejection;
+pub use request::{BackendOutcome, MaintenanceRequest};
+pub use roster::MemberStanding;
+pub use rules::{Rules, RulesError};
+pub use stage_timer::StageTimer;
+pub use state::MaintenanceState;
+pub use status::RequestStatus;
--- /dev/null
+++ b/crates/maintenance/src/member_agent/follow.rs
@@ -0,0 +1,99 @@
+//! How the agent takes up orders and follows them.
+use super::tracked::{FollowedOrder, TrackedBackend};
+use super::{Action, MemberAgent, PendingOrders};
+use crate::order::{MemberOrder, Quota};
+use cluster_types::{BackendId, Index, Time};
+use std::collections::BTreeMap;
+
+impl MemberAgent {
+    /// Keeps orders until there is a lease to follow them. Returns false for orders older than known ones.
+    pub(super) fn accept_orders(&mut self, index: Index, orders: BTreeMap<BackendId, MemberOrder>) -> bool {
+        let newest = self.pending.as_ref().map_or(self.followed, |pending| pending.index);
+        if index < newest {
+            self.stale_inputs += 1;
+            return false;
+        }
+        self.pending = Some(PendingOrders { index, orders });
+        true
+    }
+
+    /// Follows the orders that arrived last.
+    pub(super) fn follow_pending(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let Some(PendingOrders { index, orders }) = self.pending.take() else { return };
+        self.followed = index;
+        let mut has_changed = self.end_orders(&orders, actions);
+        for (backend, order) in orders {
+            has_changed |= self.follow(now, backend, order, actions);
+        }
+        if has_changed {
+            self.persist(actions);
+        }
+    }
+
+    /// Undrains the backends that have no order any more. Returns whether there were any.
+    fn end_orders(&mut self, orders: &BTreeMap<BackendId, MemberOrder>, actions: &mut Vec<Action>) -> bool {
+        let is_ended = |backend: &BackendId, tracked: &TrackedBackend| {
+            !orders.contains_key(backend) && tracked.order != FollowedOrder::Orphan
+        };
+        let ended = self.backends.iter().filter(|(backend, tracked)| is_ended(backend, tracked));
+        let ended: Vec<BackendId> = ended.map(|(backend, _)| backend.clone()).collect();
+        let has_ended = !ended.is_empty();
+        for backend in ended {
+            self.backends.remove(&backend);
+            actions.push(Action::Undrain { backend, quota: Quota::Full });
+        }
+        has_ended
+    }
+
+    /// Follows the order for one backend. Returns whether it is a new one.
+    fn follow(
+        &mut self,
+        now: Time,
+        backend: BackendId,
+        order: MemberOrder,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let (order, is_reported) = match order {
+            MemberOrder::Drain { grant, is_reported } => (FollowedOrder::Drain(grant), is_reported),
+            MemberOrder::Ramp { step, permille, is_reported } => {
+                (FollowedOrder::Ramp(step, permille), is_reported)
+            }
+        };
+        let next_serial = self.last_serial + 1;
+        let known = self.backends.get(&backend);
+        // A backend without an order counts as an orphan here: neither is ordered by the log.
+        let is_new = known.is_none_or(|tracked| tracked.order != order);
+        if is_new {
+            // The drain delay counts from now on.
+            actions.push(order.action(&backend));
+            self.backends.insert(backend.clone(), TrackedBackend::new(order, now, next_serial));
+        }
+        if let Some(tracked) = self.backends.get_mut(&backend) {
+            tracked.is_reported = is_reported;
+        }
+        is_new
+    }
+
+    /// The log was replaced: everything that is under an order is drained until an operator ends that. A recovery's quotas
+    /// of a log that no longer exists are nobody's.
+    pub(super) fn orphan_all(&mut self, actions: &mut Vec<Action>) {
+        self.followed = Index(0);
+        self.pending = None;
+        for (backend, tracked) in &mut self.backends {
+            if !tracked.order.is_drained() {
+                actions.push(FollowedOrder::Orphan.action(backend));
+            }
+            tracked.order = FollowedOrder::Orphan;
+        }
+        self.persist(actions);
+    }
+
+    pub(super) fn release_orphan(&mut self, backend: BackendId, actions: &mut Vec<Action>) {
+        let tracked = self.backends.get(&backend);
+        if tracked.is_some_and(|tracked| tracked.order == FollowedOrder::Orphan) {
+            self.backends.remove(&backend);
+            actions.push(Action::Undrain { backend, quota: Quota::Full });
+            self.persist(actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/maintenance/src/member_agent/mod.rs
@@ -0,0 +1,142 @@
+//! The agent of one member: it carries out the replicated state's orders for as long as the member's lease lasts.
+//!
+//! Without a lease the member can't know whether its orders still apply, and acts as if they had ended: what is drained
+//! stays drained, nothing new is drained and nothing returns. Once it has a lease again, it takes up what was ordered
+//! meanwhile.
+mod action;
+mod event;
+mod follow;
+mod report;
+mod tracked;
+
+pub use action::{Action, Report};
+pub use event::Event;
+pub use tracked::PersistedOrders;
+
+use crate::order::MemberOrder;
+use cluster_types::{BackendId, Index, Time};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use tracked::{FollowedOrder, TrackedBackend};
+
+/// A report that has not reached the log is made again after this time.
+const REPORT_RETRY: Duration = Duration::from_secs(1);
+
+/// Orders that have arrived and are not followed yet.
+#[derive(Clone, Debug)]
+struct PendingOrders {
+    index: Index,
+    orders: BTreeMap<BackendId, MemberOrder>,
+}
+
+/// The agent. It does no I/O: it takes in events and returns the actions that the host has to carry out.
+#[derive(Clone, Debug)]
+pub struct MemberAgent {
+    /// How long after an order the scheduler may still send to a backend.
+    drain_delay: Duration,
+    /// Where the log stood that the present orders come from.
+    followed: Index,
+    backends: BTreeMap<BackendId, TrackedBackend>,
+    pending: Option<PendingOrders>,
+    lease_end: Option<Time>,
+    /// The number of the last state that was handed out to be persisted, and of the last that has been.
+    last_serial: u64,
+    persisted_serial: u64,
+    late_sends: u64,
+    stale_inputs: u64,
+}
+
+impl MemberAgent {
+    /// An agent that goes on from the persisted orders, lease or not. `drain_delay` is how long after an order the
+    /// scheduler may still send to a backend.
+    pub fn new(
+        drain_delay: Duration,
+        persisted: Option<PersistedOrders>,
+        now: Time,
+        actions: &mut Vec<Action>,
+    ) -> MemberAgent {
+        let PersistedOrders { followed, orders } = persisted.unwrap_or_default();
+        let mut backends = BTreeMap::new();
+        for (backend, order) in orders {
+            actions.push(order.action(&backend));
+            backends.insert(backend, TrackedBackend::new(order, now, 0));
+        }
+        MemberAgent {
+            drain_delay,
+            followed,
+            backends,
+            pending: None,
+            lease_end: None,
+            last_serial: 0,
+            persisted_serial: 0,
+            late_sends: 0,
+            stale_inputs: 0,
+        }
+    }
+
+    /// Takes an event in and appends the actions that follow from it.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Tick => {}
+            Event::Orders { index, orders } => {
+                if !self.accept_orders(index, orders) {
+                    return;
+                }
+            }
+            Event::LeaseRenewed { until } => self.lease_end = self.lease_end.max(Some(until)),
+            Event::InFlight { backend, in_flight, last_send, measured_at } => {
+                self.note_in_flight(now, &backend, in_flight, last_send, measured_at, actions);
+            }
+            Event::Persisted { serial } => {
+                self.persisted_serial = self.persisted_serial.max(serial.min(self.last_serial));
+            }
+            Event::LogReplaced => self.orphan_all(actions),
+            Event::ReleaseOrphan { backend } => self.release_orphan(backend, actions),
+        }
+        if self.has_lease(now) {
+            self.follow_pending(now, actions);
+            self.report(now, actions);
+        }
+    }
+
+    /// Whether the lease lasts.
+    pub fn has_lease(&self, now: Time) -> bool {
+        self.lease_end.is_some_and(|end| now < end)
+    }
+
+    /// When the agent next needs an [`Event::Tick`].
+    pub fn next_wakeup(&self) -> Option<Time> {
+        let unreported = self.backends.values().filter(|tracked| !tracked.is_reported);
+        let wakeups = unreported.filter_map(|tracked| match (tracked.order, tracked.reported_at) {
+            (FollowedOrder::Orphan, _) => None,
+            (_, Some(reported_at)) => Some(reported_at + REPORT_RETRY),
+            (FollowedOrder::Ramp { .. }, None) => Some(tracked.ordered_at + self.drain_delay),
+            (FollowedOrder::Drain(_), None) => None,
+        });
+        wakeups.min()
+    }
+
+    /// The backends that get no new requests.
+    pub fn drained_backends(&self) -> BTreeSet<BackendId> {
+        let drained = self.backends.iter().filter(|(_, tracked)| tracked.order.is_drained());
+        drained.map(|(backend, _)| backend.clone()).collect()
+    }
+
+    /// How often something was sent to a drained backend later than the drain delay allows.
+    pub fn late_sends(&self) -> u64 {
+        self.late_sends
+    }
+
+    /// How many orders and measurements were older than known ones.
+    pub fn stale_inputs(&self) -> u64 {
+        self.stale_inputs
+    }
+
+    fn persist(&mut self, actions: &mut Vec<Action>) {
+        self.last_serial += 1;
+        let orders =
+            self.backends.iter().map(|(backend, tracked)| (backend.clone(), tracked.order)).collect();
+        let persisted = PersistedOrders { followed: self.followed, orders };
+        actions.push(Action::Persist { serial: self.last_serial, orders: persisted });
+    }
+}
--- /dev/null
+++ b/crates/maintenance/src/proposal/observations.rs
@@ -0,0 +1,134 @@
+//! Observations: where the leader's view differs from the replicated facts.
+use super::view::ClusterView;
+use crate::command::Command;
+use crate::facts::{BackendFacts, VolumeFacts};
+use crate::limits;
+use crate::state::MaintenanceState;
+use cluster_types::{BackendId, Volume};
+use std::collections::BTreeSet;
+
+/// Most `Observe` commands of one proposal; the next proposal has the rest.
+const MAX_COMMANDS: usize = 4;
+/// Capacities that differ by less than this fraction of the larger one count as equal.
+const CAPACITY_TOLERANCE_DIVISOR: u64 = 16;
+
+impl MaintenanceState {
+    /// The commands that bring the replicated facts up to the view.
+    pub(super) fn observations(&self, now_ms: u64, view: &ClusterView) -> Vec<Command> {
+        let backends = self.changed_backends(view);
+        // Backends come first: those that store a volume must be known by the time it is observed.
+        let are_backends_current = backends.is_empty();
+        let volumes = if are_backends_current { self.changed_volumes(now_ms, view) } else { Vec::new() };
+        let is_complete = view.is_complete && are_backends_current;
+        let is_refresh_due = is_complete && self.is_refresh_due(now_ms);
+        if backends.is_empty() && volumes.is_empty() && !is_refresh_due {
+            return Vec::new();
+        }
+        let count = backends.len().max(volumes.len()).div_ceil(limits::FACTS_PER_COMMAND).max(1);
+        let mut backends = backends.into_iter();
+        let mut volumes = volumes.into_iter();
+        let observe = |number: usize| Command::Observe {
+            seen: view.seen,
+            is_complete: is_complete && count <= MAX_COMMANDS && number == count,
+            backends: backends.by_ref().take(limits::FACTS_PER_COMMAND).collect(),
+            volumes: volumes.by_ref().take(limits::FACTS_PER_COMMAND).collect(),
+        };
+        (1..=count.min(MAX_COMMANDS)).map(observe).collect()
+    }
+
+    /// Whether a request waits for facts that will soon be too old, or were never complete.
+    fn is_refresh_due(&self, now_ms: u64) -> bool {
+        match self.facts.complete_ms {
+            None => true,
+            Some(at_ms) => self.is_half_aged(at_ms, now_ms) && self.has_waiting_request(),
+        }
+    }
+
+    /// Whether a measurement has reached half the age at which no grant may rest on it.
+    fn is_half_aged(&self, measured_ms: u64, now_ms: u64) -> bool {
+        measured_ms.saturating_add(self.rules.max_measurement_age_ms / 2) < now_ms
+    }
+
+    fn changed_backends(&self, view: &ClusterView) -> Vec<(BackendId, BackendFacts)> {
+        let mut changed = Vec::new();
+        let has_room = self.facts.backends.len() < limits::BACKENDS;
+        for (backend, facts) in &view.backends {
+            let differs = match self.facts.backends.get(backend) {
+                None => facts.is_listed && has_room,
+                Some(known) => known.facts != *facts && known.changed <= view.seen,
+            };
+            if differs {
+                changed.push((backend.clone(), facts.clone()));
+            }
+        }
+        if view.is_complete {
+            for (backend, known) in &self.facts.backends {
+                let is_in_view = view.backends.contains_key(backend);
+                if !is_in_view && known.facts.is_listed && known.changed <= view.seen {
+                    let facts = BackendFacts { is_listed: false, ..known.facts.clone() };
+                    changed.push((backend.clone(), facts));
+                }
+            }
+        }
+        changed
+    }
+
+    fn changed_volumes(&self, now_ms: u64, view: &ClusterView) -> Vec<(Volume, VolumeFacts)> {
+        let mut changed = Vec::new();
+        let requested = self.requested_backends();
+        for (volume, facts) in &view.volumes {
+            let is_small = facts.backends.len() <= limits::BACKENDS_PER_VOLUME;
+            if is_small && self.has_volume_changed(now_ms, volume, facts, &requested, view) {
+                changed.push((volume.clone(), facts.clone()));
+            }
+        }
+        if view.is_complete {
+            for (volume, known) in &self.facts.volumes {
+                if !view.volumes.contains_key(volume) && known.changed <= view.seen {
+                    changed.push((volume.clone(), VolumeFacts::default()));
+                }
+            }
+        }
+        changed
+    }
+
+    /// The backends of requests that wait: their volumes must be measured.
+    fn requested_backends(&self) -> BTreeSet<&BackendId> {
+        let waiting = self.requests.values().filter(|request| request.is_waiting());
+        waiting.flat_map(|request| request.backends.keys()).collect()
+    }
+
+    /// Whether a volume is worth observing: always when its backends or its reservation differ, and its measured
+    /// capacities only while a request depends on them.
+    fn has_volume_changed(
+        &self,
+        now_ms: u64,
+        volume: &Volume,
+        facts: &VolumeFacts,
+        requested: &BTreeSet<&BackendId>,
+        view: &ClusterView,
+    ) -> bool {
+        let mut facts = facts.clone();
+        facts.backends.retain(|backend, _| self.facts.backends.contains_key(backend));
+        let Some(known) = self.facts.volumes.get(volume) else {
+            return !facts.backends.is_empty() && self.facts.volumes.len() < limits::VOLUMES;
+        };
+        if known.changed > view.seen {
+            return false;
+        }
+        let has_same_backends = known.facts.backends.keys().eq(facts.backends.keys());
+        if known.facts.reserved != facts.reserved || !has_same_backends {
+            return true;
+        }
+        if !facts.backends.keys().any(|backend| requested.contains(backend)) {
+            return false;
+        }
+        let mut capacities = known.facts.backends.values().zip(facts.backends.values());
+        self.is_half_aged(known.measured_ms, now_ms)
+            || capacities.any(|(known, measured)| has_capacity_changed(*known, *measured))
+    }
+}
+
+fn has_capacity_changed(known: u64, measured: u64) -> bool {
+    known.abs_diff(measured) > known.max(measured) / CAPACITY_TOLERANCE_DIVISOR
+}
--- a/crates/maintenance/src/rules.rs
+++ b/crates/maintenance/src/rules.rs
@@ -1,78 +1,96 @@
-//! What operators state: how many boxes may be out, and how a box comes back.
+//! The operators' rules: how many backends may be out of service, and how a backend recovers.
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 
-/// The rules. They are a part of the replicated state and change by [`crate::Command::Rules`] alone, so that fronts whose
-/// files differ for a while still come to the same state. Before any are in the log nothing may go out.
+/// A whole cold budget, in the unit of [`Rules::stages`].
+const FULL_PERMILLE: u16 = 1000;
+/// Most stages of a recovery.
+const MAX_STAGES: usize = 16;
+
+/// The rules. They are part of the replicated state and change only by [`crate::Command::SetRules`], so that members whose
+/// files differ for a while still arrive at the same state. Until the log holds rules, nothing is granted.
+///
+/// Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
-    /// How many boxes may be out at once in the whole.
-    pub out: u32,
-    /// How many in a hall.
-    pub out_hall: u32,
-    /// How many of a volume's boxes.
-    pub out_volume: u32,
-    /// How old a measure may be, by the log's time, for a grant to rest on it.
-    pub fresh_ms: u64,
-    /// For how long a box that is no longer listed counts as out: discovery also drops what has died.
-    pub gone_ms: u64,
-    /// The stages of coming back: parts per thousand of the box's cold budget, growing.
+    /// How many backends may be out of service at once.
+    pub max_out: u32,
+    /// How many of one zone.
+    pub max_out_per_zone: u32,
+    /// How many of those that store one volume.
+    pub max_out_per_volume: u32,
+    /// How old a measurement may be, in log time, for a grant to rest on it.
+    pub max_measurement_age_ms: u64,
+    /// For how long a backend that is no longer listed counts as out: discovery also drops backends that have failed.
+    pub unlisted_grace_ms: u64,
+    /// The stages of a recovery, in thousandths of the backend's cold budget, increasing.
     pub stages: Vec<u16>,
-    /// How long a stage lasts without a failure before the next.
+    /// How long a stage lasts without a failure before the next one begins.
     pub stage_ms: u64,
 }
 
 impl Default for Rules {
-    /// Nothing may go out.
+    /// Nothing may be taken out of service.
     fn default() -> Rules {
         Rules {
-            out: 0,
-            out_hall: 0,
-            out_volume: 0,
-            fresh_ms: 10_000,
-            gone_ms: 600_000,
-            stages: vec![250, 500, 1000],
+            max_out: 0,
+            max_out_per_zone: 0,
+            max_out_per_volume: 0,
+            max_measurement_age_ms: 10_000,
+            unlisted_grace_ms: 600_000,
+            stages: vec![250, 500, FULL_PERMILLE],
             stage_ms: 10_000,
         }
     }
 }
 
-/// What is wrong with rules.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
-    /// The key.
-    pub key: String,
-    /// Why.
-    pub reason: String,
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.key, self.reason)
-    }
+/// Why rules were rejected. The messages begin with the key of the setting at fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RulesError {
+    /// [`Rules::max_out_per_zone`] is above [`Rules::max_out`].
+    #[error("out_hall: is more than out")]
+    ZoneAboveTotal,
+    /// [`Rules::max_out_per_volume`] is above [`Rules::max_out`].
+    #[error("out_volume: is more than out")]
+    VolumeAboveTotal,
+    /// [`Rules::max_measurement_age_ms`] is 0.
+    #[error("fresh_ms: must be above 0: no measure would ever be fresh")]
+    ZeroMeasurementAge,
+    /// There are no [`Rules::stages`], or too many.
+    #[error("stages: must be 1 to 16 stages")]
+    StageCount,
+    /// [`Rules::stages`] do not increase, or begin at 0.
+    #[error("stages: must grow")]
+    StagesNotIncreasing,
+    /// The last of [`Rules::stages`] is above a whole cold budget.
+    #[error("stages: are parts per thousand")]
+    StageAboveBudget,
 }
 
 impl Rules {
-    /// Whether they make sense; the first fault otherwise.
-    pub fn check(&self) -> Result<(), Fault> {
-        let fault = |key: &str, reason: &str| Err(Fault { key: key.into(), reason: reason.into() });
-        if self.out_hall > self.out {
-            return fault("out_hall", "is more than out");
+    /// Checks that the rules are consistent.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first inconsistency.
+    pub fn check(&self) -> Result<(), RulesError> {
+        if self.max_out_per_zone > self.max_out {
+            return Err(RulesError::ZoneAboveTotal);
         }
-        if self.out_volume > self.out {
-            return fault("out_volume", "is more than out");
+        if self.max_out_per_volume > self.max_out {
+            return Err(RulesError::VolumeAboveTotal);
         }
-        if self.fresh_ms == 0 {
-            return fault("fresh_ms", "must be above 0: no measure would ever be fresh");
+        if self.max_measurement_age_ms == 0 {
+            return Err(RulesError::ZeroMeasurementAge);
         }
-        if self.stages.is_empty() || self.stages.len() > 16 {
-            return fault("stages", "must be 1 to 16 stages");
+        if self.stages.is_empty() || self.stages.len() > MAX_STAGES {
+            return Err(RulesError::StageCount);
         }
-        if self.stages[0] == 0 || self.stages.windows(2).any(|w| w[0] >= w[1]) {
-            return fault("stages", "must grow");
+        if self.stages[0] == 0 || self.stages.windows(2).any(|pair| pair[0] >= pair[1]) {
+            return Err(RulesError::StagesNotIncreasing);
         }
-        if self.last_share() > 1000 {
-            return fault("stages", "are parts per thousand");
+        if self.last_stage_permille() > FULL_PERMILLE {
+            return Err(RulesError::StageAboveBudget);
         }
         Ok(())
     }
@@ -82,12 +100,12 @@
         self.stages.len().saturating_sub(1)
     }
 
-    /// What a stage gives of the cold budget.
-    pub(crate) fn share(&self, stage: usize) -> u16 {
-        self.stages.get(stage).copied().unwrap_or_else(|| self.last_share())
+    /// What a stage allows of the cold budget; stages beyond the last allow as much as the last.
+    pub(crate) fn stage_permille(&self, stage: usize) -> u16 {
+        self.stages.get(stage).copied().unwrap_or_else(|| self.last_stage_permille())
     }
 
-    fn last_share(&self) -> u16 {
+    fn last_stage_permille(&self) -> u16 {
         self.stages.last().copied().unwrap_or(0)
     }
 }
--- /dev/null
+++ b/crates/maintenance/src/transitions/presence.rs
@@ -0,0 +1,85 @@
+//! Members join and leave, by their own reports or an operator's.
+use crate::command::Presence;
+use crate::effect::Effect;
+use crate::limits;
+use crate::rejection::Rejection;
+use crate::roster::MemberStanding;
+use crate::state::{MaintenanceState, Placement};
+use cluster_types::MemberId;
+
+impl MaintenanceState {
+    pub(super) fn set_presence(
+        &mut self,
+        issuer: &MemberId,
+        member: &MemberId,
+        presence: Presence,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Rejection> {
+        if issuer != member {
+            return Err(Rejection::NotOwnReport);
+        }
+        match presence {
+            Presence::Present { incarnation } => self.join(member, incarnation),
+            Presence::Left => {
+                let incarnation = self.standing(member).ok_or(Rejection::Unknown)?.incarnation();
+                self.remove_member(member, MemberStanding::Left { incarnation }, effects);
+                Ok(())
+            }
+        }
+    }
+
+    fn join(&mut self, member: &MemberId, incarnation: u64) -> Result<(), Rejection> {
+        let known = self.standing(member);
+        // A report of an earlier incarnation, or from before it left, comes late.
+        let is_late = match known {
+            Some(MemberStanding::Left { incarnation: left }) => incarnation <= left,
+            Some(standing) => incarnation < standing.incarnation(),
+            None => false,
+        };
+        if is_late {
+            return Err(Rejection::Superseded);
+        }
+        if known.is_none() && self.members.len() >= limits::MEMBERS {
+            self.forget_absent_member()?;
+        }
+        let standing = MemberStanding::Present { incarnation };
+        if known != Some(standing) {
+            // What it reported in an earlier incarnation is no longer known to hold.
+            for grant in self.grants.values_mut().filter(|grant| !grant.is_drained()) {
+                grant.drained_by.remove(member);
+            }
+        }
+        self.members.insert(member.clone(), standing);
+        Ok(())
+    }
+
+    fn forget_absent_member(&mut self) -> Result<(), Rejection> {
+        let absent = self.members.iter().find(|(_, standing)| !standing.is_present());
+        let absent = absent.map(|(member, _)| member.clone()).ok_or(Rejection::LimitReached)?;
+        self.members.remove(&absent);
+        Ok(())
+    }
+
+    pub(super) fn declare_dead(
+        &mut self,
+        member: &MemberId,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Rejection> {
+        let Some(MemberStanding::Present { incarnation }) = self.standing(member) else {
+            return Err(Rejection::MemberNotPresent);
+        };
+        self.remove_member(member, MemberStanding::DeclaredDead { incarnation }, effects);
+        Ok(())
+    }
+
+    /// Nothing waits for the member any more, and its quotas are free for others.
+    fn remove_member(&mut self, member: &MemberId, standing: MemberStanding, effects: &mut Vec<Effect>) {
+        self.members.insert(member.clone(), standing);
+        for placement in self.placements.values_mut() {
+            if let Placement::Recovering(recovery) = placement {
+                recovery.remove_member(member);
+            }
+        }
+        self.complete_drains(effects);
+    }
+}
--- /dev/null
+++ b/crates/maintenance/src/transitions/requests.rs
@@ -0,0 +1,134 @@
+//! Operators submit requests, withdraw them and report their work finished.
+use crate::effect::Effect;
+use crate::grant::Grant;
+use crate::limits;
+use crate::recovery::Recovery;
+use crate::rejection::Rejection;
+use crate::request::{BackendOutcome, MaintenanceRequest};
+use crate::state::{MaintenanceState, Placement};
+use cluster_types::{BackendId, Index};
+use std::collections::BTreeSet;
+
+impl MaintenanceState {
+    /// A request whose backends all wait, by the entry that is being applied.
+    pub(super) fn new_request(
+        &self,
+        backends: &BTreeSet<BackendId>,
+        work_ms: u64,
+        deadline_ms: Option<u64>,
+        all_at_once: bool,
+    ) -> MaintenanceRequest {
+        let backends = backends.iter().map(|backend| (backend.clone(), BackendOutcome::Waiting)).collect();
+        MaintenanceRequest { index: self.applied, backends, work_ms, deadline_ms, all_at_once }
+    }
+
+    /// Takes up a request. Under a known name it reports the status of that request, if it asks for the same.
+    pub(super) fn submit_request(
+        &mut self,
+        name: &str,
+        request: MaintenanceRequest,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Rejection> {
+        match self.request(name) {
+            Some(known) if !known.asks_for_same(&request) => return Err(Rejection::NameTaken),
+            Some(_) => {}
+            None => {
+                self.check_new_request(name, &request)?;
+                self.requests.insert(name.into(), request);
+            }
+        }
+        effects.extend(self.status(name).map(Effect::Status));
+        Ok(())
+    }
+
+    fn check_new_request(&self, name: &str, request: &MaintenanceRequest) -> Result<(), Rejection> {
+        let is_name_valid = (1..=limits::NAME_BYTES).contains(&name.len());
+        let is_size_valid = (1..=limits::BACKENDS_PER_REQUEST).contains(&request.backends.len());
+        if !is_name_valid || !is_size_valid {
+            return Err(Rejection::Malformed);
+        }
+        if self.facts.complete_ms.is_some() {
+            let unlisted = request.backends.keys().find(|backend| !self.facts.is_listed(backend));
+            if let Some(backend) = unlisted {
+                return Err(Rejection::NotListed(backend.clone()));
+            }
+        }
+        let requested: usize = self.requests.values().map(|open| open.backends.len()).sum();
+        let is_full = self.requests.len() >= limits::OPEN_REQUESTS;
+        if is_full || requested + request.backends.len() > limits::REQUESTED_BACKENDS {
+            return Err(Rejection::LimitReached);
+        }
+        Ok(())
+    }
+
+    /// Withdraws a request: what waits is dropped and what drains recovers; what is open stays out until it is returned.
+    pub(super) fn withdraw(&mut self, name: &str, effects: &mut Vec<Effect>) -> Result<(), Rejection> {
+        self.end_request(name, |grant| !grant.is_drained(), effects)
+    }
+
+    /// Ends a request: what waits is dropped and what is out of service recovers.
+    pub(super) fn finish(&mut self, name: &str, effects: &mut Vec<Effect>) -> Result<(), Rejection> {
+        self.end_request(name, |_| true, effects)
+    }
+
+    fn end_request(
+        &mut self,
+        name: &str,
+        is_returned: fn(&Grant) -> bool,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Rejection> {
+        if let Some(request) = self.requests.get_mut(name) {
+            request.end_waiting(BackendOutcome::Withdrawn);
+            for (backend, outcome) in request.backends.clone() {
+                let BackendOutcome::Granted(grant) = outcome else { continue };
+                if self.grants.get(&grant).is_none_or(is_returned) {
+                    self.return_backend(name, &backend, effects)?;
+                }
+            }
+        }
+        let status = self.status(name).ok_or(Rejection::Unknown)?;
+        effects.push(Effect::Status(status));
+        Ok(())
+    }
+
+    /// Ends the grant of a backend and begins its recovery.
+    pub(super) fn return_backend(
+        &mut self,
+        name: &str,
+        backend: &BackendId,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Rejection> {
+        let known = self.request(name).ok_or(Rejection::Unknown)?;
+        let Some(BackendOutcome::Granted(grant)) = known.backends.get(backend).copied() else {
+            return Err(Rejection::Superseded);
+        };
+        let request = self.requests.get_mut(name).ok_or(Rejection::Superseded)?;
+        request.backends.insert(backend.clone(), BackendOutcome::Returned);
+        self.remove_from_grant(grant, backend);
+        self.begin_recovery(backend, effects);
+        Ok(())
+    }
+
+    fn remove_from_grant(&mut self, index: Index, backend: &BackendId) {
+        let Some(grant) = self.grants.get_mut(&index) else { return };
+        grant.backends.remove(backend);
+        if grant.backends.is_empty() {
+            self.grants.remove(&index);
+        }
+    }
+
+    fn begin_recovery(&mut self, backend: &BackendId, effects: &mut Vec<Effect>) {
+        let step = self.applied;
+        let listed = self.facts.backends.get_mut(backend).filter(|known| known.facts.is_listed);
+        let Some(known) = listed else {
+            self.placements.remove(backend);
+            effects.push(Effect::InService { backend: backend.clone() });
+            return;
+        };
+        // Whatever was measured before, it counts as warming up until it is measured again.
+        known.facts.is_warming_up = true;
+        known.changed = step;
+        self.placements.insert(backend.clone(), Placement::Recovering(Recovery::new(step)));
+        effects.push(Effect::Recovering { backend: backend.clone(), step, stage: None });
+    }
+}
--- /dev/null
+++ b/crates/maintenance/tests/member_agent.rs
@@ -0,0 +1,169 @@
+//! The agent of one member.
+#![allow(clippy::unwrap_used, clippy::panic)]
+mod support;
+
+use cluster_types::{Index, Time};
+use maintenance::{Action, Event, MemberAgent, MemberOrder, PersistedOrders, Quota, Report};
+use std::time::Duration;
+use support::{backend, backends};
+
+const DRAIN_DELAY: Duration = Duration::from_millis(250);
+
+fn ms(at: u64) -> Time {
+    Time(at * 1000)
+}
+
+/// An agent with a disk. Times are in milliseconds; in-flight counts are those of backend `a1`.
+struct Host {
+    agent: MemberAgent,
+    disk: Option<PersistedOrders>,
+}
+
+impl Host {
+    fn start(disk: Option<PersistedOrders>) -> (Host, Vec<Action>) {
+        let mut actions = Vec::new();
+        let agent = MemberAgent::new(DRAIN_DELAY, disk, ms(0), &mut actions);
+        (Host { agent, disk: None }, actions)
+    }
+
+    /// Passes an event to the agent and persists what it asks for. Returns the other actions.
+    fn handle(&mut self, at: u64, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.agent.handle(ms(at), event, &mut actions);
+        let persist = actions.iter().position(|action| matches!(action, Action::Persist { .. }));
+        let Some(position) = persist else { return actions };
+        if let Action::Persist { serial, orders } = actions.remove(position) {
+            self.disk = Some(orders);
+            self.agent.handle(ms(at), Event::Persisted { serial }, &mut actions);
+        }
+        actions
+    }
+
+    fn orders(&mut self, at: u64, index: u64, orders: &[(&str, MemberOrder)]) -> Vec<Action> {
+        let orders = orders.iter().map(|(name, order)| (backend(name), *order)).collect();
+        self.handle(at, Event::Orders { index: Index(index), orders })
+    }
+
+    fn in_flight(&mut self, at: u64, in_flight: u32, last_send: u64) -> Vec<Action> {
+        let last_send = Some(ms(last_send));
+        self.handle(at, Event::InFlight { backend: backend("a1"), in_flight, last_send, measured_at: ms(at) })
+    }
+
+    fn renew_lease(&mut self, at: u64, until: u64) -> Vec<Action> {
+        self.handle(at, Event::LeaseRenewed { until: ms(until) })
+    }
+}
+
+fn drain(grant: u64) -> MemberOrder {
+    MemberOrder::Drain { grant: Index(grant), is_reported: false }
+}
+
+fn ramp(step: u64, permille: u16) -> MemberOrder {
+    MemberOrder::Ramp { step: Index(step), permille, is_reported: false }
+}
+
+fn drains_a1(order: u64) -> Vec<Action> {
+    vec![Action::Drain { backend: backend("a1"), order: Some(Index(order)) }]
+}
+
+fn undrains_a1(quota: Quota) -> Vec<Action> {
+    vec![Action::Undrain { backend: backend("a1"), quota }]
+}
+
+fn reports_drained(grant: u64) -> Vec<Action> {
+    vec![Action::Report(Report::Drained { grant: Index(grant) })]
+}
+
+/// The agent reports once nothing is in flight at a time at which nothing new may be sent, not before the order is
+/// persisted, and again until the log has the report. A scheduler that sends too late is told again and not reported.
+#[test]
+fn reports_drain_once_quiet_and_persisted() {
+    let (mut host, _) = Host::start(None);
+    host.renew_lease(0, 60_000);
+    assert_eq!(host.orders(1000, 5, &[("a1", drain(5))]), drains_a1(5));
+    assert!(host.in_flight(1200, 0, 900).is_empty(), "it may still send");
+    assert!(host.in_flight(1260, 1, 1240).is_empty(), "one is in flight");
+    assert!(host.in_flight(1250, 0, 900).is_empty(), "older than what is known");
+    assert_eq!(host.in_flight(1300, 0, 1251), drains_a1(5));
+    assert_eq!(host.agent.late_sends(), 1);
+    assert!(host.in_flight(1540, 0, 1251).is_empty());
+    assert_eq!(host.in_flight(1560, 0, 1251), reports_drained(5));
+    assert!(host.handle(2000, Event::Tick).is_empty());
+    assert_eq!(host.agent.next_wakeup(), Some(ms(2560)));
+    assert_eq!(host.handle(2560, Event::Tick), reports_drained(5));
+    let reported = MemberOrder::Drain { grant: Index(5), is_reported: true };
+    assert!(host.orders(2600, 6, &[("a1", reported)]).is_empty());
+    assert_eq!(host.agent.next_wakeup(), None);
+    let mut actions = Vec::new();
+    let mut unsaved = MemberAgent::new(DRAIN_DELAY, None, ms(0), &mut actions);
+    unsaved.handle(ms(0), Event::LeaseRenewed { until: ms(9000) }, &mut actions);
+    let orders = [(backend("a1"), drain(5))].into();
+    unsaved.handle(ms(0), Event::Orders { index: Index(5), orders }, &mut actions);
+    actions.clear();
+    let quiet =
+        Event::InFlight { backend: backend("a1"), in_flight: 0, last_send: None, measured_at: ms(300) };
+    unsaved.handle(ms(300), quiet, &mut actions);
+    assert!(actions.is_empty(), "not persisted yet");
+}
+
+/// Without a lease, what is drained stays so and nothing new is drained; with one again, the last orders count.
+#[test]
+fn follows_no_orders_without_lease() {
+    let (mut host, _) = Host::start(None);
+    host.renew_lease(0, 1000);
+    host.orders(500, 5, &[("a1", drain(5))]);
+    assert!(host.in_flight(1100, 0, 0).is_empty(), "no report without a lease");
+    assert!(host.orders(1200, 8, &[("b1", drain(8))]).is_empty());
+    assert_eq!(host.agent.drained_backends(), backends("a1"));
+    host.orders(1300, 9, &[("a1", ramp(9, 40)), ("b1", drain(8))]);
+    let regained = host.renew_lease(1400, 9000);
+    assert_eq!(regained[0], undrains_a1(Quota::Permille(40))[0]);
+    assert_eq!(host.agent.drained_backends(), backends("b1"));
+}
+
+/// A persisted drain holds from the first moment after a restart, without a lease, and orders from before it are ignored.
+/// One that is lost is learnt from the log.
+#[test]
+fn restores_drains_after_restart() {
+    let (mut host, _) = Host::start(None);
+    host.renew_lease(0, 1000);
+    host.orders(500, 5, &[("a1", drain(5))]);
+    let (mut restarted, first) = Host::start(host.disk);
+    assert_eq!(first, drains_a1(5));
+    restarted.renew_lease(0, 9000);
+    assert!(restarted.orders(10, 4, &[]).is_empty());
+    assert_eq!(restarted.agent.stale_inputs(), 1);
+    assert!(restarted.orders(20, 5, &[("a1", drain(5))]).is_empty());
+    assert_eq!(restarted.in_flight(300, 0, 0), reports_drained(5));
+    let (mut without_disk, first) = Host::start(None);
+    assert!(first.is_empty());
+    without_disk.renew_lease(0, 9000);
+    assert_eq!(without_disk.orders(10, 7, &[("a1", drain(5))]), drains_a1(5));
+}
+
+#[test]
+fn acknowledges_recovery_stages() {
+    let (mut host, _) = Host::start(None);
+    host.renew_lease(0, 60_000);
+    host.orders(0, 5, &[("a1", drain(5))]);
+    assert_eq!(host.orders(1000, 8, &[("a1", ramp(8, 0))]), drains_a1(8));
+    assert_eq!(host.orders(1100, 9, &[("a1", ramp(9, 75))]), undrains_a1(Quota::Permille(75)));
+    assert_eq!(host.agent.next_wakeup(), Some(ms(1350)));
+    let acknowledged = Report::StageAcknowledged { backend: backend("a1"), step: Index(9) };
+    assert_eq!(host.handle(1350, Event::Tick), [Action::Report(acknowledged)]);
+    assert_eq!(host.orders(2000, 12, &[]), undrains_a1(Quota::Full));
+}
+
+/// A log that was bootstrapped again knows nothing of the drained backends: they stay drained until an operator ends that.
+#[test]
+fn keeps_drains_of_replaced_log_until_released() {
+    let (mut host, _) = Host::start(None);
+    host.renew_lease(0, 60_000);
+    host.orders(0, 500, &[("a1", drain(500))]);
+    host.handle(10, Event::LogReplaced);
+    assert!(host.orders(20, 3, &[]).is_empty());
+    assert_eq!(host.agent.drained_backends(), backends("a1"));
+    let release = |name: &str| Event::ReleaseOrphan { backend: backend(name) };
+    assert!(host.handle(30, release("b1")).is_empty());
+    assert_eq!(host.handle(40, release("a1")), undrains_a1(Quota::Full));
+}
--- /dev/null
+++ b/crates/maintenance/tests/operator_text.rs
@@ -0,0 +1,97 @@
+//! The texts that operators read in the replies of the interface, held by `tests/golden/operator-text.txt`.
+#![allow(clippy::unwrap_used, clippy::panic)]
+mod support;
+
+use cluster_types::{Index, Volume};
+use maintenance::{BackendFacts, BackendOutcome, Bound, Command, Effect, Rejection, Rules, RulesError};
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use support::samples::{all_rules, commands, filled_state};
+use support::*;
+
+fn rules_errors() -> Vec<RulesError> {
+    let broken = [
+        Rules { max_out_per_zone: 10, ..all_rules() },
+        Rules { max_out_per_volume: 10, ..all_rules() },
+        Rules { max_measurement_age_ms: 0, ..all_rules() },
+        Rules { stages: Vec::new(), ..all_rules() },
+        Rules { stages: vec![200, 200], ..all_rules() },
+        Rules { stages: vec![200, 1001], ..all_rules() },
+    ];
+    broken.iter().map(|rules| rules.check().unwrap_err()).collect()
+}
+
+fn rejections() -> Vec<Rejection> {
+    let volume = || Volume::from("00000000000000ff");
+    let mut rejections = vec![
+        Rejection::AlreadyApplied,
+        Rejection::Superseded,
+        Rejection::Unknown,
+        Rejection::NameTaken,
+        Rejection::LimitReached,
+        Rejection::Malformed,
+        Rejection::NotListed(backend("a1")),
+        Rejection::Busy(backend("a1")),
+        Rejection::StaleMeasurements,
+        Rejection::NoMemberPresent,
+        Rejection::NotOwnReport,
+        Rejection::MemberNotPresent,
+        Rejection::BoundExceeded(Bound::Total),
+        Rejection::BoundExceeded(Bound::Zone("hall-a".into())),
+        Rejection::BoundExceeded(Bound::Volume(volume())),
+        Rejection::BoundExceeded(Bound::Reservation(volume())),
+        Rejection::QueuedBehind("rack-7".into()),
+        Rejection::StageExceeded,
+        Rejection::NotRecovered,
+    ];
+    rejections.extend(rules_errors().into_iter().map(Rejection::InvalidRules));
+    rejections
+}
+
+/// Each way in which a command is rejected, as `command: reason`.
+fn rejected_commands(harness: &mut Harness) -> Vec<String> {
+    let mut commands = commands();
+    let too_many = (0..200).map(|n| (backend(&n.to_string()), BackendFacts::default())).collect();
+    let observe =
+        Command::Observe { seen: Index(1), is_complete: false, backends: too_many, volumes: BTreeMap::new() };
+    commands.extend([
+        ("long", withdraw(&"n".repeat(200))),
+        ("rules", Command::SetRules(Rules { max_measurement_age_ms: 0, ..all_rules() })),
+        ("observe", observe),
+    ]);
+    let mut effects: Vec<Effect> =
+        commands.iter().flat_map(|(_, command)| harness.run("op", command)).collect();
+    effects.extend(harness.state.apply(Index(5), 0, &member("op"), &Command::Tick));
+    let lines = effects.iter().filter_map(|effect| match effect {
+        Effect::Rejected { command, reason } => Some(format!("{command}: {reason}")),
+        _ => None,
+    });
+    lines.collect()
+}
+
+#[test]
+fn operator_text_keeps_its_wording() {
+    let mut text = String::new();
+    for rejection in rejections() {
+        writeln!(text, "{rejection}").unwrap();
+    }
+    let outcomes = [
+        BackendOutcome::Waiting,
+        BackendOutcome::Granted(Index(77)),
+        BackendOutcome::Returned,
+        BackendOutcome::DeadlineMissed,
+        BackendOutcome::Withdrawn,
+        BackendOutcome::Unlisted,
+    ];
+    for outcome in outcomes {
+        writeln!(text, "{outcome}").unwrap();
+    }
+    let mut harness = filled_state();
+    for name in ["first", "mixed", "timed", "partly", "past", "listed"] {
+        writeln!(text, "{}", harness.state.status(name).unwrap()).unwrap();
+    }
+    for line in rejected_commands(&mut harness) {
+        writeln!(text, "{line}").unwrap();
+    }
+    assert_eq!(text, include_str!("golden/operator-text.txt"));
+}
--- /dev/null
+++ b/crates/maintenance/tests/simulation/member.rs
@@ -0,0 +1,225 @@
+//! A simulated member: its copy of the state, its agent, and a scheduler that sends to backends. Times are in milliseconds.
+use super::support::*;
+use cluster_types::{BackendId, Index, MemberId, Time};
+use maintenance::{
+    Action, Command, Event, MaintenanceState, MemberAgent, PersistedOrders, Presence, Report, StageTimer,
+};
+use rand::rngs::SmallRng;
+use rand::Rng;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// How long after an order the scheduler may still send to a backend.
+pub const DRAIN_DELAY_MS: u64 = 250;
+/// The members' Unix times at the beginning, give or take their offsets.
+const START_UNIX_MS: i64 = 1_000_000;
+
+/// An entry of the log.
+#[derive(Clone)]
+pub struct LogEntry {
+    pub index: Index,
+    pub time_ms: u64,
+    pub issuer: MemberId,
+    pub command: Command,
+}
+
+/// Orders on their way to the disk.
+struct PendingWrite {
+    due: u64,
+    serial: u64,
+    orders: PersistedOrders,
+}
+
+/// A request that is in flight at a backend.
+struct InFlight {
+    backend: BackendId,
+    ends: u64,
+}
+
+pub struct Member {
+    pub name: MemberId,
+    pub incarnation: u64,
+    pub is_running: bool,
+    pub stalled_until: u64,
+    pub group: u8,
+    /// How far its Unix time is off.
+    pub clock_offset: i64,
+    /// The origin of its steady clock, in microseconds.
+    origin: u64,
+    pub state: MaintenanceState,
+    pub stage_timer: StageTimer,
+    agent: Option<MemberAgent>,
+    disk: Option<PersistedOrders>,
+    writes: Vec<PendingWrite>,
+    /// From when on the scheduler sends nothing new to a backend.
+    send_stops: BTreeMap<BackendId, u64>,
+    /// When the agent first ordered that.
+    drain_orders: BTreeMap<BackendId, u64>,
+    last_sends: BTreeMap<BackendId, u64>,
+    in_flight: Vec<InFlight>,
+    /// Commands that it wants in the log.
+    pub outbox: Vec<Command>,
+}
+
+impl Member {
+    pub fn new(number: u64, rng: &mut SmallRng, state: &MaintenanceState) -> Member {
+        let mut member = Member {
+            name: member(&format!("f{number}")),
+            incarnation: 0,
+            is_running: false,
+            stalled_until: 0,
+            group: 0,
+            clock_offset: rng.random_range(-300_000..300_000),
+            origin: rng.random_range(0..1 << 40),
+            state: state.clone(),
+            stage_timer: StageTimer::new(),
+            agent: None,
+            disk: None,
+            writes: Vec::new(),
+            send_stops: BTreeMap::new(),
+            drain_orders: BTreeMap::new(),
+            last_sends: BTreeMap::new(),
+            in_flight: Vec::new(),
+            outbox: Vec::new(),
+        };
+        member.start(0, rng);
+        member
+    }
+
+    pub fn steady_time(&self, now: u64) -> Time {
+        Time(self.origin + now * 1000)
+    }
+
+    pub fn unix_ms(&self, now: u64) -> u64 {
+        (now as i64 + START_UNIX_MS + self.clock_offset).max(0) as u64
+    }
+
+    pub fn is_active(&self, now: u64) -> bool {
+        self.is_running && now >= self.stalled_until
+    }
+
+    /// Stops the process. What was not written to the disk is lost.
+    pub fn crash(&mut self) {
+        self.is_running = false;
+        self.agent = None;
+        self.send_stops.clear();
+        self.drain_orders.clear();
+        self.last_sends.clear();
+        self.in_flight.clear();
+        self.writes.clear();
+        self.outbox.clear();
+    }
+
+    pub fn start(&mut self, now: u64, rng: &mut SmallRng) {
+        let mut actions = Vec::new();
+        self.is_running = true;
+        self.incarnation += 1;
+        self.stage_timer = StageTimer::new();
+        let drain_delay = Duration::from_millis(DRAIN_DELAY_MS);
+        let agent = MemberAgent::new(drain_delay, self.disk.clone(), self.steady_time(now), &mut actions);
+        self.agent = Some(agent);
+        self.carry_out(now, actions, rng);
+        // What was persisted holds from the first moment on.
+        self.send_stops.values_mut().for_each(|at| *at = now);
+        let presence = Presence::Present { incarnation: self.incarnation };
+        self.outbox.push(Command::SetPresence { member: self.name.clone(), presence });
+    }
+
+    pub fn handle(&mut self, now: u64, event: Event, rng: &mut SmallRng) {
+        let (steady_time, mut actions) = (self.steady_time(now), Vec::new());
+        if let Some(agent) = &mut self.agent {
+            agent.handle(steady_time, event, &mut actions);
+        }
+        self.carry_out(now, actions, rng);
+    }
+
+    fn carry_out(&mut self, now: u64, actions: Vec<Action>, rng: &mut SmallRng) {
+        for action in actions {
+            match action {
+                Action::Drain { backend, .. } => {
+                    self.drain_orders.entry(backend.clone()).or_insert(now);
+                    let stop = now + rng.random_range(0..DRAIN_DELAY_MS);
+                    self.send_stops.entry(backend).and_modify(|at| *at = (*at).min(stop)).or_insert(stop);
+                }
+                Action::Undrain { backend, .. } => {
+                    self.send_stops.remove(&backend);
+                    self.drain_orders.remove(&backend);
+                }
+                Action::Persist { serial, orders } => {
+                    self.writes.push(PendingWrite { due: now + rng.random_range(0..60), serial, orders });
+                }
+                Action::Report(Report::Drained { grant }) => {
+                    self.outbox.push(Command::ReportDrained { grant, member: self.name.clone() });
+                }
+                Action::Report(Report::StageAcknowledged { backend, step }) => {
+                    let member = self.name.clone();
+                    self.outbox.push(Command::AcknowledgeStage { backend, step, member });
+                }
+            }
+        }
+    }
+
+    /// Whether nothing is sent to a backend any more, and nothing is in flight there.
+    pub fn is_quiet(&self, now: u64, backend: &BackendId) -> bool {
+        let has_stopped = self.send_stops.get(backend).is_some_and(|at| *at <= now);
+        let is_in_flight = self.in_flight.iter().any(|request| request.backend == *backend);
+        !self.is_running || (has_stopped && !is_in_flight)
+    }
+
+    /// A turn of the process: disk, scheduler, measurements and orders. Returns the backends to which it has sent.
+    pub fn turn(&mut self, now: u64, backends: &[BackendId], rng: &mut SmallRng) -> Vec<BackendId> {
+        self.complete_writes(now, rng);
+        self.in_flight.retain(|request| request.ends > now);
+        let sent = self.send_requests(now, backends, rng);
+        if rng.random_bool(0.1) {
+            self.measure(now, backends, rng);
+        }
+        self.handle(now, Event::Tick, rng);
+        sent
+    }
+
+    fn complete_writes(&mut self, now: u64, rng: &mut SmallRng) {
+        for write in std::mem::take(&mut self.writes) {
+            if write.due <= now {
+                self.disk = Some(write.orders);
+                self.handle(now, Event::Persisted { serial: write.serial }, rng);
+            } else {
+                self.writes.push(write);
+            }
+        }
+    }
+
+    fn send_requests(&mut self, now: u64, backends: &[BackendId], rng: &mut SmallRng) -> Vec<BackendId> {
+        let mut sent = Vec::new();
+        for backend in backends {
+            let may_send = self.send_stops.get(backend).is_none_or(|at| now < *at);
+            if may_send && rng.random_bool(0.2) {
+                let ordered = self.drain_orders.get(backend);
+                assert!(ordered.is_none_or(|at| now <= at + DRAIN_DELAY_MS), "later than the drain delay");
+                let ends = now + rng.random_range(0..400);
+                self.in_flight.push(InFlight { backend: backend.clone(), ends });
+                self.last_sends.insert(backend.clone(), now);
+                sent.push(backend.clone());
+            }
+        }
+        sent
+    }
+
+    fn measure(&mut self, now: u64, backends: &[BackendId], rng: &mut SmallRng) {
+        for backend in backends {
+            let in_flight =
+                self.in_flight.iter().filter(|request| request.backend == *backend).count() as u32;
+            let last_send = self.last_sends.get(backend).map(|at| self.steady_time(*at));
+            let measured_at = self.steady_time(now);
+            let event = Event::InFlight { backend: backend.clone(), in_flight, last_send, measured_at };
+            self.handle(now, event, rng);
+        }
+    }
+
+    /// Applies an entry of the log and follows the orders that result.
+    pub fn apply(&mut self, now: u64, entry: &LogEntry, rng: &mut SmallRng) {
+        self.state.apply(entry.index, entry.time_ms, &entry.issuer, &entry.command);
+        let orders = self.state.orders(&self.name);
+        self.handle(now, Event::Orders { index: entry.index, orders }, rng);
+    }
+}
