--- a/crates/maintenance/src/admission/mod.rs
+++ b/crates/maintenance/src/admission/mod.rs
@@ -91,7 +91,7 @@
 
 /// The batches that wait for backends to return, the longest-waiting first. One that could not be granted even after all
 /// that return in time have done so (a backend has failed, its volume has too little capacity) is left out and holds back
-/// nobody.
+/// no other.
 fn queue<'a>(state: &'a MaintenanceState, all: &OutBackends) -> Vec<QueuedBatch<'a>> {
     let mut queue = Vec::new();
     for (name, request) in state.open_requests() {
--- a/crates/maintenance/src/admission/out_backends.rs
+++ b/crates/maintenance/src/admission/out_backends.rs
@@ -10,7 +10,7 @@
 pub(super) enum OutReason {
     /// It is granted, recovering or warming up: it returns in time.
     Temporary,
-    /// It has failed or is no longer listed: nobody knows when it returns.
+    /// It has failed or is no longer listed: it is unknown when it returns.
     Failed,
 }
 
--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -123,7 +123,7 @@
     Tick,
 }
 
-/// A short description of a command for the reply to whoever issued it, such as `withdraw rack-7`.
+/// A short description of a command for the reply to its issuer, such as `withdraw rack-7`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandLabel {
     kind: &'static str,
--- a/crates/maintenance/src/effect.rs
+++ b/crates/maintenance/src/effect.rs
@@ -8,7 +8,7 @@
 /// A consequence of a command, for the host to report or log. The orders for members are read from the state instead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The status of a request, for whoever issued the command.
+    /// The status of a request, for the issuer of the command.
     Status(RequestStatus),
     /// The command changed nothing.
     Rejected {
--- a/crates/maintenance/src/grant.rs
+++ b/crates/maintenance/src/grant.rs
@@ -12,7 +12,7 @@
     pub backends: BTreeSet<BackendId>,
     /// The members that have drained them in their present incarnation.
     pub drained_by: BTreeSet<MemberId>,
-    /// The log time in milliseconds at which all members had drained and the operator was told to open the backends.
+    /// The log time in milliseconds at which all members had drained and the operator was asked to open the backends.
     pub drained_ms: Option<u64>,
     /// How long the backends may be open, in milliseconds.
     pub work_ms: u64,
--- a/crates/maintenance/src/member_agent/event.rs
+++ b/crates/maintenance/src/member_agent/event.rs
@@ -36,7 +36,7 @@
         /// The serial of the action.
         serial: u64,
     },
-    /// The log was bootstrapped again and its indices begin anew. What was drained stays so.
+    /// The log was bootstrapped again and its indices begin again. What was drained stays so.
     LogReplaced,
     /// An operator ends a drain that the present log knows nothing of.
     ReleaseOrphan {
--- a/crates/maintenance/src/member_agent/follow.rs
+++ b/crates/maintenance/src/member_agent/follow.rs
@@ -74,8 +74,8 @@
         is_new
     }
 
-    /// The log was replaced: everything that is under an order is drained until an operator ends that. A recovery's quotas
-    /// of a log that no longer exists are nobody's.
+    /// The log was replaced: everything that is under an order is drained until an operator ends that. The quotas
+    /// of a log that no longer exists are void.
     pub(super) fn orphan_all(&mut self, actions: &mut Vec<Action>) {
         self.followed = Index(0);
         self.pending = None;
--- a/crates/maintenance/src/member_agent/report.rs
+++ b/crates/maintenance/src/member_agent/report.rs
@@ -30,7 +30,7 @@
         }
         tracked.measured_at = Some(measured_at);
         if last_send.is_some_and(|sent| sent > tracked.ordered_at + self.drain_delay) {
-            // The scheduler has sent too late: it is told again, and nothing is reported before it complies.
+            // The scheduler has sent too late: it is notified again, and nothing is reported before it complies.
             self.late_sends += 1;
             tracked.ordered_at = now;
             actions.push(tracked.order.action(backend));
--- a/crates/maintenance/src/member_agent/tracked.rs
+++ b/crates/maintenance/src/member_agent/tracked.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct TrackedBackend {
     pub(super) order: FollowedOrder,
-    /// When the scheduler was told.
+    /// When the scheduler was notified.
     pub(super) ordered_at: Time,
     /// As of when the requests in flight are known.
     pub(super) measured_at: Option<Time>,
--- a/crates/maintenance/tests/admission.rs
+++ b/crates/maintenance/tests/admission.rs
@@ -33,7 +33,7 @@
 #[case::waits_for_older_batch(rules(3, 2, 3), "", "b1", &["b2 b3 +", "a1 a3 +"], "")]
 #[case::passes_older_batch(rules(3, 2, 3), "", "b1", &["b2 b3 +", "a3"], "a3")]
 #[case::waits_for_older_in_zone(rules(2, 2, 2), "", "", &["a1", "b1 b3 +", "b2"], "a1")]
-// A batch that can't be granted because of a failed backend holds back nobody.
+// A batch that can't be granted because of a failed backend holds back no other.
 #[case::passes_older_that_waits_for_failed(rules(2, 1, 2), "b3", "", &["b1", "a1"], "a1")]
 #[case::passes_older_that_is_never_granted(rules(2, 1, 2), "", "", &["a1 a2 +", "a3"], "a3")]
 #[case::waits_for_older_of_same_backend(rules(2, 2, 2), "", "", &["a1", "a1 b3 +", "b3"], "a1")]
@@ -55,7 +55,7 @@
         let command = if names.ends_with('+') { all_at_once(single) } else { single };
         harness.run("f1", &command);
     }
-    harness.lead();
+    harness.run_leader();
     assert!(harness.are_granted(granted), "{:?} and not {granted}", harness.granted());
 }
 
@@ -91,7 +91,7 @@
 fn ignores_observation_from_before_change() {
     let mut harness = Harness::new(rules(1, 1, 1), view(BACKENDS, &[]), "f1");
     harness.run("f1", &request("w", "a1"));
-    harness.lead();
+    harness.run_leader();
     harness.drain();
     let seen = harness.state.applied();
     harness.run("f1", &finish("w"));
@@ -121,13 +121,13 @@
 fn counts_granted_backend_among_those_of_its_volume() {
     let mut harness = Harness::new(rules(3, 3, 1), view(BACKENDS, &[("v", 100, "a1 b1 c1")]), "f1");
     harness.run("f1", &request("w", "a1 b1"));
-    harness.lead();
+    harness.run_leader();
     assert!(harness.are_granted("a1"));
     for volume in harness.view.volumes.values_mut() {
         volume.backends.insert(backend("a1"), 0);
     }
     harness.now_ms += 9000;
-    harness.lead();
+    harness.run_leader();
     assert!(harness.are_granted("a1"));
     let status = harness.state.status("w").unwrap();
     assert_eq!(status.waiting_reason, Some(Rejection::BoundExceeded(Bound::Volume("v".into()))));
--- a/crates/maintenance/tests/invariants.rs
+++ b/crates/maintenance/tests/invariants.rs
@@ -149,7 +149,7 @@
         all_at_once: true,
     };
     empty.run("f1", &command);
-    empty.lead();
+    empty.run_leader();
     empty.granted().len() == backends.len()
 }
 
@@ -165,7 +165,7 @@
     }
     for number in 0..rng.random_range(1..5) {
         harness.run("f1", &request(&format!("before{number}"), pick(&mut rng, &BACKENDS)));
-        harness.lead();
+        harness.run_leader();
     }
     let open = harness.state.open_requests();
     let before: Vec<String> = open.iter().map(|(name, _)| name.to_string()).collect();
@@ -189,7 +189,7 @@
                 all_at_once: rng.random_bool(0.3),
             };
             harness.run("f1", &younger);
-            harness.lead();
+            harness.run_leader();
             younger_count += 1;
         }
         if is_older_granted(&harness) {
--- a/crates/maintenance/tests/member_agent.rs
+++ b/crates/maintenance/tests/member_agent.rs
@@ -75,7 +75,7 @@
 }
 
 /// The agent reports once nothing is in flight at a time at which nothing new may be sent, not before the order is
-/// persisted, and again until the log has the report. A scheduler that sends too late is told again and not reported.
+/// persisted, and again until the log has the report. A scheduler that sends too late is notified again and not reported.
 #[test]
 fn reports_drain_once_quiet_and_persisted() {
     let (mut host, _) = Host::start(None);
--- a/crates/maintenance/tests/recovery.rs
+++ b/crates/maintenance/tests/recovery.rs
@@ -31,12 +31,12 @@
 fn recovering() -> Harness {
     let mut harness = Harness::new(rules(1, 1, 1), view("a1 b1", &[]), "f1 f2 f3");
     harness.run("f1", &request("w", "a1"));
-    harness.lead();
+    harness.run_leader();
     harness.drain();
     let traffic = [("f1", 700), ("f2", 200), ("f3", 100)].map(|(name, units)| (member(name), units));
     harness.view.traffic.insert(backend("a1"), traffic.into());
     harness.run("f1", &finish("w"));
-    harness.lead();
+    harness.run_leader();
     harness
 }
 
@@ -67,14 +67,14 @@
     );
     harness.view.backends.get_mut(&backend("a1")).unwrap().is_warming_up = true;
     harness.view.healthy_ms.insert(backend("a1"), STAGE_MS);
-    harness.lead();
+    harness.run_leader();
     assert_eq!((recovery(&harness).stage(), recovery(&harness).max_in_use()), (Some(1), 1000));
     harness.view.backends.get_mut(&backend("a1")).unwrap().is_warming_up = false;
     harness.view.healthy_ms.insert(backend("a1"), STAGE_MS - 1);
-    harness.lead();
+    harness.run_leader();
     assert_eq!(harness.state.recoveries().count(), 1);
     harness.view.healthy_ms.insert(backend("a1"), STAGE_MS);
-    harness.lead();
+    harness.run_leader();
     assert!(harness.effects.contains(&Effect::InService { backend: backend("a1") }));
     assert!(harness.state.out_backends().is_empty());
 }
@@ -111,7 +111,7 @@
     harness.run("f1", &set_presence("f1", Presence::Left));
     harness.run("f4", &set_presence("f4", present(1)));
     for _ in 0..4 {
-        harness.lead();
+        harness.run_leader();
         assert!(recovery(&harness).max_in_use() <= 300);
         ["f2", "f3", "f4"].iter().for_each(|name| acknowledge(&mut harness, name));
     }
@@ -125,15 +125,15 @@
     let mut harness = recovering();
     harness.view.healthy_ms.insert(backend("a1"), STAGE_MS);
     harness.view.backends.get_mut(&backend("a1")).unwrap().is_warming_up = true;
-    harness.lead();
+    harness.run_leader();
     assert_eq!(recovery(&harness).stage(), Some(1));
     harness.view.healthy_ms.clear();
     harness.view.backends.get_mut(&backend("a1")).unwrap().has_failed = true;
-    harness.lead();
+    harness.run_leader();
     let restarted = recovery(&harness);
     assert_eq!((restarted.stage(), restarted.max_in_use()), (None, 1000), "held quotas count until released");
     harness.view.backends.get_mut(&backend("a1")).unwrap().has_failed = false;
-    harness.lead();
+    harness.run_leader();
     assert_eq!(recovery(&harness).stage(), Some(0));
     assert!(harness.state.out_backends().contains(&backend("a1")));
     assert!(recovery(&harness).quotas().values().sum::<u16>() <= 300);
--- a/crates/maintenance/tests/scenarios.rs
+++ b/crates/maintenance/tests/scenarios.rs
@@ -41,7 +41,7 @@
     for is_declared_dead in [false, true] {
         let mut harness = harness();
         harness.run("f1", &request("w", "a1"));
-        harness.lead();
+        harness.run_leader();
         let grant = first_grant(&harness);
         report_drained(&mut harness, grant, "f2");
         report_drained(&mut harness, grant, "f3");
@@ -75,7 +75,7 @@
 fn restarted_member_has_to_report_again() {
     let mut harness = harness();
     harness.run("f1", &request("w", "a1"));
-    harness.lead();
+    harness.run_leader();
     let grant = first_grant(&harness);
     report_drained(&mut harness, grant, "f1");
     harness.run("f1", &set_presence("f1", present(2)));
@@ -94,7 +94,7 @@
     let mut harness = harness();
     let (mut minority, far) = (harness.clone(), request("far", "a2"));
     harness.run("f1", &request("near", "a1"));
-    harness.lead();
+    harness.run_leader();
     // A leader on the minority side proposes by its own state; the log receives it only after the other side's grant.
     minority.run("f3", &far);
     minority.view.seen = minority.state.applied();
@@ -117,7 +117,7 @@
 fn repeated_request_reports_status() {
     let mut harness = harness();
     let index = status(&harness.run("f1", &request("w", "a1"))).unwrap().request.index;
-    harness.lead();
+    harness.run_leader();
     let repeated = harness.run("f2", &request("w", "a1"));
     let repeated = &status(&repeated).unwrap().request;
     assert_eq!(repeated.index, index);
@@ -137,12 +137,12 @@
 fn drops_waiting_backend_that_is_unlisted() {
     let mut harness = harness();
     harness.run("f1", &request("first", "a1"));
-    harness.lead();
+    harness.run_leader();
     harness.drain();
     harness.run("f1", &request("w", "a2 c1"));
     harness.run("f1", &request("later", "a1"));
     harness.view.backends.remove(&backend("a2"));
-    harness.lead();
+    harness.run_leader();
     let unlisted = Effect::Unlisted { name: "w".into(), backend: backend("a2") };
     assert!(harness.effects.contains(&unlisted));
     assert!(harness.are_granted("a1 c1"));
@@ -150,7 +150,7 @@
     harness.recover();
     assert!(harness.are_granted("c1"), "a2 counts in its zone: {:?}", harness.granted());
     harness.now_ms += 700_000;
-    harness.lead();
+    harness.run_leader();
     assert!(harness.are_granted("a1 c1"));
     harness.run("f1", &finish("w"));
     assert_eq!(outcome(&harness, "w", "a2"), BackendOutcome::Unlisted);
@@ -165,27 +165,27 @@
     let mut harness = harness();
     harness.now_ms = 10_000_000;
     harness.run("f1", &request("first", "a1"));
-    harness.lead();
+    harness.run_leader();
     harness.run("f1", &with_deadline(request("late", "a2"), 10_200_000));
     harness.now_ms = 9_700_000;
     harness.run("f1", &Command::Tick);
-    harness.lead();
+    harness.run_leader();
     assert!(harness.are_granted("a1"));
     assert_eq!(outcome(&harness, "late", "a2"), BackendOutcome::Waiting);
     harness.drain();
     harness.now_ms = 10_300_000;
-    harness.lead();
+    harness.run_leader();
     let missed = Effect::DeadlineMissed { name: "late".into(), backends: backends("a2") };
     assert!(harness.effects.contains(&missed));
     let is_overdue = |effect: &&Effect| matches!(effect, Effect::Overdue { .. });
     assert_eq!(harness.effects.iter().filter(is_overdue).count(), 1);
     assert!(harness.are_granted("a1"), "overdue, and never returned silently");
     harness.run("f1", &finish("first"));
-    harness.lead();
+    harness.run_leader();
     let stage = |harness: &Harness| harness.state.recoveries().next().map(|(_, recovery)| recovery.stage());
     assert_eq!(stage(&harness), Some(Some(0)));
     harness.now_ms += 3_600_000;
-    harness.lead();
+    harness.run_leader();
     assert_eq!(stage(&harness), Some(Some(0)), "stages are timed on the leader's steady clock");
 }
 
@@ -195,7 +195,7 @@
     let mut harness = harness();
     harness.run("f1", &request("w", "a1 b1 c1"));
     harness.view.volumes.clear();
-    harness.lead();
+    harness.run_leader();
     harness.drain();
     assert!(harness.are_granted("a1 b1 c1"));
     let bytes = postcard::to_stdvec(&harness.state).unwrap();
@@ -207,7 +207,7 @@
         assert_eq!(restarted.state.orders(&member(name)).len(), 3);
     }
     restarted.run("f1", &request("next", "b2"));
-    restarted.lead();
+    restarted.run_leader();
     assert!(restarted.are_granted("a1 b1 c1"));
     restarted.run("f2", &return_backend("w", "b1"));
     restarted.recover();
@@ -221,7 +221,7 @@
     let mut harness = harness();
     harness.run("f1", &request("w", "a1 a2"));
     harness.run("f1", &request("x", "b1 b2"));
-    harness.lead();
+    harness.run_leader();
     harness.run("f2", &withdraw("x"));
     assert!(harness.are_granted("a1"));
     harness.drain();
--- a/crates/maintenance/tests/support/mod.rs
+++ b/crates/maintenance/tests/support/mod.rs
@@ -131,7 +131,7 @@
         for name in members.split_whitespace() {
             harness.run(name, &set_presence(name, present(1)));
         }
-        harness.lead();
+        harness.run_leader();
         harness
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Applies what the leader proposes until it proposes nothing.
-    pub fn lead(&mut self) {
+    pub fn run_leader(&mut self) {
         for _ in 0..200 {
             self.view.seen = self.state.applied();
             let commands = self.state.propose(self.now_ms, &self.view);
@@ -176,7 +176,7 @@
     /// All recovering backends pass their stages, with the acknowledgement of all members.
     pub fn recover(&mut self) {
         for _ in 0..4 {
-            self.lead();
+            self.run_leader();
             let recoveries = self.state.recoveries();
             let recoveries: Vec<_> =
                 recoveries.map(|(id, recovery)| (id.clone(), recovery.clone())).collect();
