--- a/crates/config-distribution/examples/full_size.rs
+++ b/crates/config-distribution/examples/full_size.rs
@@ -1,148 +1,179 @@
-//! The whole fleet in simulated time: 2,300 fronts, 23,000 boxes, 40 control machines, 5 regions, 12 zones. Prints a
-//! table; `SEED=N` draws another day.
+//! The largest fleet in simulated time: 2,300 gateways, 23,000 backends, 40 control machines, 5 regions, 12 zones. Prints a
+//! table; `SEED=N` draws another run.
 #[path = "../tests/sim/mod.rs"]
 mod sim;
 
 use config_distribution::{Class, Settings};
-use sim::build::Size;
-use sim::plan::Trouble;
+use sim::build::FleetSize;
+use sim::measurements::Latencies;
+use sim::schedule::Faults;
 use sim::World;
 use std::time::Duration;
 
-/// Orders of a pressed day: so many a minute.
-const ORDERS: u64 = 206;
+/// Writes of a busy day.
+const WRITES_PER_MINUTE: u64 = 206;
+/// How many of them are primaries.
+const PRIMARIES_PER_MINUTE: u64 = 6;
+/// The zone that is lost.
+const LOST_ZONE: usize = 7;
+/// What a key takes in memory beside its names and value, at a gateway and at a relay, in bytes.
+const GATEWAY_KEY_OVERHEAD: usize = 160;
+const RELAY_KEY_OVERHEAD: usize = 400;
+
+const HEADER: &str =
+    "| what | primaries applied | p50/p99/max s | configuration applied | p50/p99/max s | messages/s down | \
+     KB/s down | messages/s up | KB/s up | peak B/s of a relay | µs a change at a gateway | relay ms/s |\n\
+     |---|---|---|---|---|---|---|---|---|---|---|---|";
 
 struct Run {
     world: World,
-    size: Size,
+    size: FleetSize,
 }
 
-fn seconds(n: u64) -> Duration {
-    Duration::from_secs(n)
+fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
 impl Run {
-    /// Orders as a pressed day has them, six of each 206 a primary.
-    fn orders(&mut self, span: Duration) {
+    /// Writes of a busy day for so long.
+    fn busy(&mut self, span: Duration) {
         let until = self.world.now + span;
         while self.world.now < until {
-            self.world.wait(Duration::from_millis(60_000 / ORDERS));
-            self.world.random_order(&self.size, 6.0 / ORDERS as f64);
+            self.world.wait(Duration::from_millis(60_000 / WRITES_PER_MINUTE));
+            self.world.write_random(&self.size, PRIMARIES_PER_MINUTE as f64 / WRITES_PER_MINUTE as f64);
         }
     }
 
+    /// Lets time pass without writes, and prints a line of the table.
+    fn idle_line(&mut self, what: &str, span: Duration) {
+        self.world.wait(span);
+        self.line(what, span);
+    }
+
+    /// Lets a busy day go on, and prints a line of the table.
+    fn busy_line(&mut self, what: &str, span: Duration) {
+        self.busy(span);
+        self.line(what, span);
+    }
+
     /// A line of the table: what happened since the last one.
     fn line(&mut self, what: &str, span: Duration) {
-        let seen = self.world.seen.anew();
-        let spans = |class| {
-            let (p50, p99, most) = seen.spans(class);
-            format!("{p50:.2}/{p99:.2}/{most:.2}")
+        let measured = self.world.measurements.take();
+        let latencies = |class| {
+            let Latencies { p50_s, p99_s, max_s } = measured.latencies(class);
+            format!("{p50_s:.2}/{p99_s:.2}/{max_s:.2}")
         };
-        let per = |sum: u64| sum as f64 / span.as_secs_f64();
-        let forced = seen.primary.len() + seen.configuration.len();
-        let each = seen.front_time.as_secs_f64() * 1e6 / forced as f64;
+        let per_second = |sum: u64| sum as f64 / span.as_secs_f64();
+        let (primaries, settings) =
+            (measured.applied_count(Class::Primary), measured.applied_count(Class::Configuration));
+        let applied = primaries + settings;
+        let each_us = measured.gateway_time.as_secs_f64() * 1e6 / applied as f64;
+        let relay_ms = measured.relay_time.as_secs_f64() * 1e3 / span.as_secs_f64();
         println!(
-            "| {what} | {} | {} | {} | {} | {:.0} | {:.0} | {:.0} | {:.0} | {} | {} | {:.2} |",
-            seen.primary.len(),
-            spans(Class::Primary),
-            seen.configuration.len(),
-            spans(Class::Configuration),
-            per(seen.down),
-            per(seen.bytes_down) / 1e3,
-            per(seen.up),
-            per(seen.bytes_up) / 1e3,
-            seen.peak(),
-            if forced > 0 { format!("{each:.1}") } else { "-".into() },
-            seen.relay_time.as_secs_f64() * 1e3 / span.as_secs_f64() / self.world.machines.len() as f64,
+            "| {what} | {primaries} | {} | {settings} | {} | {:.0} | {:.0} | {:.0} | {:.0} | {} | {} | {:.2} |",
+            latencies(Class::Primary),
+            latencies(Class::Configuration),
+            per_second(measured.messages_downstream),
+            per_second(measured.bytes_downstream) / 1e3,
+            per_second(measured.messages_upstream),
+            per_second(measured.bytes_upstream) / 1e3,
+            measured.peak_bytes_per_second(),
+            if applied > 0 { format!("{each_us:.1}") } else { "-".into() },
+            relay_ms / self.world.machines.len() as f64,
         );
     }
 
-    fn memory(&self) {
-        // Of each key: the names, the value, the entry in its maps.
-        let front = self
-            .world
-            .fronts
-            .iter()
-            .map(|f| f.subscriber.held().changes().iter().map(|c| c.bytes() + 160).sum::<usize>());
-        let (front, keys) = (front.max(), self.world.fronts.iter().map(|f| f.subscriber.held().len()).max());
-        let (all, bytes) = self.world.log.catalogue.size();
+    fn print_memory(&self) {
+        let states = || self.world.gateways.iter().map(|gateway| gateway.subscriber.state());
+        let bytes = states().map(|state| {
+            state.applied_entries().iter().map(|entry| entry.bytes() + GATEWAY_KEY_OVERHEAD).sum::<usize>()
+        });
+        let size = self.world.log.catalogue.size();
         println!(
-            "\nmemory, estimated: a front {:.1} KB at most ({} keys), a relay {:.1} MB ({all} keys)",
-            front.unwrap_or_default() as f64 / 1e3,
-            keys.unwrap_or_default(),
-            (bytes + all * 400) as f64 / 1e6
+            "\nmemory, estimated: a gateway {:.1} KB at most ({} keys), a relay {:.1} MB ({} keys)",
+            bytes.max().unwrap_or_default() as f64 / 1e3,
+            states().map(|state| state.len()).max().unwrap_or_default(),
+            (size.value_bytes + size.keys * RELAY_KEY_OVERHEAD) as f64 / 1e6,
+            size.keys,
         );
     }
+
+    fn lose_machines(&mut self) {
+        self.world.kill_machine(20, false);
+        self.busy_line("a relay crashes", seconds(60));
+        self.world.start_machine(20);
+        self.world.kill_machine(30, true);
+        self.busy_line("a relay vanishes", seconds(60));
+        self.world.start_machine(30);
+        self.world.wait(seconds(20));
+        self.world.measurements.take();
+    }
+
+    fn lose_zone(&mut self) {
+        let world = &self.world;
+        let in_zone = |zones: Vec<usize>| -> Vec<usize> {
+            (0..zones.len()).filter(|number| zones[*number] == LOST_ZONE).collect()
+        };
+        let machines = in_zone(world.machines.iter().map(|machine| machine.zone).collect());
+        let gateways = in_zone(world.gateways.iter().map(|gateway| gateway.zone).collect());
+        machines.iter().for_each(|number| self.world.kill_machine(*number, true));
+        gateways.iter().for_each(|number| self.world.kill_gateway(*number));
+        self.busy_line("a zone is lost", seconds(60));
+        machines.iter().for_each(|number| self.world.start_machine(*number));
+        gateways.iter().for_each(|number| self.world.start_gateway(*number));
+        self.busy_line("the zone is back", seconds(60));
+    }
+
+    fn partition_region(&mut self) {
+        self.world.partitions.insert((1, 2));
+        self.world.partitions.insert((0, 1));
+        self.busy_line("a region partitioned from two for 3 minutes", seconds(180));
+        self.world.partitions.clear();
+        self.busy_line("healed", seconds(60));
+    }
+
+    fn restart_gateways(&mut self) {
+        for tenth in 0..10 {
+            let numbers: Vec<usize> =
+                (0..self.world.gateways.len()).filter(|number| number % 10 == tenth).collect();
+            numbers.iter().for_each(|number| self.world.kill_gateway(*number));
+            numbers.iter().for_each(|number| self.world.start_gateway(*number));
+            self.busy(seconds(10));
+        }
+        self.line("a tenth of the gateways restarted each 10 s", seconds(100));
+        self.world.kill_gateways();
+        self.world.start_gateways();
+        self.idle_line("all gateways restarted", seconds(60));
+        self.world.kill_gateways();
+        self.world.gateways.iter_mut().for_each(|gateway| gateway.persisted = None);
+        self.world.start_gateways();
+        self.idle_line("all restarted without persisted state", seconds(60));
+    }
 }
 
 fn main() {
-    let size = Size::full();
+    let size = FleetSize::full();
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
     let mut world = World::new(&size, seed, Settings::default(), None);
-    (world.checks, world.timed) = (false, true);
-    world.fill_boxes(&size);
+    world.checks_fleet = false;
+    world.is_timed = true;
+    world.fill_backends(&size);
     let mut run = Run { world, size };
-    println!("| what | primaries in force | p50/p99/most s | configuration in force | p50/p99/most s | messages/s down | KB/s down | messages/s up | KB/s up | peak B/s of a relay | µs a change at a front | relay ms/s |");
-    println!("|---|---|---|---|---|---|---|---|---|---|---|---|");
-    // The relays hold everything: so they do when all fronts restart.
-    run.world.wait(seconds(20));
-    run.line("the control machines start", seconds(20));
-    run.world.start_fronts();
-    run.world.wait(seconds(60));
-    run.line("first start of all fronts", seconds(60));
-    run.world.wait(seconds(60));
-    run.line("at rest", seconds(60));
-    run.orders(seconds(180));
-    run.line("a pressed day", seconds(180));
-    run.world.kill_machine(20, false);
-    run.orders(seconds(60));
-    run.line("a relay dies", seconds(60));
-    run.world.start_machine(20);
-    run.world.kill_machine(30, true);
-    run.orders(seconds(60));
-    run.line("a relay is gone in silence", seconds(60));
-    run.world.start_machine(30);
-    run.world.wait(seconds(20));
-    run.world.seen.anew();
-    let zone = |run: &Run| -> (Vec<usize>, Vec<usize>) {
-        let machines = (0..run.world.machines.len()).filter(|m| run.world.machines[*m].zone == 7).collect();
-        (machines, (0..run.world.fronts.len()).filter(|n| run.world.fronts[*n].zone == 7).collect())
-    };
-    let (machines, fronts) = zone(&run);
-    machines.iter().for_each(|m| run.world.kill_machine(*m, true));
-    fronts.iter().for_each(|n| run.world.kill_front(*n));
-    run.orders(seconds(60));
-    run.line("a zone is lost", seconds(60));
-    machines.iter().for_each(|m| run.world.start_machine(*m));
-    fronts.iter().for_each(|n| run.world.start_front(*n));
-    run.orders(seconds(60));
-    run.line("the zone is back", seconds(60));
-    run.world.cuts.insert((1, 2));
-    run.world.cuts.insert((0, 1));
-    run.orders(seconds(180));
-    run.line("a region cut off from two for 3 minutes", seconds(180));
-    run.world.cuts.clear();
-    run.orders(seconds(60));
-    run.line("healed", seconds(60));
-    for tenth in 0..10 {
-        let of: Vec<usize> = (0..run.world.fronts.len()).filter(|n| n % 10 == tenth).collect();
-        of.iter().for_each(|n| run.world.kill_front(*n));
-        of.iter().for_each(|n| run.world.start_front(*n));
-        run.orders(seconds(10));
-    }
-    run.line("a tenth restarted each 10 s", seconds(100));
-    for kept in [true, false] {
-        (0..run.world.fronts.len()).for_each(|n| run.world.kill_front(n));
-        if !kept {
-            (0..run.world.fronts.len()).for_each(|n| run.world.fronts[n].kept = None);
-        }
-        run.world.start_fronts();
-        run.world.wait(seconds(60));
-        run.line(if kept { "all fronts restarted" } else { "all restarted with nothing kept" }, seconds(60));
-    }
-    run.world.go_on(&run.size, seconds(1), 300, Trouble::None);
+    println!("{HEADER}");
+    // The relays hold everything, as they do when all gateways restart.
+    run.idle_line("the control machines start", seconds(20));
+    run.world.start_gateways();
+    run.idle_line("first start of all gateways", seconds(60));
+    run.idle_line("idle", seconds(60));
+    run.busy_line("a busy day", seconds(180));
+    run.lose_machines();
+    run.lose_zone();
+    run.partition_region();
+    run.restart_gateways();
+    run.world.run_with_writes(&run.size, seconds(1), 300, Faults::None);
     run.world.wait(seconds(40));
     run.world.check_end();
-    run.memory();
-    println!("keys in the log's catalogue: {}; faults: {:?}", run.world.log.story.len(), run.world.faults);
+    run.print_memory();
+    let keys = run.world.log.history.len();
+    println!("keys in the log's catalogue: {keys}; violations: {:?}", run.world.violations);
 }
--- a/crates/config-distribution/src/catalogue.rs
+++ b/crates/config-distribution/src/catalogue.rs
@@ -1,197 +1,244 @@
-//! What the log of changes comes to: of each key the newest value. Any two that have applied the same hold the same.
-mod pieces;
-
-use crate::digest::part;
-use crate::names::{Change, Class, Key, Order, Topic};
+//! The state that the configuration log produces: of each key the newest value.
+//!
+//! A catalogue is a deterministic state machine: replicas that have applied the same entries hold the same values.
+mod chunks;
+mod position;
+
+pub use chunks::Chunk;
+pub(crate) use position::LogPosition;
+
+use crate::change::{Change, Class};
+use crate::checksum::entry_checksum;
+use crate::key::{Key, Topic};
 use crate::scope::Scope;
+use crate::write_batch::WriteBatch;
 use cluster_types::Index;
-pub(crate) use pieces::Place;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// So many withdrawn keys are remembered, for those who still hold them; beyond it the oldest are forgotten.
-const WITHDRAWN: usize = 4_096;
+/// Tombstones of deleted keys that are held for subscribers that still have the keys; beyond it the oldest are dropped.
+const MAX_TOMBSTONES: usize = 4_096;
 
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug)]
 struct Entry {
     version: Index,
-    class: Option<Class>,
+    class: Class,
+    /// None for a tombstone.
     value: Option<Arc<[u8]>>,
 }
 
+impl Entry {
+    fn checksum(&self, key: &Key) -> u64 {
+        entry_checksum(key, self.version, self.value.as_deref().unwrap_or_default())
+    }
+
+    fn value_bytes(&self) -> usize {
+        self.value.as_ref().map_or(0, |value| value.len())
+    }
+}
+
 #[derive(Clone, Debug, Default)]
-struct Shelf {
-    entries: BTreeMap<Arc<str>, Entry>,
-    sum: u64,
+struct TopicEntries {
+    by_name: BTreeMap<Arc<str>, Entry>,
+    /// The checksum over all entries, tombstones included.
+    checksum: u64,
 }
 
 /// The newest value of each key.
 #[derive(Clone, Debug, Default)]
 pub struct Catalogue {
-    lineage: u64,
+    log_id: u64,
     applied: Index,
     floor: Index,
-    topics: BTreeMap<Topic, Shelf>,
-    order: BTreeSet<(Index, Key)>,
-    withdrawn: BTreeSet<(Index, Key)>,
-    bytes: usize,
+    topics: BTreeMap<Topic, TopicEntries>,
+    /// All entries in the order of the log, tombstones included.
+    by_version: BTreeSet<LogPosition>,
+    tombstones: BTreeSet<LogPosition>,
+    value_bytes: usize,
+}
+
+/// How much a catalogue holds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct CatalogueSize {
+    /// Keys that have a value.
+    pub keys: usize,
+    /// The bytes of all values.
+    pub value_bytes: usize,
 }
 
 /// What has changed since a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Since {
-    /// These changes, in the order of the log; with them everything up to `applied` is held.
+pub enum ChangesSince {
+    /// These changes, in the order of the log.
     Changes(Vec<Change>),
-    /// It can't be told any more, or is more than was asked for: a snapshot is due.
-    Snapshot,
+    /// The history does not reach back so far, or there is more than was asked for: a snapshot is needed.
+    SnapshotRequired,
 }
 
 impl Catalogue {
-    /// An empty one of a log. Logs that have nothing to do with each other have different lineages.
-    pub fn new(lineage: u64) -> Catalogue {
-        Catalogue { lineage, ..Catalogue::default() }
+    /// An empty catalogue of a log. Independent logs have different ids; 0 stands for no log.
+    pub fn new(log_id: u64) -> Catalogue {
+        Catalogue { log_id, ..Catalogue::default() }
     }
 
-    /// Which log it follows.
-    pub fn lineage(&self) -> u64 {
-        self.lineage
+    /// The log that it follows.
+    pub fn log_id(&self) -> u64 {
+        self.log_id
     }
 
-    /// Up to where the log is in it.
+    /// The last log index that is applied.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// From which version on changes can be told one by one.
+    /// The oldest version after which all changes are known one by one.
     pub fn floor(&self) -> Index {
         self.floor
     }
 
-    /// Keys that have a value, and the bytes of what is held.
-    pub fn size(&self) -> (usize, usize) {
-        (self.order.len() - self.withdrawn.len(), self.bytes)
+    /// How much it holds.
+    pub fn size(&self) -> CatalogueSize {
+        let keys = self.by_version.len() - self.tombstones.len();
+        CatalogueSize { keys, value_bytes: self.value_bytes }
     }
 
-    /// Takes in what an entry of the log orders; an entry that was taken in before changes nothing. Tells what has changed.
-    pub fn apply(&mut self, version: Index, order: &Order) -> Vec<Change> {
+    /// Applies an entry of the log and returns its changes. An entry that was applied before changes nothing.
+    pub fn apply(&mut self, version: Index, batch: &WriteBatch) -> Vec<Change> {
         if version <= self.applied {
             return vec![];
         }
-        let changes: Vec<Change> = order
+        let changes: Vec<Change> = batch
             .puts
             .iter()
             .map(|put| Change { version, class: put.class, key: put.key.clone(), value: put.value.clone() })
             .collect();
-        self.take(&changes, version);
+        self.merge(&changes, version);
         changes
     }
 
-    /// Takes in changes as another catalogue tells them, up to and with a version.
-    pub fn take(&mut self, changes: &[Change], upto: Index) {
+    /// Merges changes of another catalogue, which holds everything up to and including `up_to` with them.
+    pub fn merge(&mut self, changes: &[Change], up_to: Index) {
         changes.iter().for_each(|change| self.put(change));
-        self.applied = self.applied.max(upto);
-        while self.withdrawn.len() > WITHDRAWN {
-            let Some((version, key)) = self.withdrawn.pop_first() else { break };
-            self.floor = self.floor.max(version);
-            self.order.remove(&(version, key.clone()));
-            if let Some(shelf) = self.topics.get_mut(&key.topic) {
-                shelf.entries.remove(&key.name);
-                shelf.sum ^= part(&key, version, &[]);
-            }
-        }
+        self.advance(up_to);
+        self.drop_old_tombstones();
     }
 
-    /// Becomes what a whole snapshot of a version holds; nothing before that can be told one by one.
-    pub fn restore(&mut self, lineage: u64, changes: &[Change], upto: Index) {
-        *self = Catalogue::new(lineage);
-        self.take(changes, upto);
-        self.floor = upto;
+    /// Replaces everything by a snapshot of a version. There is no history before it.
+    pub fn restore(&mut self, log_id: u64, entries: &[Change], version: Index) {
+        *self = Catalogue::new(log_id);
+        self.merge(entries, version);
+        self.floor = version;
     }
 
-    /// The log went on without an order for the catalogue.
-    pub fn pass(&mut self, version: Index) {
+    /// The log has reached a version without a further change of the catalogue.
+    pub fn advance(&mut self, version: Index) {
         self.applied = self.applied.max(version);
     }
 
     fn put(&mut self, change: &Change) {
         let key = &change.key;
-        let shelf = self.topics.entry(key.topic.clone()).or_default();
-        let entry = shelf.entries.entry(key.name.clone()).or_default();
-        // Guards against an older value over a newer one, whatever order things come in.
-        if entry.class.is_some() && entry.version >= change.version {
+        let topic = self.topics.entry(key.topic.clone()).or_default();
+        let old = topic.by_name.get(&key.name);
+        // Guards against an older value replacing a newer one, in whatever order changes arrive.
+        if old.is_some_and(|old| old.version >= change.version) {
             return;
         }
-        if entry.class.is_some() {
-            shelf.sum ^= part(key, entry.version, entry.value.as_deref().unwrap_or_default());
-            self.bytes -= entry.value.as_ref().map_or(0, |v| v.len());
-            self.order.remove(&(entry.version, key.clone()));
-            self.withdrawn.remove(&(entry.version, key.clone()));
+        if let Some(old) = old {
+            topic.checksum ^= old.checksum(key);
+            self.value_bytes -= old.value_bytes();
+            let position = LogPosition { version: old.version, key: key.clone() };
+            self.by_version.remove(&position);
+            self.tombstones.remove(&position);
         }
         let Change { version, class, value, .. } = change.clone();
-        shelf.sum ^= part(key, version, value.as_deref().unwrap_or_default());
-        self.bytes += value.as_ref().map_or(0, |v| v.len());
-        self.order.insert((version, key.clone()));
-        if value.is_none() {
-            self.withdrawn.insert((version, key.clone()));
+        let entry = Entry { version, class, value };
+        let position = LogPosition { version, key: key.clone() };
+        topic.checksum ^= entry.checksum(key);
+        self.value_bytes += entry.value_bytes();
+        if entry.value.is_none() {
+            self.tombstones.insert(position.clone());
+        }
+        self.by_version.insert(position);
+        topic.by_name.insert(key.name.clone(), entry);
+    }
+
+    fn drop_old_tombstones(&mut self) {
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            let Some(oldest) = self.tombstones.pop_first() else { break };
+            self.floor = self.floor.max(oldest.version);
+            self.by_version.remove(&oldest);
+            let LogPosition { version, key } = oldest;
+            if let Some(topic) = self.topics.get_mut(&key.topic) {
+                topic.by_name.remove(&key.name);
+                topic.checksum ^= entry_checksum(&key, version, &[]);
+            }
         }
-        *entry = Entry { version, class: Some(class), value };
     }
 
-    /// The newest value of a key.
+    /// The newest value of a key and its version; none where it has none.
     pub fn get(&self, key: &Key) -> Option<(Index, &Arc<[u8]>)> {
-        let entry = self.topics.get(&key.topic)?.entries.get(&key.name)?;
+        let entry = self.entry(key)?;
         Some((entry.version, entry.value.as_ref()?))
     }
 
-    /// The first change in a scope after a version: its version and class.
-    pub fn next(&self, scope: &Scope, after: Index) -> Option<(Index, Class)> {
-        self.after(after).find(|(_, key)| scope.holds(&key.topic)).map(|(v, key)| (*v, self.class(key)))
+    fn entry(&self, key: &Key) -> Option<&Entry> {
+        self.topics.get(&key.topic)?.by_name.get(&key.name)
     }
 
-    fn class(&self, key: &Key) -> Class {
-        let entry = self.topics.get(&key.topic).and_then(|t| t.entries.get(&key.name));
-        entry.and_then(|e| e.class).unwrap_or(Class::Configuration)
+    /// The version of the first change in a scope after a version; none where there is none.
+    pub fn next_change(&self, scope: &Scope, after: Index) -> Option<Index> {
+        let mut later = self.positions_after(after);
+        later.find(|position| scope.contains(&position.key.topic)).map(|position| position.version)
     }
 
-    fn after(&self, version: Index) -> impl Iterator<Item = &(Index, Key)> {
-        // The least key of all begins the versions after this one.
-        let first = (Index(version.0.saturating_add(1)), Key::new(Topic::Fleet, ""));
-        self.order.range((Bound::Included(first), Bound::Unbounded))
+    fn positions_after(&self, version: Index) -> impl Iterator<Item = &LogPosition> {
+        let first = LogPosition::first_after(version);
+        self.by_version.range((Bound::Included(first), Bound::Unbounded))
     }
 
-    /// All changes in a scope since a version, at most so many bytes.
-    pub fn since(&self, scope: &Scope, from: Index, most: usize) -> Since {
+    /// All changes in a scope after a version, if they are within so many bytes.
+    pub fn changes_since(&self, scope: &Scope, from: Index, max_bytes: usize) -> ChangesSince {
         if from < self.floor {
-            return Since::Snapshot;
+            return ChangesSince::SnapshotRequired;
         }
         let (mut changes, mut bytes) = (vec![], 0);
-        for (version, key) in self.after(from).filter(|(_, key)| scope.holds(&key.topic)) {
-            let change = self.change(*version, key);
+        for position in self.positions_after(from).filter(|position| scope.contains(&position.key.topic)) {
+            let change = self.change_at(position);
             bytes += change.bytes();
-            if bytes > most {
-                return Since::Snapshot;
+            if bytes > max_bytes {
+                return ChangesSince::SnapshotRequired;
             }
             changes.push(change);
         }
-        Since::Changes(changes)
+        ChangesSince::Changes(changes)
     }
 
-    fn change(&self, version: Index, key: &Key) -> Change {
-        let entry = self.topics.get(&key.topic).and_then(|t| t.entries.get(&key.name));
-        let value = entry.and_then(|e| e.value.clone());
-        Change { version, class: self.class(key), key: key.clone(), value }
+    fn change_at(&self, position: &LogPosition) -> Change {
+        let entry = self.entry(&position.key);
+        Change {
+            version: position.version,
+            class: entry.map_or(Class::Configuration, |entry| entry.class),
+            key: position.key.clone(),
+            value: entry.and_then(|entry| entry.value.clone()),
+        }
     }
 
-    /// The sum over what a scope holds, withdrawn keys left out.
-    pub fn sum(&self, scope: &Scope) -> u64 {
-        let withdrawn = self.withdrawn.iter().filter(|(_, key)| scope.holds(&key.topic));
-        let sums: u64 = match scope {
-            Scope::Everything => self.topics.values().fold(0, |sum, shelf| sum ^ shelf.sum),
+    /// The checksum over all values in a scope, without tombstones.
+    pub fn checksum(&self, scope: &Scope) -> u64 {
+        let with_tombstones = match scope {
+            Scope::Everything => combined_checksum(self.topics.values()),
             Scope::Topics(topics) => {
-                topics.iter().filter_map(|t| self.topics.get(t)).fold(0, |sum, shelf| sum ^ shelf.sum)
+                combined_checksum(topics.iter().filter_map(|topic| self.topics.get(topic)))
             }
         };
-        withdrawn.fold(sums, |sum, (version, key)| sum ^ part(key, *version, &[]))
+        let tombstones = self.tombstones.iter().filter(|position| scope.contains(&position.key.topic));
+        tombstones.fold(with_tombstones, |sum, LogPosition { version, key }| {
+            sum ^ entry_checksum(key, *version, &[])
+        })
     }
 }
+
+fn combined_checksum<'a>(topics: impl Iterator<Item = &'a TopicEntries>) -> u64 {
+    topics.fold(0, |sum, topic| sum ^ topic.checksum)
+}
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -1,37 +1,47 @@
-//! How changes of configuration reach every front, free of I/O: events, time and randomness in, actions out.
+//! Distribution of configuration changes to every gateway, free of I/O: events, time and randomness in, actions out.
 //!
-//! A few voters hold one ordered log of [`Order`]s. What it comes to is a [`Catalogue`]: of each key the newest value, with the
-//! place in the log that it comes from. A [`Relay`] serves a catalogue to subscribers; relays without a vote follow a voter's
-//! as [`Subscriber`]s themselves, and fronts are subscribers only. What a subscriber is sent depends on nothing but its scope
-//! and the version that it holds, so nothing is queued for it: one that is slow gets later what is newest then.
+//! A few voters hold one ordered log of [`WriteBatch`]es. Applying it gives a [`Catalogue`]: of each key the newest value,
+//! with the log index that wrote it. A [`Relay`] serves a catalogue to subscribers. Relays without a vote follow a voter's
+//! as [`Subscriber`]s themselves; gateways are subscribers only. What a subscriber is sent depends on nothing but its scope
+//! and the version that it holds, so nothing is queued for it: a slow one later receives the newest values.
 //!
-//! - A message is put in force whole or not at all, and never an older value over a newer one.
-//! - A change costs a front work by its own size; memory follows the scope.
-//! - [`Class::Primary`] goes ahead at once; [`Class::Configuration`] is gathered for [`Settings::batch`].
-//! - Acknowledgements add up in [`Report`]s of bounded size: what is not in force yet, where, and why.
+//! - A message is applied completely or not at all, and an older value never replaces a newer one.
+//! - The cost of a change at a gateway depends on the size of the change, the memory on the size of the scope.
+//! - [`Class::Primary`] is sent at once; [`Class::Configuration`] is batched for [`Settings::batch_interval`].
+//! - Acknowledgements are aggregated in [`Report`]s of bounded size: what is not applied yet, where, and why.
 //!
 //! Spans are [`std::time::Duration`]s, sizes are bytes.
+
 #![deny(missing_docs)]
 
-mod admission;
 mod catalogue;
-mod digest;
+mod change;
+mod checksum;
+mod fleet_status;
+mod key;
 mod message;
-mod names;
+pub mod persisted;
+mod rejection;
 mod relay;
 mod report;
 mod scope;
 mod settings;
-pub mod stored;
 mod subscriber;
+mod token_bucket;
+mod write_batch;
 
-pub use admission::Admission;
-pub use catalogue::{Catalogue, Since};
-pub use message::{FromRelay, Refusal, ToRelay};
-pub use names::{proper, Change, Class, Fault, Key, Order, Put, Topic, NAME, ORDER, VALUE};
-pub use relay::{Cut, Relay, RelayAction, RelayEvent, RelayFigures};
-pub use report::{Fleet, Lag, Report, Where, WORST};
-pub use scope::{Scope, TOPICS};
-pub use settings::Settings;
-pub use stored::StoredFault;
-pub use subscriber::{Action, Event, Figures, Held, Subscriber};
+pub use catalogue::{Catalogue, CatalogueSize, ChangesSince, Chunk};
+pub use change::{Change, Class, MAX_VALUE_BYTES};
+pub use fleet_status::{FleetStatus, RolloutStatus};
+pub use key::{is_valid_name, Key, Topic, MAX_NAME_BYTES};
+pub use message::{RelayMessage, SubscriberMessage};
+pub use rejection::Rejection;
+pub use relay::{CloseReason, Relay, RelayAction, RelayEvent, RelayStats};
+pub use report::{GatewayRejection, Lag, Report, MAX_REPORTED_GATEWAYS};
+pub use scope::{Scope, MAX_SCOPE_TOPICS};
+pub use settings::{RateLimit, Settings};
+pub use subscriber::{
+    Subscriber, SubscriberAction, SubscriberConfig, SubscriberEvent, SubscriberState, SubscriberStats,
+};
+pub use token_bucket::TokenBucket;
+pub use write_batch::{Put, WriteBatch, WriteBatchError, MAX_BATCH_PUTS};
--- a/crates/config-distribution/src/message.rs
+++ b/crates/config-distribution/src/message.rs
@@ -1,96 +1,78 @@
-//! What subscribers and relays say to each other. Each goes in a sealed frame of its own.
-use crate::names::{Change, Key};
+//! The messages between subscribers and relays. Each is sent in a signed frame of its own.
+//!
+//! The encoding (postcard) counts variants and fields: their order is part of the protocol.
+use crate::change::Change;
+use crate::rejection::Rejection;
 use crate::report::Report;
 use crate::scope::Scope;
 use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// So much is told of why, in characters.
-pub(crate) const WHY: usize = 200;
-
-/// A value that a subscriber can't take.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
-    /// The key.
-    pub key: Key,
-    /// The version that was refused.
-    pub version: Index,
-    /// Why, in plain words: names the setting at fault.
-    pub why: String,
-}
-
-impl Refusal {
-    /// Whether it is as long as a subscriber's may be.
-    pub(crate) fn bounded(&self) -> bool {
-        self.key.bounded() && self.why.len() <= 4 * WHY
-    }
-}
-
 /// From a subscriber to its relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ToRelay {
-    /// Asks for all changes in a scope, from a version of a log on (0: from nothing).
+pub enum SubscriberMessage {
+    /// Asks for all changes in a scope after a version (0: from the beginning).
     Subscribe {
-        /// Of which log.
-        lineage: u64,
-        /// Which topics.
+        /// The log that the version belongs to.
+        log_id: u64,
+        /// The topics asked for.
         scope: Scope,
-        /// Up to where it holds everything.
+        /// The version up to which the subscriber holds everything.
         from: Index,
     },
-    /// Everything up to there was decided on: it is in force, but for what was refused.
-    Decided {
-        /// Up to where.
-        upto: Index,
-        /// What was refused and is still the newest of its key; eight at most are told.
-        refused: Vec<Refusal>,
+    /// Everything up to a version is applied, except for what is rejected.
+    Acknowledge {
+        /// The version.
+        up_to: Index,
+        /// Values that are rejected and still the newest of their keys, [`crate::MAX_REPORTED_GATEWAYS`] at most.
+        rejected: Vec<Rejection>,
     },
-    /// A piece of a snapshot has come: the next one may.
-    Next,
-    /// From relays: where the changes are in force that it handed on.
+    /// A chunk of a snapshot was received: the next one may be sent.
+    NextChunk,
+    /// From relays: the state of the gateways that they serve.
     Report(Report),
 }
 
 /// From a relay to a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum FromRelay {
-    /// It is subscribed; changes follow.
+pub enum RelayMessage {
+    /// The subscription is accepted; changes follow.
     Subscribed {
-        /// The log.
-        lineage: u64,
+        /// The log that the relay serves.
+        log_id: u64,
     },
-    /// Not now: there is more to do than the relay is allowed. Ask again later, here or elsewhere.
-    Later,
-    /// All changes since a version, up to another: to be put in force together.
+    /// The relay is at its limits: the subscriber is to try again later, at this or another relay.
+    RetryLater,
+    /// All changes from one version to another, to be applied together.
     Changes {
-        /// Since when: what the subscriber must hold.
+        /// The version that the subscriber must hold.
         from: Index,
-        /// Up to where all is held with them.
-        upto: Index,
-        /// What has changed.
+        /// The version that it holds with them.
+        up_to: Index,
+        /// The changes, in the order of the log.
         changes: Vec<Change>,
     },
-    /// A piece of all that the scope holds. What has changed since `base` follows the last one.
-    Piece {
-        /// The version as of the first piece.
+    /// A chunk of a snapshot of the scope. What has changed since `base` follows the last one.
+    SnapshotChunk {
+        /// The version as of the first chunk.
         base: Index,
-        /// Whether it is the first: what came of an earlier snapshot counts for nothing.
-        first: bool,
-        /// Whether it is the last.
-        last: bool,
-        /// What is held.
+        /// Whether it is the first chunk: chunks of an earlier snapshot are to be discarded.
+        is_first: bool,
+        /// Whether it is the last chunk.
+        is_last: bool,
+        /// Values of the scope.
         entries: Vec<Change>,
     },
-    /// Nothing more has changed in the scope up to there.
-    Alive {
-        /// Up to where.
-        upto: Index,
-        /// Now and then, the sum over all that the scope holds.
-        sum: Option<u64>,
-        /// For how long the relay itself has heard nothing of the log; none while it hears of it.
-        alone: Option<Duration>,
+    /// The relay is there, and nothing more has changed in the scope up to a version.
+    Heartbeat {
+        /// The version.
+        up_to: Index,
+        /// In some of them the checksum over all values in the scope.
+        checksum: Option<u64>,
+        /// For how long the relay itself has not heard of the log; none while it does.
+        isolated_for: Option<Duration>,
     },
-    /// To relays: where changes are in force, as all others told.
-    Fleet(Vec<Report>),
+    /// To relays: the reports of all other relays.
+    Reports(Vec<Report>),
 }
--- /dev/null
+++ b/crates/config-distribution/src/persisted.rs
@@ -0,0 +1,91 @@
+//! The form in which a subscriber's state is stored (`changes.kept.*`): the values of its scope, as of a version.
+//!
+//! A file is the magic `chgs`, the number of the form (two bytes, big endian), a [`PersistedState`] in postcard, and the
+//! XXH3 checksum over all bytes before it (eight bytes, big endian).
+use crate::change::Change;
+use crate::rejection::Rejection;
+use crate::scope::Scope;
+use cluster_types::Index;
+use serde::{Deserialize, Serialize};
+use thiserror::Error;
+use xxhash_rust::xxh3::xxh3_64;
+
+const MAGIC: &[u8; 4] = b"chgs";
+/// The number of the form that this program writes and reads.
+const FORM: u16 = 1;
+const CHECKSUM_BYTES: usize = 8;
+const OVERHEAD_BYTES: usize = MAGIC.len() + size_of::<u16>() + CHECKSUM_BYTES;
+
+/// Why a stored state can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum PersistedStateError {
+    /// It does not begin with the magic.
+    #[error("it is not a stored state of configuration changes")]
+    UnknownFile,
+    /// It has another form, perhaps a newer program's.
+    #[error("it has form {0}, this program's has {form}", form = FORM)]
+    UnsupportedForm(u16),
+    /// It is truncated or damaged.
+    #[error("it is cut off or damaged")]
+    Corrupt,
+}
+
+/// What is stored. Fields keep their order, which is all that the encoding knows of them.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PersistedState {
+    /// The log that the values come from.
+    pub log_id: u64,
+    /// The scope whose values are stored.
+    pub scope: Scope,
+    /// The version up to which everything in the scope was applied or rejected.
+    pub up_to: Index,
+    /// The greatest that `up_to` ever was.
+    pub highest: Index,
+    /// The applied values, in the order of their keys.
+    pub entries: Vec<Change>,
+    /// Values that were rejected and are the newest of their keys.
+    pub rejected: Vec<Rejection>,
+}
+
+/// Encodes a state, with header and checksum.
+pub fn encode(state: &PersistedState) -> Vec<u8> {
+    // Encoding into memory does not fail for these types: they have no map of unknown length and no custom encoding.
+    let body = postcard::to_stdvec(state).unwrap_or_default();
+    let mut bytes = Vec::with_capacity(body.len() + OVERHEAD_BYTES);
+    bytes.extend(MAGIC);
+    bytes.extend(FORM.to_be_bytes());
+    bytes.extend(&body);
+    bytes.extend(xxh3_64(&bytes).to_be_bytes());
+    bytes
+}
+
+/// Decodes a state, completely or not at all.
+///
+/// # Errors
+/// Says why the bytes can't be used: another program's, another form's, or damaged.
+pub fn decode(bytes: &[u8]) -> Result<PersistedState, PersistedStateError> {
+    let rest = match bytes.strip_prefix(MAGIC.as_slice()) {
+        Some(rest) => rest,
+        None if bytes.len() < MAGIC.len() => return Err(PersistedStateError::Corrupt),
+        None => return Err(PersistedStateError::UnknownFile),
+    };
+    let (form, rest) = rest.split_first_chunk::<2>().ok_or(PersistedStateError::Corrupt)?;
+    let form = u16::from_be_bytes(*form);
+    if form != FORM {
+        return Err(PersistedStateError::UnsupportedForm(form));
+    }
+    let (body, checksum) = rest.split_last_chunk::<CHECKSUM_BYTES>().ok_or(PersistedStateError::Corrupt)?;
+    if xxh3_64(&bytes[..bytes.len() - CHECKSUM_BYTES]) != u64::from_be_bytes(*checksum) {
+        return Err(PersistedStateError::Corrupt);
+    }
+    // What exactly postcard found wrong would help nobody: with a right checksum, another program wrote it.
+    let Ok(state) = postcard::from_bytes::<PersistedState>(body) else {
+        return Err(PersistedStateError::Corrupt);
+    };
+    let is_valid =
+        |change: &Change| change.version <= state.highest && change.value.is_some() && change.is_bounded();
+    if !state.entries.iter().all(is_valid) {
+        return Err(PersistedStateError::Corrupt);
+    }
+    Ok(state)
+}
--- a/crates/config-distribution/src/relay.rs
+++ b/crates/config-distribution/src/relay.rs
@@ -1,184 +1,193 @@
-//! One that serves a catalogue: a voter, or a relay without a vote.
+//! A relay: serves a catalogue to subscribers. Voters and relays without a vote are the same here.
 mod event;
 mod flush;
 mod reports;
+mod snapshot;
 mod subscribe;
 mod subscription;
 
-pub use event::{Cut, RelayAction, RelayEvent, RelayFigures};
+pub use event::{CloseReason, RelayAction, RelayEvent, RelayStats};
 
-use crate::admission::Admission;
 use crate::catalogue::Catalogue;
-use crate::names::{Change, Class};
-use crate::report::Fleet;
+use crate::change::{Change, Class};
+use crate::fleet_status::FleetStatus;
 use crate::settings::Settings;
+use crate::token_bucket::TokenBucket;
 use cluster_types::{Index, Time};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
-use subscription::{State, Subscription};
+use std::time::Duration;
+use subscription::{Phase, Subscription};
 
-/// The state of one that serves.
+/// How soon the relay is to be woken while chunks wait for tokens.
+const CHUNK_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The state of a relay.
 #[derive(Debug)]
 pub struct Relay {
     settings: Settings,
     name: Arc<str>,
     catalogue: Catalogue,
-    ready: bool,
-    links: BTreeMap<u64, Subscription>,
-    names: BTreeMap<Arc<str>, u64>,
-    admission: Admission,
-    /// Snapshots that wait for their next piece.
-    pieces: VecDeque<u64>,
-    fleet: Fleet,
-    reported: Time,
-    /// The number of the last report.
-    number: u64,
-    /// Since when it hears nothing of the log.
-    alone: Option<Time>,
-    figures: RelayFigures,
+    /// Whether there is a log to serve yet.
+    is_ready: bool,
+    subscriptions: BTreeMap<u64, Subscription>,
+    connections_by_name: BTreeMap<Arc<str>, u64>,
+    subscription_tokens: TokenBucket,
+    /// Connections that wait for their next chunk of a snapshot, in turn.
+    chunk_queue: VecDeque<u64>,
+    fleet_status: FleetStatus,
+    reported_at: Time,
+    report_sequence: u64,
+    isolated_since: Option<Time>,
+    stats: RelayStats,
 }
 
 impl Relay {
-    /// One that serves that catalogue; one without a vote begins to once it holds one.
+    /// A relay that serves a catalogue; where that is of no log yet (id 0), it accepts nobody until
+    /// [`Relay::catalogue_replaced`].
     pub fn new(settings: Settings, name: &str, catalogue: Catalogue, now: Time) -> Relay {
-        let (rate, most) = settings.admission;
-        let ready = catalogue.lineage() != 0;
+        let rate = settings.subscription_rate;
         Relay {
             settings,
             name: name.into(),
+            is_ready: catalogue.log_id() != 0,
             catalogue,
-            ready,
-            links: BTreeMap::new(),
-            names: BTreeMap::new(),
-            admission: Admission::new(rate, most, now),
-            pieces: VecDeque::new(),
-            fleet: Fleet::default(),
-            reported: now,
-            number: 0,
-            alone: None,
-            figures: RelayFigures::default(),
+            subscriptions: BTreeMap::new(),
+            connections_by_name: BTreeMap::new(),
+            subscription_tokens: TokenBucket::new(rate.bytes_per_second, rate.burst_bytes, now),
+            chunk_queue: VecDeque::new(),
+            fleet_status: FleetStatus::default(),
+            reported_at: now,
+            report_sequence: 0,
+            isolated_since: None,
+            stats: RelayStats::default(),
         }
     }
 
-    /// Numbers its reports from there on: above those of any earlier run, such as the microseconds of the wall clock.
-    pub fn number(&mut self, from: u64) {
-        self.number = from;
+    /// Sets the sequence number before that of the next report. It must be above those of any earlier incarnation, such as the
+    /// microseconds of the wall clock.
+    pub fn set_report_sequence(&mut self, sequence: u64) {
+        self.report_sequence = sequence;
     }
 
-    /// Since when nothing is heard of the log: [`crate::Subscriber::alone`] of its own, or what a voter knows. Subscribers are told.
-    pub fn set_alone(&mut self, since: Option<Time>) {
-        self.alone = since;
+    /// Sets since when the relay has not heard of the log: [`crate::Subscriber::isolated_since`] of its own, or what a voter
+    /// knows. Subscribers learn of it by heartbeats.
+    pub fn set_isolated_since(&mut self, since: Option<Time>) {
+        self.isolated_since = since;
     }
 
-    /// Names all control machines: until each has told, nothing counts as being everywhere.
+    /// Names all control machines: until each has reported, no version counts as being everywhere.
     pub fn expect_reports(&mut self, relays: impl IntoIterator<Item = Arc<str>>) {
-        self.fleet.expect_reports(relays);
+        self.fleet_status.expect_reports(relays);
     }
 
-    /// Takes in an event and appends what is to be done.
+    /// Handles an event and appends the actions that follow.
     pub fn handle(&mut self, now: Time, event: RelayEvent, out: &mut Vec<RelayAction>) {
-        // What one subscriber says is no reason to look at all others.
+        // The message of one subscriber is no reason to look at all the others.
         let only = match &event {
-            RelayEvent::Message { link, .. } => Some(*link),
+            RelayEvent::Message { connection, .. } => Some(*connection),
             _ => None,
         };
         match event {
             RelayEvent::Tick => {}
-            RelayEvent::Joined { link, name } => self.joined(now, link, name, out),
-            RelayEvent::Left { link } => self.left(link),
-            RelayEvent::Message { link, message } => self.message(now, link, message, out),
-            RelayEvent::Applied(changes) => self.applied(now, &changes),
-            RelayEvent::Reports(reports) => self.reports(now, reports),
+            RelayEvent::Connected { connection, name } => self.connected(now, connection, name, out),
+            RelayEvent::Disconnected { connection } => self.disconnected(connection),
+            RelayEvent::Message { connection, message } => {
+                self.handle_message(now, connection, message, out);
+            }
+            RelayEvent::CatalogueChanged(changes) => self.mark_pending(now, &changes),
+            RelayEvent::PeerReports(reports) => self.record_peer_reports(now, reports),
         }
         self.flush(now, only, out);
-        self.report(now, out);
+        self.report_if_due(now, out);
     }
 
-    /// What it serves.
+    /// The catalogue that it serves.
     pub fn catalogue(&self) -> &Catalogue {
         &self.catalogue
     }
 
-    /// Changes what it serves; [`RelayEvent::Applied`] has to follow.
+    /// The catalogue, to apply changes to it; [`RelayEvent::CatalogueChanged`] has to follow.
     pub fn catalogue_mut(&mut self) -> &mut Catalogue {
         &mut self.catalogue
     }
 
-    /// Another log, or all of one: whoever is subscribed is sent all of it.
-    pub fn restored(&mut self, now: Time, out: &mut Vec<RelayAction>) {
-        self.ready = true;
-        let links: Vec<u64> = self.links.keys().copied().collect();
-        for link in links {
-            let holds = self.links.get(&link).is_some_and(|s| {
-                s.state == State::Live
-                    && s.lineage == self.catalogue.lineage()
-                    && s.sent >= self.catalogue.floor()
+    /// The catalogue was replaced through [`Relay::catalogue_mut`]: subscribers that can't be sent the changes since their
+    /// version are disconnected, and receive a snapshot when they come again.
+    pub fn catalogue_replaced(&mut self, now: Time, out: &mut Vec<RelayAction>) {
+        self.is_ready = true;
+        let connections: Vec<u64> = self.subscriptions.keys().copied().collect();
+        for connection in connections {
+            let can_follow = self.subscriptions.get(&connection).is_some_and(|subscription| {
+                subscription.phase == Phase::Live
+                    && subscription.log_id == self.catalogue.log_id()
+                    && subscription.sent_up_to >= self.catalogue.floor()
             });
-            if !holds {
-                self.close(link, Cut::Later, out);
+            if !can_follow {
+                self.close(connection, CloseReason::RetryLater, out);
             }
         }
-        let changes = vec![];
-        self.handle(now, RelayEvent::Applied(changes), out);
+        self.handle(now, RelayEvent::CatalogueChanged(vec![]), out);
     }
 
-    /// Where changes are in force.
-    pub fn fleet(&self) -> &Fleet {
-        &self.fleet
+    /// How far the fleet has applied the log, by the reports of all relays.
+    pub fn fleet_status(&self) -> &FleetStatus {
+        &self.fleet_status
     }
 
-    /// When it wants to be told of the time.
-    pub fn wake(&self, now: Time) -> Time {
-        let due = self.links.values().map(|s| s.due(&self.settings)).min();
-        let report = self.reported + self.settings.report;
-        let pieces = self.pieces.front().map(|_| now + std::time::Duration::from_millis(10));
-        [due, pieces].into_iter().flatten().fold(report, Time::min)
+    /// When a [`RelayEvent::Tick`] is due.
+    pub fn next_wakeup(&self, now: Time) -> Time {
+        let due = self.subscriptions.values().map(|subscription| subscription.due_at(&self.settings)).min();
+        let report = self.reported_at + self.settings.report_interval;
+        let chunk = self.chunk_queue.front().map(|_| now + CHUNK_RETRY_INTERVAL);
+        [due, chunk].into_iter().flatten().fold(report, Time::min)
     }
 
-    /// What was done and turned down.
-    pub fn figures(&self) -> &RelayFigures {
-        &self.figures
+    /// Counters since the start.
+    pub fn stats(&self) -> &RelayStats {
+        &self.stats
     }
 
-    /// Who is subscribed: how many.
-    pub fn subscribed(&self) -> usize {
-        self.links.values().filter(|s| s.state != State::Fresh).count()
+    /// The number of subscribers that are served.
+    pub fn subscriber_count(&self) -> usize {
+        self.subscriptions.values().filter(|subscription| subscription.is_accepted()).count()
     }
 
-    fn applied(&mut self, now: Time, changes: &[Change]) {
-        for subscription in self.links.values_mut().filter(|s| s.state != State::Fresh) {
+    /// Marks the subscriptions that changes concern.
+    fn mark_pending(&mut self, now: Time, changes: &[Change]) {
+        let accepted = self.subscriptions.values_mut().filter(|subscription| subscription.is_accepted());
+        for subscription in accepted {
             for change in changes {
-                if subscription.scope.holds(&change.key.topic) {
-                    subscription.owe(now, change.version, change.class == Class::Primary);
+                if subscription.scope.contains(&change.key.topic) {
+                    subscription.mark_pending(now, change.version, change.class == Class::Primary);
                 }
             }
         }
     }
 
-    fn joined(&mut self, now: Time, link: u64, name: Arc<str>, out: &mut Vec<RelayAction>) {
-        if let Some(before) = self.names.insert(name.clone(), link) {
-            self.close(before, Cut::Replaced, out);
-            self.names.insert(name.clone(), link);
+    fn connected(&mut self, now: Time, connection: u64, name: Arc<str>, out: &mut Vec<RelayAction>) {
+        if let Some(previous) = self.connections_by_name.insert(name.clone(), connection) {
+            self.close(previous, CloseReason::Replaced, out);
+            self.connections_by_name.insert(name.clone(), connection);
         }
-        self.links.insert(link, Subscription::fresh(name, now));
+        self.subscriptions.insert(connection, Subscription::new(name, now));
     }
 
-    fn left(&mut self, link: u64) {
-        if let Some(gone) = self.links.remove(&link) {
-            if self.names.get(&gone.name) == Some(&link) {
-                self.names.remove(&gone.name);
-            }
+    fn disconnected(&mut self, connection: u64) {
+        let Some(ended) = self.subscriptions.remove(&connection) else { return };
+        if self.connections_by_name.get(&ended.name) == Some(&connection) {
+            self.connections_by_name.remove(&ended.name);
         }
     }
 
-    fn close(&mut self, link: u64, why: Cut, out: &mut Vec<RelayAction>) {
-        if self.links.contains_key(&link) {
-            self.left(link);
-            out.push(RelayAction::Close { link, why });
+    fn close(&mut self, connection: u64, reason: CloseReason, out: &mut Vec<RelayAction>) {
+        if self.subscriptions.contains_key(&connection) {
+            self.disconnected(connection);
+            out.push(RelayAction::Close { connection, reason });
         }
     }
 
-    fn applied_to(&self) -> Index {
+    fn applied(&self) -> Index {
         self.catalogue.applied()
     }
 }
--- a/crates/config-distribution/src/relay/event.rs
+++ b/crates/config-distribution/src/relay/event.rs
@@ -1,88 +1,88 @@
-//! What comes in at a relay, and what is to be done.
-use crate::message::{FromRelay, ToRelay};
-use crate::names::Change;
+//! The events and the actions of a relay.
+use crate::change::Change;
+use crate::message::{RelayMessage, SubscriberMessage};
 use crate::report::Report;
 use std::sync::Arc;
 
-/// What comes in.
+/// An event for a relay.
 #[derive(Clone, Debug)]
 pub enum RelayEvent {
     /// Time has passed.
     Tick,
-    /// Somebody has connected.
-    Joined {
-        /// The connection's number, never used again.
-        link: u64,
-        /// By its sealed name.
+    /// A subscriber has connected.
+    Connected {
+        /// The number of the connection, never used again.
+        connection: u64,
+        /// The subscriber's authenticated name.
         name: Arc<str>,
     },
     /// A connection has ended.
-    Left {
-        /// Which.
-        link: u64,
+    Disconnected {
+        /// The connection.
+        connection: u64,
     },
-    /// A message has come.
+    /// A subscriber has sent a message.
     Message {
-        /// On which connection.
-        link: u64,
-        /// What it says.
-        message: ToRelay,
+        /// The connection.
+        connection: u64,
+        /// The message.
+        message: SubscriberMessage,
     },
-    /// The catalogue has changed, by what the log or the relay above told.
-    Applied(Vec<Change>),
+    /// The catalogue has changed, by the log or by the relay that is followed.
+    CatalogueChanged(Vec<Change>),
     /// Reports of other control machines.
-    Reports(Vec<Report>),
+    PeerReports(Vec<Report>),
 }
 
-/// Why a connection is to be closed.
+/// Why a relay closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
-    /// It was told to come later.
-    Later,
-    /// It did not answer in time.
-    Slow,
-    /// What it said makes no sense.
-    Bad,
-    /// Another connection of the same name has come.
+pub enum CloseReason {
+    /// The subscriber is to try again later.
+    RetryLater,
+    /// The subscriber did not answer in time.
+    ReplyTimeout,
+    /// The subscriber sent a message that breaks the protocol.
+    ProtocolError,
+    /// The subscriber has another connection by now.
     Replaced,
 }
 
-/// What is to be done.
+/// What a relay asks its host to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RelayAction {
     /// Send a message.
     Send {
-        /// On which connection.
-        link: u64,
-        /// What.
-        message: FromRelay,
+        /// The connection.
+        connection: u64,
+        /// The message.
+        message: RelayMessage,
     },
-    /// Close a connection, once what was sent is out.
+    /// Close a connection, once what was sent before is written.
     Close {
-        /// Which.
-        link: u64,
+        /// The connection.
+        connection: u64,
         /// Why.
-        why: Cut,
+        reason: CloseReason,
     },
-    /// Tell the other control machines: reports that are new.
-    Reports(Vec<Report>),
+    /// Send new reports to the other control machines.
+    ShareReports(Vec<Report>),
 }
 
-/// What was done and turned down.
+/// Counters of a relay since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RelayFigures {
-    /// Subscriptions that were admitted.
-    pub admitted: u64,
-    /// Those told to come later.
-    pub later: u64,
+pub struct RelayStats {
+    /// Subscriptions that were accepted.
+    pub accepted: u64,
+    /// Subscriptions that were deferred: the subscriber is to try again later.
+    pub deferred: u64,
     /// Messages of changes.
-    pub changes: u64,
-    /// Pieces of snapshots.
-    pub pieces: u64,
-    /// Subscribers cut off because they were slow.
-    pub slow: u64,
-    /// Subscribers that were behind too far and were given a snapshot.
-    pub behind: u64,
-    /// Messages that made no sense: they changed nothing.
-    pub bad: u64,
+    pub change_messages: u64,
+    /// Chunks of snapshots.
+    pub chunks: u64,
+    /// Connections closed because the subscriber did not answer in time.
+    pub reply_timeouts: u64,
+    /// Subscribers that lagged too far behind and were sent a snapshot.
+    pub resnapshots: u64,
+    /// Messages that broke the protocol; they changed nothing.
+    pub protocol_errors: u64,
 }
--- a/crates/config-distribution/src/relay/reports.rs
+++ b/crates/config-distribution/src/relay/reports.rs
@@ -1,82 +1,102 @@
-//! Where changes are in force: this relay's own report, and those of others.
-use super::subscription::{State, Subscription};
+//! Reports on how far changes are applied: this relay's own, and those of others.
+use super::subscription::{Phase, Subscription};
 use super::{Relay, RelayAction};
-use crate::message::FromRelay;
-use crate::report::{Lag, Report, WORST};
+use crate::message::RelayMessage;
+use crate::report::{GatewayRejection, Lag, Report, MAX_REPORTED_GATEWAYS};
 use crate::scope::Scope;
 use cluster_types::Time;
 use std::time::Duration;
 
-/// Reports that were not renewed for so long belong to relays that are gone.
-const FORGET: Duration = Duration::from_secs(60);
+/// A report that was not renewed for so long is of a relay that is gone.
+const REPORT_LIFETIME: Duration = Duration::from_secs(60);
 
 impl Relay {
     /// Makes the report that is due: it goes to the other control machines, and to the relays that follow this one.
-    pub(super) fn report(&mut self, now: Time, out: &mut Vec<RelayAction>) {
-        if now.since(self.reported) < self.settings.report {
+    pub(super) fn report_if_due(&mut self, now: Time, out: &mut Vec<RelayAction>) {
+        if now.since(self.reported_at) < self.settings.report_interval {
             return;
         }
-        (self.reported, self.number) = (now, self.number.saturating_add(1));
-        self.fleet.forget(now, FORGET);
+        self.reported_at = now;
+        self.report_sequence = self.report_sequence.saturating_add(1);
+        self.fleet_status.expire(now, REPORT_LIFETIME);
         let report = self.own_report(now);
-        self.fleet.take(now, report.clone());
-        out.push(RelayAction::Reports(vec![report]));
-        // What is old is not told again: to whoever hears it, it would be new.
-        let all: Vec<Report> = self.fleet.recent(now, self.settings.report * 2).cloned().collect();
-        for (link, _) in
-            self.links.iter().filter(|(_, s)| s.scope == Scope::Everything && s.state == State::Live)
+        self.fleet_status.record(now, report.clone());
+        out.push(RelayAction::ShareReports(vec![report]));
+        // An old report is not passed on: its receiver would take it for a sign of life.
+        let recent = self.fleet_status.recent_reports(now, self.settings.report_interval * 2);
+        let reports: Vec<Report> = recent.cloned().collect();
+        let is_following_relay = |subscription: &Subscription| {
+            subscription.scope == Scope::Everything && subscription.phase == Phase::Live
+        };
+        for (connection, _) in
+            self.subscriptions.iter().filter(|(_, subscription)| is_following_relay(subscription))
         {
-            out.push(RelayAction::Send { link: *link, message: FromRelay::Fleet(all.clone()) });
+            let message = RelayMessage::Reports(reports.clone());
+            out.push(RelayAction::Send { connection: *connection, message });
         }
     }
 
-    /// What others tell is not told again: each report is handed on once, by the one that it was told to.
-    pub(super) fn reports(&mut self, now: Time, reports: Vec<Report>) {
+    /// Records reports of other control machines. They are not passed on to the others: each report is shared once, by the
+    /// machine that received it first.
+    pub(super) fn record_peer_reports(&mut self, now: Time, reports: Vec<Report>) {
         for report in reports {
-            match *report.relay != *self.name && report.bounded() {
-                true => drop(self.fleet.take(now, report)),
-                false => self.figures.bad += u64::from(!report.bounded()),
+            if !report.is_bounded() {
+                self.stats.protocol_errors += 1;
+            } else if report.relay != self.name {
+                self.fleet_status.record(now, report);
             }
         }
     }
 
-    /// A relay that follows this one has told of its fronts.
-    pub(super) fn hand_on(&mut self, now: Time, report: Report, out: &mut Vec<RelayAction>) {
-        if *report.relay != *self.name && self.fleet.take(now, report.clone()) {
-            out.push(RelayAction::Reports(vec![report]));
+    /// Records the report of a relay that follows this one, and shares it with the other control machines if it is new.
+    pub(super) fn forward_report(&mut self, now: Time, report: Report, out: &mut Vec<RelayAction>) {
+        if report.relay != self.name && self.fleet_status.record(now, report.clone()) {
+            out.push(RelayAction::ShareReports(vec![report]));
         }
     }
 
     fn own_report(&self, now: Time) -> Report {
-        let fronts =
-            || self.links.values().filter(|s| s.state != State::Fresh && s.scope != Scope::Everything);
-        let mut behind: Vec<&Subscription> = fronts().filter(|s| s.owes.is_some()).collect();
-        behind.sort_by_key(|s| (s.owes, s.name.clone()));
-        let lag = |s: &&Subscription| {
-            let owes = s.owes?;
-            Some(Lag { front: s.name.clone(), owes, why: why(s, now) })
-        };
-        let refusing: Vec<&Subscription> = fronts().filter(|s| !s.refused.is_empty()).collect();
-        let refused = refusing.iter().flat_map(|s| s.refused.iter().map(|r| (s.name.clone(), r.clone())));
+        let gateways: Vec<&Subscription> = self
+            .subscriptions
+            .values()
+            .filter(|subscription| subscription.is_accepted() && subscription.scope != Scope::Everything)
+            .collect();
+        let mut lagging: Vec<&Subscription> =
+            gateways.iter().copied().filter(|gateway| gateway.first_unacknowledged.is_some()).collect();
+        lagging.sort_by_key(|gateway| (gateway.first_unacknowledged, gateway.name.clone()));
+        let lags = lagging.iter().take(MAX_REPORTED_GATEWAYS).filter_map(|gateway| lag(gateway, now));
+        let rejecting = gateways.iter().filter(|gateway| !gateway.rejections.is_empty()).count();
+        let rejections = gateways.iter().flat_map(|gateway| rejections(gateway));
         Report {
             relay: self.name.clone(),
-            number: self.number,
-            applied: self.applied_to(),
-            fronts: fronts().count() as u32,
-            behind: behind.len() as u32,
-            worst: behind.iter().take(WORST).filter_map(lag).collect(),
-            refusing: refusing.len() as u32,
-            refused: refused.take(WORST).collect(),
+            sequence: self.report_sequence,
+            applied: self.applied(),
+            gateways: gateways.len() as u32,
+            lagging: lagging.len() as u32,
+            lags: lags.collect(),
+            rejecting: rejecting as u32,
+            rejections: rejections.take(MAX_REPORTED_GATEWAYS).collect(),
         }
     }
 }
 
-/// Why a front has not decided yet, as its relay sees it.
-fn why(s: &Subscription, now: Time) -> String {
-    match (&s.state, s.out) {
-        (State::Snapshot { .. }, _) => "it is being sent all of its scope".into(),
-        (_, Some((since, _))) => {
-            format!("it was sent it {} ms ago and has not answered", now.since(since).as_millis())
+fn rejections(gateway: &Subscription) -> impl Iterator<Item = GatewayRejection> + '_ {
+    let of_gateway = |rejection| GatewayRejection { gateway: gateway.name.clone(), rejection };
+    gateway.rejections.iter().cloned().map(of_gateway)
+}
+
+fn lag(gateway: &Subscription, now: Time) -> Option<Lag> {
+    let first_pending = gateway.first_unacknowledged?;
+    Some(Lag { gateway: gateway.name.clone(), first_pending, reason: lag_reason(gateway, now) })
+}
+
+/// Why a gateway has not acknowledged a change yet, as its relay sees it.
+fn lag_reason(gateway: &Subscription, now: Time) -> String {
+    match (&gateway.phase, gateway.in_flight) {
+        (Phase::Snapshot(_), _) => "it is being sent all of its scope".into(),
+        (_, Some(in_flight)) => {
+            let waited_ms = now.since(in_flight.sent_at).as_millis();
+            format!("it was sent it {waited_ms} ms ago and has not answered")
         }
         _ => "it is to be sent it".into(),
     }
--- a/crates/config-distribution/src/relay/subscribe.rs
+++ b/crates/config-distribution/src/relay/subscribe.rs
@@ -1,145 +1,181 @@
-//! Who subscribes, and what subscribers say.
-use super::subscription::State;
-use super::{Cut, Relay, RelayAction};
-use crate::catalogue::Since;
-use crate::message::{FromRelay, Refusal, ToRelay};
-use crate::report::WORST;
+//! The messages of subscribers.
+use super::subscription::{Phase, SnapshotProgress};
+use super::{CloseReason, Relay, RelayAction};
+use crate::catalogue::ChangesSince;
+use crate::change::Change;
+use crate::message::{RelayMessage, SubscriberMessage};
+use crate::rejection::Rejection;
+use crate::report::{Report, MAX_REPORTED_GATEWAYS};
 use crate::scope::Scope;
 use cluster_types::{Index, Time};
 
-/// What a subscription takes beside what it is sent, in bytes.
-const BESIDE: usize = 256;
+/// What accepting a subscription costs beside the changes that are sent, in bytes.
+const SUBSCRIPTION_OVERHEAD_BYTES: usize = 256;
 
 impl Relay {
-    pub(super) fn message(&mut self, now: Time, link: u64, message: ToRelay, out: &mut Vec<RelayAction>) {
-        if !self.links.contains_key(&link) {
+    pub(super) fn handle_message(
+        &mut self,
+        now: Time,
+        connection: u64,
+        message: SubscriberMessage,
+        out: &mut Vec<RelayAction>,
+    ) {
+        if !self.subscriptions.contains_key(&connection) {
             return;
         }
         match message {
-            ToRelay::Subscribe { lineage, scope, from } => {
-                self.subscribe(now, link, lineage, scope, from, out)
+            SubscriberMessage::Subscribe { log_id, scope, from } => {
+                // A version of another log means nothing here.
+                let from = if log_id == self.catalogue.log_id() { from } else { Index(0) };
+                self.subscribe(now, connection, scope, from, out);
+            }
+            SubscriberMessage::Acknowledge { up_to, rejected } => {
+                self.acknowledged(now, connection, up_to, rejected, out);
             }
-            ToRelay::Decided { upto, refused } => self.decided(now, link, upto, refused, out),
-            ToRelay::Next => self.next(now, link, out),
-            ToRelay::Report(report) => {
-                let relay = self.links.get(&link).is_some_and(|s| {
-                    s.state != State::Fresh && s.scope == Scope::Everything && *s.name == *report.relay
-                });
-                match relay && report.bounded() {
-                    true => self.hand_on(now, report, out),
-                    false => self.bad(link, out),
+            SubscriberMessage::NextChunk => self.chunk_confirmed(now, connection, out),
+            SubscriberMessage::Report(report) => {
+                if self.is_own_report(connection, &report) && report.is_bounded() {
+                    self.forward_report(now, report, out);
+                } else {
+                    self.protocol_error(connection, out);
                 }
             }
         }
     }
 
-    fn bad(&mut self, link: u64, out: &mut Vec<RelayAction>) {
-        self.figures.bad += 1;
-        self.close(link, Cut::Bad, out);
+    fn protocol_error(&mut self, connection: u64, out: &mut Vec<RelayAction>) {
+        self.stats.protocol_errors += 1;
+        self.close(connection, CloseReason::ProtocolError, out);
+    }
+
+    /// Whether a report is by the relay on that connection: only relays ask for everything.
+    fn is_own_report(&self, connection: u64, report: &Report) -> bool {
+        self.subscriptions.get(&connection).is_some_and(|subscription| {
+            subscription.is_accepted()
+                && subscription.scope == Scope::Everything
+                && subscription.name == report.relay
+        })
     }
 
     fn subscribe(
         &mut self,
         now: Time,
-        link: u64,
-        lineage: u64,
+        connection: u64,
         scope: Scope,
         from: Index,
         out: &mut Vec<RelayAction>,
     ) {
-        if !scope.proper() {
-            return self.bad(link, out);
+        if !scope.is_valid() {
+            return self.protocol_error(connection, out);
         }
-        let own = self.catalogue.lineage();
-        let from = if lineage == own { from } else { Index(0) };
-        // Of an older log, or of this one from a version that is told one by one still: only what came since.
-        let since = match from > Index(0) {
-            true => self.catalogue.since(&scope, from, self.settings.message),
-            false => Since::Snapshot,
+        let changes = if from > Index(0) {
+            self.catalogue.changes_since(&scope, from, self.settings.max_message_bytes)
+        } else {
+            ChangesSince::SnapshotRequired
         };
-        let bytes = BESIDE
-            + match &since {
-                Since::Changes(changes) => changes.iter().map(|c| c.bytes()).sum(),
-                // Its pieces take tokens themselves.
-                Since::Snapshot => 0,
-            };
-        let served = self.links.values().filter(|s| s.state != State::Fresh).count();
-        let again = self.links.get(&link).is_some_and(|s| s.state != State::Fresh);
-        if !self.ready || (!again && served >= self.settings.most) || !self.admission.admit(now, bytes) {
-            self.figures.later += 1;
-            out.push(RelayAction::Send { link, message: FromRelay::Later });
-            return self.close(link, Cut::Later, out);
+        if !self.admit(now, connection, &changes) {
+            self.stats.deferred += 1;
+            out.push(RelayAction::Send { connection, message: RelayMessage::RetryLater });
+            return self.close(connection, CloseReason::RetryLater, out);
         }
-        self.figures.admitted += 1;
-        self.pieces.retain(|waits| *waits != link);
-        let owes = self.catalogue.next(&scope, from).map(|(version, _)| version);
-        let applied = self.applied_to();
-        let Some(s) = self.links.get_mut(&link) else { return };
-        (s.scope, s.lineage, s.since, s.told, s.summed) = (scope, own, now, now, now);
-        (s.out, s.waits, s.owes, s.refused) = (None, None, owes, vec![]);
-        out.push(RelayAction::Send { link, message: FromRelay::Subscribed { lineage: own } });
-        match since {
-            Since::Changes(changes) if changes.is_empty() => {
-                // A relay that is behind its subscriber has nothing to tell until it is not.
-                (s.state, s.sent, s.owes) = (State::Live, from.max(applied), None);
-            }
-            Since::Changes(changes) => {
-                (s.state, s.sent, s.out) = (State::Live, applied, Some((now, applied)));
-                out.push(RelayAction::Send {
-                    link,
-                    message: FromRelay::Changes { from, upto: applied, changes },
-                });
-                self.figures.changes += 1;
-            }
-            Since::Snapshot => self.snapshot(link),
+        self.stats.accepted += 1;
+        self.chunk_queue.retain(|waiting| *waiting != connection);
+        let log_id = self.catalogue.log_id();
+        let next_change = self.catalogue.next_change(&scope, from);
+        let Some(subscription) = self.subscriptions.get_mut(&connection) else { return };
+        subscription.scope = scope;
+        subscription.log_id = log_id;
+        subscription.awaiting_reply_since = now;
+        subscription.sent_at = now;
+        subscription.checksum_sent_at = now;
+        subscription.in_flight = None;
+        subscription.pending = None;
+        subscription.first_unacknowledged = next_change;
+        subscription.rejections.clear();
+        out.push(RelayAction::Send { connection, message: RelayMessage::Subscribed { log_id } });
+        match changes {
+            ChangesSince::Changes(changes) => self.start_live(now, connection, from, changes, out),
+            ChangesSince::SnapshotRequired => self.start_snapshot(connection),
         }
     }
 
-    /// Begins to send all that a subscriber's scope holds.
-    pub(super) fn snapshot(&mut self, link: u64) {
-        let base = self.applied_to();
-        if let Some(s) = self.links.get_mut(&link) {
-            s.state = State::Snapshot { base, after: None, late: None, out: false };
-            (s.out, s.waits) = (None, None);
-            self.pieces.push_back(link);
+    /// Whether the subscription of a connection can be accepted now: the catalogue is there, and there is capacity for it.
+    fn admit(&mut self, now: Time, connection: u64, changes: &ChangesSince) -> bool {
+        let is_renewed =
+            self.subscriptions.get(&connection).is_some_and(|subscription| subscription.is_accepted());
+        if !self.is_ready || (!is_renewed && self.subscriber_count() >= self.settings.max_subscribers) {
+            return false;
+        }
+        let bytes = match changes {
+            ChangesSince::Changes(changes) => changes.iter().map(Change::bytes).sum(),
+            // Each chunk takes tokens when it is sent.
+            ChangesSince::SnapshotRequired => 0,
+        };
+        self.subscription_tokens.admit(now, SUBSCRIPTION_OVERHEAD_BYTES + bytes)
+    }
+
+    /// Sends the changes since the subscriber's version; from now on it is sent changes as they are made.
+    fn start_live(
+        &mut self,
+        now: Time,
+        connection: u64,
+        from: Index,
+        changes: Vec<Change>,
+        out: &mut Vec<RelayAction>,
+    ) {
+        let applied = self.applied();
+        let Some(subscription) = self.subscriptions.get_mut(&connection) else { return };
+        subscription.phase = Phase::Live;
+        if changes.is_empty() {
+            // A relay that is behind its subscriber sends nothing until it has caught up.
+            subscription.sent_up_to = from.max(applied);
+            subscription.first_unacknowledged = None;
+            return;
         }
+        subscription.mark_sent(now, applied);
+        self.stats.change_messages += 1;
+        let message = RelayMessage::Changes { from, up_to: applied, changes };
+        out.push(RelayAction::Send { connection, message });
     }
 
-    fn next(&mut self, now: Time, link: u64, out: &mut Vec<RelayAction>) {
-        let Some(s) = self.links.get_mut(&link) else { return };
-        match &mut s.state {
-            State::Snapshot { out: out_, .. } if *out_ => {
-                (*out_, s.since) = (false, now);
-                self.pieces.push_back(link);
+    /// The subscriber has received a chunk of a snapshot.
+    fn chunk_confirmed(&mut self, now: Time, connection: u64, out: &mut Vec<RelayAction>) {
+        let Some(subscription) = self.subscriptions.get_mut(&connection) else { return };
+        match &mut subscription.phase {
+            Phase::Snapshot(SnapshotProgress { is_in_flight, .. }) if *is_in_flight => {
+                *is_in_flight = false;
+                subscription.awaiting_reply_since = now;
+                self.chunk_queue.push_back(connection);
             }
-            _ => self.bad(link, out),
+            _ => self.protocol_error(connection, out),
         }
     }
 
-    fn decided(
+    fn acknowledged(
         &mut self,
         now: Time,
-        link: u64,
-        upto: Index,
-        refused: Vec<Refusal>,
+        connection: u64,
+        up_to: Index,
+        rejected: Vec<Rejection>,
         out: &mut Vec<RelayAction>,
     ) {
-        let Some(s) = self.links.get_mut(&link) else { return };
-        let live = s.state == State::Live;
-        if refused.len() > WORST
-            || !refused.iter().all(Refusal::bounded)
-            || s.state == State::Fresh
-            || (live && upto > s.sent)
+        let Some(subscription) = self.subscriptions.get_mut(&connection) else { return };
+        let is_live = subscription.phase == Phase::Live;
+        if rejected.len() > MAX_REPORTED_GATEWAYS
+            || !rejected.iter().all(Rejection::is_bounded)
+            || !subscription.is_accepted()
+            || (is_live && up_to > subscription.sent_up_to)
         {
-            return self.bad(link, out);
+            return self.protocol_error(connection, out);
         }
-        s.refused = refused;
-        // Only what answers a message is an answer: others don't make one that is slow quicker.
-        if s.out.is_some_and(|(_, sent)| sent <= upto) {
-            (s.out, s.since) = (None, now);
+        subscription.rejections = rejected;
+        // Only the acknowledgement of the message in flight ends the wait: others do not extend a slow subscriber's time.
+        if subscription.in_flight.is_some_and(|in_flight| in_flight.up_to <= up_to) {
+            subscription.in_flight = None;
+            subscription.awaiting_reply_since = now;
         }
-        if live {
-            s.owes = self.catalogue.next(&s.scope, upto).map(|(version, _)| version);
+        if is_live {
+            subscription.first_unacknowledged = self.catalogue.next_change(&subscription.scope, up_to);
         }
     }
 }
--- a/crates/config-distribution/src/relay/subscription.rs
+++ b/crates/config-distribution/src/relay/subscription.rs
@@ -1,101 +1,157 @@
-//! What a relay knows of one subscriber. Nothing is queued for it: what it is sent follows from its scope and version.
-use crate::catalogue::Place;
-use crate::message::Refusal;
-use crate::names::Key;
+//! What a relay knows of one subscriber.
+//!
+//! Nothing is queued for a subscriber: what it is sent follows from its scope and version.
+use crate::catalogue::LogPosition;
+use crate::key::Key;
+use crate::rejection::Rejection;
 use crate::scope::Scope;
 use crate::settings::Settings;
 use cluster_types::{Index, Time};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a subscriber is told the sum over its scope.
-pub(super) const SUM: Duration = Duration::from_secs(10);
+/// How often a heartbeat has the checksum over the subscriber's scope.
+pub(super) const CHECKSUM_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How far it has come.
+const NEVER: Time = Time(u64::MAX);
+
+/// A snapshot that is being sent: first all keys, in chunks; then what has changed meanwhile, in chunks too.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct SnapshotProgress {
+    /// The version as of the first chunk.
+    pub base: Index,
+    /// The key after which the next chunk begins; none for the first.
+    pub after_key: Option<Key>,
+    /// Once all keys were sent: the position in the log up to which later changes were sent.
+    pub after_change: Option<LogPosition>,
+    /// Whether a chunk was sent that the subscriber has not confirmed.
+    pub is_in_flight: bool,
+}
+
+impl SnapshotProgress {
+    /// A snapshot as of a version, of which nothing was sent.
+    pub fn new(base: Index) -> SnapshotProgress {
+        SnapshotProgress { base, after_key: None, after_change: None, is_in_flight: false }
+    }
+}
+
+/// The phase of a subscription.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum State {
-    /// Connected, and has not asked yet.
-    Fresh,
-    /// It is being sent all that its scope holds.
-    Snapshot {
-        /// The version as of the first piece.
-        base: Index,
-        /// After which key the next piece begins; none for the first.
-        after: Option<Key>,
-        /// Once all keys were walked: up to which place in the log it was sent what has changed meanwhile.
-        late: Option<Place>,
-        /// Whether a piece is out that was not answered yet.
-        out: bool,
-    },
-    /// It holds everything up to `sent`, or is about to.
+pub(super) enum Phase {
+    /// Connected, without a [`crate::SubscriberMessage::Subscribe`] yet.
+    Connected,
+    /// It is being sent a snapshot.
+    Snapshot(SnapshotProgress),
+    /// It is sent changes as they are made.
     Live,
 }
 
+/// A message that the subscriber has not acknowledged.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct InFlight {
+    pub sent_at: Time,
+    pub up_to: Index,
+}
+
+/// Changes that were not sent yet.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PendingChanges {
+    pub since: Time,
+    /// Whether one of them is of [`crate::Class::Primary`].
+    pub is_urgent: bool,
+}
+
 #[derive(Debug)]
 pub(super) struct Subscription {
     pub name: Arc<str>,
     pub scope: Scope,
-    pub lineage: u64,
-    pub state: State,
-    /// Up to where it was sent everything.
-    pub sent: Index,
-    /// The message that it has not decided on yet: since when, and up to where.
-    pub out: Option<(Time, Index)>,
-    /// Since when something waits for it, and whether that goes ahead.
-    pub waits: Option<(Time, bool)>,
-    /// The first version in its scope that it has not decided on.
-    pub owes: Option<Index>,
-    /// When it was last sent anything, and a sum.
-    pub told: Time,
-    pub summed: Time,
-    /// Since when nothing came that was due; counted from its joining at first.
-    pub since: Time,
-    pub refused: Vec<Refusal>,
+    pub log_id: u64,
+    pub phase: Phase,
+    /// The version up to which it was sent everything.
+    pub sent_up_to: Index,
+    pub in_flight: Option<InFlight>,
+    pub pending: Option<PendingChanges>,
+    /// The first version in its scope that it has not acknowledged.
+    pub first_unacknowledged: Option<Index>,
+    /// When it was last sent anything.
+    pub sent_at: Time,
+    /// When it was last sent a checksum.
+    pub checksum_sent_at: Time,
+    /// Since when its reply is awaited; meaningful while [`Subscription::is_reply_awaited`].
+    pub awaiting_reply_since: Time,
+    pub rejections: Vec<Rejection>,
 }
 
 impl Subscription {
-    pub fn fresh(name: Arc<str>, now: Time) -> Subscription {
+    /// The subscription of a connection that was just opened.
+    pub fn new(name: Arc<str>, now: Time) -> Subscription {
         Subscription {
             name,
             scope: Scope::of([]),
-            lineage: 0,
-            state: State::Fresh,
-            sent: Index(0),
-            out: None,
-            waits: None,
-            owes: None,
-            told: now,
-            summed: now,
-            since: now,
-            refused: vec![],
+            log_id: 0,
+            phase: Phase::Connected,
+            sent_up_to: Index(0),
+            in_flight: None,
+            pending: None,
+            first_unacknowledged: None,
+            sent_at: now,
+            checksum_sent_at: now,
+            awaiting_reply_since: now,
+            rejections: vec![],
         }
     }
 
-    pub fn owe(&mut self, now: Time, version: Index, ahead: bool) {
-        // A relay that was behind its subscriber has now come to what that one holds already.
-        if self.state == State::Live && version <= self.sent {
+    /// Whether its request was accepted.
+    pub fn is_accepted(&self) -> bool {
+        self.phase != Phase::Connected
+    }
+
+    /// Whether it is up to date as far as it is known: live, and everything that was sent is acknowledged.
+    pub fn is_idle(&self) -> bool {
+        self.phase == Phase::Live && self.in_flight.is_none()
+    }
+
+    /// A change in its scope was made.
+    pub fn mark_pending(&mut self, now: Time, version: Index, is_urgent: bool) {
+        // The relay was behind its subscriber and has only now come to a version that the subscriber holds.
+        if self.phase == Phase::Live && version <= self.sent_up_to {
             return;
         }
-        self.owes.get_or_insert(version);
-        let (since, before) = self.waits.unwrap_or((now, false));
-        self.waits = Some((since, before || ahead));
+        self.first_unacknowledged.get_or_insert(version);
+        let before = self.pending.unwrap_or(PendingChanges { since: now, is_urgent: false });
+        self.pending = Some(PendingChanges { is_urgent: before.is_urgent || is_urgent, ..before });
     }
 
-    /// Whether it owes an answer.
-    pub fn awaited(&self) -> bool {
-        self.out.is_some() || matches!(self.state, State::Fresh | State::Snapshot { out: true, .. })
+    /// Everything up to a version was sent and waits for its acknowledgement.
+    pub fn mark_sent(&mut self, now: Time, up_to: Index) {
+        self.sent_up_to = up_to;
+        self.in_flight = Some(InFlight { sent_at: now, up_to });
+    }
+
+    /// Whether a reply of the subscriber is due.
+    pub fn is_reply_awaited(&self) -> bool {
+        match &self.phase {
+            Phase::Connected => true,
+            Phase::Snapshot(snapshot) => snapshot.is_in_flight || self.in_flight.is_some(),
+            Phase::Live => self.in_flight.is_some(),
+        }
     }
 
-    /// When something is due for it.
-    pub fn due(&self, settings: &Settings) -> Time {
-        let far = Time(u64::MAX);
-        let answer = self.awaited().then(|| self.since + settings.patience);
-        let waits = self.waits.filter(|_| self.state == State::Live && self.out.is_none());
-        let waits = waits.map(|(since, ahead)| if ahead { since } else { since + settings.batch });
-        let quiet = self.state == State::Live && self.out.is_none();
-        let sum = if quiet { self.summed + SUM } else { far };
-        // Also one that waits for its turn, or that takes long to decide, hears that the relay is there.
-        let alive = (self.state != State::Fresh).then(|| (self.told + settings.alive).min(sum));
-        [answer, waits, alive].into_iter().flatten().fold(far, Time::min)
+    /// When the next thing is due for it.
+    pub fn due_at(&self, settings: &Settings) -> Time {
+        let timeout = self.is_reply_awaited().then(|| self.awaiting_reply_since + settings.reply_timeout);
+        let pending = self.pending.filter(|_| self.is_idle());
+        let changes = pending.map(|pending| {
+            if pending.is_urgent {
+                pending.since
+            } else {
+                pending.since + settings.batch_interval
+            }
+        });
+        let checksum = if self.is_idle() { self.checksum_sent_at + CHECKSUM_INTERVAL } else { NEVER };
+        // A subscriber that waits for its turn, or takes long to apply changes, is sent heartbeats too.
+        let heartbeat =
+            self.is_accepted().then(|| (self.sent_at + settings.heartbeat_interval).min(checksum));
+        [timeout, changes, heartbeat].into_iter().flatten().fold(NEVER, Time::min)
     }
 }
--- a/crates/config-distribution/src/scope.rs
+++ b/crates/config-distribution/src/scope.rs
@@ -1,40 +1,40 @@
-//! What a subscriber asks for.
-use crate::names::Topic;
+//! The part of the catalogue that a subscriber asks for.
+use crate::key::Topic;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 /// The most topics that a scope may name.
-pub const TOPICS: usize = 16_384;
+pub const MAX_SCOPE_TOPICS: usize = 16_384;
 
-/// The topics that a subscriber serves. What concerns the whole fleet is always among them.
+/// The topics that a subscriber serves. [`Topic::Fleet`] is always among them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// Everything: relays.
+    /// All topics: the scope of relays.
     Everything,
-    /// These.
+    /// These topics.
     Topics(BTreeSet<Topic>),
 }
 
 impl Scope {
-    /// The scope of those topics, and the fleet's.
+    /// The scope of those topics and [`Topic::Fleet`].
     pub fn of(topics: impl IntoIterator<Item = Topic>) -> Scope {
         Scope::Topics(topics.into_iter().chain([Topic::Fleet]).collect())
     }
 
-    /// Whether it is of bounded size, and names the fleet's topic: a relay serves no other.
-    pub(crate) fn proper(&self) -> bool {
+    /// Whether it is of bounded size and contains [`Topic::Fleet`]: a relay serves no other.
+    pub(crate) fn is_valid(&self) -> bool {
         match self {
             Scope::Everything => true,
             Scope::Topics(topics) => {
-                topics.len() <= TOPICS
+                topics.len() <= MAX_SCOPE_TOPICS
                     && topics.contains(&Topic::Fleet)
-                    && topics.iter().all(|topic| topic.bounded())
+                    && topics.iter().all(Topic::is_bounded)
             }
         }
     }
 
-    /// Whether a topic is among them.
-    pub fn holds(&self, topic: &Topic) -> bool {
+    /// Whether a topic is in the scope.
+    pub fn contains(&self, topic: &Topic) -> bool {
         match self {
             Scope::Everything => true,
             Scope::Topics(topics) => *topic == Topic::Fleet || topics.contains(topic),
--- a/crates/config-distribution/src/settings.rs
+++ b/crates/config-distribution/src/settings.rs
@@ -1,38 +1,48 @@
-//! What relays and subscribers go by.
+//! Limits and intervals of relays.
 use std::time::Duration;
 
-/// Bounds and spans.
+/// The rate and the burst of a [`crate::TokenBucket`].
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RateLimit {
+    /// Bytes a second.
+    pub bytes_per_second: f64,
+    /// Bytes that may be saved up.
+    pub burst_bytes: f64,
+}
+
+/// Limits and intervals of relays.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// For how long changes of configuration are gathered before they go out together.
-    pub batch: Duration,
-    /// How often a subscriber hears something at least. Must be what `backoff` takes for a healthy quiet.
-    pub alive: Duration,
-    /// How long a subscriber may take to answer what it was sent before it is cut off.
-    pub patience: Duration,
-    /// Subscribers that a relay serves at most.
-    pub most: usize,
-    /// The most bytes of one message of changes; more becomes a snapshot.
-    pub message: usize,
-    /// The bytes of one piece of a snapshot.
-    pub piece: usize,
-    /// What a relay may send for subscriptions, in bytes a second, and saved up.
-    pub admission: (f64, f64),
-    /// How often reports are made.
-    pub report: Duration,
+    /// How long changes of [`crate::Class::Configuration`] are batched.
+    pub batch_interval: Duration,
+    /// The longest pause between two messages to a subscriber. Must be below `backoff::LIVENESS`, after which a subscriber
+    /// takes its relay for dead.
+    pub heartbeat_interval: Duration,
+    /// How long a subscriber may take to answer before its connection is closed.
+    pub reply_timeout: Duration,
+    /// The most subscribers that a relay serves.
+    pub max_subscribers: usize,
+    /// The most bytes of one message of changes; a subscriber that lacks more is sent a snapshot.
+    pub max_message_bytes: usize,
+    /// The bytes of one chunk of a snapshot.
+    pub chunk_bytes: usize,
+    /// How much a relay sends for new subscriptions and snapshots.
+    pub subscription_rate: RateLimit,
+    /// How often a relay reports.
+    pub report_interval: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            batch: Duration::from_secs(2),
-            alive: Duration::from_secs(2),
-            patience: Duration::from_secs(6),
-            most: 256,
-            message: 64 * 1024,
-            piece: 32 * 1024,
-            admission: (1_000_000.0, 1_000_000.0),
-            report: Duration::from_secs(1),
+            batch_interval: Duration::from_secs(2),
+            heartbeat_interval: Duration::from_secs(2),
+            reply_timeout: Duration::from_secs(6),
+            max_subscribers: 256,
+            max_message_bytes: 64 * 1024,
+            chunk_bytes: 32 * 1024,
+            subscription_rate: RateLimit { bytes_per_second: 1_000_000.0, burst_bytes: 1_000_000.0 },
+            report_interval: Duration::from_secs(1),
         }
     }
 }
--- a/crates/config-distribution/src/subscriber.rs
+++ b/crates/config-distribution/src/subscriber.rs
@@ -1,179 +1,205 @@
-//! One that follows the changes in its scope: a front, or a relay without a vote, whose scope is everything.
-mod calls;
-mod decide;
+//! A subscriber: follows the changes in its scope. Gateways are subscribers, and so are relays without a vote, whose scope is
+//! everything.
+mod apply;
+mod connections;
 mod event;
-mod follow;
-mod held;
+mod receive;
+mod snapshot;
+mod staging;
+mod state;
 
-pub use event::{Action, Event, Figures};
-pub use held::Held;
+pub use event::{SubscriberAction, SubscriberEvent, SubscriberStats};
+pub use state::SubscriberState;
 
-use crate::message::FromRelay;
+use crate::message::RelayMessage;
+use crate::persisted::{decode, PersistedStateError};
 use crate::scope::Scope;
-use crate::stored::{decode, StoredFault};
+use apply::PendingApply;
 use backoff::{Caller, Law};
 use cluster_types::{Index, Time};
-use decide::Deciding;
-use follow::Staging;
+use connections::Attempt;
+use staging::Staging;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What is held is written down so often at most: that costs by all that is held, and a change by its own size only.
-const KEEP: Duration = Duration::from_secs(5);
+/// The least time between two writes of the state: a write costs by all that is held, a change by its own size only.
+const PERSIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The state of one that follows.
+/// What a subscriber is started with.
+#[derive(Clone, Debug)]
+pub struct SubscriberConfig {
+    /// The topics that it follows.
+    pub scope: Scope,
+    /// The number of relays that it may connect to; they are named by their place in the order of preference.
+    pub relay_count: usize,
+    /// The number of subscribers in the fleet: it decides how far connection attempts are spread.
+    pub fleet_size: u32,
+    /// The seed of the random pauses between connection attempts.
+    pub seed: u64,
+}
+
+/// The state of a subscriber.
 #[derive(Debug)]
 pub struct Subscriber {
     scope: Scope,
-    relays: usize,
+    relay_count: usize,
     caller: Caller,
-    /// Calls that failed since a relay was last up: each goes to the next in the order of preference.
-    passed: usize,
-    /// Calls whose connection is up or coming up, and which relay each goes to.
-    calls: Vec<(u64, usize)>,
-    /// The call whose relay is followed.
-    follows: Option<u64>,
-    heard: Time,
-    /// Since when the relay hears nothing of the log, as it told last.
-    relay_alone: Option<Time>,
-    held: Held,
-    /// From where it asked last: what is being decided may have gone on since.
-    from: Index,
+    /// Attempts that failed since a relay was last followed: each moves on to the next relay in the order of preference.
+    failed_attempts: usize,
+    /// Connections that are open or being opened.
+    attempts: Vec<Attempt>,
+    /// The connection whose relay is followed.
+    followed: Option<u64>,
+    /// When the followed relay last sent anything.
+    heard_at: Time,
+    /// Since when the relay has not heard of the log, by its last heartbeat.
+    relay_isolated_since: Option<Time>,
+    state: SubscriberState,
+    /// The version of the last subscribe request: what is being applied may have moved on since.
+    requested_from: Index,
     /// The log of the relay that is followed.
-    lineage: u64,
+    relay_log_id: u64,
     staging: Option<Staging>,
-    deciding: Option<Deciding>,
-    /// What came while something was decided.
-    waiting: VecDeque<(u64, FromRelay)>,
-    /// It has asked anew on the connection that it follows: until that is answered nothing on it counts.
-    asked: bool,
-    /// Another scope has come while something was decided.
-    rescoped: bool,
-    keeps: bool,
-    /// Something was decided that was not written down yet.
-    unkept: bool,
-    kept: Option<Time>,
-    figures: Figures,
+    pending: Option<PendingApply>,
+    /// Messages, by connection, that arrived while something was applied.
+    queued: VecDeque<(u64, RelayMessage)>,
+    /// It has subscribed again on the connection that it follows: until that is answered, messages there are ignored.
+    is_resubscribing: bool,
+    /// The scope was changed while something was applied.
+    is_rescoped: bool,
+    is_persistent: bool,
+    /// Whether something was applied that is not persisted yet.
+    is_dirty: bool,
+    persisted_at: Option<Time>,
+    stats: SubscriberStats,
 }
 
 impl Subscriber {
-    /// One of a fleet of so many that may call so many relays. What was kept is read; where it can't be, that is said, and
-    /// nothing is held.
+    /// A subscriber that starts from its persisted state, where there is one. A state that can't be used is returned as an
+    /// error beside a subscriber that holds nothing.
     pub fn new(
-        scope: Scope,
-        (relays, fleet): (usize, u32),
-        (now, seed): (Time, u64),
-        kept: Option<&[u8]>,
-    ) -> (Subscriber, Option<StoredFault>) {
-        let (held, fault) = match kept.map(decode) {
-            Some(Ok(stored)) => (Held::kept(stored, &scope), None),
-            Some(Err(fault)) => (Held::default(), Some(fault)),
-            None => (Held::default(), None),
+        config: SubscriberConfig,
+        now: Time,
+        persisted: Option<&[u8]>,
+    ) -> (Subscriber, Option<PersistedStateError>) {
+        let SubscriberConfig { scope, relay_count, fleet_size, seed } = config;
+        let (state, error) = match persisted.map(decode) {
+            Some(Ok(persisted)) => (SubscriberState::from_persisted(persisted, &scope), None),
+            Some(Err(error)) => (SubscriberState::default(), Some(error)),
+            None => (SubscriberState::default(), None),
         };
-        let mut caller = Caller::new(Law::fleet(fleet), seed, now.0 as i64);
-        caller.spread(now.0 as i64);
-        let keeps = !matches!(scope, Scope::Everything);
+        let mut caller = Caller::new(Law::fleet(fleet_size), seed, caller_time(now));
+        caller.spread(caller_time(now));
         let subscriber = Subscriber {
+            is_persistent: scope != Scope::Everything,
             scope,
-            relays: relays.max(1),
+            relay_count: relay_count.max(1),
             caller,
-            passed: 0,
-            calls: vec![],
-            follows: None,
-            heard: now,
-            relay_alone: None,
-            from: Index(0),
-            lineage: held.lineage(),
-            held,
+            failed_attempts: 0,
+            attempts: vec![],
+            followed: None,
+            heard_at: now,
+            relay_isolated_since: None,
+            requested_from: Index(0),
+            relay_log_id: state.log_id(),
+            state,
             staging: None,
-            deciding: None,
-            waiting: VecDeque::new(),
-            asked: false,
-            rescoped: false,
-            keeps,
-            unkept: false,
-            kept: None,
-            figures: Figures::default(),
-        };
-        (subscriber, fault)
-    }
-
-    /// When it wants to be told of the time.
-    pub fn wake(&self) -> Option<Time> {
-        let next = match self.follows {
-            Some(_) => Some(Time(self.heard.0.saturating_add(backoff::LIVENESS as u64))),
-            None => self.caller.due().map(|due| Time(due.max(0) as u64)),
+            pending: None,
+            queued: VecDeque::new(),
+            is_resubscribing: false,
+            is_rescoped: false,
+            is_dirty: false,
+            persisted_at: None,
+            stats: SubscriberStats::default(),
         };
-        let keep = self.unkept.then(|| self.kept.map_or(self.heard, |kept| kept + KEEP));
-        [next, keep].into_iter().flatten().min()
+        (subscriber, error)
     }
 
-    /// Writes down what is held, where that is due.
-    fn keep(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.unkept && self.kept.is_none_or(|kept| now.since(kept) >= KEEP) {
-            (self.unkept, self.kept) = (false, Some(now));
-            out.push(Action::Keep(self.held.store(&self.scope)));
+    /// Applies the persisted state when the program starts; to be called once, before any event.
+    pub fn start(&mut self, out: &mut Vec<SubscriberAction>) {
+        let entries = self.state.applied_entries();
+        if !entries.is_empty() {
+            let pending = PendingApply::snapshot(self.state.log_id(), self.state.up_to(), entries);
+            self.request_apply(pending, out);
         }
     }
 
-    /// Takes in an event and appends what is to be done.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event and appends the actions that follow.
+    pub fn handle(&mut self, now: Time, event: SubscriberEvent, out: &mut Vec<SubscriberAction>) {
         match event {
-            Event::Tick => {}
-            Event::Up { call } => self.up(call, out),
-            Event::Down { call, failure } => self.down(now, call, failure),
-            Event::Message { call, message } => self.message(now, call, message, out),
-            Event::Decided { refused } => self.answered(now, refused, out),
+            SubscriberEvent::Tick => {}
+            SubscriberEvent::Connected { connection } => self.connected(connection, out),
+            SubscriberEvent::Disconnected { connection, failure } => {
+                self.disconnected(now, connection, failure);
+            }
+            SubscriberEvent::Message { connection, message } => {
+                self.handle_message(now, connection, message, out);
+            }
+            SubscriberEvent::ApplyFinished { rejected } => self.apply_finished(now, rejected, out),
         }
-        self.time(now, out);
-        self.keep(now, out);
+        self.connect_if_due(now, out);
+        self.persist_if_due(now, out);
     }
 
-    /// What it holds.
-    pub fn held(&self) -> &Held {
-        &self.held
+    /// When a [`SubscriberEvent::Tick`] is due.
+    pub fn next_wakeup(&self) -> Option<Time> {
+        let connections = match self.followed {
+            Some(_) => Some(Time(self.heard_at.0.saturating_add(backoff::LIVENESS as u64))),
+            None => self.caller.due().map(|due| Time(due.max(0) as u64)),
+        };
+        let persist =
+            self.is_dirty.then(|| self.persisted_at.map_or(self.heard_at, |at| at + PERSIST_INTERVAL));
+        [connections, persist].into_iter().flatten().min()
     }
 
-    /// Since when nothing was heard of the log: no relay is followed, or it hears nothing itself. None while all is well.
-    pub fn alone(&self) -> Option<Time> {
-        let own = self.follows.is_none().then_some(self.heard);
-        self.relay_alone.or(own)
+    /// The values that it holds.
+    pub fn state(&self) -> &SubscriberState {
+        &self.state
     }
 
-    /// The call whose relay is followed.
-    pub fn follows(&self) -> Option<u64> {
-        self.follows
+    /// Since when nothing was heard of the log: no relay is followed, or the relay does not hear of it itself. None while
+    /// changes arrive.
+    pub fn isolated_since(&self) -> Option<Time> {
+        let own = self.followed.is_none().then_some(self.heard_at);
+        self.relay_isolated_since.or(own)
     }
 
-    /// What was done and turned down.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    /// The connection whose relay is followed.
+    pub fn followed_connection(&self) -> Option<u64> {
+        self.followed
     }
 
-    /// What is in force already when the program starts: all that was kept, to be decided on at once.
-    pub fn begin(&mut self, out: &mut Vec<Action>) {
-        let changes = self.held.changes();
-        if !changes.is_empty() {
-            let upto = self.held.upto();
-            self.decide(Deciding::whole(self.held.lineage(), upto, changes), out);
-        }
+    /// Counters since the start.
+    pub fn stats(&self) -> &SubscriberStats {
+        &self.stats
     }
 
-    /// Another scope from now on: all of it is asked for anew.
-    pub fn rescope(&mut self, scope: Scope, out: &mut Vec<Action>) {
-        if scope != self.scope {
-            self.scope = scope;
-            self.held.rewind();
-            self.rescoped = self.deciding.is_some();
-            self.staging = None;
-            if let Some(call) = self.follows {
-                self.asked = true;
-                self.subscribe(call, out);
-            }
+    /// Changes the scope: all of the new one is requested.
+    pub fn set_scope(&mut self, scope: Scope, out: &mut Vec<SubscriberAction>) {
+        if scope == self.scope {
+            return;
+        }
+        self.scope = scope;
+        self.state.rewind();
+        self.is_rescoped = self.pending.is_some();
+        self.staging = None;
+        if let Some(connection) = self.followed {
+            self.is_resubscribing = true;
+            self.send_subscribe(connection, out);
         }
     }
 
-    fn place(&self) -> Index {
-        self.held.upto()
+    fn persist_if_due(&mut self, now: Time, out: &mut Vec<SubscriberAction>) {
+        let is_due = self.persisted_at.is_none_or(|at| now.since(at) >= PERSIST_INTERVAL);
+        if self.is_dirty && is_due {
+            self.is_dirty = false;
+            self.persisted_at = Some(now);
+            out.push(SubscriberAction::Persist(self.state.to_persisted(&self.scope)));
+        }
     }
 }
+
+/// The time as `backoff` counts it: microseconds, signed.
+fn caller_time(now: Time) -> i64 {
+    now.0 as i64
+}
--- /dev/null
+++ b/crates/config-distribution/src/subscriber/connections.rs
@@ -0,0 +1,101 @@
+//! Connections to relays, at the rate that `backoff` gives.
+use super::{caller_time, Subscriber, SubscriberAction};
+use crate::message::SubscriberMessage;
+use backoff::{Failure, LIVENESS};
+use cluster_types::Time;
+use std::time::Duration;
+
+/// A connection that is open or being opened.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Attempt {
+    pub connection: u64,
+    pub relay: usize,
+}
+
+impl Subscriber {
+    /// Leaves a relay that is silent for too long, and opens the next connection when it is due.
+    pub(super) fn connect_if_due(&mut self, now: Time, out: &mut Vec<SubscriberAction>) {
+        let silence_limit = Duration::from_micros(LIVENESS as u64);
+        let silent = self.followed.filter(|_| now.since(self.heard_at) >= silence_limit);
+        if let Some(connection) = silent {
+            self.leave(now, connection, Failure::Silent, out);
+        }
+        let is_due = self.caller.due().is_some_and(|due| due <= caller_time(now));
+        if is_due && self.followed.is_none() {
+            self.connect(now, out);
+        }
+    }
+
+    fn connect(&mut self, now: Time, out: &mut Vec<SubscriberAction>) {
+        let call = self.caller.call(caller_time(now));
+        if let Some(replaced) = call.instead_of {
+            self.attempts.retain(|attempt| attempt.connection != replaced);
+            out.push(SubscriberAction::Close { connection: replaced });
+        }
+        let connection = call.number;
+        let relay = (self.failed_attempts + self.attempts.len()) % self.relay_count;
+        self.attempts.push(Attempt { connection, relay });
+        self.stats.connection_attempts += 1;
+        out.push(SubscriberAction::Connect { connection, relay });
+    }
+
+    /// The relay of a connection that is open or being opened.
+    pub(super) fn relay_of(&self, connection: u64) -> Option<usize> {
+        let attempt = self.attempts.iter().find(|attempt| attempt.connection == connection);
+        attempt.map(|attempt| attempt.relay)
+    }
+
+    pub(super) fn connected(&mut self, connection: u64, out: &mut Vec<SubscriberAction>) {
+        if self.relay_of(connection).is_some() {
+            self.send_subscribe(connection, out);
+        }
+    }
+
+    pub(super) fn send_subscribe(&mut self, connection: u64, out: &mut Vec<SubscriberAction>) {
+        let from = self.state.up_to();
+        self.requested_from = from;
+        let message =
+            SubscriberMessage::Subscribe { log_id: self.state.log_id(), scope: self.scope.clone(), from };
+        out.push(SubscriberAction::Send { connection, message });
+    }
+
+    pub(super) fn disconnected(&mut self, now: Time, connection: u64, failure: Failure) {
+        if self.followed == Some(connection) {
+            // An incomplete snapshot is discarded; what is being applied goes on.
+            self.followed = None;
+            self.staging = None;
+            self.is_resubscribing = false;
+            // Whatever the reason, the next attempt goes to another relay: there is no time for two pauses.
+            self.failed_attempts = self.relay_of(connection).unwrap_or(0) + 1;
+            self.caller.ended(caller_time(now), failure);
+        } else if self.relay_of(connection).is_some() {
+            self.failed_attempts += 1;
+            self.caller.failed(caller_time(now), connection, failure);
+        }
+        self.attempts.retain(|attempt| attempt.connection != connection);
+        self.queued.retain(|(queued, _)| *queued != connection);
+    }
+
+    /// Closes a connection and treats it as failed.
+    pub(super) fn leave(
+        &mut self,
+        now: Time,
+        connection: u64,
+        failure: Failure,
+        out: &mut Vec<SubscriberAction>,
+    ) {
+        out.push(SubscriberAction::Close { connection });
+        self.disconnected(now, connection, failure);
+    }
+
+    /// A relay has accepted the subscription: all other connections are given up.
+    pub(super) fn follow(&mut self, now: Time, connection: u64, out: &mut Vec<SubscriberAction>) {
+        self.caller.up(caller_time(now));
+        self.followed = Some(connection);
+        self.staging = None;
+        for attempt in self.attempts.iter().filter(|attempt| attempt.connection != connection) {
+            out.push(SubscriberAction::Close { connection: attempt.connection });
+        }
+        self.attempts.retain(|attempt| attempt.connection == connection);
+    }
+}
--- a/crates/config-distribution/src/subscriber/event.rs
+++ b/crates/config-distribution/src/subscriber/event.rs
@@ -1,87 +1,89 @@
-//! What comes in at a subscriber, and what is to be done.
-use crate::message::{FromRelay, ToRelay};
-use crate::names::{Change, Key};
+//! The events and the actions of a subscriber.
+use crate::change::Change;
+use crate::key::Key;
+use crate::message::{RelayMessage, SubscriberMessage};
 use backoff::Failure;
 
-/// What comes in.
+/// An event for a subscriber.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum SubscriberEvent {
     /// Time has passed.
     Tick,
-    /// A connection that was asked for is up.
-    Up {
-        /// The call.
-        call: u64,
+    /// A connection that was asked for is open.
+    Connected {
+        /// The connection.
+        connection: u64,
     },
-    /// A call has failed, or its connection has ended.
-    Down {
-        /// The call.
-        call: u64,
-        /// What that tells.
+    /// A connection could not be opened, or has ended.
+    Disconnected {
+        /// The connection.
+        connection: u64,
+        /// What that tells of the relay.
         failure: Failure,
     },
-    /// A message has come on a connection.
+    /// A relay has sent a message.
     Message {
-        /// The call.
-        call: u64,
-        /// What it says.
-        message: FromRelay,
+        /// The connection.
+        connection: u64,
+        /// The message.
+        message: RelayMessage,
     },
-    /// What was to be decided is in force whole, or nothing of it is: then these keys are at fault, and why.
-    Decided {
-        /// Empty where it is in force.
-        refused: Vec<(Key, String)>,
+    /// The host has answered [`SubscriberAction::Apply`]: everything is applied, or nothing.
+    ApplyFinished {
+        /// The keys at fault, each with the reason; empty where everything is applied.
+        rejected: Vec<(Key, String)>,
     },
 }
 
-/// What is to be done.
+/// What a subscriber asks its host to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Connect to a relay, by its place in the order of preference.
+pub enum SubscriberAction {
+    /// Open a connection to a relay.
     Connect {
-        /// The number of this call.
-        call: u64,
-        /// Which relay.
+        /// The number of the connection, never used again.
+        connection: u64,
+        /// The relay, by its place in the order of preference.
         relay: usize,
     },
-    /// Close the connection of a call, or give it up.
+    /// Close a connection, or give up opening it.
     Close {
-        /// The call.
-        call: u64,
+        /// The connection.
+        connection: u64,
     },
     /// Send a message.
     Send {
-        /// On which connection.
-        call: u64,
-        /// What.
-        message: ToRelay,
+        /// The connection.
+        connection: u64,
+        /// The message.
+        message: SubscriberMessage,
     },
-    /// Put these in force together or none of them, and tell [`Event::Decided`]. Nothing else is to be decided until then.
-    Decide {
-        /// Whether they are all that there is: what they leave out is withdrawn.
-        whole: bool,
-        /// Newer than what is held. A value of none is withdrawn.
+    /// Apply these values together, or none of them, and answer with [`SubscriberEvent::ApplyFinished`]. Until then the
+    /// host is asked to apply nothing else.
+    Apply {
+        /// Whether they are all values that there are: a key that is missing is deleted.
+        is_snapshot: bool,
+        /// The values, newer than those held. One of none deletes the key.
         changes: Vec<Change>,
     },
-    /// Write this to the disk in place of what was kept; the last one wins.
-    Keep(Vec<u8>),
+    /// Write this state to the disk in place of the last one.
+    Persist(Vec<u8>),
 }
 
-/// What was done and turned down.
+/// Counters of a subscriber since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
-    /// Changes put in force.
-    pub taken: u64,
-    /// Changes refused by the front.
-    pub refused: u64,
-    /// Snapshots put in force.
+pub struct SubscriberStats {
+    /// Changes that were applied.
+    pub applied: u64,
+    /// Changes that were rejected.
+    pub rejected: u64,
+    /// Snapshots that were applied.
     pub snapshots: u64,
-    /// Digests that found something missed.
-    pub missed: u64,
-    /// Messages that were malformed, out of turn, or older than what is held: they changed nothing.
-    pub bad: u64,
-    /// Relays that follow another log.
-    pub foreign: u64,
-    /// Calls for a relay.
-    pub calls: u64,
+    /// Checksums that differed from the relay's: something was missed.
+    pub checksum_mismatches: u64,
+    /// Messages that were malformed, unexpected, or older than what is held; they changed nothing.
+    pub protocol_errors: u64,
+    /// Relays that were left because they follow another log.
+    pub foreign_relays: u64,
+    /// Connection attempts.
+    pub connection_attempts: u64,
 }
--- a/crates/config-distribution/tests/common/mod.rs
+++ b/crates/config-distribution/tests/common/mod.rs
@@ -1,172 +1,211 @@
-//! One front by hand: the test is its relay and its host.
+//! A subscriber whose relay and host are driven by the test.
 // Each test file uses a part of it.
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
-pub mod served;
+pub mod relay;
 
 use backoff::Failure;
 use cluster_types::{Index, Time};
-use config_distribution::{Action, Change, Class, Event, FromRelay, Key, Scope, Subscriber, ToRelay, Topic};
+use config_distribution::{
+    Change, Class, Key, Rejection, RelayMessage, Scope, Subscriber, SubscriberAction, SubscriberConfig,
+    SubscriberEvent, SubscriberMessage, Topic,
+};
 
 pub fn scope() -> Scope {
     Scope::of([Topic::Shard(1), Topic::Zone("zone-a".into())])
 }
 
+/// A subscriber of that scope among three, with so many relays.
+pub fn config(scope: Scope, relay_count: usize) -> SubscriberConfig {
+    SubscriberConfig { scope, relay_count, fleet_size: 3, seed: 1 }
+}
+
 pub fn change(name: &str, version: u64, value: Option<&str>) -> Change {
     let (key, value) = (Key::new(Topic::Fleet, name), value.map(|v| v.as_bytes().into()));
     Change { version: Index(version), class: Class::Configuration, key, value }
 }
 
-pub struct Front {
+pub struct Host {
     pub subscriber: Subscriber,
     pub now: Time,
-    /// Everything that was to be done.
-    pub done: Vec<Action>,
-    call: Option<u64>,
+    /// All actions so far.
+    pub actions: Vec<SubscriberAction>,
+    connection: Option<u64>,
 }
 
-impl Front {
-    pub fn of(subscriber: Subscriber) -> Front {
-        Front { subscriber, now: Time(1_000_000), done: vec![], call: None }
+impl Host {
+    pub fn of(subscriber: Subscriber) -> Host {
+        Host { subscriber, now: Time(1_000_000), actions: vec![], connection: None }
     }
 
-    pub fn fresh() -> Front {
-        Front::of(Subscriber::new(scope(), (3, 3), (Time(1_000_000), 1), None).0)
+    pub fn fresh() -> Host {
+        Host::of(Subscriber::new(config(scope(), 3), Time(1_000_000), None).0)
     }
 
-    /// One that holds these as of a version.
-    pub fn following(held: &[(&str, u64, &str)], upto: u64) -> Front {
-        let mut front = Front::fresh();
-        front.connect();
+    /// A host whose subscriber holds these values as of a version.
+    pub fn following(held: &[(&str, u64, &str)], up_to: u64) -> Host {
+        let mut host = Host::fresh();
+        host.connect();
         let entries = held.iter().map(|(name, version, value)| change(name, *version, Some(value))).collect();
-        front.snapshot(entries, upto);
-        front.decide();
-        front
+        host.receive_snapshot(entries, up_to);
+        host.accept();
+        host
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = vec![];
-        self.subscriber.handle(self.now, event, &mut out);
-        self.done.extend(out.iter().cloned());
-        out
+    pub fn handle(&mut self, event: SubscriberEvent) -> Vec<SubscriberAction> {
+        let mut actions = vec![];
+        self.subscriber.handle(self.now, event, &mut actions);
+        self.actions.extend(actions.iter().cloned());
+        actions
     }
 
-    /// Until it has connected to a relay of log 7; tells what it asked for.
-    pub fn connect(&mut self) -> ToRelay {
+    /// Lets time pass until the subscriber has connected to a relay of log 7; returns its request.
+    pub fn connect(&mut self) -> SubscriberMessage {
         self.connect_to(7).0
     }
 
-    pub fn connect_to(&mut self, lineage: u64) -> (ToRelay, usize) {
-        loop {
-            self.now.0 += 50_000;
-            for action in self.event(Event::Tick) {
-                let Action::Connect { call, relay } = action else { continue };
-                let asked = self.event(Event::Up { call }).into_iter().find_map(sent).unwrap();
-                self.call = Some(call);
-                self.event(Event::Message { call, message: FromRelay::Subscribed { lineage } });
-                return (asked, relay);
-            }
-        }
+    /// The same with a relay of another log; returns the request and the relay.
+    pub fn connect_to(&mut self, log_id: u64) -> (SubscriberMessage, usize) {
+        let (connection, relay) = self.next_attempt();
+        let opened = self.handle(SubscriberEvent::Connected { connection });
+        let request = opened.into_iter().find_map(sent).unwrap();
+        self.connection = Some(connection);
+        let message = RelayMessage::Subscribed { log_id };
+        self.handle(SubscriberEvent::Message { connection, message });
+        (request, relay)
     }
 
-    /// Until it calls; tells the call.
-    pub fn call(&mut self) -> u64 {
+    /// Lets time pass until the subscriber opens a connection; returns it and the relay.
+    pub fn next_attempt(&mut self) -> (u64, usize) {
         loop {
             self.now.0 += 50_000;
-            for action in self.event(Event::Tick) {
-                if let Action::Connect { call, .. } = action {
-                    return call;
+            for action in self.handle(SubscriberEvent::Tick) {
+                if let SubscriberAction::Connect { connection, relay } = action {
+                    return (connection, relay);
                 }
             }
         }
     }
 
-    pub fn say(&mut self, message: FromRelay) -> Vec<Action> {
-        let call = self.call.unwrap();
-        self.event(Event::Message { call, message })
+    pub fn receive(&mut self, message: RelayMessage) -> Vec<SubscriberAction> {
+        let connection = self.connection.unwrap();
+        self.handle(SubscriberEvent::Message { connection, message })
     }
 
-    pub fn snapshot(&mut self, entries: Vec<Change>, upto: u64) -> Vec<Action> {
-        let base = Index(upto);
-        let mut out = self.say(FromRelay::Piece { base, first: true, last: true, entries });
-        out.extend(self.say(FromRelay::Changes { from: base, upto: base, changes: vec![] }));
-        out
+    pub fn receive_snapshot(&mut self, entries: Vec<Change>, up_to: u64) -> Vec<SubscriberAction> {
+        let base = Index(up_to);
+        let chunk = RelayMessage::SnapshotChunk { base, is_first: true, is_last: true, entries };
+        let mut actions = self.receive(chunk);
+        actions.extend(self.receive(RelayMessage::Changes { from: base, up_to: base, changes: vec![] }));
+        actions
     }
 
-    pub fn decide(&mut self) -> Vec<Action> {
-        self.event(Event::Decided { refused: vec![] })
+    /// Applies what the subscriber asked for.
+    pub fn accept(&mut self) -> Vec<SubscriberAction> {
+        self.handle(SubscriberEvent::ApplyFinished { rejected: vec![] })
     }
 
-    pub fn refuse(&mut self, name: &str, why: &str) -> Vec<Action> {
-        let out = self.event(Event::Decided { refused: vec![(Key::new(Topic::Fleet, name), why.into())] });
-        // What is left of it is taken.
-        match out.iter().any(|a| matches!(a, Action::Decide { .. })) {
-            true => self.decide(),
-            false => out,
+    /// Rejects one key, and applies the rest.
+    pub fn reject(&mut self, name: &str, reason: &str) -> Vec<SubscriberAction> {
+        let rejected = vec![(Key::new(Topic::Fleet, name), reason.into())];
+        let actions = self.handle(SubscriberEvent::ApplyFinished { rejected });
+        if actions.iter().any(|action| matches!(action, SubscriberAction::Apply { .. })) {
+            self.accept()
+        } else {
+            actions
         }
     }
 
-    /// Seconds, with a relay that is there.
+    /// Lets seconds pass, with heartbeats of the relay.
     pub fn pass_time(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now.0 += 1_000_000;
-            self.say(FromRelay::Alive { upto: Index(0), sum: None, alone: None });
+            self.receive(RelayMessage::Heartbeat { up_to: Index(0), checksum: None, isolated_for: None });
         }
     }
 
-    pub fn end(&mut self) {
-        let call = self.call.unwrap();
-        self.event(Event::Down { call, failure: Failure::Ended });
+    pub fn disconnect(&mut self) {
+        let connection = self.connection.unwrap();
+        self.handle(SubscriberEvent::Disconnected { connection, failure: Failure::Ended });
     }
 
-    pub fn follows(&self) -> Option<u64> {
-        self.subscriber.follows()
+    pub fn followed(&self) -> Option<u64> {
+        self.subscriber.followed_connection()
     }
 
-    pub fn kept(&mut self) -> Option<Vec<u8>> {
-        let kept = |a: &Action| if let Action::Keep(bytes) = a { Some(bytes.clone()) } else { None };
-        self.done.iter().rev().find_map(kept)
+    /// The state that was persisted last.
+    pub fn persisted(&self) -> Option<Vec<u8>> {
+        self.actions.iter().rev().find_map(|action| match action {
+            SubscriberAction::Persist(bytes) => Some(bytes.clone()),
+            _ => None,
+        })
     }
 
+    /// The applied value of a key, with its version.
     pub fn value(&self, name: &str) -> Option<(u64, String)> {
-        let (version, value) = self.subscriber.held().get(&Key::new(Topic::Fleet, name))?;
+        let (version, value) = self.subscriber.state().get(&Key::new(Topic::Fleet, name))?;
         Some((version.0, String::from_utf8_lossy(value).into_owned()))
     }
 }
 
-pub fn sent(action: Action) -> Option<ToRelay> {
+pub fn sent(action: SubscriberAction) -> Option<SubscriberMessage> {
     match action {
-        Action::Send { message, .. } => Some(message),
+        SubscriberAction::Send { message, .. } => Some(message),
         _ => None,
     }
 }
 
-/// What a subscriber asks a relay for first.
-pub fn asked(subscriber: &mut Subscriber) -> ToRelay {
+pub fn changes(from: u64, up_to: u64, changes: Vec<Change>) -> RelayMessage {
+    RelayMessage::Changes { from: Index(from), up_to: Index(up_to), changes }
+}
+
+/// The first acknowledgement: the version, and what is rejected.
+pub fn acknowledgement(actions: Vec<SubscriberAction>) -> Option<(u64, Vec<String>)> {
+    let text = |rejection: Rejection| format!("{} {}", rejection.key, rejection.reason);
+    actions.into_iter().filter_map(sent).find_map(|message| match message {
+        SubscriberMessage::Acknowledge { up_to, rejected } => {
+            Some((up_to.0, rejected.into_iter().map(text).collect()))
+        }
+        _ => None,
+    })
+}
+
+/// The values that the host is asked to apply: their names and versions.
+pub fn requested(actions: &[SubscriberAction]) -> Option<Vec<(String, u64)>> {
+    actions.iter().find_map(|action| match action {
+        SubscriberAction::Apply { changes, .. } => {
+            Some(changes.iter().map(|change| (change.key.name.to_string(), change.version.0)).collect())
+        }
+        _ => None,
+    })
+}
+
+/// The request that a subscriber sends to its first relay.
+pub fn first_request(subscriber: &mut Subscriber) -> SubscriberMessage {
     let mut now = Time(1);
     loop {
         now.0 += 50_000;
-        let mut out = vec![];
-        subscriber.handle(now, Event::Tick, &mut out);
-        for action in out {
-            let Action::Connect { call, .. } = action else { continue };
-            let mut out = vec![];
-            subscriber.handle(now, Event::Up { call }, &mut out);
-            return out.into_iter().find_map(sent).unwrap();
+        let mut actions = vec![];
+        subscriber.handle(now, SubscriberEvent::Tick, &mut actions);
+        for action in actions {
+            let SubscriberAction::Connect { connection, .. } = action else { continue };
+            let mut actions = vec![];
+            subscriber.handle(now, SubscriberEvent::Connected { connection }, &mut actions);
+            return actions.into_iter().find_map(sent).unwrap();
         }
     }
 }
 
-/// A relay's report of fronts that have all decided.
-pub fn report(relay: &str, number: u64, applied: u64) -> config_distribution::Report {
+/// A relay's report of gateways that have acknowledged everything.
+pub fn report(relay: &str, sequence: u64, applied: u64) -> config_distribution::Report {
     config_distribution::Report {
         relay: relay.into(),
-        number,
+        sequence,
         applied: Index(applied),
-        fronts: 10,
-        behind: 0,
-        worst: vec![],
-        refusing: 0,
-        refused: vec![],
+        gateways: 10,
+        lagging: 0,
+        lags: vec![],
+        rejecting: 0,
+        rejections: vec![],
     }
 }
 
--- a/crates/config-distribution/tests/relay.rs
+++ b/crates/config-distribution/tests/relay.rs
@@ -1,180 +1,187 @@
-//! What a relay sends to whom, and whom it cuts off.
+//! What a relay sends to its subscribers, and which connections it closes.
 mod common;
 use cluster_types::Index;
-use common::served::{changes, closed, pieces, shard, told, Served};
+use common::relay::{close_reason, message_count, sent_changes, sent_chunks, shard_scope, TestRelay};
 use config_distribution::{
-    Catalogue, Cut, FromRelay, Key, Refusal, RelayAction, RelayEvent, Scope, Settings, ToRelay, Topic,
+    Catalogue, CloseReason, Key, Rejection, Relay, RelayAction, RelayEvent, RelayMessage, Scope, Settings,
+    SubscriberMessage, Topic,
 };
 use rstest::rstest;
 
-/// One live subscriber for shard 1 on link 1, as of version 1.
-fn live() -> Served {
-    let mut served = Served::new();
-    served.primary();
-    let out = served.join(1, shard(1), 1);
-    assert_eq!(told(&out, 1), 1, "nothing has come since");
-    served
+/// A relay with a live subscriber of shard 1 on connection 1, as of version 1.
+fn live() -> TestRelay {
+    let mut relay = TestRelay::new();
+    relay.write_primary();
+    let actions = relay.subscribe(1, shard_scope(1), 1);
+    assert_eq!(message_count(&actions, 1), 1, "no changes since its version");
+    relay
 }
 
 #[test]
-fn a_primary_goes_out_at_once_and_to_those_whom_it_concerns() {
-    let mut served = live();
-    served.join(2, shard(2), 1);
-    let out = served.primary();
-    assert_eq!(changes(&out, 1), [(1, 2, vec!["box".to_string()])]);
-    assert_eq!(changes(&out, 2), []);
+fn sends_primary_at_once_to_its_scope_only() {
+    let mut relay = live();
+    relay.subscribe(2, shard_scope(2), 1);
+    let actions = relay.write_primary();
+    assert_eq!(sent_changes(&actions, 1), [(1, 2, vec!["box".to_string()])]);
+    assert_eq!(sent_changes(&actions, 2), []);
 }
 
 #[test]
-fn configuration_is_gathered_and_the_newest_of_a_key_wins() {
-    let mut served = live();
+fn batches_configuration_with_newest_value_of_each_key() {
+    let mut relay = live();
     for n in 0..5u8 {
-        let out = served.setting("limit", &[n]);
-        assert_eq!(changes(&out, 1), []);
-        served.wait(100);
+        let actions = relay.write_setting("limit", &[n]);
+        assert_eq!(sent_changes(&actions, 1), []);
+        relay.wait(100);
     }
-    served.setting("other", b"x");
-    let out = served.wait(2_000);
-    assert_eq!(changes(&out, 1), [(1, 7, vec!["limit".to_string(), "other".to_string()])]);
+    relay.write_setting("other", b"x");
+    let actions = relay.wait(2_000);
+    assert_eq!(sent_changes(&actions, 1), [(1, 7, vec!["limit".to_string(), "other".to_string()])]);
 }
 
 #[test]
-fn a_primary_takes_along_what_waits() {
-    let mut served = live();
-    served.setting("limit", b"x");
-    let out = served.primary();
-    assert_eq!(changes(&out, 1), [(1, 3, vec!["limit".to_string(), "box".to_string()])]);
-    assert_eq!(changes(&served.wait(3_000), 1), []);
+fn primary_takes_pending_configuration_along() {
+    let mut relay = live();
+    relay.write_setting("limit", b"x");
+    let actions = relay.write_primary();
+    assert_eq!(sent_changes(&actions, 1), [(1, 3, vec!["limit".to_string(), "box".to_string()])]);
+    assert_eq!(sent_changes(&relay.wait(3_000), 1), []);
 }
 
 #[test]
-fn nothing_more_is_sent_before_the_answer_and_then_all_that_is_newest() {
-    let mut served = live();
-    served.primary();
+fn sends_nothing_before_acknowledgement_and_then_newest_values() {
+    let mut relay = live();
+    relay.write_primary();
     for n in 0..100u8 {
-        assert_eq!(changes(&served.setting("limit", &[n]), 1), []);
-        assert_eq!(changes(&served.primary(), 1), []);
+        assert_eq!(sent_changes(&relay.write_setting("limit", &[n]), 1), []);
+        assert_eq!(sent_changes(&relay.write_primary(), 1), []);
     }
-    let out = served.decided(1, 2);
-    assert_eq!(changes(&out, 1), [(2, 202, vec!["limit".to_string(), "box".to_string()])]);
+    let actions = relay.acknowledge(1, 2);
+    assert_eq!(sent_changes(&actions, 1), [(2, 202, vec!["limit".to_string(), "box".to_string()])]);
 }
 
 #[test]
-fn one_that_does_not_answer_is_cut_off_and_holds_up_nobody() {
-    let mut served = live();
-    served.join(2, shard(1), 1);
-    served.primary();
-    served.decided(2, 2);
-    let out = served.primary();
-    assert_eq!(changes(&out, 2).len(), 1);
-    served.decided(2, 3);
-    let out = served.wait(6_100);
-    assert_eq!((closed(&out, 1), closed(&out, 2)), (Some(Cut::Slow), None));
-    assert!(told(&out, 1) >= 2, "it heard all the while that the relay is there");
-    assert_eq!(served.relay.figures().slow, 1);
+fn closes_subscriber_without_reply_and_delays_no_other() {
+    let mut relay = live();
+    relay.subscribe(2, shard_scope(1), 1);
+    relay.write_primary();
+    relay.acknowledge(2, 2);
+    let actions = relay.write_primary();
+    assert_eq!(sent_changes(&actions, 2).len(), 1);
+    relay.acknowledge(2, 3);
+    let actions = relay.wait(6_100);
+    assert_eq!(
+        (close_reason(&actions, 1), close_reason(&actions, 2)),
+        (Some(CloseReason::ReplyTimeout), None)
+    );
+    assert!(message_count(&actions, 1) >= 2, "heartbeats went on meanwhile");
+    assert_eq!(relay.inner.stats().reply_timeouts, 1);
 }
 
 #[test]
-fn what_is_no_answer_makes_nobody_quicker() {
-    let mut served = live();
-    served.primary();
+fn acknowledgement_of_older_version_does_not_extend_timeout() {
+    let mut relay = live();
+    relay.write_primary();
     for _ in 0..10 {
-        served.wait(700);
-        served.decided(1, 1);
+        relay.wait(700);
+        relay.acknowledge(1, 1);
     }
-    assert_eq!(closed(&served.out, 1), Some(Cut::Slow));
+    assert_eq!(close_reason(&relay.actions, 1), Some(CloseReason::ReplyTimeout));
 }
 
 #[test]
-fn one_that_is_ahead_of_its_relay_is_given_nothing_older_and_owes_nothing() {
-    let mut served = live();
-    let out = served.join(2, shard(1), 5);
-    assert!(matches!(&out[..], [RelayAction::Send { message: FromRelay::Subscribed { .. }, .. }]), "{out:?}");
-    (0..4).for_each(|n| drop(served.setting(&format!("s{n}"), b"x")));
-    // Also while they are gathered.
-    served.wait(1_200);
-    let known = served.relay.fleet().all().next().unwrap().clone();
-    assert!(known.worst.iter().all(|lag| *lag.front != *"front-2"), "{known:?}");
-    let out = served.wait(12_000);
-    assert_eq!(changes(&out, 2), []);
-    let known = served.relay.fleet().all().next().unwrap().clone();
-    assert!(known.worst.iter().all(|lag| *lag.front != *"front-2"), "{known:?}");
-    assert_eq!(changes(&served.primary(), 2), [(5, 6, vec!["box".to_string()])]);
+fn subscriber_ahead_of_relay_is_sent_nothing_older_and_does_not_lag() {
+    let mut relay = live();
+    let actions = relay.subscribe(2, shard_scope(1), 5);
+    assert!(
+        matches!(&actions[..], [RelayAction::Send { message: RelayMessage::Subscribed { .. }, .. }]),
+        "{actions:?}"
+    );
+    (0..4).for_each(|n| drop(relay.write_setting(&format!("s{n}"), b"x")));
+    // Also while the changes are batched.
+    relay.wait(1_200);
+    let report = relay.inner.fleet_status().reports().next().unwrap().clone();
+    assert!(report.lags.iter().all(|lag| *lag.gateway != *"gateway-2"), "{report:?}");
+    let actions = relay.wait(12_000);
+    assert_eq!(sent_changes(&actions, 2), []);
+    let report = relay.inner.fleet_status().reports().next().unwrap().clone();
+    assert!(report.lags.iter().all(|lag| *lag.gateway != *"gateway-2"), "{report:?}");
+    assert_eq!(sent_changes(&relay.write_primary(), 2), [(5, 6, vec!["box".to_string()])]);
 }
 
 #[test]
-fn one_of_another_log_is_given_a_snapshot() {
-    let mut served = live();
-    served.event(RelayEvent::Joined { link: 3, name: "front-3".into() });
-    let out = served.say(3, ToRelay::Subscribe { lineage: 6, scope: shard(1), from: Index(90) });
-    assert_eq!(pieces(&out, 3).len(), 1);
-    assert_eq!(changes(&out, 3), [(1, 1, vec![])]);
+fn sends_snapshot_to_subscriber_of_another_log() {
+    let mut relay = live();
+    relay.handle(RelayEvent::Connected { connection: 3, name: "gateway-3".into() });
+    let actions =
+        relay.receive(3, SubscriberMessage::Subscribe { log_id: 6, scope: shard_scope(1), from: Index(90) });
+    assert_eq!(sent_chunks(&actions, 3).len(), 1);
+    assert_eq!(sent_changes(&actions, 3), [(1, 1, vec![])]);
 }
 
 #[test]
-fn a_relay_that_holds_nothing_yet_asks_to_come_later() {
-    let mut served = Served::new();
-    served.relay =
-        config_distribution::Relay::new(Settings::default(), "relay-1", Catalogue::new(0), served.now);
-    let out = served.join(1, shard(1), 0);
-    assert_eq!(closed(&out, 1), Some(Cut::Later));
+fn defers_subscribers_before_first_catalogue() {
+    let mut relay = TestRelay::new();
+    relay.inner = Relay::new(Settings::default(), "relay-1", Catalogue::new(0), relay.now);
+    let actions = relay.subscribe(1, shard_scope(1), 0);
+    assert_eq!(close_reason(&actions, 1), Some(CloseReason::RetryLater));
 }
 
 #[test]
-fn it_serves_so_many_and_no_more() {
-    let mut served = live();
-    served.relay = config_distribution::Relay::new(
-        Settings { most: 3, ..Settings::default() },
-        "r",
-        Catalogue::new(7),
-        served.now,
-    );
-    let closed: Vec<_> = (1..=5).map(|link| closed(&served.join(link, shard(1), 1), link)).collect();
-    assert_eq!(closed, [None, None, None, Some(Cut::Later), Some(Cut::Later)]);
-    served.event(RelayEvent::Left { link: 2 });
-    served.join(6, shard(1), 1);
-    assert_eq!(served.relay.subscribed(), 3);
+fn limits_number_of_subscribers() {
+    let mut relay = live();
+    relay.inner =
+        Relay::new(Settings { max_subscribers: 3, ..Settings::default() }, "r", Catalogue::new(7), relay.now);
+    let subscribe = |connection| close_reason(&relay.subscribe(connection, shard_scope(1), 1), connection);
+    let closed: Vec<_> = (1..=5).map(subscribe).collect();
+    assert_eq!(closed, [None, None, None, Some(CloseReason::RetryLater), Some(CloseReason::RetryLater)]);
+    relay.handle(RelayEvent::Disconnected { connection: 2 });
+    relay.subscribe(6, shard_scope(1), 1);
+    assert_eq!(relay.inner.subscriber_count(), 3);
 }
 
 #[test]
-fn a_front_that_comes_again_takes_the_place_of_itself() {
-    let mut served = live();
-    let out = served.event(RelayEvent::Joined { link: 2, name: "front-1".into() });
-    assert_eq!(closed(&out, 1), Some(Cut::Replaced));
-    served.event(RelayEvent::Left { link: 1 });
-    served.say(2, ToRelay::Subscribe { lineage: 7, scope: shard(1), from: Index(1) });
-    assert_eq!(changes(&served.primary(), 2).len(), 1);
+fn replaces_earlier_connection_of_same_subscriber() {
+    let mut relay = live();
+    let actions = relay.handle(RelayEvent::Connected { connection: 2, name: "gateway-1".into() });
+    assert_eq!(close_reason(&actions, 1), Some(CloseReason::Replaced));
+    relay.handle(RelayEvent::Disconnected { connection: 1 });
+    relay.receive(2, SubscriberMessage::Subscribe { log_id: 7, scope: shard_scope(1), from: Index(1) });
+    assert_eq!(sent_changes(&relay.write_primary(), 2).len(), 1);
 }
 
-fn refusals(count: usize, why: usize) -> ToRelay {
+fn rejections(count: usize, reason_bytes: usize) -> SubscriberMessage {
     let key = Key::new(Topic::Shard(1), "box");
-    let one = Refusal { key, version: Index(1), why: "x".repeat(why) };
-    ToRelay::Decided { upto: Index(1), refused: vec![one; count] }
+    let rejection = Rejection { key, version: Index(1), reason: "x".repeat(reason_bytes) };
+    SubscriberMessage::Acknowledge { up_to: Index(1), rejected: vec![rejection; count] }
 }
 
 #[rstest]
-#[case::decided_ahead(ToRelay::Decided { upto: Index(9), refused: vec![] })]
-#[case::too_many_refused(refusals(9, 3))]
-#[case::a_long_why(refusals(1, 5_000))]
-#[case::next_unasked(ToRelay::Next)]
-#[case::a_report_of_no_relay(ToRelay::Report(common::report("front-1", 1, 1)))]
-#[case::a_scope_without_the_fleet(ToRelay::Subscribe { lineage: 7, scope: Scope::Topics([].into()), from: Index(1) })]
-#[case::a_scope_too_big(ToRelay::Subscribe { lineage: 7, scope: Scope::of((0..20_000).map(Topic::Shard)), from: Index(1) })]
-fn what_makes_no_sense_is_counted_and_ends_the_connection(#[case] message: ToRelay) {
-    let mut served = live();
-    served.join(2, shard(1), 1);
-    let out = served.say(1, message);
-    assert_eq!((closed(&out, 1), served.relay.figures().bad), (Some(Cut::Bad), 1));
-    assert_eq!(changes(&served.primary(), 2).len(), 1, "others go on");
+#[case::acknowledged_ahead(SubscriberMessage::Acknowledge { up_to: Index(9), rejected: vec![] })]
+#[case::too_many_rejections(rejections(9, 3))]
+#[case::a_long_reason(rejections(1, 5_000))]
+#[case::next_chunk_without_snapshot(SubscriberMessage::NextChunk)]
+#[case::a_report_of_a_gateway(SubscriberMessage::Report(common::report("gateway-1", 1, 1)))]
+#[case::a_scope_without_the_fleet_topic(SubscriberMessage::Subscribe { log_id: 7, scope: Scope::Topics([].into()), from: Index(1) })]
+#[case::a_scope_too_big(SubscriberMessage::Subscribe { log_id: 7, scope: Scope::of((0..20_000).map(Topic::Shard)), from: Index(1) })]
+fn closes_connection_on_protocol_error(#[case] message: SubscriberMessage) {
+    let mut relay = live();
+    relay.subscribe(2, shard_scope(1), 1);
+    let actions = relay.receive(1, message);
+    assert_eq!(
+        (close_reason(&actions, 1), relay.inner.stats().protocol_errors),
+        (Some(CloseReason::ProtocolError), 1)
+    );
+    assert_eq!(sent_changes(&relay.write_primary(), 2).len(), 1, "other subscribers are served on");
 }
 
 #[test]
-fn at_rest_a_sum_comes_now_and_then() {
-    let mut served = live();
-    let out = served.wait(21_000);
-    let sums = |a: &&RelayAction| {
-        matches!(a, RelayAction::Send { message: FromRelay::Alive { sum: Some(_), .. }, .. })
+fn sends_checksum_periodically_when_idle() {
+    let mut relay = live();
+    let actions = relay.wait(21_000);
+    let has_checksum = |action: &&RelayAction| {
+        matches!(action, RelayAction::Send { message: RelayMessage::Heartbeat { checksum: Some(_), .. }, .. })
     };
-    assert_eq!(out.iter().filter(sums).count(), 2);
-    assert!((10..=13).contains(&told(&out, 1)));
+    assert_eq!(actions.iter().filter(has_checksum).count(), 2);
+    assert!((10..=13).contains(&message_count(&actions, 1)));
 }
--- a/crates/config-distribution/tests/reports.rs
+++ b/crates/config-distribution/tests/reports.rs
@@ -1,145 +1,148 @@
-//! Where changes are in force, and why not: by reports whose size does not grow with the fleet.
+//! How far changes are applied, by reports whose size does not grow with the fleet.
 mod common;
 use cluster_types::{Index, Time};
+use common::relay::{shard_scope, TestRelay};
 use common::report;
-use common::served::{shard, Served};
 use config_distribution::{
-    Fleet, FromRelay, Lag, Refusal, RelayAction, RelayEvent, Report, Scope, ToRelay, Where, WORST,
+    FleetStatus, GatewayRejection, Key, Lag, RelayAction, RelayEvent, RelayMessage, Report, RolloutStatus,
+    Scope, SubscriberMessage, Topic, MAX_REPORTED_GATEWAYS,
 };
-use config_distribution::{Key, Topic};
 use std::time::Duration;
 
 const SILENCE: Duration = Duration::from_secs(5);
 
-fn lag(front: &str, owes: u64) -> Lag {
-    Lag { front: front.into(), owes: Index(owes), why: "it was sent it".into() }
+fn lag(gateway: &str, first_pending: u64) -> Lag {
+    Lag { gateway: gateway.into(), first_pending: Index(first_pending), reason: "it was sent it".into() }
 }
 
-fn behind(relay: &str, worst: Vec<Lag>, behind: u32) -> Report {
-    Report { worst, behind, ..report(relay, 1, 9) }
+fn lagging(relay: &str, lags: Vec<Lag>, lagging: u32) -> Report {
+    Report { lags, lagging, ..report(relay, 1, 9) }
 }
 
-fn ask(reports: Vec<Report>, version: u64) -> Where {
-    let mut fleet = Fleet::default();
-    reports.into_iter().for_each(|r| assert!(fleet.take(Time(0), r)));
-    fleet.ask(Time(1_000_000), Index(version), SILENCE)
+fn rollout(reports: Vec<Report>, version: u64) -> RolloutStatus {
+    let mut fleet = FleetStatus::default();
+    reports.into_iter().for_each(|report| assert!(fleet.record(Time(0), report)));
+    fleet.rollout(Time(1_000_000), Index(version), SILENCE)
 }
 
 #[test]
-fn everywhere_means_that_all_have_decided() {
-    let answer = ask(vec![report("a", 1, 9), report("b", 1, 9)], 9);
-    assert!(answer.everywhere);
-    assert_eq!(answer.fronts, 20);
-    assert!(!ask(vec![], 0).everywhere, "who knows of nobody says nothing");
+fn is_everywhere_once_all_have_acknowledged() {
+    let status = rollout(vec![report("a", 1, 9), report("b", 1, 9)], 9);
+    assert!(status.is_everywhere);
+    assert_eq!(status.gateways, 20);
+    assert!(!rollout(vec![], 0).is_everywhere, "nothing is known without a report");
 }
 
 #[test]
-fn a_front_that_owes_it_is_named_with_why() {
-    let reports = vec![report("a", 1, 9), behind("b", vec![lag("front-3", 8)], 1)];
-    let answer = ask(reports.clone(), 9);
-    assert_eq!((answer.everywhere, answer.lags, answer.more), (false, vec![lag("front-3", 8)], 0));
-    assert!(ask(reports, 7).everywhere, "what it owes is later");
+fn names_lagging_gateway_and_reason() {
+    let reports = vec![report("a", 1, 9), lagging("b", vec![lag("gateway-3", 8)], 1)];
+    let status = rollout(reports.clone(), 9);
+    let expected = (false, vec![lag("gateway-3", 8)], 0);
+    assert_eq!((status.is_everywhere, status.lags, status.unnamed_lagging), expected);
+    assert!(rollout(reports, 7).is_everywhere, "what it lacks is later");
 }
 
 #[test]
-fn more_are_counted_than_are_named() {
-    let worst = (0..WORST).map(|n| lag(&format!("front-{n}"), 8)).collect();
-    let answer = ask(vec![behind("b", worst, 100)], 9);
-    assert_eq!((answer.lags.len(), answer.more), (8, 92));
+fn counts_lagging_gateways_beyond_the_named() {
+    let lags = (0..MAX_REPORTED_GATEWAYS).map(|n| lag(&format!("gateway-{n}"), 8)).collect();
+    let status = rollout(vec![lagging("b", lags, 100)], 9);
+    assert_eq!((status.lags.len(), status.unnamed_lagging), (8, 92));
 }
 
 #[test]
-fn a_relay_that_is_behind_or_silent_or_unheard_is_named() {
-    let mut fleet = Fleet::default();
+fn names_lagging_silent_and_missing_relays() {
+    let mut fleet = FleetStatus::default();
     fleet.expect_reports(["a", "b", "c"].map(Into::into));
-    fleet.take(Time(0), report("a", 1, 9));
-    fleet.take(Time(6_000_000), report("b", 1, 8));
-    let answer = fleet.ask(Time(7_000_000), Index(9), SILENCE);
-    assert_eq!(answer.relays, ["b".into()]);
-    assert_eq!(answer.silent, ["a".into(), "c".into()]);
-    assert!(!fleet.ask(Time(7_000_000), Index(3), SILENCE).everywhere);
-    fleet.forget(Time(100_000_000), Duration::from_secs(60));
-    assert_eq!(fleet.ask(Time(100_000_000), Index(3), SILENCE).silent.len(), 3, "forgotten is not settled");
+    fleet.record(Time(0), report("a", 1, 9));
+    fleet.record(Time(6_000_000), report("b", 1, 8));
+    let status = fleet.rollout(Time(7_000_000), Index(9), SILENCE);
+    assert_eq!(status.lagging_relays, ["b".into()]);
+    assert_eq!(status.silent_relays, ["a".into(), "c".into()]);
+    assert!(!fleet.rollout(Time(7_000_000), Index(3), SILENCE).is_everywhere);
+    fleet.expire(Time(100_000_000), Duration::from_secs(60));
+    let status = fleet.rollout(Time(100_000_000), Index(3), SILENCE);
+    assert_eq!(status.silent_relays.len(), 3, "an expired report does not settle a version");
 }
 
 #[test]
-fn a_report_told_again_is_neither_new_nor_a_sign_of_life() {
-    let mut fleet = Fleet::default();
-    assert!(fleet.take(Time(0), report("a", 5, 9)));
-    assert!(!fleet.take(Time(6_000_000), report("a", 5, 9)));
-    assert!(!fleet.take(Time(6_000_000), report("a", 4, 3)), "an older one that came late");
-    let answer = fleet.ask(Time(6_000_000), Index(9), SILENCE);
-    assert_eq!((answer.silent.len(), answer.relays.len()), (1, 0));
-    assert!(fleet.take(Time(6_000_000), report("a", 6, 9)));
+fn repeated_report_is_neither_new_nor_sign_of_life() {
+    let mut fleet = FleetStatus::default();
+    assert!(fleet.record(Time(0), report("a", 5, 9)));
+    assert!(!fleet.record(Time(6_000_000), report("a", 5, 9)));
+    assert!(!fleet.record(Time(6_000_000), report("a", 4, 3)), "an older one that arrives late");
+    let status = fleet.rollout(Time(6_000_000), Index(9), SILENCE);
+    assert_eq!((status.silent_relays.len(), status.lagging_relays.len()), (1, 0));
+    assert!(fleet.record(Time(6_000_000), report("a", 6, 9)));
 }
 
 #[test]
-fn an_old_report_is_not_told_to_relays_that_follow() {
-    let mut served = Served::new();
-    served.join(1, Scope::Everything, 1);
-    served.event(RelayEvent::Reports(vec![report("b", 1, 9)]));
-    let told = |out: &[RelayAction]| {
-        let of = |r: &Report| *r.relay == *"b";
-        let b = |a: &&RelayAction| matches!(a, RelayAction::Send { message: FromRelay::Fleet(all), .. } if all.iter().any(of));
-        out.iter().filter(b).count()
+fn does_not_send_old_reports_to_following_relays() {
+    let mut relay = TestRelay::new();
+    relay.subscribe(1, Scope::Everything, 1);
+    relay.handle(RelayEvent::PeerReports(vec![report("b", 1, 9)]));
+    let reports_of_b = |actions: &[RelayAction]| {
+        let is_of_b = |report: &Report| *report.relay == *"b";
+        let has_b = |action: &&RelayAction| matches!(action, RelayAction::Send { message: RelayMessage::Reports(all), .. } if all.iter().any(is_of_b));
+        actions.iter().filter(has_b).count()
     };
-    assert!(told(&served.wait(2_000)) > 0);
-    served.wait(1_000);
-    assert_eq!(told(&served.wait(5_000)), 0);
+    assert!(reports_of_b(&relay.wait(2_000)) > 0);
+    relay.wait(1_000);
+    assert_eq!(reports_of_b(&relay.wait(5_000)), 0);
 }
 
 #[test]
-fn what_relays_below_tell_goes_to_the_others_once_and_what_others_tell_does_not() {
-    let mut served = Served::new();
-    served.join(1, Scope::Everything, 1);
-    let mut out = vec![];
-    let message = ToRelay::Report(report("front-1", 1, 9));
-    let event = RelayEvent::Message { link: 1, message };
-    served.relay.handle(served.now, event.clone(), &mut out);
-    assert!(matches!(&out[..], [RelayAction::Reports(r)] if r.len() == 1), "{out:?}");
-    out.clear();
-    served.relay.handle(served.now, event, &mut out);
-    served.relay.handle(served.now, RelayEvent::Reports(vec![report("c", 1, 9)]), &mut out);
-    assert_eq!(out, []);
+fn shares_reports_of_following_relays_once_and_of_peers_never() {
+    let mut relay = TestRelay::new();
+    relay.subscribe(1, Scope::Everything, 1);
+    let mut actions = vec![];
+    let message = SubscriberMessage::Report(report("gateway-1", 1, 9));
+    let event = RelayEvent::Message { connection: 1, message };
+    relay.inner.handle(relay.now, event.clone(), &mut actions);
+    assert!(matches!(&actions[..], [RelayAction::ShareReports(all)] if all.len() == 1), "{actions:?}");
+    actions.clear();
+    relay.inner.handle(relay.now, event, &mut actions);
+    relay.inner.handle(relay.now, RelayEvent::PeerReports(vec![report("c", 1, 9)]), &mut actions);
+    assert_eq!(actions, []);
 }
 
 #[test]
-fn an_oversized_report_is_dropped_and_counted() {
-    let mut served = Served::new();
-    let big = behind("b", (0..9).map(|n| lag(&format!("front-{n}"), 8)).collect(), 9);
-    served.event(RelayEvent::Reports(vec![big]));
-    assert_eq!((served.relay.figures().bad, served.relay.fleet().all().count()), (1, 0));
+fn drops_and_counts_oversized_report() {
+    let mut relay = TestRelay::new();
+    let big = lagging("b", (0..9).map(|n| lag(&format!("gateway-{n}"), 8)).collect(), 9);
+    relay.handle(RelayEvent::PeerReports(vec![big]));
+    let reports = relay.inner.fleet_status().reports().count();
+    assert_eq!((relay.inner.stats().protocol_errors, reports), (1, 0));
 }
 
 #[test]
-fn a_relay_tells_who_owes_what_and_who_refused_it() {
-    let mut served = Served::new();
-    served.primary();
-    (1..=20).for_each(|link| drop(served.join(link, shard(1), 1)));
-    served.primary();
-    served.refused(1, 2, &Key::new(Topic::Shard(1), "box"));
-    served.wait(1_100);
-    let answer = served.relay.fleet().ask(served.now, Index(2), SILENCE);
-    assert_eq!((answer.everywhere, answer.fronts, answer.lags.len(), answer.more), (false, 20, 8, 11));
-    assert_eq!((answer.refusing, answer.refused.len()), (1, 1));
-    assert!(
-        matches!(&answer.refused[0], (front, Refusal { why, .. }) if **front == *"front-1" && why == "no")
-    );
-    (1..=20).for_each(|link| drop(served.decided(link, 2)));
-    served.wait(1_100);
-    let answer = served.relay.fleet().ask(served.now, Index(2), SILENCE);
-    assert!(answer.everywhere, "a value that was refused is decided on: {answer:?}");
-    assert_eq!(answer.refusing, 0);
+fn reports_lags_and_rejections() {
+    let mut relay = TestRelay::new();
+    relay.write_primary();
+    (1..=20).for_each(|connection| drop(relay.subscribe(connection, shard_scope(1), 1)));
+    relay.write_primary();
+    relay.acknowledge_rejecting(1, 2, &Key::new(Topic::Shard(1), "box"));
+    relay.wait(1_100);
+    let status = relay.inner.fleet_status().rollout(relay.now, Index(2), SILENCE);
+    assert_eq!((status.is_everywhere, status.gateways), (false, 20));
+    assert_eq!((status.lags.len(), status.unnamed_lagging), (8, 11));
+    assert_eq!((status.rejecting, status.rejections.len()), (1, 1));
+    let GatewayRejection { gateway, rejection } = &status.rejections[0];
+    assert_eq!((&**gateway, &*rejection.reason), ("gateway-1", "no"));
+    (1..=20).for_each(|connection| drop(relay.acknowledge(connection, 2)));
+    relay.wait(1_100);
+    let status = relay.inner.fleet_status().rollout(relay.now, Index(2), SILENCE);
+    assert!(status.is_everywhere, "a rejected value is acknowledged: {status:?}");
+    assert_eq!(status.rejecting, 0);
 }
 
 #[test]
-fn an_answer_has_the_same_size_whatever_the_fleet() {
-    let size = |fronts: u32| {
+fn size_of_status_does_not_grow_with_fleet() {
+    let size = |gateways: u32| {
         let one = |n: u32| {
-            let worst = (0..WORST).map(|k| lag(&format!("front-{n}-{k}"), 8)).collect();
-            Report { fronts, ..behind(&format!("relay-{n:02}"), worst, fronts) }
+            let lags = (0..MAX_REPORTED_GATEWAYS).map(|k| lag(&format!("gateway-{n}-{k}"), 8)).collect();
+            Report { gateways, ..lagging(&format!("relay-{n:02}"), lags, gateways) }
         };
-        postcard::to_stdvec(&ask((0..40).map(one).collect(), 9)).unwrap().len()
+        postcard::to_stdvec(&rollout((0..40).map(one).collect(), 9)).unwrap().len()
     };
     assert!(size(1_000_000) - size(100) < 400, "{} and {}", size(100), size(1_000_000));
 }
--- /dev/null
+++ b/crates/config-distribution/tests/sim/invariants.rs
@@ -0,0 +1,188 @@
+//! What has to hold after each step, and at the end.
+use super::defect::Defect;
+use super::gateway::is_marked;
+use super::{Node, World};
+use cluster_types::Index;
+use config_distribution::{Change, Key, Put, Scope};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// The most violations that are recorded.
+const MAX_VIOLATIONS: usize = 2_000;
+/// How long a gateway that has just connected may lag.
+const CATCH_UP_TIME: Duration = Duration::from_secs(5);
+/// After how long without a report a relay counts as silent.
+const SILENCE: Duration = Duration::from_secs(5);
+/// The most bytes that may be in flight to one gateway.
+const MAX_BYTES_IN_FLIGHT: usize = 256 * 1024;
+
+impl World {
+    fn violation(&mut self, violation: String) {
+        let now_s = self.now.0 as f64 / 1e6;
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(format!("{now_s:.3} s: {violation}"));
+        }
+    }
+
+    /// Before a gateway applies changes: none is older than what it has, and each is as the log has it.
+    pub fn check_changes(&mut self, number: usize, changes: &[Change]) {
+        let mut violations = vec![];
+        let gateway = &self.gateways[number];
+        for Change { key, version, value, .. } in changes {
+            if gateway.newest_applied.get(key).is_some_and(|newest| newest > version) {
+                violations.push(format!("gateway {number}: {key} goes back to {version:?}"));
+            }
+            if self.log.values.get(&(key.clone(), *version)) != Some(value) {
+                violations.push(format!("gateway {number}: {key} at {version:?} is not what the log has"));
+            }
+            if !gateway.scope.contains(&key.topic) {
+                violations.push(format!("gateway {number}: {key} is not in its scope"));
+            }
+        }
+        let held = gateway.subscriber.state().len();
+        if self.checks_fleet && held > self.key_count(&gateway.scope) {
+            violations.push(format!("gateway {number} holds {held} keys, more than its scope has"));
+        }
+        violations.into_iter().for_each(|violation| self.violation(violation));
+    }
+
+    /// After it: of each batch that has an applied value, all values in the gateway's scope are applied, or newer ones.
+    pub fn check_batches(&mut self, number: usize, changes: &[Change]) {
+        let versions: BTreeSet<Index> =
+            changes.iter().map(|change| change.version).filter(|version| version.0 > 0).collect();
+        let mut violations = vec![];
+        let scope = &self.gateways[number].scope;
+        for version in versions {
+            let puts = self.log.batch(version).batch.puts.iter();
+            for put in puts.filter(|put| scope.contains(&put.key.topic)) {
+                if !self.is_settled(number, version, put) {
+                    violations
+                        .push(format!("gateway {number}: {version:?} is incomplete, {} is missing", put.key));
+                }
+            }
+        }
+        violations.into_iter().for_each(|violation| self.violation(violation));
+    }
+
+    /// Whether a value of a batch is applied at a gateway, or rightly is not.
+    fn is_settled(&self, number: usize, version: Index, put: &Put) -> bool {
+        let gateway = &self.gateways[number];
+        let applied = gateway.applied.get(&put.key);
+        if applied.is_some_and(|(applied, _)| *applied >= version) {
+            return true;
+        }
+        let is_deleted = put.value.is_none() || self.log.is_deleted_after(&put.key, version);
+        if is_deleted && applied.is_none() {
+            return true;
+        }
+        // A newer value was rejected with its batch; the old one was never sent.
+        let writes = self.log.history.get(&put.key);
+        let is_newer_rejected = writes.is_some_and(|writes| {
+            writes
+                .iter()
+                .any(|write| write.version > version && self.is_batch_rejected(number, write.version))
+        });
+        gateway.rejects_marked && is_newer_rejected
+    }
+
+    /// No machine says that the last version is everywhere while a gateway that has been connected for a while lacks a value.
+    pub fn check_rollout(&mut self) {
+        if !self.checks_fleet {
+            return;
+        }
+        let version = self.log.last();
+        let is_expected = |number: &usize| self.served_for(*number) > Some(CATCH_UP_TIME);
+        let missing: Vec<(usize, String)> = (0..self.gateways.len())
+            .filter(is_expected)
+            .filter_map(|number| Some((number, self.missing(number)?)))
+            .collect();
+        if missing.is_empty() {
+            return;
+        }
+        for machine in 0..self.machines.len() {
+            let status = self.machines[machine].relay.fleet_status().rollout(self.now, version, SILENCE);
+            if !status.is_everywhere || !self.machines[machine].is_up {
+                continue;
+            }
+            for (number, missing) in &missing {
+                self.violation(format!(
+                    "machine {machine} says everywhere, gateway {number} lacks {missing}"
+                ));
+            }
+        }
+    }
+
+    /// How long a gateway has been served on its present link.
+    fn served_for(&self, number: usize) -> Option<Duration> {
+        let gateway = &self.gateways[number];
+        let connection = gateway.subscriber.followed_connection().filter(|_| gateway.is_up)?;
+        let link = self.links.get(self.connections.get(&(Node::Gateway(number), connection))?)?;
+        (!link.is_broken && link.is_open_at_server).then(|| self.now.since(link.opened_at))
+    }
+
+    /// A key whose newest value a gateway neither has applied nor rejects.
+    pub fn missing(&self, number: usize) -> Option<String> {
+        let gateway = &self.gateways[number];
+        for newest in self.log.catalogue.chunk(&gateway.scope, None, usize::MAX).entries {
+            let applied = gateway.applied.get(&newest.key);
+            let is_applied = applied.is_some_and(|(version, value)| {
+                *version == newest.version && Some(value) == newest.value.as_ref()
+            });
+            let is_rejected = gateway.rejects_marked && self.is_batch_rejected(number, newest.version);
+            if !is_applied && !is_rejected {
+                let applied = applied.map(|(version, _)| version);
+                return Some(format!("{} {:?}: {applied:?}", newest.key, newest.version));
+            }
+        }
+        let is_deleted =
+            |key: &&Key| self.log.catalogue.get(key).is_none() && !self.is_deletion_rejected(number, key);
+        gateway.applied.keys().find(is_deleted).map(|key| format!("the deletion of {key}"))
+    }
+
+    fn is_deletion_rejected(&self, number: usize, key: &Key) -> bool {
+        let last = self.log.history.get(key).and_then(|writes| writes.last());
+        self.gateways[number].rejects_marked
+            && last.is_some_and(|write| write.is_deletion && self.is_batch_rejected(number, write.version))
+    }
+
+    /// Whether a gateway that rejects marked values rejects a batch.
+    fn is_batch_rejected(&self, number: usize, version: Index) -> bool {
+        let scope = &self.gateways[number].scope;
+        let puts = &self.log.batch(version).batch.puts;
+        puts.iter().any(|put| scope.contains(&put.key.topic) && is_marked(&put.value))
+    }
+
+    /// Everything is healed and time has passed: the state is exact everywhere.
+    pub fn check_end(&mut self) {
+        let version = self.log.last();
+        for number in 0..self.gateways.len() {
+            if let Some(missing) = self.missing(number) {
+                self.violation(format!("at the end gateway {number} lacks {missing}"));
+            }
+            let up_to = self.gateways[number].subscriber.state().up_to();
+            if up_to < version {
+                self.violation(format!("at the end gateway {number} is at {up_to:?}"));
+            }
+        }
+        for number in 0..self.machines.len() {
+            let relay = &self.machines[number].relay;
+            let status = relay.fleet_status().rollout(self.now, version, SILENCE);
+            if relay.catalogue().applied() != version {
+                self.violation(format!("at the end machine {number} is not at {version:?}"));
+            }
+            let is_complete = status.is_everywhere && status.gateways == self.gateways.len() as u32;
+            if !is_complete && self.defect != Some(Defect::EarlyAcknowledgement) {
+                self.violation(format!("at the end machine {number} says {status:?}"));
+            }
+        }
+        let in_flight = self.measurements.max_bytes_in_flight;
+        if in_flight > MAX_BYTES_IN_FLIGHT {
+            self.violation(format!("{in_flight} bytes were in flight to one gateway"));
+        }
+    }
+
+    /// How many keys were ever written in a scope.
+    fn key_count(&self, scope: &Scope) -> usize {
+        self.log.history.keys().filter(|key| scope.contains(&key.topic)).count()
+    }
+}
--- a/crates/config-distribution/tests/sim/log.rs
+++ b/crates/config-distribution/tests/sim/log.rs
@@ -1,68 +1,80 @@
-//! The one log, as the voters agreed on it, and what is put into it.
+//! The one log as the voters agreed on it, and the writes to it.
 use cluster_types::{Index, Time};
-use config_distribution::{Catalogue, Change, Class, Key, Order, Put, Topic};
+use config_distribution::{Catalogue, Class, Key, Put, Topic, WriteBatch};
 use rand::rngs::SmallRng;
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// Values that begin with this are refused by those who refuse.
-pub const REFUSED: u8 = b'!';
+/// Values that begin with this byte are rejected by some hosts.
+pub const REJECTED_MARK: u8 = b'!';
+
+pub struct LogEntry {
+    pub written_at: Time,
+    pub batch: WriteBatch,
+}
+
+/// A write of one key.
+pub struct Write {
+    pub version: Index,
+    pub is_deletion: bool,
+}
 
 pub struct Log {
-    pub orders: Vec<(Time, Order)>,
+    entries: Vec<LogEntry>,
     pub values: HashMap<(Key, Index), Option<Arc<[u8]>>>,
-    /// Of each key, where it was put or withdrawn, and whether it was withdrawn.
-    pub story: BTreeMap<Key, Vec<(Index, bool)>>,
+    /// All writes of each key.
+    pub history: BTreeMap<Key, Vec<Write>>,
     pub catalogue: Catalogue,
 }
 
 impl Log {
-    pub fn new(lineage: u64) -> Log {
-        let catalogue = Catalogue::new(lineage);
-        Log { orders: vec![], values: HashMap::new(), story: BTreeMap::new(), catalogue }
+    pub fn new(log_id: u64) -> Log {
+        let catalogue = Catalogue::new(log_id);
+        Log { entries: vec![], values: HashMap::new(), history: BTreeMap::new(), catalogue }
     }
 
     pub fn last(&self) -> Index {
-        Index(self.orders.len() as u64)
+        Index(self.entries.len() as u64)
     }
 
-    pub fn add(&mut self, now: Time, order: Order) -> Vec<Change> {
-        order.check().unwrap();
-        let version = Index(self.orders.len() as u64 + 1);
-        for put in &order.puts {
+    pub fn append(&mut self, now: Time, batch: WriteBatch) {
+        batch.check().unwrap();
+        let version = Index(self.last().0 + 1);
+        for put in &batch.puts {
             self.values.insert((put.key.clone(), version), put.value.clone());
-            self.story.entry(put.key.clone()).or_default().push((version, put.value.is_none()));
+            let write = Write { version, is_deletion: put.value.is_none() };
+            self.history.entry(put.key.clone()).or_default().push(write);
         }
-        let changes = self.catalogue.apply(version, &order);
-        self.orders.push((now, order));
-        changes
+        self.catalogue.apply(version, &batch);
+        self.entries.push(LogEntry { written_at: now, batch });
     }
 
-    pub fn order(&self, version: Index) -> &(Time, Order) {
-        &self.orders[version.0 as usize - 1]
+    pub fn batch(&self, version: Index) -> &LogEntry {
+        &self.entries[version.0 as usize - 1]
     }
 
-    /// Whether a key was withdrawn after a version.
-    pub fn withdrawn_after(&self, key: &Key, version: Index) -> bool {
-        self.story.get(key).is_some_and(|s| s.iter().any(|(v, gone)| *v > version && *gone))
+    /// Whether a key was deleted after a version.
+    pub fn is_deleted_after(&self, key: &Key, version: Index) -> bool {
+        let writes = self.history.get(key);
+        writes.is_some_and(|writes| writes.iter().any(|write| write.version > version && write.is_deletion))
     }
 }
 
-/// The keys that a run may put.
+/// The keys that a run may write.
 pub struct Universe {
-    pub boxes: u32,
+    pub shards: u32,
     pub volumes: u32,
     pub zones: usize,
     pub regions: usize,
 }
 
 impl Universe {
-    pub fn primary(&self, random: &mut SmallRng) -> Order {
-        let shard = random.random_range(0..self.boxes);
+    pub fn primary(&self, random: &mut SmallRng) -> WriteBatch {
+        let shard = random.random_range(0..self.shards);
         let value = format!("box-{}-{}", random.random_range(0..1_000u32), random.random_range(0..1_000u32));
         let key = Key::new(Topic::Shard(shard), "box");
-        Order { puts: vec![Put { class: Class::Primary, key, value: Some(value.as_bytes().into()) }] }
+        WriteBatch { puts: vec![Put { class: Class::Primary, key, value: Some(value.as_bytes().into()) }] }
     }
 
     pub fn key(&self, random: &mut SmallRng) -> Key {
@@ -72,33 +84,34 @@
             1 => Topic::Region(region_name(random.random_range(0..self.regions)).as_str().into()),
             2 => Topic::Zone(zone_name(random.random_range(0..self.zones)).as_str().into()),
             3..7 => Topic::Volume(volume_name(random.random_range(0..self.volumes)).as_str().into()),
-            _ => Topic::Shard(random.random_range(0..self.boxes)),
+            _ => Topic::Shard(random.random_range(0..self.shards)),
         };
         Key::new(topic, &name)
     }
 
-    pub fn configuration(&self, random: &mut SmallRng, refused: f64) -> Order {
+    /// A batch of settings; each value is marked with a probability.
+    pub fn configuration(&self, random: &mut SmallRng, marked: f64) -> WriteBatch {
         let mut puts: BTreeMap<Key, Put> = BTreeMap::new();
         for _ in 0..random.random_range(1..=4) {
             let key = self.key(random);
             let mut bytes = vec![b'v'; random.random_range(8..200)];
             random.fill(&mut bytes[1..8]);
-            bytes[0] = if random.random_bool(refused) { REFUSED } else { b'v' };
+            bytes[0] = if random.random_bool(marked) { REJECTED_MARK } else { b'v' };
             let value = random.random_bool(0.9).then(|| bytes.into());
             puts.insert(key.clone(), Put { class: Class::Configuration, key, value });
         }
-        Order { puts: puts.into_values().collect() }
+        WriteBatch { puts: puts.into_values().collect() }
     }
 }
 
-pub fn region_name(n: usize) -> String {
-    format!("region-{n}")
+pub fn region_name(number: usize) -> String {
+    format!("region-{number}")
 }
 
-pub fn zone_name(n: usize) -> String {
-    format!("zone-{n}")
+pub fn zone_name(number: usize) -> String {
+    format!("zone-{number}")
 }
 
-pub fn volume_name(n: u32) -> String {
-    format!("{n:016x}")
+pub fn volume_name(number: u32) -> String {
+    format!("{number:016x}")
 }
--- a/crates/config-distribution/tests/sim/machine.rs
+++ b/crates/config-distribution/tests/sim/machine.rs
@@ -1,209 +1,235 @@
 //! Control machines: voters apply the log, relays without a vote follow a voter.
-use super::{Broken, Ev, Node, World};
-use cluster_types::Time;
+use super::defect::Defect;
+use super::{Node, SimEvent, World};
+use cluster_types::{Index, Time};
 use config_distribution::{
-    Action, Catalogue, Event, FromRelay, Relay, RelayAction, RelayEvent, Report, Scope, Subscriber, ToRelay,
+    Catalogue, Change, Relay, RelayAction, RelayEvent, RelayMessage, Report, Scope, Subscriber,
+    SubscriberAction, SubscriberConfig, SubscriberEvent, SubscriberMessage,
 };
 use rand::Rng;
 use std::sync::Arc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
+
+/// The number of control machines that relays take for the size of their fleet.
+const RELAY_FLEET_SIZE: u32 = 35;
+/// How often a voter that is partitioned from the log tries again.
+const LOG_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 pub struct Machine {
     pub name: Arc<str>,
     pub zone: usize,
     pub relay: Relay,
-    /// Voters follow nobody.
+    /// None for a voter.
     pub subscriber: Option<Subscriber>,
+    /// The voters that it may follow, in the order of preference.
     pub relays: Vec<usize>,
-    pub up: bool,
-    /// It is there no more, and nothing tells so.
-    pub gone: bool,
-    pub life: u32,
-    pub wake: Time,
-    pub stalled: Time,
-    /// Since when a voter is cut off from the log.
-    pub cut_since: Option<Time>,
+    pub is_up: bool,
+    /// Whether it is down without its connections being closed.
+    pub is_unreachable: bool,
+    pub incarnation: u32,
+    pub wakeup_at: Time,
+    pub stalled_until: Time,
+    /// Since when a voter is partitioned from the log.
+    pub partitioned_since: Option<Time>,
     /// How late a voter applies an entry.
-    pub late: Duration,
+    pub apply_delay: Duration,
 }
 
 impl World {
-    pub fn new_relay(&self, name: &str, voter: bool) -> Relay {
-        let lineage = if voter { self.log.catalogue.lineage() } else { 0 };
-        let mut relay = Relay::new(self.settings.clone(), name, Catalogue::new(lineage), self.now);
-        relay.number(self.now.0);
+    pub fn new_relay(&self, name: &str, is_voter: bool) -> Relay {
+        let log_id = if is_voter { self.log.catalogue.log_id() } else { 0 };
+        let mut relay = Relay::new(self.settings.clone(), name, Catalogue::new(log_id), self.now);
+        relay.set_report_sequence(self.now.0);
         relay.expect_reports(self.names.iter().cloned());
         relay
     }
 
-    pub fn new_follower(&mut self, relays: usize) -> Subscriber {
-        let seed = self.random.random();
-        Subscriber::new(Scope::Everything, (relays, 35), (self.now, seed), None).0
+    pub fn new_follower(&mut self, relay_count: usize) -> Subscriber {
+        let (scope, fleet_size, seed) = (Scope::Everything, RELAY_FLEET_SIZE, self.random.random());
+        Subscriber::new(SubscriberConfig { scope, relay_count, fleet_size, seed }, self.now, None).0
     }
 
-    pub fn relay_event(&mut self, m: usize, event: RelayEvent) {
-        let mut out = vec![];
-        let timed = self.timed.then(std::time::Instant::now);
-        self.machines[m].relay.handle(self.now, event, &mut out);
-        self.seen.relay_time += timed.map_or(Duration::ZERO, |t| t.elapsed());
-        self.relay_actions(m, out);
-        self.wake_machine(m);
+    pub fn relay_event(&mut self, number: usize, event: RelayEvent) {
+        let mut actions = vec![];
+        let started = self.is_timed.then(Instant::now);
+        self.machines[number].relay.handle(self.now, event, &mut actions);
+        self.measurements.relay_time += started.map_or(Duration::ZERO, |started| started.elapsed());
+        self.relay_actions(number, actions);
+        self.schedule_machine(number);
     }
 
-    fn wake_machine(&mut self, m: usize) {
-        let machine = &mut self.machines[m];
-        let follower = machine.subscriber.as_ref().and_then(|s| s.wake());
-        let wake = follower.into_iter().fold(machine.relay.wake(self.now), Time::min);
-        let wake = wake.max(self.now + Duration::from_millis(1));
-        if machine.wake != wake {
-            machine.wake = wake;
-            self.at(wake, Ev::Wake(Node::Machine(m)));
+    fn schedule_machine(&mut self, number: usize) {
+        let machine = &mut self.machines[number];
+        let follower = machine.subscriber.as_ref().and_then(Subscriber::next_wakeup);
+        let wakeup = follower.into_iter().fold(machine.relay.next_wakeup(self.now), Time::min);
+        let wakeup = wakeup.max(self.now + Duration::from_millis(1));
+        if machine.wakeup_at != wakeup {
+            machine.wakeup_at = wakeup;
+            self.schedule(wakeup, SimEvent::Wakeup(Node::Machine(number)));
         }
     }
 
-    fn relay_actions(&mut self, m: usize, out: Vec<RelayAction>) {
-        for action in out {
+    fn relay_actions(&mut self, number: usize, actions: Vec<RelayAction>) {
+        for action in actions {
             match action {
-                RelayAction::Send { link, message } => {
+                RelayAction::Send { connection, message } => {
                     let message = self.spoil(message);
-                    self.tell(link, message);
+                    self.send_to_client(connection, message);
                 }
-                RelayAction::Close { link, .. } => self.cut_off(link),
-                RelayAction::Reports(reports) => self.spread(m, reports),
+                RelayAction::Close { connection, .. } => self.close_from_server(connection),
+                RelayAction::ShareReports(reports) => self.share_reports(number, reports),
             }
         }
     }
 
-    /// What a relay at fault makes of a message.
-    fn spoil(&mut self, message: FromRelay) -> FromRelay {
-        match (message, self.broken) {
-            (FromRelay::Alive { upto, alone, .. }, Some(Broken::Digest)) => {
-                FromRelay::Alive { upto, sum: None, alone }
-            }
-            (FromRelay::Changes { from, upto, mut changes }, Some(Broken::Digest | Broken::Lost))
-                if self.spoils && self.random.random_bool(0.02) =>
-            {
+    /// What a relay with a defect makes of a message.
+    fn spoil(&mut self, message: RelayMessage) -> RelayMessage {
+        match (message, self.defect) {
+            (
+                RelayMessage::Heartbeat { up_to, isolated_for, .. },
+                Some(Defect::LostChangeWithoutChecksum),
+            ) => RelayMessage::Heartbeat { up_to, checksum: None, isolated_for },
+            (
+                RelayMessage::Changes { from, up_to, mut changes },
+                Some(Defect::LostChangeWithoutChecksum | Defect::LostChange),
+            ) if self.is_spoiling && self.random.random_bool(0.02) => {
                 changes.pop();
-                FromRelay::Changes { from, upto, changes }
+                RelayMessage::Changes { from, up_to, changes }
             }
             (message, _) => message,
         }
     }
 
-    /// Voters tell each other; the others tell the voter that they follow.
-    fn spread(&mut self, m: usize, reports: Vec<Report>) {
-        if let Some(subscriber) = &self.machines[m].subscriber {
-            if let Some(call) = subscriber.follows() {
-                let own = reports.into_iter().filter(|r| r.relay == self.machines[m].name);
-                own.collect::<Vec<_>>()
-                    .into_iter()
-                    .for_each(|report| self.ask(Node::Machine(m), call, ToRelay::Report(report)));
+    /// Voters send reports to each other, the others to the voter that they follow.
+    fn share_reports(&mut self, number: usize, reports: Vec<Report>) {
+        let machine = &self.machines[number];
+        if let Some(subscriber) = &machine.subscriber {
+            let Some(connection) = subscriber.followed_connection() else { return };
+            let own: Vec<Report> =
+                reports.into_iter().filter(|report| report.relay == machine.name).collect();
+            for report in own {
+                let message = SubscriberMessage::Report(report);
+                self.send_to_server(Node::Machine(number), connection, message);
             }
             return;
         }
-        for to in 0..self.voters {
-            let (a, b) = (self.machines[m].zone, self.machines[to].zone);
-            if to != m && !self.is_cut(a, b) && self.machines[to].up {
-                let delay = self.delay(a, b);
-                self.after(delay, Ev::Peer { machine: to, reports: reports.clone() });
+        for to in 0..self.voter_count {
+            let (from_zone, to_zone) = (self.machines[number].zone, self.machines[to].zone);
+            if to != number && !self.is_partitioned(from_zone, to_zone) && self.machines[to].is_up {
+                let delay = self.delay(from_zone, to_zone);
+                let reports = reports.clone();
+                self.schedule_after(delay, SimEvent::PeerReports { machine: to, reports });
             }
         }
     }
 
-    pub fn follower_event(&mut self, m: usize, event: Event) {
-        if let Event::Message { message: FromRelay::Fleet(reports), .. } = &event {
-            self.relay_event(m, RelayEvent::Reports(reports.clone()));
+    pub fn follower_event(&mut self, number: usize, event: SubscriberEvent) {
+        if let SubscriberEvent::Message { message: RelayMessage::Reports(reports), .. } = &event {
+            self.relay_event(number, RelayEvent::PeerReports(reports.clone()));
         }
-        let Some(subscriber) = &mut self.machines[m].subscriber else { return };
+        let Some(subscriber) = &mut self.machines[number].subscriber else { return };
         let mut actions = vec![];
         subscriber.handle(self.now, event, &mut actions);
-        self.follower_actions(m, actions);
-        let machine = &mut self.machines[m];
+        self.follower_actions(number, actions);
+        let machine = &mut self.machines[number];
         if let Some(subscriber) = &machine.subscriber {
-            let (held, catalogue) = (subscriber.held(), machine.relay.catalogue_mut());
-            if held.lineage() == catalogue.lineage() && held.upto() > catalogue.applied() {
-                catalogue.pass(held.upto());
+            let (state, catalogue) = (subscriber.state(), machine.relay.catalogue_mut());
+            if state.log_id() == catalogue.log_id() && state.up_to() > catalogue.applied() {
+                catalogue.advance(state.up_to());
             }
-            let alone = subscriber.alone();
-            machine.relay.set_alone(alone);
+            machine.relay.set_isolated_since(subscriber.isolated_since());
         }
-        self.wake_machine(m);
+        self.schedule_machine(number);
     }
 
-    fn follower_actions(&mut self, m: usize, actions: Vec<Action>) {
+    fn follower_actions(&mut self, number: usize, actions: Vec<SubscriberAction>) {
+        let node = Node::Machine(number);
         for action in actions {
-            let node = Node::Machine(m);
             match action {
-                Action::Connect { call, relay } => {
-                    let server = self.machines[m].relays[relay];
-                    self.connect(node, call, server);
+                SubscriberAction::Connect { connection, relay } => {
+                    let server = self.machines[number].relays[relay];
+                    self.connect(node, connection, server);
                 }
-                Action::Close { call } => self.hang_up(node, call),
-                Action::Send { call, message } => self.ask(node, call, message),
-                Action::Keep(_) => unreachable!("relays keep nothing"),
-                Action::Decide { whole, changes } => {
-                    let machine = &mut self.machines[m];
-                    let Some(subscriber) = &mut machine.subscriber else { return };
-                    let mut more = vec![];
-                    subscriber.handle(self.now, Event::Decided { refused: vec![] }, &mut more);
-                    let (lineage, upto) = (subscriber.held().lineage(), subscriber.held().upto());
-                    if whole {
-                        machine.relay.catalogue_mut().restore(lineage, &changes, upto);
-                        let mut out = vec![];
-                        machine.relay.restored(self.now, &mut out);
-                        self.relay_actions(m, out);
-                    } else {
-                        machine.relay.catalogue_mut().take(&changes, upto);
-                        self.relay_event(m, RelayEvent::Applied(changes));
-                    }
-                    self.follower_actions(m, more);
+                SubscriberAction::Close { connection } => self.close_from_client(node, connection),
+                SubscriberAction::Send { connection, message } => {
+                    self.send_to_server(node, connection, message);
+                }
+                SubscriberAction::Persist(_) => unreachable!("relays persist nothing"),
+                SubscriberAction::Apply { is_snapshot, changes } => {
+                    self.relay_applies(number, is_snapshot, changes);
                 }
             }
         }
     }
 
-    /// A voter applies what has reached it of the log.
-    pub fn apply(&mut self, m: usize) {
-        let (zone, leader) = (self.machines[m].zone, self.machines[0].zone);
-        if self.is_cut(zone, leader) {
-            let since = *self.machines[m].cut_since.get_or_insert(self.now);
-            self.machines[m].relay.set_alone(Some(since));
-            return self.after(Duration::from_millis(500), Ev::Apply { machine: m });
+    /// A relay without a vote applies what it received, and serves it.
+    fn relay_applies(&mut self, number: usize, is_snapshot: bool, changes: Vec<Change>) {
+        let machine = &mut self.machines[number];
+        let Some(subscriber) = &mut machine.subscriber else { return };
+        let mut later_actions = vec![];
+        let finished = SubscriberEvent::ApplyFinished { rejected: vec![] };
+        subscriber.handle(self.now, finished, &mut later_actions);
+        let (log_id, up_to) = (subscriber.state().log_id(), subscriber.state().up_to());
+        if is_snapshot {
+            machine.relay.catalogue_mut().restore(log_id, &changes, up_to);
+            let mut actions = vec![];
+            machine.relay.catalogue_replaced(self.now, &mut actions);
+            self.relay_actions(number, actions);
+        } else {
+            machine.relay.catalogue_mut().merge(&changes, up_to);
+            self.relay_event(number, RelayEvent::CatalogueChanged(changes));
+        }
+        self.follower_actions(number, later_actions);
+    }
+
+    /// A voter applies the entries of the log that have reached it.
+    pub fn apply_log(&mut self, number: usize) {
+        let (zone, leader_zone) = (self.machines[number].zone, self.machines[0].zone);
+        if self.is_partitioned(zone, leader_zone) {
+            let machine = &mut self.machines[number];
+            let since = *machine.partitioned_since.get_or_insert(self.now);
+            machine.relay.set_isolated_since(Some(since));
+            return self.schedule_after(LOG_RETRY_INTERVAL, SimEvent::ApplyLog { machine: number });
         }
-        self.machines[m].cut_since = None;
-        self.machines[m].relay.set_alone(None);
-        let mut changed = vec![];
-        for n in self.machines[m].relay.catalogue().applied().0..self.log.orders.len() as u64 {
-            let version = cluster_types::Index(n + 1);
-            let (at, order) = self.log.order(version);
-            if *at + self.machines[m].late > self.now {
+        let machine = &mut self.machines[number];
+        machine.partitioned_since = None;
+        machine.relay.set_isolated_since(None);
+        let mut changes = vec![];
+        for version in machine.relay.catalogue().applied().0 + 1..=self.log.last().0 {
+            let entry = self.log.batch(Index(version));
+            if entry.written_at + machine.apply_delay > self.now {
                 break;
             }
-            changed.extend(self.machines[m].relay.catalogue_mut().apply(version, order));
+            changes.extend(machine.relay.catalogue_mut().apply(Index(version), &entry.batch));
         }
-        if !changed.is_empty() {
-            self.relay_event(m, RelayEvent::Applied(changed));
+        if !changes.is_empty() {
+            self.relay_event(number, RelayEvent::CatalogueChanged(changes));
         }
     }
 
-    pub fn kill_machine(&mut self, m: usize, silent: bool) {
-        self.drop_links(Node::Machine(m), silent);
-        let machine = &mut self.machines[m];
-        (machine.up, machine.gone, machine.life) = (false, silent, machine.life + 1);
+    pub fn kill_machine(&mut self, number: usize, is_silent: bool) {
+        self.drop_links(Node::Machine(number), is_silent);
+        let machine = &mut self.machines[number];
+        machine.is_up = false;
+        machine.is_unreachable = is_silent;
+        machine.incarnation += 1;
     }
 
-    pub fn start_machine(&mut self, m: usize) {
-        let (name, voter) = (self.machines[m].name.clone(), m < self.voters);
-        let relay = self.new_relay(&name, voter);
-        let relays = self.machines[m].relays.len();
-        let subscriber = (!voter).then(|| self.new_follower(relays));
-        let machine = &mut self.machines[m];
-        (machine.up, machine.gone, machine.life) = (true, false, machine.life + 1);
-        (machine.relay, machine.subscriber) = (relay, subscriber);
-        if voter {
-            self.apply(m);
+    pub fn start_machine(&mut self, number: usize) {
+        let (name, is_voter) = (self.machines[number].name.clone(), number < self.voter_count);
+        let relay = self.new_relay(&name, is_voter);
+        let relay_count = self.machines[number].relays.len();
+        let subscriber = (!is_voter).then(|| self.new_follower(relay_count));
+        let machine = &mut self.machines[number];
+        machine.is_up = true;
+        machine.is_unreachable = false;
+        machine.incarnation += 1;
+        machine.relay = relay;
+        machine.subscriber = subscriber;
+        if is_voter {
+            self.apply_log(number);
         }
-        self.relay_event(m, RelayEvent::Tick);
-        self.follower_event(m, Event::Tick);
+        self.relay_event(number, RelayEvent::Tick);
+        self.follower_event(number, SubscriberEvent::Tick);
     }
 }
