--- a/crates/config-distribution/tests/sim/mod.rs
+++ b/crates/config-distribution/tests/sim/mod.rs
@@ -1,24 +1,29 @@
-//! A fleet in simulated time: voters that apply one log, relays that follow them, fronts; links, cuts, stalls and deaths.
+//! A fleet in simulated time: voters that apply one log, relays that follow them, and gateways; with links, partitions,
+//! stalls and crashes.
 // The example uses a part of it.
 #![allow(dead_code, clippy::unwrap_used)]
 pub mod build;
-pub mod check;
-pub mod front;
+pub mod defect;
+pub mod gateway;
+pub mod invariants;
 pub mod log;
 pub mod machine;
-pub mod net;
-pub mod plan;
-pub mod seen;
+pub mod measurements;
+pub mod network;
+pub mod schedule;
 
 use backoff::Failure;
 use cluster_types::Time;
-use config_distribution::{Change, Event, FromRelay, Order, RelayEvent, Report, Settings, ToRelay};
-pub use front::{Broken, Front};
-pub use log::{Log, Universe};
-pub use machine::Machine;
-use net::Link;
+use config_distribution::{
+    RelayEvent, RelayMessage, Report, Settings, SubscriberEvent, SubscriberMessage, WriteBatch,
+};
+use defect::Defect;
+use gateway::{ApplyRequest, Gateway};
+use log::Log;
+use machine::Machine;
+use measurements::Measurements;
+use network::Link;
 use rand::rngs::SmallRng;
-use seen::Seen;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,80 +31,98 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
     Machine(usize),
-    Front(usize),
+    Gateway(usize),
 }
 
-pub enum Ev {
-    Wake(Node),
-    Apply { machine: usize },
-    Up { link: u64 },
-    Ended { link: u64, failure: Failure },
-    Left { link: u64 },
-    Ask { link: u64, message: ToRelay },
-    Tell { link: u64, bytes: usize, message: FromRelay },
-    Decide { front: usize, life: u32, whole: bool, changes: Vec<Change> },
-    Force { front: usize, life: u32, whole: bool, changes: Vec<Change> },
-    Peer { machine: usize, reports: Vec<Report> },
+/// An event of the simulation.
+pub enum SimEvent {
+    /// The wakeup that a node asked for.
+    Wakeup(Node),
+    /// Entries of the log have reached a voter.
+    ApplyLog { machine: usize },
+    /// A link is open.
+    LinkOpened { link: u64 },
+    /// The end of a link has reached its client.
+    ClosedAtClient { link: u64, failure: Failure },
+    /// The end of a link has reached its server.
+    ClosedAtServer { link: u64 },
+    /// A message has reached a server.
+    ToServer { link: u64, message: SubscriberMessage },
+    /// A message has reached a client.
+    ToClient { link: u64, bytes: usize, message: RelayMessage },
+    /// The host of a gateway has looked at values.
+    HostDecides(ApplyRequest),
+    /// The host of a gateway applies values that it has acknowledged before.
+    HostAppliesLate(ApplyRequest),
+    /// Reports of other voters have reached a voter.
+    PeerReports { machine: usize, reports: Vec<Report> },
 }
 
 pub struct World {
     pub now: Time,
     pub random: SmallRng,
-    queue: BTreeMap<(Time, u64), Ev>,
-    count: u64,
+    queue: BTreeMap<(Time, u64), SimEvent>,
+    scheduled_count: u64,
     pub settings: Settings,
-    pub voters: usize,
-    pub regions: usize,
+    pub voter_count: usize,
+    pub region_count: usize,
+    /// The names of all machines.
     pub names: Vec<Arc<str>>,
+    /// Voters first.
     pub machines: Vec<Machine>,
-    pub fronts: Vec<Front>,
+    pub gateways: Vec<Gateway>,
     pub links: BTreeMap<u64, Link>,
-    pub links_made: u64,
-    pub calls: BTreeMap<(Node, u64), u64>,
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub link_count: u64,
+    /// The link of each client's connection.
+    pub connections: BTreeMap<(Node, u64), u64>,
+    /// Pairs of regions that can't reach each other.
+    pub partitions: BTreeSet<(usize, usize)>,
     pub log: Log,
-    pub seen: Seen,
-    pub faults: Vec<String>,
-    pub broken: Option<Broken>,
-    pub spoils: bool,
-    pub timed: bool,
-    /// Whether what costs by the fleet's size is looked at too.
-    pub checks: bool,
+    pub measurements: Measurements,
+    /// Invariants that did not hold.
+    pub violations: Vec<String>,
+    pub defect: Option<Defect>,
+    /// Whether relays with a defect spoil messages.
+    pub is_spoiling: bool,
+    /// Whether the time that relays and gateways take is measured.
+    pub is_timed: bool,
+    /// Whether invariants are checked that cost by the size of the fleet.
+    pub checks_fleet: bool,
 }
 
 impl World {
-    pub fn at(&mut self, at: Time, event: Ev) {
-        self.count += 1;
-        self.queue.insert((at.max(self.now), self.count), event);
+    pub fn schedule(&mut self, at: Time, event: SimEvent) {
+        self.scheduled_count += 1;
+        self.queue.insert((at.max(self.now), self.scheduled_count), event);
     }
 
-    pub fn after(&mut self, span: Duration, event: Ev) {
-        self.at(self.now + span, event);
+    pub fn schedule_after(&mut self, span: Duration, event: SimEvent) {
+        self.schedule(self.now + span, event);
     }
 
     pub fn region(&self, zone: usize) -> usize {
-        zone % self.regions
+        zone % self.region_count
     }
 
     pub fn zone(&self, node: Node) -> usize {
         match node {
-            Node::Machine(m) => self.machines[m].zone,
-            Node::Front(n) => self.fronts[n].zone,
+            Node::Machine(number) => self.machines[number].zone,
+            Node::Gateway(number) => self.gateways[number].zone,
         }
     }
 
-    pub fn life(&self, node: Node) -> u32 {
+    pub fn incarnation(&self, node: Node) -> u32 {
         match node {
-            Node::Machine(m) => self.machines[m].life,
-            Node::Front(n) => self.fronts[n].life,
+            Node::Machine(number) => self.machines[number].incarnation,
+            Node::Gateway(number) => self.gateways[number].incarnation,
         }
     }
 
-    /// An order goes into the log; the voters hear of it.
-    pub fn order(&mut self, order: Order) {
-        self.log.add(self.now, order);
-        for m in 0..self.voters {
-            self.after(self.machines[m].late, Ev::Apply { machine: m });
+    /// Appends a batch to the log; the voters learn of it later.
+    pub fn write(&mut self, batch: WriteBatch) {
+        self.log.append(self.now, batch);
+        for machine in 0..self.voter_count {
+            self.schedule_after(self.machines[machine].apply_delay, SimEvent::ApplyLog { machine });
         }
     }
 
@@ -107,124 +130,92 @@
     pub fn run(&mut self, until: Time) {
         while let Some((at, event)) = self.pop(until) {
             self.now = at;
-            match self.whose(&event) {
-                Some(node) if self.stalled(node) > at => {
-                    let stalled = self.stalled(node);
-                    self.at(stalled, event);
-                }
+            match self.node_of(&event).map(|node| self.stalled_until(node)) {
+                Some(stalled_until) if stalled_until > at => self.schedule(stalled_until, event),
                 _ => self.step(event),
             }
         }
         self.now = until;
     }
 
-    fn pop(&mut self, until: Time) -> Option<(Time, Ev)> {
+    fn pop(&mut self, until: Time) -> Option<(Time, SimEvent)> {
         let next = self.queue.first_entry().filter(|entry| entry.key().0 <= until)?;
         let ((at, _), event) = next.remove_entry();
         Some((at, event))
     }
 
-    fn stalled(&self, node: Node) -> Time {
+    fn stalled_until(&self, node: Node) -> Time {
         match node {
-            Node::Machine(m) => self.machines[m].stalled,
-            Node::Front(n) => self.fronts[n].stalled,
+            Node::Machine(number) => self.machines[number].stalled_until,
+            Node::Gateway(number) => self.gateways[number].stalled_until,
         }
     }
 
-    fn whose(&self, event: &Ev) -> Option<Node> {
-        let link = |id: &u64| self.links.get(id);
+    /// The node that an event happens at.
+    fn node_of(&self, event: &SimEvent) -> Option<Node> {
         match event {
-            Ev::Wake(node) => Some(*node),
-            Ev::Apply { machine } | Ev::Peer { machine, .. } => Some(Node::Machine(*machine)),
-            Ev::Up { link: id } | Ev::Ended { link: id, .. } | Ev::Tell { link: id, .. } => {
-                link(id).map(|l| l.client)
+            SimEvent::Wakeup(node) => Some(*node),
+            SimEvent::ApplyLog { machine } | SimEvent::PeerReports { machine, .. } => {
+                Some(Node::Machine(*machine))
+            }
+            SimEvent::LinkOpened { link }
+            | SimEvent::ClosedAtClient { link, .. }
+            | SimEvent::ToClient { link, .. } => self.links.get(link).map(|link| link.client),
+            SimEvent::ClosedAtServer { link } | SimEvent::ToServer { link, .. } => {
+                self.links.get(link).map(|link| Node::Machine(link.server))
+            }
+            SimEvent::HostDecides(request) | SimEvent::HostAppliesLate(request) => {
+                Some(Node::Gateway(request.gateway))
             }
-            Ev::Left { link: id } | Ev::Ask { link: id, .. } => link(id).map(|l| Node::Machine(l.server)),
-            Ev::Decide { front, .. } | Ev::Force { front, .. } => Some(Node::Front(*front)),
-        }
-    }
-
-    fn node_event(&mut self, node: Node, event: Event) {
-        match node {
-            Node::Machine(m) if self.machines[m].up => self.follower_event(m, event),
-            Node::Front(n) if self.fronts[n].up => self.front_event(n, event),
-            _ => {}
         }
     }
 
-    fn step(&mut self, event: Ev) {
+    fn step(&mut self, event: SimEvent) {
         match event {
-            Ev::Wake(Node::Machine(m)) => {
-                if self.machines[m].up && self.machines[m].wake <= self.now {
-                    self.relay_event(m, RelayEvent::Tick);
-                    self.follower_event(m, Event::Tick);
-                }
-            }
-            Ev::Wake(Node::Front(n)) => {
-                if self.fronts[n].up && self.fronts[n].wake <= self.now {
-                    self.front_event(n, Event::Tick);
-                }
-            }
-            Ev::Apply { machine } if self.machines[machine].up => self.apply(machine),
-            Ev::Peer { machine, reports } if self.machines[machine].up => {
-                self.relay_event(machine, RelayEvent::Reports(reports));
+            SimEvent::Wakeup(node) => self.wake(node),
+            SimEvent::ApplyLog { machine } if self.machines[machine].is_up => self.apply_log(machine),
+            SimEvent::PeerReports { machine, reports } if self.machines[machine].is_up => {
+                self.relay_event(machine, RelayEvent::PeerReports(reports));
             }
-            Ev::Apply { .. } | Ev::Peer { .. } => {}
-            Ev::Decide { front, life, whole, changes } => self.decide(front, life, whole, changes),
-            Ev::Force { front, life, whole, changes } => {
-                if self.fronts[front].life == life {
-                    self.put_in_force(front, whole, changes);
+            SimEvent::ApplyLog { .. } | SimEvent::PeerReports { .. } => {}
+            SimEvent::HostDecides(request) => self.host_decides(request),
+            SimEvent::HostAppliesLate(request) => {
+                if self.gateways[request.gateway].incarnation == request.incarnation {
+                    self.host_applies(request);
                 }
             }
-            Ev::Up { link } => self.up(link),
-            Ev::Ended { link: id, failure } => {
-                let Some(link) = self.links.get(&id).filter(|l| l.open.0) else { return };
-                let (client, life, call) = (link.client, link.client_life, link.call);
-                self.links.remove(&id);
-                self.calls.remove(&(client, call));
-                if self.life(client) == life {
-                    self.node_event(client, Event::Down { call, failure });
-                }
-            }
-            Ev::Left { link: id } => {
-                let Some(link) = self.links.get(&id) else { return };
-                let (server, life, open) = (link.server, link.server_life, link.open);
-                if !open.0 {
-                    self.links.remove(&id);
-                }
-                if self.machines[server].up && self.machines[server].life == life && open.1 {
-                    self.relay_event(server, RelayEvent::Left { link: id });
-                }
-            }
-            Ev::Ask { link: id, message } => {
-                let Some(link) = self.links.get(&id).filter(|l| l.open.1) else { return };
-                let (server, life) = (link.server, link.server_life);
-                if self.machines[server].up && self.machines[server].life == life {
-                    self.relay_event(server, RelayEvent::Message { link: id, message });
+            SimEvent::LinkOpened { link } => self.link_opened(link),
+            SimEvent::ClosedAtClient { link, failure } => self.closed_at_client(link, failure),
+            SimEvent::ClosedAtServer { link } => self.closed_at_server(link),
+            SimEvent::ToServer { link, message } => self.received_by_server(link, message),
+            SimEvent::ToClient { link, bytes, message } => self.received_by_client(link, bytes, message),
+        }
+    }
+
+    fn wake(&mut self, node: Node) {
+        match node {
+            Node::Machine(number) => {
+                let machine = &self.machines[number];
+                if machine.is_up && machine.wakeup_at <= self.now {
+                    self.relay_event(number, RelayEvent::Tick);
+                    self.follower_event(number, SubscriberEvent::Tick);
                 }
             }
-            Ev::Tell { link: id, bytes, message } => {
-                let Some(link) = self.links.get_mut(&id) else { return };
-                link.flight = link.flight.saturating_sub(bytes);
-                let (client, life, call, open) = (link.client, link.client_life, link.call, link.open.0);
-                if open && self.life(client) == life {
-                    self.node_event(client, Event::Message { call, message });
+            Node::Gateway(number) => {
+                let gateway = &self.gateways[number];
+                if gateway.is_up && gateway.wakeup_at <= self.now {
+                    self.gateway_event(number, SubscriberEvent::Tick);
                 }
             }
         }
     }
 
-    fn up(&mut self, id: u64) {
-        let Some(link) = self.links.get(&id).filter(|l| l.open.0 && !l.dead) else { return };
-        let (client, call, server) = (link.client, link.call, link.server);
-        let name = match client {
-            Node::Machine(m) => self.machines[m].name.clone(),
-            Node::Front(n) => format!("front-{n}").as_str().into(),
-        };
-        if !self.machines[server].up || self.machines[server].life != link.server_life {
-            return self.after(Duration::ZERO, Ev::Ended { link: id, failure: Failure::Down });
+    /// An event for the subscriber of a node.
+    pub fn subscriber_event(&mut self, node: Node, event: SubscriberEvent) {
+        match node {
+            Node::Machine(number) if self.machines[number].is_up => self.follower_event(number, event),
+            Node::Gateway(number) if self.gateways[number].is_up => self.gateway_event(number, event),
+            Node::Machine(_) | Node::Gateway(_) => {}
         }
-        self.relay_event(server, RelayEvent::Joined { link: id, name });
-        self.node_event(client, Event::Up { call });
     }
 }
--- a/crates/config-distribution/tests/simulation.rs
+++ b/crates/config-distribution/tests/simulation.rs
@@ -1,50 +1,58 @@
-//! A fleet in simulated time, by hundreds of seeds; `SEEDS=5000` runs more.
+//! A fleet in simulated time, with hundreds of seeds; `SEEDS=5000` runs more, `SEED=17` one alone.
 #![allow(clippy::unwrap_used)]
 mod sim;
-use config_distribution::{Class, Settings};
+use config_distribution::{Class, RateLimit, Settings};
 use rstest::rstest;
-use sim::build::Size;
-use sim::plan::{play, with_one, One, Trouble};
-use sim::{Broken, World};
+use sim::build::FleetSize;
+use sim::defect::Defect;
+use sim::schedule::{run_schedule, run_single_fault, Faults, SingleFault};
+use sim::World;
+use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 use std::time::Duration;
 
-fn seeds(fewest: u64) -> u64 {
-    std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(fewest)
+const THREADS: usize = 4;
+
+fn variable(name: &str) -> Option<u64> {
+    std::env::var(name).ok().and_then(|value| value.parse().ok())
+}
+
+fn seed_count(default: u64) -> u64 {
+    variable("SEEDS").unwrap_or(default)
 }
 
-/// Runs worlds by four at a time.
-fn each(
-    seeds: std::ops::Range<u64>,
+/// Runs worlds in parallel, and looks at each when it has ended.
+fn for_each_seed(
+    seeds: Range<u64>,
     run: impl Fn(u64) -> World + Sync,
-    mut then: impl FnMut(u64, World) + Send,
+    mut inspect: impl FnMut(u64, World) + Send,
 ) {
     let next = AtomicU64::new(seeds.start);
-    let then = Mutex::new(&mut then);
+    let inspect = Mutex::new(&mut inspect);
     std::thread::scope(|scope| {
-        for _ in 0..4 {
+        for _ in 0..THREADS {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= seeds.end {
                     return;
                 }
                 let world = run(seed);
-                then.lock().unwrap()(seed, world);
+                inspect.lock().unwrap()(seed, world);
             });
         }
     });
 }
 
-/// The faults of schedules that did not hold, by seed.
-fn faults(seeds: std::ops::Range<u64>, trouble: Trouble, broken: Option<Broken>) -> Vec<(u64, Vec<String>)> {
+/// The violations of schedules that had any, by seed.
+fn violations(seeds: Range<u64>, faults: Faults, defect: Option<Defect>) -> Vec<(u64, Vec<String>)> {
     let mut failed = vec![];
-    each(
+    for_each_seed(
         seeds,
-        |seed| play(seed, trouble, broken),
+        |seed| run_schedule(seed, faults, defect),
         |seed, world| {
-            if !world.faults.is_empty() {
-                failed.push((seed, world.faults));
+            if !world.violations.is_empty() {
+                failed.push((seed, world.violations));
             }
         },
     );
@@ -53,130 +61,142 @@
 }
 
 #[test]
-fn whatever_befalls_the_end_is_exact_and_nothing_goes_back() {
-    // `SEED=17` runs that one alone.
-    let one: Option<u64> = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
-    let failed = faults(one.map_or(0..seeds(200), |seed| seed..seed + 1), Trouble::Everything, None);
-    let few: Vec<_> = failed.iter().take(3).collect();
-    assert!(failed.is_empty(), "{} seeds failed: {few:#?}", failed.len());
+fn converges_exactly_and_never_goes_back_under_any_faults() {
+    let seeds = variable("SEED").map_or(0..seed_count(200), |seed| seed..seed + 1);
+    let failed = violations(seeds, Faults::All, None);
+    let first: Vec<_> = failed.iter().take(3).collect();
+    assert!(failed.is_empty(), "{} seeds failed: {first:#?}", failed.len());
 }
 
 #[rstest]
-#[case(One::Nothing)]
-#[case(One::RelayDies)]
-#[case(One::RelayGone)]
-#[case(One::RelayStalls)]
-#[case(One::VoterDies)]
-#[case(One::VoterGone)]
-#[case(One::FrontsRestart)]
-fn with_any_one_failure_changes_are_in_force_in_time(#[case] one: One) {
-    let (mut primary, mut configuration, mut failed) = (0.0f64, 0.0f64, vec![]);
-    each(
-        0..seeds(8).min(200),
-        |seed| with_one(seed, one),
+#[case(SingleFault::None)]
+#[case(SingleFault::RelayCrash)]
+#[case(SingleFault::RelayVanishes)]
+#[case(SingleFault::RelayStall)]
+#[case(SingleFault::VoterCrash)]
+#[case(SingleFault::VoterVanishes)]
+#[case(SingleFault::AllGatewaysRestart)]
+fn applies_changes_in_time_with_any_single_fault(#[case] fault: SingleFault) {
+    let (mut primary_s, mut configuration_s, mut failed) = (0.0f64, 0.0f64, vec![]);
+    for_each_seed(
+        0..seed_count(8).min(200),
+        |seed| run_single_fault(seed, fault),
         |seed, world| {
-            primary = primary.max(world.seen.spans(Class::Primary).2);
-            configuration = configuration.max(world.seen.spans(Class::Configuration).2);
-            if !world.faults.is_empty() {
-                failed.push((seed, world.faults));
+            primary_s = primary_s.max(world.measurements.latencies(Class::Primary).max_s);
+            configuration_s = configuration_s.max(world.measurements.latencies(Class::Configuration).max_s);
+            if !world.violations.is_empty() {
+                failed.push((seed, world.violations));
             }
         },
     );
-    println!("{one:?}: primary {primary:.2} s, configuration {configuration:.2} s at most");
+    println!("{fault:?}: primary {primary_s:.2} s, configuration {configuration_s:.2} s at most");
     assert!(failed.is_empty(), "{failed:#?}");
-    assert!(primary <= 6.0, "{primary} s");
-    assert!(configuration <= 19.0, "{configuration} s");
+    assert!(primary_s <= 6.0, "{primary_s} s");
+    assert!(configuration_s <= 19.0, "{configuration_s} s");
 }
 
 #[rstest]
-#[case(Broken::Version, "goes back")]
-#[case(Broken::Half, "is not whole")]
-#[case(Broken::Digest, "at the end front")]
-#[case(Broken::Early, "says everywhere")]
-fn what_is_broken_on_purpose_is_found(#[case] broken: Broken, #[case] said: &str) {
-    let found = faults(0..4, Trouble::None, Some(broken));
-    assert!(found.iter().any(|(_, faults)| faults.iter().any(|f| f.contains(said))), "{found:#?}");
+#[case(Defect::OldValue, "goes back")]
+#[case(Defect::PartialBatch, "is incomplete")]
+#[case(Defect::LostChangeWithoutChecksum, "at the end gateway")]
+#[case(Defect::EarlyAcknowledgement, "says everywhere")]
+fn detects_injected_defects(#[case] defect: Defect, #[case] expected: &str) {
+    let found = violations(0..4, Faults::None, Some(defect));
+    let is_expected = |violation: &String| violation.contains(expected);
+    assert!(found.iter().any(|(_, violations)| violations.iter().any(is_expected)), "{found:#?}");
 }
 
 #[test]
-fn a_digest_finds_what_was_missed() {
-    let (mut missed, mut failed) = (0, vec![]);
-    each(
+fn checksum_finds_lost_changes() {
+    let (mut mismatches, mut failed) = (0, vec![]);
+    for_each_seed(
         0..8,
-        |seed| play(seed, Trouble::None, Some(Broken::Lost)),
+        |seed| run_schedule(seed, Faults::None, Some(Defect::LostChange)),
         |seed, world| {
-            missed += world.fronts.iter().map(|f| f.subscriber.figures().missed).sum::<u64>();
-            missed += world
-                .machines
-                .iter()
-                .filter_map(|m| Some(m.subscriber.as_ref()?.figures().missed))
-                .sum::<u64>();
-            failed.extend(world.faults.into_iter().filter(|f| f.contains("at the end")).map(|f| (seed, f)));
+            let gateways = world.gateways.iter().map(|gateway| &gateway.subscriber);
+            let relays = world.machines.iter().filter_map(|machine| machine.subscriber.as_ref());
+            let found = gateways.chain(relays).map(|subscriber| subscriber.stats().checksum_mismatches);
+            mismatches += found.sum::<u64>();
+            let at_end = world.violations.into_iter().filter(|violation| violation.contains("at the end"));
+            failed.extend(at_end.map(|violation| (seed, violation)));
         },
     );
-    assert!(failed.is_empty() && missed > 0, "{missed} missed, {failed:#?}");
+    assert!(failed.is_empty() && mismatches > 0, "{mismatches} mismatches, {failed:#?}");
+}
+
+/// The peaks of bytes that a relay sends in one second.
+struct Peaks {
+    /// When all gateways start for the first time.
+    first_start: u64,
+    /// When all are killed and start again at once with their persisted state.
+    with_state: u64,
+    /// The same when the persisted state is lost.
+    without_state: u64,
 }
 
-/// The peak at a relay when all start for the first time; when all are killed and start again at once with what they
-/// kept; and when they have kept nothing.
-fn peaks(settings: Settings) -> [u64; 3] {
-    let size = Size { fronts: 200, ..Size::small() };
+fn peaks(settings: Settings) -> Peaks {
+    let size = FleetSize { gateways: 200, ..FleetSize::small() };
     let mut world = World::new(&size, 1, settings, None);
-    world.checks = false;
+    world.checks_fleet = false;
     world.fill(&size, 600);
-    // The relays hold everything: so they do when all fronts restart.
+    // The relays hold everything, as they do when all gateways restart.
     world.wait(Duration::from_secs(20));
-    world.start_fronts();
-    world.wait(Duration::from_secs(60));
-    let mut peaks = [world.seen.anew().peak(), 0, 0];
-    for (n, keeps) in [(1, true), (2, false)] {
-        (0..world.fronts.len()).for_each(|n| world.kill_front(n));
-        (0..world.fronts.len()).filter(|_| !keeps).for_each(|n| world.fronts[n].kept = None);
-        world.start_fronts();
-        world.wait(Duration::from_secs(60));
-        peaks[n] = world.seen.anew().peak();
-    }
+    let first_start = peak_of_start(&mut world);
+    world.kill_gateways();
+    let with_state = peak_of_start(&mut world);
+    world.kill_gateways();
+    world.gateways.iter_mut().for_each(|gateway| gateway.persisted = None);
+    let without_state = peak_of_start(&mut world);
     world.check_end();
-    assert_eq!(world.faults, Vec::<String>::new());
-    peaks
+    assert_eq!(world.violations, Vec::<String>::new());
+    Peaks { first_start, with_state, without_state }
+}
+
+fn peak_of_start(world: &mut World) -> u64 {
+    world.start_gateways();
+    world.wait(Duration::from_secs(60));
+    world.measurements.take().peak_bytes_per_second()
 }
 
 #[test]
-fn a_full_restart_has_no_higher_peak_than_the_first_start() {
-    let settings = Settings { admission: (20_000.0, 5_000.0), ..Settings::default() };
-    let [first, kept, lost] = peaks(settings.clone());
-    println!("bytes in one second: first {first}, again {kept}, again with nothing kept {lost}");
-    assert!(kept <= first, "first {first}, second {kept}");
-    // The tokens of a second, what was saved up, one debt, and what takes no tokens: words that the relay is there.
+fn full_restart_peaks_no_higher_than_first_start() {
+    let subscription_rate = RateLimit { bytes_per_second: 20_000.0, burst_bytes: 5_000.0 };
+    let settings = Settings { subscription_rate, ..Settings::default() };
+    let Peaks { first_start, with_state, without_state } = peaks(settings.clone());
+    println!("bytes in one second: first {first_start}, with state {with_state}, without {without_state}");
+    assert!(with_state <= first_start, "first {first_start}, second {with_state}");
+    // The tokens of a second, the burst, one debt, and heartbeats, which take no tokens.
     let bound = 20_000 + 5_000 + 6_000 + 2_000;
-    assert!(first <= bound && lost <= bound, "first {first}, with nothing kept {lost}");
-    let [_, _, at_once] = peaks(Settings { admission: (f64::MAX, f64::MAX), ..settings });
-    assert!(at_once > bound, "admitting all at once is seen: {at_once}");
+    assert!(first_start <= bound && without_state <= bound, "first {first_start}, without {without_state}");
+    let unlimited = RateLimit { bytes_per_second: f64::MAX, burst_bytes: f64::MAX };
+    let at_once = peaks(Settings { subscription_rate: unlimited, ..settings }).without_state;
+    assert!(at_once > bound, "a peak without the limit is measured: {at_once}");
 }
 
 #[test]
-fn regions_apart_keep_what_they_know_tell_its_age_and_come_to_one_version() {
-    let size = Size::small();
+fn partitioned_regions_keep_values_tell_their_age_and_converge() {
+    let size = FleetSize::small();
     let mut world = World::new(&size, 3, Settings::default(), None);
-    world.start_fronts();
+    world.start_gateways();
     world.fill(&size, 120);
     world.wait(Duration::from_secs(10));
-    world.cuts.insert((0, 1));
-    let apart = world.now;
-    world.go_on(&size, Duration::from_secs(60), 500, Trouble::None);
-    let (mut alone, mut here) = (0, 0);
-    for front in &world.fronts {
-        let age = front.subscriber.alone().map(|since| world.now.since(since));
-        match world.region(front.zone) {
-            0 => here += usize::from(age.is_none()),
-            _ => alone += usize::from(age > Some(Duration::from_secs(45))),
+    world.partitions.insert((0, 1));
+    let partitioned_at = world.now;
+    world.run_with_writes(&size, Duration::from_secs(60), 500, Faults::None);
+    let (mut isolated, mut connected) = (0, 0);
+    for gateway in &world.gateways {
+        let age = gateway.subscriber.isolated_since().map(|since| world.now.since(since));
+        match world.region(gateway.zone) {
+            0 => connected += usize::from(age.is_none()),
+            _ => isolated += usize::from(age > Some(Duration::from_secs(45))),
         }
-        assert!(!front.force.is_empty());
+        assert!(!gateway.applied.is_empty());
     }
-    assert_eq!((here, alone), (15, 15), "of 15 each, {:?} after the cut", world.now.since(apart));
-    world.cuts.clear();
-    world.rest(Duration::from_secs(40));
+    let partitioned_for = world.now.since(partitioned_at);
+    assert_eq!((connected, isolated), (15, 15), "of 15 each, {partitioned_for:?} after the partition");
+    world.partitions.clear();
+    world.run_idle(Duration::from_secs(40));
     world.check_end();
-    assert_eq!(world.faults, Vec::<String>::new());
-    assert!(world.fronts.iter().all(|f| f.subscriber.alone().is_none()));
+    assert_eq!(world.violations, Vec::<String>::new());
+    assert!(world.gateways.iter().all(|gateway| gateway.subscriber.isolated_since().is_none()));
 }
--- a/crates/config/src/changes.rs
+++ b/crates/config/src/changes.rs
@@ -1,7 +1,7 @@
 //! The section `[changes]` of an operator's file: how changes of configuration reach this machine, and whom it serves with them.
 use crate::accord::keys;
 use crate::{fault, Fault};
-use config_distribution::proper;
+use config_distribution::is_valid_name;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -93,11 +93,11 @@
         self.check_relays(name, votes)?;
         let wording = "must have 1 to 64 bytes, no slash, nothing that can't be printed";
         for (key, name) in [("region", &self.region), ("zone", &self.zone)] {
-            if name.as_deref().is_some_and(|name| !proper(name)) {
+            if name.as_deref().is_some_and(|name| !is_valid_name(name)) {
                 return fault(format!("changes.{key}"), wording);
             }
         }
-        if let Some(i) = self.volumes.iter().position(|name| !proper(name)) {
+        if let Some(i) = self.volumes.iter().position(|name| !is_valid_name(name)) {
             return fault(format!("changes.volumes[{i}]"), wording);
         }
         let shards = 6 * self.shards.len();
--- a/crates/coordination/src/changes/connection.rs
+++ b/crates/coordination/src/changes/connection.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use cluster_types::MemberId;
-use config_distribution::{FromRelay, ToRelay};
+use config_distribution::{RelayMessage, SubscriberMessage};
 use futures_lite::{future, AsyncWriteExt};
 use message_auth::{Opened, Opener, Sealer};
 use serde::de::DeserializeOwned;
@@ -148,7 +148,7 @@
     let mut out = Some(out);
     let read = async {
         loop {
-            let message = match end.next::<ToRelay>().await {
+            let message = match end.next::<SubscriberMessage>().await {
                 Ok(message) => message,
                 Err(why) => return why,
             };
@@ -181,7 +181,7 @@
         }
         let _ = on.came.send(Came::Up { call, out }).await;
         loop {
-            match end.next::<FromRelay>().await {
+            match end.next::<RelayMessage>().await {
                 Ok(message) => drop(on.came.send(Came::Told { call, message }).await),
                 Err(why) => return why,
             }
--- a/crates/coordination/src/changes/host.rs
+++ b/crates/coordination/src/changes/host.rs
@@ -9,7 +9,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use cluster_types::{MemberId, Time};
-use config_distribution::{FromRelay, Relay, RelayEvent, Subscriber, ToRelay};
+use config_distribution::{Relay, RelayEvent, RelayMessage, Subscriber, SubscriberEvent, SubscriberMessage};
 use futures_lite::future;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -27,13 +27,13 @@
     /// Somebody has shown that it has the key.
     Joined { link: u64, name: MemberId, out: Out },
     /// A subscriber says something.
-    Asked { link: u64, message: ToRelay },
+    Asked { link: u64, message: SubscriberMessage },
     /// A subscriber's connection has ended.
     Left { link: u64, name: Option<MemberId> },
     /// A call is up.
     Up { call: u64, out: Out },
     /// A relay says something.
-    Told { call: u64, message: FromRelay },
+    Told { call: u64, message: RelayMessage },
     /// A call has failed, or has ended after so many frames.
     Down { call: u64, carried: Option<u64> },
 }
@@ -95,8 +95,8 @@
         loop {
             let now = self.clock.now();
             let wakes = [
-                self.relay.as_ref().map(|relay| relay.wake(now)),
-                self.subscriber.as_ref().and_then(|s| s.wake()),
+                self.relay.as_ref().map(|relay| relay.next_wakeup(now)),
+                self.subscriber.as_ref().and_then(|s| s.next_wakeup()),
             ];
             let wake = wakes.into_iter().flatten().min().unwrap_or(now + TURN);
             // Guards the connections, which share this thread, against a deadline that lies behind.
@@ -113,7 +113,7 @@
                 Woken::Came(Some(came)) => self.came(came),
                 Woken::Time => {
                     self.serve(RelayEvent::Tick);
-                    self.follow(config_distribution::Event::Tick);
+                    self.follow(SubscriberEvent::Tick);
                 }
             }
             // Guards the connections against a queue that never runs dry.
@@ -126,10 +126,10 @@
             Letter::Catalogue(catalogue) => self.restored(*catalogue),
             Letter::Ordered(version, order) => {
                 let changes = self.relay.as_mut().map(|r| r.catalogue_mut().apply(version, &order));
-                self.serve(RelayEvent::Applied(changes.unwrap_or_default()));
+                self.serve(RelayEvent::CatalogueChanged(changes.unwrap_or_default()));
             }
-            Letter::Reports(reports) => self.serve(RelayEvent::Reports(reports)),
-            Letter::Decided(refused) => self.follow(config_distribution::Event::Decided { refused }),
+            Letter::Reports(reports) => self.serve(RelayEvent::PeerReports(reports)),
+            Letter::Decided(refused) => self.follow(SubscriberEvent::ApplyFinished { rejected: refused }),
             Letter::Ask(query, to) => drop(to.try_send(self.answer(query))),
             Letter::Rekey(keys) => {
                 self.shared.sealer.borrow_mut().rekey(keys.clone());
@@ -142,7 +142,7 @@
     fn came(&mut self, came: Came) {
         match came {
             Came::Joined { link, name, out } => self.joined(link, &name, out),
-            Came::Asked { link, message } => self.serve(RelayEvent::Message { link, message }),
+            Came::Asked { link, message } => self.serve(RelayEvent::Message { connection: link, message }),
             Came::Left { link, name } => self.left(link, name),
             Came::Up { call, out } => self.up(call, out),
             Came::Told { call, message } => self.told(call, message),
@@ -154,7 +154,9 @@
         let now = self.clock.now();
         match (query, &self.relay) {
             (Query::State, _) => Told::State(self.state(now)),
-            (Query::Where(version), Some(relay)) => Told::Where(relay.fleet().ask(now, version, SILENCE)),
+            (Query::Where(version), Some(relay)) => {
+                Told::Where(relay.fleet_status().rollout(now, version, SILENCE))
+            }
             (Query::Where(_), None) => {
                 let relays = self.settings.relays.iter().map(|r| r.name.0.to_string());
                 Told::Elsewhere(relays.collect())
@@ -174,25 +176,41 @@
         state.counts.extend(bad.map(|(what, count)| (what, count.load(Ordering::Relaxed))));
         state.counts.push(("cut", self.cut));
         if let Some(relay) = &self.relay {
-            let (catalogue, f) = (relay.catalogue(), relay.figures());
-            (state.lineage, state.upto) = (catalogue.lineage(), catalogue.applied());
+            let (catalogue, f) = (relay.catalogue(), relay.stats());
+            (state.lineage, state.upto) = (catalogue.log_id(), catalogue.applied());
             let crowded = counts.crowded.load(Ordering::Relaxed);
-            let (subscribed, keys) = (relay.subscribed() as u64, catalogue.size().0 as u64);
+            let (subscribed, keys) = (relay.subscriber_count() as u64, catalogue.size().keys as u64);
             let told = [("subscribed", subscribed), ("keys", keys), ("crowded", crowded)];
             state.counts.extend(told);
-            state.counts.extend([("admitted", f.admitted), ("later", f.later), ("changes", f.changes)]);
-            state.counts.extend([("pieces", f.pieces), ("slow", f.slow), ("behind", f.behind)]);
-            state.counts.push(("bad", f.bad));
+            state.counts.extend([
+                ("admitted", f.accepted),
+                ("later", f.deferred),
+                ("changes", f.change_messages),
+            ]);
+            state.counts.extend([
+                ("pieces", f.chunks),
+                ("slow", f.reply_timeouts),
+                ("behind", f.resnapshots),
+            ]);
+            state.counts.push(("bad", f.protocol_errors));
         }
         if let Some(subscriber) = &self.subscriber {
-            let (held, f) = (subscriber.held(), subscriber.figures());
-            (state.lineage, state.upto) = (held.lineage(), held.upto());
+            let (held, f) = (subscriber.state(), subscriber.stats());
+            (state.lineage, state.upto) = (held.log_id(), held.up_to());
             state.heard = Some(now.since(self.heard));
             state.follows = self.followed().and_then(|call| self.called.get(&call).cloned());
-            state.refused = held.refused();
-            state.counts.extend([("held", held.len() as u64), ("taken", f.taken), ("calls", f.calls)]);
-            state.counts.extend([("refused", f.refused), ("snapshots", f.snapshots), ("missed", f.missed)]);
-            state.counts.extend([("bad_messages", f.bad), ("foreign", f.foreign)]);
+            state.refused = held.rejections();
+            state.counts.extend([
+                ("held", held.len() as u64),
+                ("taken", f.applied),
+                ("calls", f.connection_attempts),
+            ]);
+            state.counts.extend([
+                ("refused", f.rejected),
+                ("snapshots", f.snapshots),
+                ("missed", f.checksum_mismatches),
+            ]);
+            state.counts.extend([("bad_messages", f.protocol_errors), ("foreign", f.foreign_relays)]);
         }
         state
     }
--- a/crates/coordination/src/changes/log.rs
+++ b/crates/coordination/src/changes/log.rs
@@ -5,7 +5,7 @@
 use crate::ledger::{Cataloged, What};
 use crate::mail::Told;
 use cluster_types::{Index, Time};
-use config_distribution::{Order, Report};
+use config_distribution::{Report, WriteBatch};
 use std::time::Duration;
 
 /// A catalogue that is not there yet is asked for again after that.
@@ -42,7 +42,7 @@
 
     /// Sees to it that there is a catalogue, and tells all to a host that has missed something.
     pub(crate) fn serve(&mut self, now: Time) {
-        let none = self.ledger.catalogue.lineage() == 0;
+        let none = self.ledger.catalogue.log_id() == 0;
         if let Some(serves) = self.serves.as_mut().filter(|s| none && now.since(s.founding) >= AGAIN) {
             serves.founding = now;
             self.forward(now, 0, What::Founding);
@@ -60,7 +60,7 @@
     }
 
     /// An operator's order: checked, and said until it is in the log.
-    pub(crate) fn order(&mut self, now: Time, order: Order, to: Answer) {
+    pub(crate) fn order(&mut self, now: Time, order: WriteBatch, to: Answer) {
         let refused = match order.check() {
             Err(fault) => Some(Told::Unknown(format!("{fault}\n"))),
             Ok(()) if self.serves.is_none() => Some(Told::No("this machine serves no changes\n".into())),
--- a/crates/coordination/src/changes/mail.rs
+++ b/crates/coordination/src/changes/mail.rs
@@ -1,7 +1,7 @@
 //! Letters between the host, the log's thread and the front.
 use async_channel::{Receiver, Sender};
 use cluster_types::{Index, MemberId};
-use config_distribution::{Catalogue, Change, Key, Order, Refusal, Report, Where};
+use config_distribution::{Catalogue, Change, Key, Rejection, Report, RolloutStatus, WriteBatch};
 use message_auth::Keys;
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
     /// Which relay is followed now.
     pub follows: Option<MemberId>,
     /// What was refused and is still the newest of its key.
-    pub refused: Vec<Refusal>,
+    pub refused: Vec<Rejection>,
     /// What was done and turned down.
     pub counts: Vec<(&'static str, u64)>,
 }
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
     /// Where a version is not in force yet.
-    Where(Where),
+    Where(RolloutStatus),
     /// This machine serves nobody: these do, as far as it knows.
     Elsewhere(Vec<String>),
     /// How it stands.
@@ -62,7 +62,7 @@
     /// All that the log comes to.
     Catalogue(Box<Catalogue>),
     /// An entry of the log.
-    Ordered(Index, Arc<Order>),
+    Ordered(Index, Arc<WriteBatch>),
     /// Reports of other control machines.
     Reports(Vec<Report>),
     /// What the front could not put in force; empty where it did.
--- a/crates/coordination/src/changes/relay.rs
+++ b/crates/coordination/src/changes/relay.rs
@@ -4,7 +4,9 @@
 use crate::core::Inbox;
 use crate::{frames, links};
 use cluster_types::MemberId;
-use config_distribution::{Catalogue, Cut, FromRelay, RelayAction, RelayEvent, Report, ToRelay};
+use config_distribution::{
+    Catalogue, CloseReason, RelayAction, RelayEvent, RelayMessage, Report, SubscriberMessage,
+};
 
 impl Host {
     /// Tells the machine something and does what it says.
@@ -22,22 +24,22 @@
         let Some(relay) = &mut self.relay else { return };
         *relay.catalogue_mut() = catalogue;
         let mut out = Vec::new();
-        relay.restored(now, &mut out);
+        relay.catalogue_replaced(now, &mut out);
         let catalogue = relay.catalogue();
-        (self.log)(&format!("changes lineage={} upto={}", catalogue.lineage(), catalogue.applied().0));
+        (self.log)(&format!("changes lineage={} upto={}", catalogue.log_id(), catalogue.applied().0));
         self.serve_actions(out);
     }
 
     pub(super) fn joined(&mut self, link: u64, name: &MemberId, out: Out) {
         self.links.insert(link, out);
         self.names.insert(link, name.clone());
-        self.serve(RelayEvent::Joined { link, name: name.0.to_string().into() });
+        self.serve(RelayEvent::Connected { connection: link, name: name.0.to_string().into() });
     }
 
     pub(super) fn left(&mut self, link: u64, name: Option<MemberId>) {
         self.links.remove(&link);
         self.names.remove(&link);
-        self.serve(RelayEvent::Left { link });
+        self.serve(RelayEvent::Disconnected { connection: link });
         // Nobody of that name is here any more: it may be forgotten where there are too many.
         if let Some(name) = name.filter(|name| !self.names.values().any(|n| n == name)) {
             self.shared.opener.borrow_mut().release(&name);
@@ -48,18 +50,18 @@
     fn serve_actions(&mut self, actions: Vec<RelayAction>) {
         for action in actions {
             match action {
-                RelayAction::Send { link, message } => self.send(link, &message),
-                RelayAction::Close { link, why } => {
+                RelayAction::Send { connection: link, message } => self.send(link, &message),
+                RelayAction::Close { connection: link, reason } => {
                     if let Some(out) = self.links.remove(&link) {
-                        out.why.set(words(why));
+                        out.why.set(words(reason));
                     }
                 }
-                RelayAction::Reports(reports) => self.pass_on(reports),
+                RelayAction::ShareReports(reports) => self.pass_on(reports),
             }
         }
     }
 
-    fn send(&mut self, link: u64, message: &FromRelay) {
+    fn send(&mut self, link: u64, message: &RelayMessage) {
         let (Some(out), Some(name)) = (self.links.get(&link), self.names.get(&link)) else { return };
         let (mut bytes, body) = (Vec::new(), frames::write(message).unwrap_or_default());
         if body.is_empty()
@@ -81,17 +83,17 @@
         } else if let Some(call) = self.followed() {
             let me = self.settings.me.clone();
             for report in reports.into_iter().filter(|report| *report.relay == *me.0) {
-                self.say(call, &ToRelay::Report(report));
+                self.say(call, &SubscriberMessage::Report(report));
             }
         }
     }
 }
 
-fn words(why: Cut) -> &'static str {
+fn words(why: CloseReason) -> &'static str {
     match why {
-        Cut::Later => "later",
-        Cut::Slow => "slow",
-        Cut::Bad => "bad",
-        Cut::Replaced => "replaced",
+        CloseReason::RetryLater => "later",
+        CloseReason::ReplyTimeout => "slow",
+        CloseReason::ProtocolError => "bad",
+        CloseReason::Replaced => "replaced",
     }
 }
--- a/crates/coordination/src/changes/start.rs
+++ b/crates/coordination/src/changes/start.rs
@@ -9,7 +9,7 @@
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::Async;
-use config_distribution::{Catalogue, Relay, Scope, Subscriber};
+use config_distribution::{Catalogue, Relay, Scope, Subscriber, SubscriberConfig};
 use futures_lite::future;
 use message_auth::{Keys, Opener, Sealer};
 use std::cell::{Cell, RefCell};
@@ -56,15 +56,16 @@
     let listener = listen.map(bind).transpose()?;
     let clock = Clock::start();
     let now = clock.now();
-    let place = (settings.relays.len(), settings.fleet);
     let mut subscriber = scope.map(|scope| {
-        Subscriber::new(scope, place, (now, settings.seed), kept.as_ref().and_then(|kept| kept.as_deref()))
+        let (relay_count, fleet_size) = (settings.relays.len(), settings.fleet);
+        let config = SubscriberConfig { scope, relay_count, fleet_size, seed: settings.seed };
+        Subscriber::new(config, now, kept.as_ref().and_then(|kept| kept.as_deref()))
     });
     if let Some(fault) = subscriber.as_mut().and_then(|(_, fault)| fault.take()) {
         log(&format!("changes kept=dropped why={fault}"));
     }
     let subscriber = subscriber.map(|(subscriber, _)| subscriber);
-    let kept = subscriber.as_ref().is_some_and(|s| !s.held().changes().is_empty());
+    let kept = subscriber.as_ref().is_some_and(|s| !s.state().applied_entries().is_empty());
     let (to_front, decides) = async_channel::bounded(1);
     let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
         Builder::new().name(name.into()).spawn(work).map_err(|e| format!("changes: no thread: {e}"))
@@ -91,10 +92,10 @@
         let shared = Shared { sealer, opener: Rc::new(RefCell::new(opener)), came, counts };
         let executor = Rc::new(LocalExecutor::new());
         let machine = settings.machine.clone();
-        let most = machine.most + BESIDE;
+        let most = machine.max_subscribers + BESIDE;
         let relay = listener.is_some().then(|| {
             let mut relay = Relay::new(machine, &me.0, Catalogue::new(0), now);
-            relay.number(u64::try_from(unix().as_micros()).unwrap_or(u64::MAX));
+            relay.set_report_sequence(u64::try_from(unix().as_micros()).unwrap_or(u64::MAX));
             relay.expect_reports(settings.expects.iter().map(|name| name.0.clone()));
             relay
         });
--- a/crates/coordination/src/changes/subscriber.rs
+++ b/crates/coordination/src/changes/subscriber.rs
@@ -4,19 +4,21 @@
 use super::mail::Decide;
 use crate::{frames, links};
 use backoff::Failure;
-use config_distribution::{Action, Change, Event, FromRelay, RelayEvent, ToRelay};
+use config_distribution::{
+    Change, RelayEvent, RelayMessage, SubscriberAction, SubscriberEvent, SubscriberMessage,
+};
 
 impl Host {
     /// What was kept is in force before anything is heard.
     pub(super) fn begin(&mut self) {
         let Some(subscriber) = &mut self.subscriber else { return };
         let mut out = Vec::new();
-        subscriber.begin(&mut out);
+        subscriber.start(&mut out);
         self.follow_actions(out);
     }
 
     /// Tells the machine something and does what it says.
-    pub(super) fn follow(&mut self, event: Event) {
+    pub(super) fn follow(&mut self, event: SubscriberEvent) {
         let now = self.clock.now();
         let Some(subscriber) = &mut self.subscriber else { return };
         let mut out = Vec::new();
@@ -27,13 +29,13 @@
 
     /// The call that is followed.
     pub(super) fn followed(&self) -> Option<u64> {
-        self.subscriber.as_ref().and_then(|s| s.follows())
+        self.subscriber.as_ref().and_then(|s| s.followed_connection())
     }
 
     pub(super) fn up(&mut self, call: u64, out: Out) {
         if let Some(calling) = self.calls.get_mut(&call) {
             calling.out = Some(out);
-            self.follow(Event::Up { call });
+            self.follow(SubscriberEvent::Connected { connection: call });
         }
     }
 
@@ -46,19 +48,19 @@
             Some(0) => Failure::Overbooked,
             Some(_) => Failure::Ended,
         };
-        self.follow(Event::Down { call, failure });
+        self.follow(SubscriberEvent::Disconnected { connection: call, failure });
     }
 
-    pub(super) fn told(&mut self, call: u64, message: FromRelay) {
+    pub(super) fn told(&mut self, call: u64, message: RelayMessage) {
         self.heard = self.clock.now();
-        if let (FromRelay::Fleet(reports), true) = (&message, self.followed() == Some(call)) {
-            self.serve(RelayEvent::Reports(reports.clone()));
+        if let (RelayMessage::Reports(reports), true) = (&message, self.followed() == Some(call)) {
+            self.serve(RelayEvent::PeerReports(reports.clone()));
         }
-        self.follow(Event::Message { call, message });
+        self.follow(SubscriberEvent::Message { connection: call, message });
     }
 
     /// Sends to the relay of a call.
-    pub(super) fn say(&mut self, call: u64, message: &ToRelay) {
+    pub(super) fn say(&mut self, call: u64, message: &SubscriberMessage) {
         let Some((relay, out)) =
             self.calls.get(&call).and_then(|c| Some((self.called.get(&call)?, c.out.as_ref()?)))
         else {
@@ -74,11 +76,11 @@
         }
     }
 
-    fn follow_actions(&mut self, actions: Vec<Action>) {
+    fn follow_actions(&mut self, actions: Vec<SubscriberAction>) {
         for action in actions {
             match action {
-                Action::Connect { call, relay } => self.connect(call, relay),
-                Action::Close { call } => {
+                SubscriberAction::Connect { connection: call, relay } => self.connect(call, relay),
+                SubscriberAction::Close { connection: call } => {
                     self.called.remove(&call);
                     // One that is up ends by itself once nothing more can be handed in.
                     if let Some(Calling { task, out: Some(out) }) = self.calls.remove(&call) {
@@ -86,9 +88,9 @@
                         task.detach();
                     }
                 }
-                Action::Send { call, message } => self.say(call, &message),
-                Action::Decide { whole, changes } => self.decide(whole, changes),
-                Action::Keep(bytes) => {
+                SubscriberAction::Send { connection: call, message } => self.say(call, &message),
+                SubscriberAction::Apply { is_snapshot, changes } => self.decide(is_snapshot, changes),
+                SubscriberAction::Persist(bytes) => {
                     if let Some(keep) = &self.keep {
                         let _ = keep.force_send(bytes);
                     }
@@ -116,8 +118,8 @@
             let _ = self.to_front.try_send(Decide { whole, changes });
             return;
         }
-        self.follow(Event::Decided { refused: vec![] });
-        let Some(held) = self.subscriber.as_ref().map(|s| (s.held().lineage(), s.held().upto())) else {
+        self.follow(SubscriberEvent::ApplyFinished { rejected: vec![] });
+        let Some(held) = self.subscriber.as_ref().map(|s| (s.state().log_id(), s.state().up_to())) else {
             return;
         };
         let (lineage, upto) = held;
@@ -127,18 +129,18 @@
             catalogue.restore(lineage, &changes, upto);
             return self.restored(catalogue);
         }
-        relay.catalogue_mut().take(&changes, upto);
-        self.serve(RelayEvent::Applied(changes));
+        relay.catalogue_mut().merge(&changes, upto);
+        self.serve(RelayEvent::CatalogueChanged(changes));
     }
 
     /// A relay holds all up to where it has heard that nothing more has changed.
     fn passed(&mut self) {
         let (Some(relay), Some(subscriber)) = (&mut self.relay, &self.subscriber) else { return };
-        let (held, catalogue) = (subscriber.held(), relay.catalogue_mut());
-        if held.lineage() == catalogue.lineage() && held.upto() > catalogue.applied() {
-            catalogue.pass(held.upto());
+        let (held, catalogue) = (subscriber.state(), relay.catalogue_mut());
+        if held.log_id() == catalogue.log_id() && held.up_to() > catalogue.applied() {
+            catalogue.advance(held.up_to());
         }
         // Subscribers are told how old what they hear is.
-        relay.set_alone(subscriber.alone());
+        relay.set_isolated_since(subscriber.isolated_since());
     }
 }
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -1,7 +1,7 @@
 //! What the replicated log comes to: every front applies the same entries in the same order and has the same state. No clock
 //! and no chance in here.
 use cluster_types::{Index, MemberId};
-use config_distribution::{Catalogue, Change, Order, Scope};
+use config_distribution::{Catalogue, Change, Scope, WriteBatch};
 use maintenance::{Command, Desk, Effect, Rules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     /// From here on there is a catalogue of changes of configuration.
     Founding,
     /// What an operator ordered of it.
-    Order(Order),
+    Order(WriteBatch),
 }
 
 /// An entry of the log.
@@ -54,7 +54,7 @@
     /// Another one.
     Founded,
     /// This order is in it, by the entry at that place.
-    Ordered(Index, Arc<Order>),
+    Ordered(Index, Arc<WriteBatch>),
 }
 
 /// The state.
@@ -97,14 +97,14 @@
         let mut applied = Applied::default();
         match what {
             What::Maintenance(command) => applied.effects = self.desk.apply(index, at_ms, &by, &command),
-            What::Founding if self.catalogue.lineage() == 0 => {
+            What::Founding if self.catalogue.log_id() == 0 => {
                 // A later founding has a greater lineage, and no two fleets the same.
                 self.catalogue = Catalogue::new((at_ms << 20) | (index.0 & 0xf_ffff));
-                self.catalogue.pass(index);
+                self.catalogue.advance(index);
                 applied.catalogue = Cataloged::Founded;
             }
             What::Founding => {}
-            What::Order(order) if self.catalogue.lineage() != 0 && order.check().is_ok() => {
+            What::Order(order) if self.catalogue.log_id() != 0 && order.check().is_ok() => {
                 if self.first(&by, ticket) {
                     self.catalogue.apply(index, &order);
                     applied.catalogue = Cataloged::Ordered(index, Arc::new(order));
@@ -134,11 +134,11 @@
     pub fn snapshot(&self) -> Option<Vec<u8>> {
         let bytes = postcard::to_stdvec(&(self.applied, &self.desk, self.unread)).ok()?;
         // A program that knows no catalogue reads what is before it.
-        if self.catalogue.lineage() == 0 {
+        if self.catalogue.log_id() == 0 {
             return Some(bytes);
         }
-        let (changes, _) = self.catalogue.piece(&Scope::Everything, None, usize::MAX);
-        let (lineage, upto) = (self.catalogue.lineage(), self.catalogue.applied());
+        let changes = self.catalogue.chunk(&Scope::Everything, None, usize::MAX).entries;
+        let (lineage, upto) = (self.catalogue.log_id(), self.catalogue.applied());
         postcard::to_extend(&Shelved { lineage, upto, changes, taken: self.taken.clone() }, bytes).ok()
     }
 
@@ -167,7 +167,7 @@
     fn order(value: &str) -> What {
         let value = Some(value.as_bytes().into());
         let key = Key::new(Topic::Fleet, "settings");
-        What::Order(Order { puts: vec![Put { class: Class::Configuration, key, value }] })
+        What::Order(WriteBatch { puts: vec![Put { class: Class::Configuration, key, value }] })
     }
 
     #[test]
@@ -175,7 +175,7 @@
         let mut ledger = Ledger::new();
         assert_eq!(ledger.apply(Index(1), &entry(1, order("early"))), Applied::default());
         assert_eq!(ledger.apply(Index(2), &entry(0, What::Founding)).catalogue, Cataloged::Founded);
-        let lineage = ledger.catalogue.lineage();
+        let lineage = ledger.catalogue.log_id();
         assert_eq!(ledger.apply(Index(3), &entry(0, What::Founding)).catalogue, Cataloged::Same);
         assert!(matches!(
             ledger.apply(Index(4), &entry(7, order("one"))).catalogue,
@@ -187,9 +187,9 @@
             assert_eq!(ledger.apply(Index(6), &entry(7, order("one"))), Applied::default());
             let key = Key::new(Topic::Fleet, "settings");
             let (version, value) = ledger.catalogue.get(&key).unwrap();
-            assert_eq!((version, &**value, ledger.catalogue.lineage()), (Index(5), &b"two"[..], lineage));
+            assert_eq!((version, &**value, ledger.catalogue.log_id()), (Index(5), &b"two"[..], lineage));
         }
-        assert_eq!(ledger.catalogue.sum(&Scope::Everything), other.catalogue.sum(&Scope::Everything));
+        assert_eq!(ledger.catalogue.checksum(&Scope::Everything), other.catalogue.checksum(&Scope::Everything));
     }
 
     #[test]
--- a/crates/coordination/src/mail.rs
+++ b/crates/coordination/src/mail.rs
@@ -86,7 +86,7 @@
         member: MemberId,
     },
     /// Changes of configuration; the answer is their version.
-    Change(config_distribution::Order),
+    Change(config_distribution::WriteBatch),
 }
 
 /// The answer to a call.
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -6,7 +6,9 @@
 mod golden_support;
 
 use cluster_types::Index;
-use config_distribution::{FromRelay, Key, Lag, Refusal, Report, ToRelay, Topic};
+use config_distribution::{
+    GatewayRejection, Key, Lag, Rejection, RelayMessage, Report, SubscriberMessage, Topic,
+};
 use coordination::ledger::{Entry, Ledger, What};
 use coordination::{frames, links, Measures, Seen};
 use frames::Frame;
@@ -58,16 +60,17 @@
 }
 
 fn report() -> Report {
-    let refusal = Refusal { key: Key::new(Topic::Fleet, "settings"), version: Index(299), why: "no".into() };
+    let key = Key::new(Topic::Fleet, "settings");
+    let rejection = Rejection { key, version: Index(299), reason: "no".into() };
     Report {
         relay: "control-1".into(),
-        number: 1 << 50,
+        sequence: 1 << 50,
         applied: Index(300),
-        fronts: 3,
-        behind: 1,
-        worst: vec![Lag { front: "front-9".into(), owes: Index(298), why: "slow".into() }],
-        refusing: 1,
-        refused: vec![("front-8".into(), refusal)],
+        gateways: 3,
+        lagging: 1,
+        lags: vec![Lag { gateway: "front-9".into(), first_pending: Index(298), reason: "slow".into() }],
+        rejecting: 1,
+        rejections: vec![GatewayRejection { gateway: "front-8".into(), rejection }],
     }
 }
 
@@ -105,8 +108,8 @@
 
 #[test]
 fn frames_between_relays_and_subscribers_keep_their_bytes() {
-    check_frame("relay.next", RELAYS, &ToRelay::Next);
-    check_frame("relay.later", RELAYS, &FromRelay::Later);
+    check_frame("relay.next", RELAYS, &SubscriberMessage::NextChunk);
+    check_frame("relay.later", RELAYS, &RelayMessage::RetryLater);
     let hello = file("relay.hello");
     assert_eq!(sent(RELAYS, &[]), hello);
     assert_eq!(received(RELAYS, &hello), b"");
--- a/crates/coordination/tests/golden_support/entries.rs
+++ b/crates/coordination/tests/golden_support/entries.rs
@@ -1,12 +1,12 @@
 //! Entries of the replicated state machine, one of each kind.
 use super::member;
 use cluster_types::{BackendId, Index};
-use config_distribution::{Class, Key, Order, Put, Topic};
+use config_distribution::{Class, Key, Put, Topic, WriteBatch};
 use coordination::ledger::What;
 use maintenance::{BoxFact, Command, Presence, Rules, VolumeFact};
 
 /// An order with a key of each topic.
-pub fn order() -> Order {
+pub fn order() -> WriteBatch {
     let put = |topic, name, class, value: Option<&[u8]>| Put {
         class,
         key: Key::new(topic, name),
@@ -19,7 +19,7 @@
         put(Topic::Shard(300), "primary", Class::Primary, Some(b"b-1")),
         put(Topic::Volume("00000000000000ff".into()), "plan", Class::Configuration, Some(&[0, 255])),
     ];
-    Order { puts }
+    WriteBatch { puts }
 }
 
 /// One entry of each kind, in an order in which applying them makes the state hold something of everything.
--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -3,13 +3,12 @@
 use crate::config_overlay::effective::bytes;
 use async_io::Timer;
 use cluster_types::Index;
-use config_distribution::{Class, Key, Order, Put, Refusal, Topic, Where};
+use config_distribution::{Class, GatewayRejection, Key, Put, Rejection, RolloutStatus, Topic, WriteBatch};
 use coordination::changes::{Query, State, Told};
 use coordination::{Call, ToAccord};
 use futures_lite::future;
 use serde::Deserialize;
 use serde_json::{json, Value};
-use std::sync::Arc;
 use std::time::Duration;
 
 /// Where these calls are.
@@ -51,7 +50,7 @@
 }
 
 /// An order from a body; else the key at fault.
-fn read(body: &[u8]) -> Result<Order, String> {
+fn read(body: &[u8]) -> Result<WriteBatch, String> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let read: OrderIn =
         serde_path_to_error::deserialize(&mut json).map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
@@ -59,7 +58,7 @@
         ClassIn::Configuration => Class::Configuration,
         ClassIn::Primary => Class::Primary,
     };
-    let mut order = Order::default();
+    let mut order = WriteBatch::default();
     for (i, put) in read.puts.into_iter().enumerate() {
         let Some(topic) = topic(&put.topic) else {
             return Err(format!("puts[{i}].topic: must be fleet, region/R, zone/Z, shard/N or volume/V"));
@@ -149,27 +148,26 @@
     }
 }
 
-fn refusal(refusal: &Refusal) -> Value {
-    json!({ "key": refusal.key.to_string(), "version": refusal.version.0, "why": refusal.why })
+fn refusal(refusal: &Rejection) -> Value {
+    json!({ "key": refusal.key.to_string(), "version": refusal.version.0, "why": refusal.reason })
 }
 
-fn not_yet(told: &Where) -> Value {
-    let lag =
-        |lag: &config_distribution::Lag| json!({ "front": lag.front, "owes": lag.owes.0, "why": lag.why });
-    let refused = |(front, told): &(Arc<str>, Refusal)| {
-        let mut value = refusal(told);
-        value["front"] = json!(front);
+fn not_yet(told: &RolloutStatus) -> Value {
+    let lag = |lag: &config_distribution::Lag| json!({ "front": lag.gateway, "owes": lag.first_pending.0, "why": lag.reason });
+    let refused = |GatewayRejection { gateway, rejection }: &GatewayRejection| {
+        let mut value = refusal(rejection);
+        value["front"] = json!(gateway);
         value
     };
     json!({
-        "everywhere": told.everywhere,
-        "fronts": told.fronts,
+        "everywhere": told.is_everywhere,
+        "fronts": told.gateways,
         "lags": told.lags.iter().map(lag).collect::<Vec<_>>(),
-        "more": told.more,
-        "relays_behind": told.relays,
-        "relays_silent": told.silent,
-        "refused": told.refused.iter().map(refused).collect::<Vec<_>>(),
-        "refusing": told.refusing,
+        "more": told.unnamed_lagging,
+        "relays_behind": told.lagging_relays,
+        "relays_silent": told.silent_relays,
+        "refused": told.rejections.iter().map(refused).collect::<Vec<_>>(),
+        "refusing": told.rejecting,
     })
 }
 
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -8,7 +8,7 @@
 use crate::messages::{Mail, Module};
 use cluster_types::MemberId;
 use config::{Changes, Config};
-use config_distribution::{Scope, Topic};
+use config_distribution::{RateLimit, Scope, Topic};
 use coordination::changes::{Decide, Handle, Mailbox, Role, Settings, Upstream};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -58,9 +58,12 @@
         None => Role::Front(Scope::of(topics), section.state.clone()),
     };
     let machine = config_distribution::Settings {
-        batch: Duration::from_secs_f64(section.batch_s),
-        most: section.most as usize,
-        admission: (section.admission_bytes_s, section.admission_bytes_s),
+        batch_interval: Duration::from_secs_f64(section.batch_s),
+        max_subscribers: section.most as usize,
+        subscription_rate: RateLimit {
+            bytes_per_second: section.admission_bytes_s,
+            burst_bytes: section.admission_bytes_s,
+        },
         ..config_distribution::Settings::default()
     };
     let voters = config.accord.iter().flat_map(|accord| &accord.members).map(|member| &member.name);
--- a/crates/gateway/tests/changes/strangers.rs
+++ b/crates/gateway/tests/changes/strangers.rs
@@ -1,6 +1,6 @@
 //! Those who have no business at a relay's address, or at a front that follows one.
 use crate::fleet::{until, Machine, KEY};
-use config_distribution::{Scope, ToRelay, Topic};
+use config_distribution::{Scope, SubscriberMessage, Topic};
 use message_auth::{Keys, Opener, Sealer};
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -43,7 +43,7 @@
 /// A request for all changes, sealed under that key for that life of a relay.
 pub fn request(key: [u8; 32], (relay, its): (&str, Option<u64>), life: u64) -> Vec<u8> {
     let scope = Scope::of([Topic::Shard(0)]);
-    let message = ToRelay::Subscribe { lineage: 0, scope, from: ::cluster_types::Index(0) };
+    let message = SubscriberMessage::Subscribe { log_id: 0, scope, from: ::cluster_types::Index(0) };
     let mut sealer = Sealer::new(Keys::new(key, None), "front-9".into(), life).channel(FORM.1);
     let body = postcard::to_stdvec(&(FORM.0, message)).unwrap();
     framed(&sealer.seal_to(&relay.into(), its, &body).unwrap())
