--- a/crates/config-distribution/src/persisted.rs
+++ b/crates/config-distribution/src/persisted.rs
@@ -78,7 +78,7 @@
     if xxh3_64(&bytes[..bytes.len() - CHECKSUM_BYTES]) != u64::from_be_bytes(*checksum) {
         return Err(PersistedStateError::Corrupt);
     }
-    // What exactly postcard found wrong would help nobody: with a right checksum, another program wrote it.
+    // The details that postcard gives are of no use: with a correct checksum, another program wrote it.
     let Ok(state) = postcard::from_bytes::<PersistedState>(body) else {
         return Err(PersistedStateError::Corrupt);
     };
--- a/crates/config-distribution/src/relay.rs
+++ b/crates/config-distribution/src/relay.rs
@@ -43,7 +43,7 @@
 }
 
 impl Relay {
-    /// A relay that serves a catalogue; where that is of no log yet (id 0), it accepts nobody until
+    /// A relay that serves a catalogue; where that is of no log yet (id 0), it accepts no subscriber until
     /// [`Relay::catalogue_replaced`].
     pub fn new(settings: Settings, name: &str, catalogue: Catalogue, now: Time) -> Relay {
         let rate = settings.subscription_rate;
--- a/crates/config-distribution/src/relay/subscription.rs
+++ b/crates/config-distribution/src/relay/subscription.rs
@@ -113,7 +113,7 @@
 
     /// A change in its scope was made.
     pub fn mark_pending(&mut self, now: Time, version: Index, is_urgent: bool) {
-        // The relay was behind its subscriber and has only now come to a version that the subscriber holds.
+        // The relay was behind its subscriber and has only now reached a version that the subscriber holds.
         if self.phase == Phase::Live && version <= self.sent_up_to {
             return;
         }
--- a/crates/config-distribution/src/subscriber.rs
+++ b/crates/config-distribution/src/subscriber.rs
@@ -51,7 +51,7 @@
     /// The connection whose relay is followed.
     followed: Option<u64>,
     /// When the followed relay last sent anything.
-    heard_at: Time,
+    last_message_at: Time,
     /// Since when the relay has not heard of the log, by its last heartbeat.
     relay_isolated_since: Option<Time>,
     state: SubscriberState,
@@ -98,7 +98,7 @@
             failed_attempts: 0,
             attempts: vec![],
             followed: None,
-            heard_at: now,
+            last_message_at: now,
             relay_isolated_since: None,
             requested_from: Index(0),
             relay_log_id: state.log_id(),
@@ -144,11 +144,11 @@
     /// When a [`SubscriberEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Time> {
         let connections = match self.followed {
-            Some(_) => Some(Time(self.heard_at.0.saturating_add(backoff::LIVENESS as u64))),
+            Some(_) => Some(Time(self.last_message_at.0.saturating_add(backoff::LIVENESS as u64))),
             None => self.caller.due().map(|due| Time(due.max(0) as u64)),
         };
         let persist =
-            self.is_dirty.then(|| self.persisted_at.map_or(self.heard_at, |at| at + PERSIST_INTERVAL));
+            self.is_dirty.then(|| self.persisted_at.map_or(self.last_message_at, |at| at + PERSIST_INTERVAL));
         [connections, persist].into_iter().flatten().min()
     }
 
@@ -160,7 +160,7 @@
     /// Since when nothing was heard of the log: no relay is followed, or the relay does not hear of it itself. None while
     /// changes arrive.
     pub fn isolated_since(&self) -> Option<Time> {
-        let own = self.followed.is_none().then_some(self.heard_at);
+        let own = self.followed.is_none().then_some(self.last_message_at);
         self.relay_isolated_since.or(own)
     }
 
--- a/crates/config-distribution/src/subscriber/connections.rs
+++ b/crates/config-distribution/src/subscriber/connections.rs
@@ -16,7 +16,7 @@
     /// Leaves a relay that is silent for too long, and opens the next connection when it is due.
     pub(super) fn connect_if_due(&mut self, now: Time, out: &mut Vec<SubscriberAction>) {
         let silence_limit = Duration::from_micros(LIVENESS as u64);
-        let silent = self.followed.filter(|_| now.since(self.heard_at) >= silence_limit);
+        let silent = self.followed.filter(|_| now.since(self.last_message_at) >= silence_limit);
         if let Some(connection) = silent {
             self.leave(now, connection, Failure::Silent, out);
         }
--- a/crates/config-distribution/src/subscriber/event.rs
+++ b/crates/config-distribution/src/subscriber/event.rs
@@ -18,7 +18,7 @@
     Disconnected {
         /// The connection.
         connection: u64,
-        /// What that tells of the relay.
+        /// What that shows of the relay.
         failure: Failure,
     },
     /// A relay has sent a message.
--- a/crates/config-distribution/src/subscriber/receive.rs
+++ b/crates/config-distribution/src/subscriber/receive.rs
@@ -38,7 +38,7 @@
         message: RelayMessage,
         out: &mut Vec<SubscriberAction>,
     ) {
-        self.heard_at = now;
+        self.last_message_at = now;
         if let RelayMessage::Heartbeat { isolated_for, .. } = &message {
             self.relay_isolated_since = isolated_for.map(|span| now - span);
         }
@@ -96,7 +96,7 @@
             self.stats.foreign_relays += u64::from(self.followed.is_none());
             return self.leave(now, connection, Failure::Overbooked, out);
         }
-        self.heard_at = now;
+        self.last_message_at = now;
         self.follow(now, connection, out);
         self.relay_log_id = log_id;
         self.send_rejections(connection, out);
--- a/crates/config-distribution/src/subscriber/snapshot.rs
+++ b/crates/config-distribution/src/subscriber/snapshot.rs
@@ -32,7 +32,7 @@
         let is_valid_entry = |entry: &Change| self.scope.contains(&entry.key.topic) && entry.is_bounded();
         let is_valid = chunk.entries.iter().all(is_valid_entry);
         let is_next = |staging: &Staging| {
-            staging.base == chunk.base && !staging.is_complete && staging.has_room_for(chunk.entries.len())
+            staging.base == chunk.base && !staging.is_complete && staging.fits(chunk.entries.len())
         };
         let Some(mut staging) = staging.filter(|staging| is_valid && is_next(staging)) else {
             return self.protocol_error(now, connection, out);
--- a/crates/config-distribution/src/subscriber/staging.rs
+++ b/crates/config-distribution/src/subscriber/staging.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether so many more entries are within the bounds of a snapshot.
-    pub fn has_room_for(&self, entries: usize) -> bool {
+    pub fn fits(&self, entries: usize) -> bool {
         self.entries.len() + entries <= MAX_SNAPSHOT_KEYS && self.bytes <= MAX_SNAPSHOT_BYTES
     }
 
--- a/crates/config-distribution/tests/catalogue.rs
+++ b/crates/config-distribution/tests/catalogue.rs
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn changes_since_any_version_lead_to_current_state(batches in batches(), from in 0usize..40) {
+    fn changes_since_any_version_give_current_state(batches in batches(), from in 0usize..40) {
         let (before, after) = (applied(&batches[..from.min(batches.len())]), applied(&batches));
         for scope in scopes() {
             let ChangesSince::Changes(changes) = after.changes_since(&scope, before.applied(), usize::MAX) else {
--- a/crates/config-distribution/tests/connections.rs
+++ b/crates/config-distribution/tests/connections.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[test]
-fn leaves_silent_relay_for_the_next_and_tells_age_of_values() {
+fn leaves_silent_relay_for_the_next_and_reports_age_of_values() {
     let mut host = Host::following(&[("a", 1, "one")], 1);
     let heard_at = host.now;
     host.now.0 += LIVENESS as u64;
--- a/crates/config-distribution/tests/simulation.rs
+++ b/crates/config-distribution/tests/simulation.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn partitioned_regions_keep_values_tell_their_age_and_converge() {
+fn partitioned_regions_keep_values_report_their_age_and_converge() {
     let size = FleetSize::small();
     let mut world = World::new(&size, 3, Settings::default(), None);
     world.start_gateways();
