--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -1,17 +1,17 @@
 //! Attempts at a disk box that speaks iSCSI: each connection is a session that carries one command at a time.
-use crate::backend::actor::Work;
+use crate::backend::actor::BackendContext;
 use crate::backend::resp_exchange::Exchanged;
 use crate::backend::value::{Ended, Value};
 use crate::context::Context;
-use crate::net::close_reason::Reason;
-use crate::net::connection::{SocketEvent, Wire};
+use crate::net::close_reason::CloseReason;
+use crate::net::connection::{Connection, SocketEvent};
 use async_io::Timer;
 use dispatch::{Attempt, Bytes, Extent};
 use futures_lite::{future, StreamExt};
 use iscsi::initiator::{Initiator, Told};
 use iscsi::scsi::{self, status};
 use iscsi::BLOCK;
-use scheduler::interface::Ending;
+use scheduler::interface::AttemptOutcome;
 
 /// The LUN and the blocks that a request is about; none where its volume has no LUN.
 fn extent(context: &Context, attempt: &Attempt) -> Option<(u8, Extent)> {
@@ -22,7 +22,7 @@
     let extent = request.extent.unwrap_or_else(|| {
         // A client that names pieces: each has its place on the volume.
         let pieces = u64::from(lun.blocks / lun.piece_blocks).max(1);
-        let piece = u64::from_str_radix(&request.piece, 16).unwrap_or(0) % pieces;
+        let piece = u64::from_str_radix(&request.key, 16).unwrap_or(0) % pieces;
         let blocks = match &request.body {
             Some(body) => body.len().div_ceil(BLOCK) as u32,
             None => request.units.saturating_mul(lun.unit_blocks),
@@ -36,23 +36,23 @@
 /// Logs in where the connection is new, sends the command and gathers its outcome; also tells whether the
 /// connection may be used again.
 pub async fn exchange(
-    work: &Work,
+    work: &BackendContext,
     attempt: &Attempt,
-    wire: &mut Wire,
+    stream: &mut Connection,
     session: &mut Option<Initiator>,
     target: &str,
 ) -> (Exchanged, bool) {
     let ended = |ended: Ended, keep: bool| (Exchanged::Ended(ended), keep);
     let context = &work.context;
     let Some((lun, extent)) = extent(context, attempt) else {
-        return ended(attempt.ended(Ending::Moot), true);
+        return ended(attempt.ended(AttemptOutcome::NotSent), true);
     };
-    let body = attempt.request.body.as_ref().filter(|_| attempt.request.write).map(|body| {
+    let body = attempt.request.body.as_ref().filter(|_| attempt.request.is_write).map(|body| {
         let mut padded = body.to_vec();
         padded.resize(extent.blocks as usize * BLOCK, 0);
         padded
     });
-    let cdb = scsi::transfer(attempt.request.write, extent.first, extent.blocks);
+    let cdb = scsi::transfer(attempt.request.is_write, extent.first, extent.blocks);
     let expected = extent.blocks as usize * BLOCK;
     let mut out = Vec::new();
     let mut begun = session.is_some();
@@ -65,39 +65,42 @@
         let [.., a, b, c, d] = context.number().0.to_be_bytes();
         session.login(&name, Some(target), [0x80, a, b, c, d, 0], &mut out);
     }
-    let mut late = Timer::at(context.clock.instant(attempt.until));
+    let mut late = Timer::at(context.clock.instant(attempt.deadline));
     let mut written = false;
     loop {
-        if !wire.output.push(&out) {
-            wire.reason = Reason::Bound;
-            return ended(attempt.ended(if written { Ending::Reset } else { Ending::ConnectFailed }), false);
+        if !stream.output.push(&out) {
+            stream.reason = CloseReason::Bound;
+            return ended(
+                attempt.ended(if written { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }),
+                false,
+            );
         }
         out.clear();
-        let moved = future::or(async { wire.next().await }, async {
+        let moved = future::or(async { stream.next().await }, async {
             (&mut late).await;
             None
         });
         let moved = moved.await;
         // Guards bookings: the box has the command once its first PDU is written, whatever data it still asks
         // for, and may have begun to write. Only before that it is sure that nothing ran.
-        let whole = begun && wire.output.is_empty();
+        let whole = begun && stream.output.is_empty();
         if whole && !std::mem::replace(&mut written, whole) {
-            context.tallies.relayed();
+            context.counters.relayed();
         }
-        let maybe = |ending| if written { ending } else { Ending::ConnectFailed };
+        let maybe = |ending| if written { ending } else { AttemptOutcome::ConnectFailed };
         let ending = match moved {
             Some(Ok(SocketEvent::Wrote)) => continue,
             Some(Ok(SocketEvent::Read)) => loop {
-                match session.read(wire.input.contiguous(), &mut out) {
+                match session.read(stream.input.contiguous(), &mut out) {
                     Ok((0, _)) => break None,
                     Ok((used, told)) => {
-                        wire.input.consume(used);
+                        stream.input.consume(used);
                         match told {
                             // Guards against what has become known while the session came up.
                             Told::LoggedIn if !begun && !work.may_begin(attempt) => {
-                                let keep = !work.place.closed.get() && wire.input.is_empty();
-                                wire.reason = Reason::Drained;
-                                return ended(attempt.ended(Ending::Moot), keep);
+                                let keep = !work.endpoint.closed.get() && stream.input.is_empty();
+                                stream.reason = CloseReason::Drained;
+                                return ended(attempt.ended(AttemptOutcome::NotSent), keep);
                             }
                             Told::LoggedIn if !begun => {
                                 begun = true;
@@ -105,42 +108,43 @@
                             }
                             Told::Done { status: code, data, .. } => {
                                 let ending = match code {
-                                    status::GOOD => Ending::Ok,
-                                    status::BUSY | status::TASK_SET_FULL => Ending::Full,
-                                    _ => Ending::Error,
+                                    status::GOOD => AttemptOutcome::Ok,
+                                    status::BUSY | status::TASK_SET_FULL => AttemptOutcome::Rejected,
+                                    _ => AttemptOutcome::Error,
                                 };
-                                let value = (ending == Ending::Ok).then(|| Value::Whole(Bytes::from(data)));
-                                let keep = wire.output.is_empty() && wire.input.is_empty();
-                                wire.reason = Reason::Protocol;
+                                let value = (ending == AttemptOutcome::Ok)
+                                    .then(|| Value::Complete(Bytes::from(data)));
+                                let keep = stream.output.is_empty() && stream.input.is_empty();
+                                stream.reason = CloseReason::Protocol;
                                 if keep {
-                                    wire.reason = Reason::PeerClosed;
+                                    stream.reason = CloseReason::PeerClosed;
                                 }
                                 return ended(Ended { value, ..attempt.ended(ending) }, keep);
                             }
                             Told::Rejected(_) => {
-                                wire.reason = Reason::Protocol;
-                                break Some(maybe(Ending::Error));
+                                stream.reason = CloseReason::Protocol;
+                                break Some(maybe(AttemptOutcome::Error));
                             }
                             Told::LoggedOut => {
-                                wire.reason = Reason::PeerClosed;
-                                break Some(maybe(Ending::Reset));
+                                stream.reason = CloseReason::PeerClosed;
+                                break Some(maybe(AttemptOutcome::Reset));
                             }
                             _ => {}
                         }
                     }
                     Err(_) => {
-                        wire.reason = Reason::Protocol;
-                        break Some(maybe(Ending::Reset));
+                        stream.reason = CloseReason::Protocol;
+                        break Some(maybe(AttemptOutcome::Reset));
                     }
                 }
             },
             Some(Ok(SocketEvent::End)) | Some(Err(_)) => {
-                wire.reason = Reason::Reset;
-                Some(maybe(Ending::Reset))
+                stream.reason = CloseReason::Reset;
+                Some(maybe(AttemptOutcome::Reset))
             }
             None => {
-                wire.reason = Reason::Timeout;
-                Some(maybe(Ending::Timeout))
+                stream.reason = CloseReason::Timeout;
+                Some(maybe(AttemptOutcome::Timeout))
             }
         };
         if let Some(ending) = ending {
--- a/crates/gateway/src/iscsi/write_record.rs
+++ b/crates/gateway/src/iscsi/write_record.rs
@@ -6,7 +6,7 @@
 //! run: it is forgotten, and its reissue is a new try. So is one that no session waits for any more and that had not begun.
 use crate::backend::value::{Answer, Value};
 use crate::context::Context;
-use crate::messages::{Mail, Module, Ticket};
+use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use dispatch::Request;
@@ -33,7 +33,7 @@
 }
 
 enum State {
-    Running(Vec<Ticket>),
+    SignalLoop(Vec<Ticket>),
     Done(Answer, Micros),
 }
 
@@ -69,7 +69,7 @@
         let full = self.entries.len() >= self.most;
         match self.entries.get_mut(&key).map(|e| &mut e.state) {
             // Guards against a booking that runs twice: cut off, its initiator sends it again after a reconnect.
-            Some(State::Running(waiting)) => {
+            Some(State::SignalLoop(waiting)) => {
                 waiting.retain(|t| !t.to.is_closed());
                 waiting.push(ticket);
                 Next::Known
@@ -79,14 +79,16 @@
                 Next::Known
             }
             None if full => {
-                let _ = ticket.to.try_send((ticket.slot, Answer::Refused(Some(Micros(1_000_000)))));
+                let _ = ticket.to.try_send((ticket.slot, Answer::Rejected(Some(Micros(1_000_000)))));
                 Next::Known
             }
             None => {
                 self.next += 1;
                 self.running.insert(self.next, key.clone());
-                self.entries
-                    .insert(key, Entry { number: self.next, id: None, state: State::Running(vec![ticket]) });
+                self.entries.insert(
+                    key,
+                    Entry { number: self.next, id: None, state: State::SignalLoop(vec![ticket]) },
+                );
                 Next::Run(self.next)
             }
         }
@@ -95,7 +97,7 @@
     fn answered(&mut self, now: Micros, number: u64, answer: Answer) {
         let Some(key) = self.running.remove(&number) else { return };
         let kept = match &answer {
-            Answer::Refused(_) => None,
+            Answer::Rejected(_) => None,
             // A disk box may answer a write with a value, which no initiator asks for.
             Answer::Served(_) => Some(Answer::Served(Value::default())),
             Answer::Failed(reason) => Some(Answer::Failed(reason)),
@@ -107,7 +109,7 @@
             }
             None => self.entries.remove(&key),
         };
-        if let Some(Entry { state: State::Running(waiting), .. }) = entry {
+        if let Some(Entry { state: State::SignalLoop(waiting), .. }) = entry {
             for ticket in waiting {
                 let _ = ticket.to.try_send((ticket.slot, answer.clone()));
             }
@@ -124,7 +126,7 @@
     /// A session has ended: gives the number of a write for which no session waits any more.
     fn left(&mut self, key: &Key) -> Option<RequestId> {
         let entry = self.entries.get_mut(key)?;
-        let State::Running(waiting) = &mut entry.state else { return None };
+        let State::SignalLoop(waiting) = &mut entry.state else { return None };
         waiting.retain(|ticket| !ticket.to.is_closed());
         entry.id.filter(|_| waiting.is_empty())
     }
@@ -149,7 +151,7 @@
 }
 
 /// Runs until the program ends.
-pub async fn run(context: Rc<Context>, module: Module, notes: Receiver<Note>, kept: i64) {
+pub async fn run(context: Rc<Context>, scheduler: SchedulerMailbox, notes: Receiver<Note>, kept: i64) {
     let (to, answers): (Sender<(u64, Answer)>, _) = async_channel::bounded(MOST);
     let (mut notes, mut answers) = (Box::pin(notes), Box::pin(answers));
     let mut record = Record::new(MOST, kept);
@@ -166,16 +168,16 @@
                     let ticket = Ticket { slot: number, to: to.clone(), class: request.class };
                     let id = context.number();
                     record.runs(&key, id);
-                    let mail = Mail::Take(id, request, ticket);
-                    if module.try_send(mail).is_err() {
-                        record.answered(context.clock.now(), number, Answer::Refused(None));
+                    let mail = SchedulerMessage::Take(id, request, ticket);
+                    if scheduler.try_send(mail).is_err() {
+                        record.answered(context.clock.now(), number, Answer::Rejected(None));
                     }
                 }
             }
             Woken::Note(Some(Note::Acknowledged(key))) => record.acknowledged(&key),
             Woken::Note(Some(Note::Left(key))) => {
                 if let Some(id) = record.left(&key) {
-                    let _ = module.send(Mail::Abandoned(id)).await;
+                    let _ = scheduler.send(SchedulerMessage::Abandoned(id)).await;
                 }
             }
             Woken::Answer(Some((number, answer))) => record.answered(context.clock.now(), number, answer),
@@ -220,11 +222,11 @@
         let (t, from) = ticket(1);
         assert!(matches!(record.begin(key(5), t.clone()), Next::Run(1)));
         assert!(matches!(record.begin(key(6), t.clone()), Next::Known), "refused at the bound");
-        assert!(matches!(from.try_recv().unwrap().1, Answer::Refused(Some(_))));
-        record.answered(Micros(0), 1, Answer::Refused(None));
-        assert!(matches!(from.try_recv().unwrap().1, Answer::Refused(None)));
+        assert!(matches!(from.try_recv().unwrap().1, Answer::Rejected(Some(_))));
+        record.answered(Micros(0), 1, Answer::Rejected(None));
+        assert!(matches!(from.try_recv().unwrap().1, Answer::Rejected(None)));
         assert!(matches!(record.begin(key(5), t.clone()), Next::Run(2)), "it did not run: a new try");
-        record.answered(Micros(0), 2, Answer::Served(Value::Whole(Bytes::from(*b"value"))));
+        record.answered(Micros(0), 2, Answer::Served(Value::Complete(Bytes::from(*b"value"))));
         record.forget(Micros(99));
         assert!(matches!(record.begin(key(5), t.clone()), Next::Known));
         record.forget(Micros(100));
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -2,7 +2,7 @@
 use crate::backend::value::{Answer, Ended};
 use async_channel::Sender;
 use dispatch::Request;
-use scheduler::interface::{ListNews, NodeId, RequestId, Settings};
+use scheduler::interface::{BackendId, EndpointUpdate, RequestId, Settings};
 use std::rc::Rc;
 
 /// Where an answer goes: a front's connection, and the place in it.
@@ -17,7 +17,7 @@
 }
 
 /// The module's mail.
-pub enum Mail {
+pub enum SchedulerMessage {
     /// A front has taken a request.
     Take(RequestId, Request, Ticket),
     /// Its client has gone.
@@ -29,7 +29,7 @@
     /// Units served for a volume through other fronts, told after a long value.
     Told(Rc<str>, f64),
     /// News of the list.
-    News(ListNews),
+    News(EndpointUpdate),
     /// The file was read again: its settings, or none where it was faulty.
     Reload(Option<Box<Settings>>),
     /// Another process of this front has come or gone.
@@ -37,19 +37,19 @@
     /// The program is to end.
     Stopping,
     /// Which disk boxes does the module keep from for now?
-    Avoided(Sender<Vec<NodeId>>),
+    Avoided(Sender<Vec<BackendId>>),
     /// Print the counters.
     Print,
 }
 
 /// The module's mailbox.
-pub type Module = Sender<Mail>;
+pub type SchedulerMailbox = Sender<SchedulerMessage>;
 
 /// The most mail that may wait for the module.
 pub const MAILBOX: usize = 8192;
 
 /// The list's mail.
-pub enum Ask {
+pub enum DiscoveryMessage {
     /// The module asks for the watch, perhaps anew.
     Watch,
     /// Discovery has another address, or there is none any more.
