--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -189,7 +189,10 @@
             let (version, value) = ledger.catalogue.get(&key).unwrap();
             assert_eq!((version, &**value, ledger.catalogue.log_id()), (Index(5), &b"two"[..], lineage));
         }
-        assert_eq!(ledger.catalogue.checksum(&Scope::Everything), other.catalogue.checksum(&Scope::Everything));
+        assert_eq!(
+            ledger.catalogue.checksum(&Scope::Everything),
+            other.catalogue.checksum(&Scope::Everything)
+        );
     }
 
     #[test]
