--- a/crates/coordination/src/clock.rs
+++ b/crates/coordination/src/clock.rs
@@ -1,30 +1,40 @@
-//! The hosts' clocks: a steady one with an origin of its own, and Unix time for operators.
+//! The clocks of the hosts: a monotonic one with an origin of its own, and Unix time.
 use cluster_types::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The steady clock.
+/// How far the origin lies before the start, so that spans can reach back before it.
+const ORIGIN_BEFORE_START: Duration = Duration::from_secs(1);
+
+/// A monotonic clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock(Instant);
+pub(crate) struct Clock {
+    origin: Instant,
+}
 
 impl Clock {
-    /// Begins a second ago, so that spans reach back before the start.
-    pub fn start() -> Clock {
+    /// A clock whose origin lies a second before now.
+    pub(crate) fn start() -> Clock {
         let now = Instant::now();
-        Clock(now.checked_sub(Duration::from_secs(1)).unwrap_or(now))
+        Clock { origin: now.checked_sub(ORIGIN_BEFORE_START).unwrap_or(now) }
     }
 
-    /// The time.
-    pub fn now(&self) -> Time {
-        Time(u64::try_from(self.0.elapsed().as_micros()).unwrap_or(u64::MAX))
+    /// The time now.
+    pub(crate) fn now(&self) -> Time {
+        Time(u64::try_from(self.origin.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// When that is.
-    pub fn instant(&self, at: Time) -> Instant {
-        self.0 + Duration::from_micros(at.0.min(u64::MAX / 4))
+    /// The instant of a time. Bounded, so that the addition cannot overflow.
+    pub(crate) fn instant(&self, at: Time) -> Instant {
+        self.origin + Duration::from_micros(at.0.min(u64::MAX / 4))
     }
 }
 
-/// Unix time.
-pub fn unix() -> Duration {
+/// The time since the Unix epoch; zero where the system's clock is before it.
+pub(crate) fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
+
+/// The Unix time in milliseconds.
+pub(crate) fn unix_time_ms() -> u64 {
+    u64::try_from(unix_time().as_millis()).unwrap_or(u64::MAX)
+}
--- a/crates/coordination/src/distribution/connection.rs
+++ b/crates/coordination/src/distribution/connection.rs
@@ -1,211 +1,170 @@
-//! One connection between a relay and a subscriber: sealed frames in both directions, until either side ends it. The relay's first
-//! frame is empty and tells its life; all others are for the very life of whom they are for. So nothing that was recorded is
-//! good for anybody who has started again since.
-use crate::distribution::host::Came;
-use crate::frame as frames;
-use crate::network_thread::framing::{self as links, within, Counts};
-use async_channel::{Receiver, Sender};
+//! A connection between a relay and a subscriber: sealed frames in both directions, until either side ends it.
+//!
+//! The relay's first frame is empty and states its incarnation; all others are sealed for the very incarnation of their receiver. So
+//! nothing that was recorded is accepted by a process that has started since.
+use crate::distribution::connection_event::ConnectionEvent;
+use crate::distribution::outbox::{Outbox, OutboxReader};
+use crate::frame;
+use crate::network_thread::framing::{
+    append_frame, read_frame, ReadState, DISTRIBUTION_CHANNEL, MAX_RELAY_FRAME_BYTES,
+};
+use crate::network_thread::{set_nodelay, with_timeout, CloseReason, ConnectionEnd, LinkCounters};
+use async_channel::Sender;
 use async_io::Async;
 use cluster_types::MemberId;
-use config_distribution::{RelayMessage, SubscriberMessage};
 use futures_lite::{future, AsyncWriteExt};
 use message_auth::{Opened, Opener, Sealer};
 use serde::de::DeserializeOwned;
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// The channel of these frames; membership and the log have those before it.
-pub const CHANNEL: u8 = 2;
-/// The longest frame.
-pub const LONGEST: usize = 2 << 20;
-/// The longest frame of a subscriber.
-const ASKED: usize = 64 * 1024;
-/// Bytes that may wait to be written on a connection, beside one frame.
-const WAITING: usize = 128 * 1024;
-/// Frames that may wait there.
-const FRAMES: usize = 256;
+/// The longest frame of a subscriber, in bytes.
+const MAX_SUBSCRIBER_FRAME_BYTES: usize = 64 * 1024;
 
 /// What connections share.
 #[derive(Clone)]
-pub struct Shared {
-    /// Signs what goes out.
-    pub sealer: Rc<RefCell<Sealer>>,
-    /// Opens what comes.
-    pub opener: Rc<RefCell<Opener>>,
-    /// Where it goes.
-    pub came: Sender<Came>,
-    /// What was bad.
-    pub counts: Arc<Counts>,
+pub(crate) struct ConnectionContext {
+    pub(crate) sealer: Rc<RefCell<Sealer>>,
+    pub(crate) opener: Rc<RefCell<Opener>>,
+    pub(crate) events: Sender<ConnectionEvent>,
+    pub(crate) counters: Arc<LinkCounters>,
 }
 
-/// The end of a connection at which frames are handed in. Once it is dropped, what was handed in goes out and the connection ends.
-pub struct Out {
-    frames: Sender<Vec<u8>>,
-    waiting: Rc<Cell<usize>>,
-    /// Why this side ends it.
-    pub why: Rc<Cell<&'static str>>,
-}
-
-/// The other end.
-struct Written {
-    frames: Receiver<Vec<u8>>,
-    waiting: Rc<Cell<usize>>,
-    why: Rc<Cell<&'static str>>,
-}
-
-impl Out {
-    fn new() -> (Out, Written) {
-        let (to, from) = async_channel::bounded(FRAMES);
-        let (waiting, why) = (Rc::new(Cell::new(0)), Rc::new(Cell::new("closed")));
-        let written = Written { frames: from, waiting: waiting.clone(), why: why.clone() };
-        (Out { frames: to, waiting, why }, written)
-    }
-
-    /// Hands in a frame; false where too much waits already.
-    pub fn send(&self, frame: Vec<u8>) -> bool {
-        let waiting = self.waiting.get();
-        if waiting > WAITING {
-            return false;
-        }
-        self.waiting.set(waiting + frame.len());
-        self.frames.try_send(frame).is_ok()
+impl ConnectionContext {
+    /// Reports to the host. The host outlives its connections, so that the mailbox is not closed before.
+    async fn report(&self, event: ConnectionEvent) {
+        drop(self.events.send(event).await);
     }
 }
 
-/// Writes until there is nothing to come, or the other side takes nothing more; tells why.
-async fn write(stream: &Async<TcpStream>, out: &Written) -> String {
+/// Writes until the outbox is closed, or the peer takes nothing more.
+async fn write_frames(stream: &Async<TcpStream>, outbox: &OutboxReader) -> CloseReason {
     let mut stream = stream;
-    while let Ok(frame) = out.frames.recv().await {
-        if within(async { stream.write_all(&frame).await.ok() }).await.is_none() {
-            return "stuck".into();
+    while let Some(frame) = outbox.next().await {
+        if with_timeout(async { stream.write_all(&frame).await.ok() }).await.is_none() {
+            return CloseReason::WriteTimeout;
         }
-        out.waiting.set(out.waiting.get().saturating_sub(frame.len()));
+        outbox.note_written(&frame);
     }
-    out.why.get().into()
+    CloseReason::ClosedLocally(outbox.close_code())
 }
 
-/// One end of a connection.
-struct End<'a> {
+/// The reading end of a connection.
+struct Reader<'a> {
     stream: &'a Async<TcpStream>,
-    on: &'a Shared,
-    longest: usize,
-    /// Who is at the other end.
-    name: Option<MemberId>,
-    carried: u64,
+    context: &'a ConnectionContext,
+    state: ReadState,
+    /// The peer, once it is known.
+    peer: Option<MemberId>,
 }
 
-impl End<'_> {
-    /// The next frame: all of one sender.
-    async fn opened(&mut self) -> Result<Opened, String> {
-        let (on, mut stream) = (self.on, self.stream);
-        let bound = (self.carried, self.longest);
-        let opened = links::next(&mut stream, CHANNEL, bound, &on.opener, &on.counts).await?;
-        if *self.name.get_or_insert_with(|| opened.from.clone()) != opened.from {
-            on.counts.refused.fetch_add(1, Ordering::Relaxed);
-            return Err("foreign".into());
+impl Reader<'_> {
+    /// Reads the next frame. All frames must be of one sender.
+    async fn read_frame(&mut self) -> Result<Opened, CloseReason> {
+        let (context, mut stream) = (self.context, self.stream);
+        let (opener, counters) = (&context.opener, &context.counters);
+        let opened = read_frame(&mut stream, DISTRIBUTION_CHANNEL, self.state, opener, counters).await?;
+        if *self.peer.get_or_insert_with(|| opened.from.clone()) != opened.from {
+            context.counters.rejected_frames.fetch_add(1, Ordering::Relaxed);
+            return Err(CloseReason::OtherSender);
         }
-        self.carried += 1;
+        self.state.frames += 1;
         Ok(opened)
     }
 
-    /// The life of the relay at the other end.
-    async fn hello(&mut self) -> Result<(), String> {
-        let opened = self.opened().await?;
-        self.on.sealer.borrow_mut().learn_incarnation(&opened.from, opened.incarnation);
-        self.carried = 0;
+    /// Reads the first frame of a relay, which states its incarnation.
+    async fn read_hello(&mut self) -> Result<(), CloseReason> {
+        let opened = self.read_frame().await?;
+        self.context.sealer.borrow_mut().learn_incarnation(&opened.from, opened.incarnation);
+        self.state.frames = 0;
         Ok(())
     }
 
-    /// The next message, for this very life.
-    async fn next<T: DeserializeOwned>(&mut self) -> Result<T, String> {
-        let opened = self.opened().await?;
+    /// Reads the next message, which must be sealed for this very incarnation.
+    async fn read_message<T: DeserializeOwned>(&mut self) -> Result<T, CloseReason> {
+        let opened = self.read_frame().await?;
+        let counters = &self.context.counters;
         if !opened.fresh {
-            self.carried -= 1;
-            self.on.counts.refused.fetch_add(1, Ordering::Relaxed);
-            return Err("stale".into());
+            self.state.frames -= 1;
+            counters.rejected_frames.fetch_add(1, Ordering::Relaxed);
+            return Err(CloseReason::StaleIncarnation);
         }
-        if self.carried == 1 {
-            self.on.sealer.borrow_mut().learn_incarnation(&opened.from, opened.incarnation);
+        if self.state.frames == 1 {
+            self.context.sealer.borrow_mut().learn_incarnation(&opened.from, opened.incarnation);
         }
-        frames::read(&opened.body).map_err(|why| {
-            self.on.counts.unread.fetch_add(1, Ordering::Relaxed);
-            format!("protocol ({why})")
+        frame::decode(&opened.body).map_err(|error| {
+            counters.undecodable_frames.fetch_add(1, Ordering::Relaxed);
+            CloseReason::Protocol(error)
         })
     }
 }
 
-/// Serves a subscriber's connection.
-pub async fn serve(stream: Async<TcpStream>, link: u64, on: Shared) -> (u64, String) {
-    let _ = stream.get_ref().set_nodelay(true);
-    let (out, written) = Out::new();
+/// Serves a subscriber's connection to its end.
+pub(crate) async fn serve_subscriber(
+    stream: Async<TcpStream>,
+    link: u64,
+    context: ConnectionContext,
+) -> ConnectionEnd {
+    set_nodelay(&stream);
+    let (outbox, outbox_reader) = Outbox::new();
     let mut hello = Vec::new();
-    links::put(&mut hello, None, &[], &on.sealer);
-    out.send(hello);
-    let mut end = End { stream: &stream, on: &on, longest: ASKED, name: None, carried: 0 };
-    let mut out = Some(out);
+    // An empty frame is never too long, and finds an empty outbox.
+    append_frame(&mut hello, None, &[], &context.sealer).ok();
+    outbox.send(hello);
+    let state = ReadState { frames: 0, max_frame_bytes: MAX_SUBSCRIBER_FRAME_BYTES };
+    let mut reader = Reader { stream: &stream, context: &context, state, peer: None };
+    let mut outbox = Some(outbox);
     let read = async {
         loop {
-            let message = match end.next::<SubscriberMessage>().await {
+            let message = match reader.read_message().await {
                 Ok(message) => message,
-                Err(why) => return why,
+                Err(reason) => return reason,
             };
-            if let (Some(out), Some(name)) = (out.take(), &end.name) {
-                let _ = on.came.send(Came::Joined { link, name: name.clone(), out }).await;
+            if let (Some(outbox), Some(name)) = (outbox.take(), &reader.peer) {
+                context.report(ConnectionEvent::Joined { link, name: name.clone(), outbox }).await;
             }
-            let _ = on.came.send(Came::Asked { link, message }).await;
+            context.report(ConnectionEvent::FromSubscriber { link, message }).await;
         }
     };
-    let why = future::or(read, write(&stream, &written)).await;
-    let (name, carried) = (end.name.take(), end.carried);
-    let _ = on.came.send(Came::Left { link, name }).await;
-    (carried, why)
+    let reason = future::or(read, write_frames(&stream, &outbox_reader)).await;
+    let (name, frames) = (reader.peer.take(), reader.state.frames);
+    context.report(ConnectionEvent::Left { link, name }).await;
+    ConnectionEnd { frames, reason }
 }
 
-/// Calls a relay and follows it; tells how many frames came and why it ended.
-pub async fn call(call: u64, relay: (MemberId, SocketAddr), on: Shared) -> (u64, String) {
-    let up = within(async { Async::<TcpStream>::connect(relay.1).await.ok() }).await;
-    let Some(stream) = up else {
-        let _ = on.came.send(Came::Down { call, carried: None }).await;
-        return (0, "connect-failed".into());
+/// Connects to a relay and follows it to the end of the connection.
+pub(crate) async fn follow_relay(
+    call: u64,
+    relay: MemberId,
+    address: SocketAddr,
+    context: ConnectionContext,
+) -> ConnectionEnd {
+    let connected = with_timeout(async { Async::<TcpStream>::connect(address).await.ok() }).await;
+    let Some(stream) = connected else {
+        context.report(ConnectionEvent::Ended { call, frames: None }).await;
+        return ConnectionEnd { frames: 0, reason: CloseReason::ConnectFailed };
     };
-    let _ = stream.get_ref().set_nodelay(true);
-    let (out, written) = Out::new();
-    let name = Some(relay.0);
-    let mut end = End { stream: &stream, on: &on, longest: LONGEST, name, carried: 0 };
+    set_nodelay(&stream);
+    let (outbox, outbox_reader) = Outbox::new();
+    let state = ReadState { frames: 0, max_frame_bytes: MAX_RELAY_FRAME_BYTES };
+    let mut reader = Reader { stream: &stream, context: &context, state, peer: Some(relay) };
     let read = async {
-        if let Err(why) = end.hello().await {
-            return why;
+        if let Err(reason) = reader.read_hello().await {
+            return reason;
         }
-        let _ = on.came.send(Came::Up { call, out }).await;
+        context.report(ConnectionEvent::Established { call, outbox }).await;
         loop {
-            match end.next::<RelayMessage>().await {
-                Ok(message) => drop(on.came.send(Came::Told { call, message }).await),
-                Err(why) => return why,
+            match reader.read_message().await {
+                Ok(message) => context.report(ConnectionEvent::FromRelay { call, message }).await,
+                Err(reason) => return reason,
             }
         }
     };
-    let why = future::or(read, write(&stream, &written)).await;
-    let carried = end.carried;
-    let _ = on.came.send(Came::Down { call, carried: Some(carried) }).await;
-    (carried, why)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_not_read_is_bounded_and_one_long_frame_passes() {
-        let (out, _written) = Out::new();
-        assert!(out.send(vec![0; LONGEST]), "any one frame");
-        assert!(!out.send(vec![0; 1]), "and none beyond it");
-        let (out, _written) = Out::new();
-        let sent = (0..10_000).take_while(|_| out.send(vec![0; 2_048])).count();
-        assert_eq!(sent, WAITING / 2_048 + 1);
-        let (out, _written) = Out::new();
-        assert_eq!((0..10_000).take_while(|_| out.send(vec![0; 8])).count(), FRAMES);
-    }
+    let reason = future::or(read, write_frames(&stream, &outbox_reader)).await;
+    let frames = reader.state.frames;
+    context.report(ConnectionEvent::Ended { call, frames: Some(frames) }).await;
+    ConnectionEnd { frames, reason }
 }
--- /dev/null
+++ b/crates/coordination/src/distribution/handle.rs
@@ -0,0 +1,39 @@
+//! The gateway's end of the host's mailbox.
+use crate::distribution::mailbox::HostMessage;
+use crate::distribution::query::{Query, QueryResponse};
+use async_channel::Sender;
+use config_distribution::Key;
+use message_auth::Keys;
+
+/// The gateway's end of the host's mailbox.
+#[derive(Clone)]
+pub struct Handle {
+    pub(crate) host: Sender<HostMessage>,
+    pub(crate) serves_subscribers: bool,
+}
+
+impl Handle {
+    /// Whether this member serves subscribers.
+    pub fn serves_subscribers(&self) -> bool {
+        self.serves_subscribers
+    }
+
+    /// Reports which keys of the last update could not be applied, each with the reason; empty where all were.
+    ///
+    /// Cancel safe: a report that is cancelled was not sent.
+    pub async fn report_decided(&self, rejected: Vec<(Key, String)>) {
+        // This fails only once the host has ended, which needs the report no longer.
+        drop(self.host.send(HostMessage::Decided { rejected }).await);
+    }
+
+    /// Asks a question without waiting; returns false where the mailbox is full.
+    pub fn ask(&self, query: Query, respond_to: Sender<QueryResponse>) -> bool {
+        self.host.try_send(HostMessage::Query { query, respond_to }).is_ok()
+    }
+
+    /// Signs with the first of these keys from now on, and accepts either.
+    pub fn set_keys(&self, keys: ([u8; 32], Option<[u8; 32]>)) {
+        // Where the mailbox is full, the old keys stay in use until the next change of the configuration.
+        drop(self.host.try_send(HostMessage::SetKeys(Keys::new(keys.0, keys.1))));
+    }
+}
--- a/crates/coordination/src/distribution/mod.rs
+++ b/crates/coordination/src/distribution/mod.rs
@@ -1,15 +1,27 @@
-//! Host of changes of configuration: the connections of a relay and of a subscriber, what a front keeps on its disk, and the
-//! way from the log to the relay. One thread of its own drives the machines of the package `changes`; another one writes.
+//! Hosts of distributed configuration: connections between relays and subscribers, the saved copy of a subscriber, and the way
+//! from the replicated log to the relay.
+//!
+//! One thread runs the state machines of `config-distribution`; another one writes the saved copy.
 mod connection;
+mod connection_event;
+mod error;
+mod handle;
 mod host;
-pub(crate) mod mailbox;
+mod mailbox;
+pub mod outbox;
+mod query;
 mod relay_host;
-mod saved_config;
+pub mod saved_config;
 mod settings;
 mod start;
+mod status;
 mod subscriber_host;
 
-pub use crate::log_thread::serve_catalogue::Serves;
-pub use mailbox::{Decide, Handle, Mailbox, Query, State, Told};
+pub use error::StartError;
+pub use handle::Handle;
+pub use mailbox::Mailbox;
+pub use query::{ConfigUpdate, DistributionStatus, Query, QueryResponse};
 pub use settings::{Role, Settings, Upstream};
 pub use start::{start, Started};
+
+pub(crate) use mailbox::HostMessage;
--- /dev/null
+++ b/crates/coordination/src/distribution/outbox.rs
@@ -0,0 +1,70 @@
+//! The frames that wait to be written on a connection.
+use async_channel::{Receiver, Sender};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// Bytes that may wait to be written on a connection, beside one frame.
+pub const MAX_WAITING_BYTES: usize = 128 * 1024;
+/// Frames that may wait to be written on a connection.
+pub const MAX_WAITING_FRAMES: usize = 256;
+
+/// The end at which frames are handed in. When it is dropped, the frames that wait are written and the connection is closed.
+pub struct Outbox {
+    frames: Sender<Vec<u8>>,
+    waiting_bytes: Rc<Cell<usize>>,
+    close_code: Rc<Cell<&'static str>>,
+}
+
+/// The end at which frames are taken to be written.
+pub struct OutboxReader {
+    frames: Receiver<Vec<u8>>,
+    waiting_bytes: Rc<Cell<usize>>,
+    close_code: Rc<Cell<&'static str>>,
+}
+
+impl Outbox {
+    /// Both ends of an empty outbox.
+    #[allow(clippy::new_ret_no_self, reason = "the two ends belong together")]
+    pub fn new() -> (Outbox, OutboxReader) {
+        let (sender, receiver) = async_channel::bounded(MAX_WAITING_FRAMES);
+        let (waiting_bytes, close_code) = (Rc::new(Cell::new(0)), Rc::new(Cell::new("closed")));
+        let reader = OutboxReader {
+            frames: receiver,
+            waiting_bytes: waiting_bytes.clone(),
+            close_code: close_code.clone(),
+        };
+        (Outbox { frames: sender, waiting_bytes, close_code }, reader)
+    }
+
+    /// Hands in a frame; returns false where too much waits already.
+    pub fn send(&self, frame: Vec<u8>) -> bool {
+        let waiting = self.waiting_bytes.get();
+        if waiting > MAX_WAITING_BYTES {
+            return false;
+        }
+        self.waiting_bytes.set(waiting + frame.len());
+        self.frames.try_send(frame).is_ok()
+    }
+
+    /// States why this side is about to close the connection.
+    pub fn set_close_code(&self, code: &'static str) {
+        self.close_code.set(code);
+    }
+}
+
+impl OutboxReader {
+    /// Takes the next frame; `None` once the other end is dropped and no frame waits. Cancel safe.
+    pub async fn next(&self) -> Option<Vec<u8>> {
+        self.frames.recv().await.ok()
+    }
+
+    /// Notes that a frame was written.
+    pub fn note_written(&self, frame: &[u8]) {
+        self.waiting_bytes.set(self.waiting_bytes.get().saturating_sub(frame.len()));
+    }
+
+    /// Why this side closes the connection.
+    pub fn close_code(&self) -> &'static str {
+        self.close_code.get()
+    }
+}
--- a/crates/coordination/src/distribution/settings.rs
+++ b/crates/coordination/src/distribution/settings.rs
@@ -1,4 +1,4 @@
-//! What the host of changes is told at its start.
+//! What the host of distributed configuration is given at start.
 use cluster_types::MemberId;
 use config_distribution::Scope;
 use std::net::SocketAddr;
@@ -9,38 +9,49 @@
 pub struct Upstream {
     /// Its name.
     pub name: MemberId,
-    /// Where it serves.
-    pub at: SocketAddr,
+    /// Where it listens.
+    pub address: SocketAddr,
 }
 
-/// What this machine is among those that changes pass through.
+/// The role of this member in the distribution of configuration.
 #[derive(Clone, Debug)]
 pub enum Role {
-    /// It has a vote, and serves.
-    Voter(SocketAddr),
-    /// It has none, follows others and serves.
-    Relay(SocketAddr),
-    /// It follows, and puts in force what is in its scope; what it keeps is in that folder.
-    Front(Scope, Option<PathBuf>),
+    /// A member of the replicated log that serves subscribers.
+    Voter {
+        /// Where it listens for subscribers.
+        listen: SocketAddr,
+    },
+    /// Follows another relay and serves subscribers.
+    Relay {
+        /// Where it listens for subscribers.
+        listen: SocketAddr,
+    },
+    /// Follows a relay and applies what is in its scope.
+    Subscriber {
+        /// What it applies.
+        scope: Scope,
+        /// The folder of the saved configuration, if it saves any.
+        state_dir: Option<PathBuf>,
+    },
 }
 
-/// Everything that the host needs.
+/// The settings of the host.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This machine.
+    /// The name of this member.
     pub me: MemberId,
-    /// What it is.
+    /// Its role.
     pub role: Role,
-    /// Whom it follows, in the order of preference.
+    /// The relays that it may follow, in the order of preference.
     pub relays: Vec<Upstream>,
-    /// Control machines that it knows of: nothing counts as being everywhere until each of them has told.
-    pub expects: Vec<MemberId>,
+    /// The control members it knows of: no change counts as rolled out everywhere until each of them has reported.
+    pub expected_reporters: Vec<MemberId>,
     /// The key that signs, and another one that is accepted.
     pub keys: ([u8; 32], Option<[u8; 32]>),
-    /// Bounds and spans.
-    pub machine: config_distribution::Settings,
-    /// How many fronts there are: from it follows how far calls are spread.
-    pub fleet: u32,
-    /// A number drawn by chance.
+    /// Bounds and intervals of the state machines.
+    pub limits: config_distribution::Settings,
+    /// How many subscribers there are in all: connection attempts are spread accordingly.
+    pub fleet_size: u32,
+    /// Drawn at random.
     pub seed: u64,
 }
--- a/crates/coordination/src/distribution/start.rs
+++ b/crates/coordination/src/distribution/start.rs
@@ -1,137 +1,216 @@
-//! The start of the host: what is kept is read and the listener is bound first, so that what is wrong ends the start.
-use crate::clock::{unix, Clock};
-use crate::distribution::connection::{serve, Shared, CHANNEL, LONGEST};
+//! Starting the host: what is saved is read and the listener is bound first, so that a fault ends the start.
+use crate::clock::{unix_time, Clock};
+use crate::distribution::connection::{serve_subscriber, ConnectionContext};
+use crate::distribution::connection_event::ConnectionEvent;
+use crate::distribution::error::StartError;
+use crate::distribution::handle::Handle;
 use crate::distribution::host::Host;
-use crate::distribution::mailbox::{Decide, Handle, Mailbox};
-use crate::distribution::saved_config as keep;
+use crate::distribution::mailbox::Mailbox;
+use crate::distribution::query::ConfigUpdate;
+use crate::distribution::saved_config;
 use crate::distribution::settings::{Role, Settings};
-use crate::network_thread::framing::{self as links, Counts};
-use async_channel::Receiver;
+use crate::log_thread::LogMessage;
+use crate::network_thread::framing::{DISTRIBUTION_CHANNEL, MAX_RELAY_FRAME_BYTES};
+use crate::network_thread::{accept_connections, Acceptor, LinkCounters};
+use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
+use cluster_types::{MemberId, Time};
 use config_distribution::{Catalogue, Relay, Scope, Subscriber, SubscriberConfig};
 use futures_lite::future;
 use message_auth::{Keys, Opener, Sealer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
 use std::rc::Rc;
+use std::sync::mpsc::SyncSender;
 use std::sync::Arc;
 use std::thread::Builder;
 
-/// Connections beside those that are served: of those who are told to come later, and of strangers.
-const BESIDE: usize = 16;
-/// Messages that may wait for the machines.
-const CAME: usize = 256;
-/// So many names are remembered at a relay, so that nothing of theirs passes twice.
-const NAMES: usize = 8_192;
+/// Connections that may be open beside those that are served: of subscribers that get the answer to retry later, and of unauthenticated peers.
+const SPARE_CONNECTIONS: usize = 16;
+/// Events of connections that may wait for the host.
+const MAX_WAITING_EVENTS: usize = 256;
+/// How many senders a relay remembers, so that nothing of theirs is accepted twice.
+const MAX_REMEMBERED_SENDERS: usize = 8_192;
 
-/// What the front needs of a host that runs.
+/// What the gateway needs of a host that runs.
 pub struct Started {
-    /// Its end of the host's mailbox.
+    /// The gateway's end of the mailbox.
     pub handle: Handle,
-    /// What it is to put in force.
-    pub decides: Receiver<Decide>,
-    /// Whether something was kept: the first letter is all of that.
-    pub kept: bool,
+    /// What the gateway is to apply.
+    pub updates: Receiver<ConfigUpdate>,
+    /// Whether there was a saved configuration: the first update is the whole of it.
+    pub has_saved_config: bool,
 }
 
-/// Starts the host; an error names the key. A voter's log has the same mailbox, and is told of reports.
+/// What the thread of the host is built from.
+struct HostParts {
+    settings: Settings,
+    mailbox: Mailbox,
+    clock: Clock,
+    started_at: Time,
+    listener: Option<Async<TcpListener>>,
+    subscriber: Option<Subscriber>,
+    gateway: Sender<ConfigUpdate>,
+    log_thread: Option<SyncSender<LogMessage>>,
+    saver: Option<Sender<Vec<u8>>>,
+    log: fn(&str),
+}
+
+/// Starts the host. The replicated log of a voter has the same mailbox, and is sent the rollout reports.
+///
+/// # Errors
+///
+/// Returns an error that names the settings key where the saved configuration cannot be read, the listener cannot be bound, or a
+/// thread cannot be started.
 pub fn start(
     settings: Settings,
     mailbox: Mailbox,
     voter: Option<&crate::Handle>,
     log: fn(&str),
-) -> Result<Started, String> {
-    let (listen, scope, state) = match &settings.role {
-        Role::Voter(at) => (Some(*at), None, None),
-        Role::Relay(at) => (Some(*at), Some(Scope::Everything), None),
-        Role::Front(scope, state) => (None, Some(scope.clone()), state.clone()),
-    };
-    let kept = state.as_deref().map(keep::read).transpose().map_err(|e| format!("changes.state: {e}"))?;
-    let bind = |at| {
-        let bound = Async::<TcpListener>::bind(at);
-        bound.map_err(|e| format!("changes.listen: cannot listen on {at}: {e}"))
+) -> Result<Started, StartError> {
+    let (listen, scope, state_dir) = match &settings.role {
+        Role::Voter { listen } => (Some(*listen), None, None),
+        Role::Relay { listen } => (Some(*listen), Some(Scope::Everything), None),
+        Role::Subscriber { scope, state_dir } => (None, Some(scope.clone()), state_dir.clone()),
     };
+    let saved = state_dir.as_deref().map(saved_config::read).transpose();
+    let saved = saved.map_err(StartError::SavedConfig)?.flatten();
     let listener = listen.map(bind).transpose()?;
     let clock = Clock::start();
-    let now = clock.now();
-    let mut subscriber = scope.map(|scope| {
-        let (relay_count, fleet_size) = (settings.relays.len(), settings.fleet);
-        let config = SubscriberConfig { scope, relay_count, fleet_size, seed: settings.seed };
-        Subscriber::new(config, now, kept.as_ref().and_then(|kept| kept.as_deref()))
-    });
-    if let Some(fault) = subscriber.as_mut().and_then(|(_, fault)| fault.take()) {
+    let started_at = clock.now();
+    let subscriber = scope.map(|scope| start_subscriber(&settings, scope, started_at, saved.as_deref(), log));
+    let has_saved_config =
+        subscriber.as_ref().is_some_and(|subscriber| !subscriber.state().applied_entries().is_empty());
+    let (gateway, updates) = async_channel::bounded(1);
+    let saver = state_dir.map(|folder| start_saver(folder, log)).transpose()?;
+    let handle = Handle { host: mailbox.sender.clone(), serves_subscribers: listener.is_some() };
+    let is_voter = matches!(settings.role, Role::Voter { .. });
+    let log_thread = voter.filter(|_| is_voter).map(|voter| voter.log_thread.clone());
+    let parts = HostParts {
+        settings,
+        mailbox,
+        clock,
+        started_at,
+        listener,
+        subscriber,
+        gateway,
+        log_thread,
+        saver,
+        log,
+    };
+    spawn("accord-changes", move || run(parts))?;
+    Ok(Started { handle, updates, has_saved_config })
+}
+
+fn bind(address: SocketAddr) -> Result<Async<TcpListener>, StartError> {
+    Async::<TcpListener>::bind(address).map_err(|source| StartError::Listen { address, source })
+}
+
+fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
+    // Threads run until their mailbox is closed; they are not joined.
+    Builder::new().name(name.into()).spawn(work).map(drop).map_err(StartError::Thread)
+}
+
+fn start_subscriber(
+    settings: &Settings,
+    scope: Scope,
+    now: Time,
+    saved: Option<&[u8]>,
+    log: fn(&str),
+) -> Subscriber {
+    let config = SubscriberConfig {
+        scope,
+        relay_count: settings.relays.len(),
+        fleet_size: settings.fleet_size,
+        seed: settings.seed,
+    };
+    let (subscriber, fault) = Subscriber::new(config, now, saved);
+    if let Some(fault) = fault {
         log(&format!("changes kept=dropped why={fault}"));
     }
-    let subscriber = subscriber.map(|(subscriber, _)| subscriber);
-    let kept = subscriber.as_ref().is_some_and(|s| !s.state().applied_entries().is_empty());
-    let (to_front, decides) = async_channel::bounded(1);
-    let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
-        Builder::new().name(name.into()).spawn(work).map_err(|e| format!("changes: no thread: {e}"))
+    subscriber
+}
+
+fn start_saver(folder: PathBuf, log: fn(&str)) -> Result<Sender<Vec<u8>>, StartError> {
+    let (saver, mailbox) = async_channel::bounded(1);
+    spawn("changes-disk", move || saved_config::run(&folder, &mailbox, log))?;
+    Ok(saver)
+}
+
+fn start_relay(settings: &Settings, now: Time) -> Relay {
+    let mut relay = Relay::new(settings.limits.clone(), &settings.me.0, Catalogue::new(0), now);
+    relay.set_report_sequence(u64::try_from(unix_time().as_micros()).unwrap_or(u64::MAX));
+    relay.expect_reports(settings.expected_reporters.iter().map(|name: &MemberId| name.0.clone()));
+    relay
+}
+
+/// What the connections share, and the events that they report.
+fn connection_context(settings: &Settings) -> (ConnectionContext, Receiver<ConnectionEvent>) {
+    let keys = Keys::new(settings.keys.0, settings.keys.1);
+    let incarnation = message_auth::new_incarnation(unix_time(), 0);
+    let sealer = Sealer::new(keys.clone(), settings.me.clone(), incarnation)
+        .on_channel(DISTRIBUTION_CHANNEL)
+        .with_max_bytes(MAX_RELAY_FRAME_BYTES);
+    let opener = Opener::new(keys, settings.me.clone())
+        .with_incarnation(incarnation)
+        .with_max_bytes(MAX_RELAY_FRAME_BYTES)
+        .with_max_senders(MAX_REMEMBERED_SENDERS);
+    let (events, connections) = async_channel::bounded(MAX_WAITING_EVENTS);
+    let context = ConnectionContext {
+        sealer: Rc::new(RefCell::new(sealer)),
+        opener: Rc::new(RefCell::new(opener)),
+        events,
+        counters: Arc::new(LinkCounters::default()),
     };
-    let keep = match state {
-        Some(folder) => {
-            let (to, from) = async_channel::bounded(1);
-            spawn("changes-disk", Box::new(move || keep::run(&folder, &from, log)))?;
-            Some(to)
-        }
-        None => None,
+    (context, connections)
+}
+
+/// Accepts the connections of subscribers and numbers them.
+fn accept_subscribers(acceptor: Acceptor, context: ConnectionContext) {
+    let executor = acceptor.executor.clone();
+    let last_link = Cell::new(0);
+    let serve = move |stream| {
+        last_link.set(last_link.get() + 1);
+        serve_subscriber(stream, last_link.get(), context.clone())
     };
-    let handle = Handle { to: mailbox.to.clone(), control: listener.is_some() };
-    let log_inbox = voter.filter(|_| matches!(settings.role, Role::Voter(_))).map(crate::Handle::reports);
-    let work = move || {
-        let me = settings.me.clone();
-        let keys = Keys::new(settings.keys.0, settings.keys.1);
-        let life = message_auth::new_incarnation(unix(), 0);
-        let sealer = Sealer::new(keys.clone(), me.clone(), life);
-        let sealer = Rc::new(RefCell::new(sealer.on_channel(CHANNEL).with_max_bytes(LONGEST)));
-        let opener = Opener::new(keys, me.clone())
-            .with_incarnation(life)
-            .with_max_bytes(LONGEST)
-            .with_max_senders(NAMES);
-        let (came, connections) = async_channel::bounded(CAME);
-        let counts = Arc::new(Counts::default());
-        let shared = Shared { sealer, opener: Rc::new(RefCell::new(opener)), came, counts };
-        let executor = Rc::new(LocalExecutor::new());
-        let machine = settings.machine.clone();
-        let most = machine.max_subscribers + BESIDE;
-        let relay = listener.is_some().then(|| {
-            let mut relay = Relay::new(machine, &me.0, Catalogue::new(0), now);
-            relay.set_report_sequence(u64::try_from(unix().as_micros()).unwrap_or(u64::MAX));
-            relay.expect_reports(settings.expects.iter().map(|name| name.0.clone()));
-            relay
-        });
-        if let Some(listener) = listener {
-            let (next, on) = (Cell::new(0), shared.clone());
-            let take = move |stream| {
-                next.set(next.get() + 1);
-                serve(stream, next.get(), on.clone())
-            };
-            let counts = shared.counts.clone();
-            let taken = links::accept(executor.clone(), listener, counts, most, ("changes", log), take);
-            executor.spawn(taken).detach();
-        }
-        let host = Host {
-            settings,
-            clock,
+    executor.spawn(accept_connections(acceptor, serve)).detach();
+}
+
+/// The thread of the host.
+fn run(parts: HostParts) {
+    let HostParts { settings, mailbox, clock, started_at, listener, subscriber, log, .. } = parts;
+    let (context, connections) = connection_context(&settings);
+    let executor = Rc::new(LocalExecutor::new());
+    let relay = listener.as_ref().map(|_| start_relay(&settings, started_at));
+    if let Some(listener) = listener {
+        let acceptor = Acceptor {
             executor: executor.clone(),
-            shared,
-            relay,
-            links: BTreeMap::new(),
-            names: BTreeMap::new(),
-            subscriber,
-            calls: BTreeMap::new(),
-            called: BTreeMap::new(),
-            heard: now,
-            cut: 0,
-            to_front,
-            log_inbox,
-            keep,
+            listener,
+            counters: context.counters.clone(),
+            max_connections: settings.limits.max_subscribers + SPARE_CONNECTIONS,
+            kind: "changes",
             log,
         };
-        future::block_on(executor.run(host.run(mailbox.from, connections)));
+        accept_subscribers(acceptor, context.clone());
+    }
+    let host = Host {
+        settings,
+        clock,
+        executor: executor.clone(),
+        context,
+        relay,
+        links: BTreeMap::new(),
+        subscriber,
+        calls: BTreeMap::new(),
+        relay_message_at: started_at,
+        cut_connections: 0,
+        gateway: parts.gateway,
+        log_thread: parts.log_thread,
+        saver: parts.saver,
+        log,
     };
-    spawn("accord-changes", Box::new(work))?;
-    Ok(Started { handle, decides, kept })
+    future::block_on(executor.run(host.run(mailbox.receiver, connections)));
 }
--- a/crates/coordination/src/distribution/subscriber_host.rs
+++ b/crates/coordination/src/distribution/subscriber_host.rs
@@ -1,147 +1,151 @@
-//! What the machine that follows is told, and does.
-use crate::distribution::connection::{call, Out};
-use crate::distribution::host::{Calling, Host};
-use crate::distribution::mailbox::Decide;
-use crate::frame as frames;
-use crate::network_thread::framing as links;
+//! Runs the subscriber: carries out what it asks for.
+use crate::distribution::connection::follow_relay;
+use crate::distribution::host::{Call, Host};
+use crate::distribution::outbox::Outbox;
+use crate::distribution::query::ConfigUpdate;
+use crate::distribution::relay_host::CLOSE_CODE_BOUND;
+use crate::frame;
+use crate::network_thread::framing::append_frame;
+use crate::network_thread::ConnectionEnd;
 use backoff::Failure;
 use config_distribution::{
     Change, RelayEvent, RelayMessage, SubscriberAction, SubscriberEvent, SubscriberMessage,
 };
 
+/// The reason code of a connection that this subscriber ends.
+const CLOSE_CODE_LEFT: &str = "left";
+
 impl Host {
-    /// What was kept is in force before anything is heard.
-    pub(super) fn begin(&mut self) {
+    /// Applies the saved configuration before any message of a relay arrives.
+    pub(crate) fn apply_saved_config(&mut self) {
         let Some(subscriber) = &mut self.subscriber else { return };
-        let mut out = Vec::new();
-        subscriber.start(&mut out);
-        self.follow_actions(out);
+        let mut actions = Vec::new();
+        subscriber.start(&mut actions);
+        self.carry_out_subscriber_actions(actions);
     }
 
-    /// Tells the machine something and does what it says.
-    pub(super) fn follow(&mut self, event: SubscriberEvent) {
+    /// Hands an event to the subscriber and carries out the actions.
+    pub(crate) fn handle_subscriber_event(&mut self, event: SubscriberEvent) {
         let now = self.clock.now();
         let Some(subscriber) = &mut self.subscriber else { return };
-        let mut out = Vec::new();
-        subscriber.handle(now, event, &mut out);
-        self.follow_actions(out);
-        self.passed();
+        let mut actions = Vec::new();
+        subscriber.handle(now, event, &mut actions);
+        self.carry_out_subscriber_actions(actions);
+        self.update_relay_position();
     }
 
-    /// The call that is followed.
-    pub(super) fn followed(&self) -> Option<u64> {
-        self.subscriber.as_ref().and_then(|s| s.followed_connection())
+    /// The call whose relay is followed.
+    pub(crate) fn followed_call(&self) -> Option<u64> {
+        self.subscriber.as_ref().and_then(|subscriber| subscriber.followed_connection())
     }
 
-    pub(super) fn up(&mut self, call: u64, out: Out) {
-        if let Some(calling) = self.calls.get_mut(&call) {
-            calling.out = Some(out);
-            self.follow(SubscriberEvent::Connected { connection: call });
+    pub(crate) fn note_established(&mut self, call: u64, outbox: Outbox) {
+        if let Some(known) = self.calls.get_mut(&call) {
+            known.outbox = Some(outbox);
+            self.handle_subscriber_event(SubscriberEvent::Connected { connection: call });
         }
     }
 
-    pub(super) fn down(&mut self, call: u64, carried: Option<u64>) {
-        let Some(gone) = self.calls.remove(&call) else { return };
-        self.called.remove(&call);
-        gone.task.detach();
-        let failure = match carried {
+    pub(crate) fn note_ended(&mut self, call: u64, frames: Option<u64>) {
+        let Some(ended) = self.calls.remove(&call) else { return };
+        ended.task.detach();
+        let failure = match frames {
             None => Failure::Down,
             Some(0) => Failure::Overbooked,
             Some(_) => Failure::Ended,
         };
-        self.follow(SubscriberEvent::Disconnected { connection: call, failure });
+        self.handle_subscriber_event(SubscriberEvent::Disconnected { connection: call, failure });
     }
 
-    pub(super) fn told(&mut self, call: u64, message: RelayMessage) {
-        self.heard = self.clock.now();
-        if let (RelayMessage::Reports(reports), true) = (&message, self.followed() == Some(call)) {
-            self.serve(RelayEvent::PeerReports(reports.clone()));
+    pub(crate) fn handle_relay_message(&mut self, call: u64, message: RelayMessage) {
+        self.relay_message_at = self.clock.now();
+        if let RelayMessage::Reports(reports) = &message {
+            if self.followed_call() == Some(call) {
+                self.handle_relay_event(RelayEvent::PeerReports(reports.clone()));
+            }
         }
-        self.follow(SubscriberEvent::Message { connection: call, message });
+        self.handle_subscriber_event(SubscriberEvent::Message { connection: call, message });
     }
 
-    /// Sends to the relay of a call.
-    pub(super) fn say(&mut self, call: u64, message: &SubscriberMessage) {
-        let Some((relay, out)) =
-            self.calls.get(&call).and_then(|c| Some((self.called.get(&call)?, c.out.as_ref()?)))
-        else {
-            return;
-        };
-        let (mut bytes, body) = (Vec::new(), frames::write(message).unwrap_or_default());
-        if !links::put(&mut bytes, Some(relay), &body, &self.shared.sealer) || !out.send(bytes) {
-            self.cut += 1;
-            out.why.set("bound");
-            if let Some(calling) = self.calls.get_mut(&call) {
-                calling.out = None;
-            }
+    /// Sends a message to the relay of a call.
+    pub(crate) fn send_to_relay(&mut self, call: u64, message: &SubscriberMessage) {
+        let Some(known) = self.calls.get_mut(&call) else { return };
+        let Some(outbox) = &known.outbox else { return };
+        let mut bytes = Vec::new();
+        let is_sealed = frame::encode(message).is_ok_and(|body| {
+            append_frame(&mut bytes, Some(&known.relay), &body, &self.context.sealer).is_ok()
+        });
+        if !is_sealed || !outbox.send(bytes) {
+            self.cut_connections += 1;
+            outbox.set_close_code(CLOSE_CODE_BOUND);
+            known.outbox = None;
         }
     }
 
-    fn follow_actions(&mut self, actions: Vec<SubscriberAction>) {
+    fn carry_out_subscriber_actions(&mut self, actions: Vec<SubscriberAction>) {
         for action in actions {
             match action {
                 SubscriberAction::Connect { connection: call, relay } => self.connect(call, relay),
-                SubscriberAction::Close { connection: call } => {
-                    self.called.remove(&call);
-                    // One that is up ends by itself once nothing more can be handed in.
-                    if let Some(Calling { task, out: Some(out) }) = self.calls.remove(&call) {
-                        out.why.set("left");
-                        task.detach();
-                    }
-                }
-                SubscriberAction::Send { connection: call, message } => self.say(call, &message),
-                SubscriberAction::Apply { is_snapshot, changes } => self.decide(is_snapshot, changes),
+                SubscriberAction::Close { connection: call } => self.close_call(call),
+                SubscriberAction::Send { connection: call, message } => self.send_to_relay(call, &message),
+                SubscriberAction::Apply { is_snapshot, changes } => self.apply_update(is_snapshot, changes),
                 SubscriberAction::Persist(bytes) => {
-                    if let Some(keep) = &self.keep {
-                        let _ = keep.force_send(bytes);
+                    if let Some(saver) = &self.saver {
+                        // The newest replaces one that waits; the saver ends with the program only.
+                        drop(saver.force_send(bytes));
                     }
                 }
             }
         }
     }
 
-    fn connect(&mut self, number: u64, relay: usize) {
-        let Some(relay) = self.settings.relays.get(relay) else { return };
-        let (at, log, name) = (relay.at, self.log, relay.name.clone());
-        let work = call(number, (name.clone(), at), self.shared.clone());
+    fn close_call(&mut self, call: u64) {
+        // A connection that is established ends by itself once its outbox is dropped; another one is cancelled with its task.
+        if let Some(Call { task, outbox: Some(outbox), .. }) = self.calls.remove(&call) {
+            outbox.set_close_code(CLOSE_CODE_LEFT);
+            task.detach();
+        }
+    }
+
+    fn connect(&mut self, call: u64, relay: usize) {
+        let Some(upstream) = self.settings.relays.get(relay) else { return };
+        let (relay, address, log) = (upstream.name.clone(), upstream.address, self.log);
+        let connection = follow_relay(call, relay.clone(), address, self.context.clone());
         let task = self.executor.spawn(async move {
-            let (carried, reason) = work.await;
-            log(&format!("conn kind=relay peer={at} carried={carried} reason={reason}"));
+            let ConnectionEnd { frames, reason } = connection.await;
+            log(&format!("conn kind=relay peer={address} carried={frames} reason={reason}"));
         });
-        self.called.insert(number, name);
-        self.calls.insert(number, Calling { task, out: None });
+        self.calls.insert(call, Call { relay, task, outbox: None });
     }
 
-    /// A front decides on its own thread; a relay takes in what it is told, and hands it on.
-    fn decide(&mut self, whole: bool, changes: Vec<Change>) {
+    /// Hands an update to the gateway, which decides on a thread of its own; a relay takes it into its catalogue and serves it.
+    fn apply_update(&mut self, is_complete: bool, changes: Vec<Change>) {
         if self.relay.is_none() {
-            // One at a time, so there is room.
-            let _ = self.to_front.try_send(Decide { whole, changes });
+            // The subscriber hands out one update at a time, so that there is room.
+            drop(self.gateway.try_send(ConfigUpdate { is_complete, changes }));
             return;
         }
-        self.follow(SubscriberEvent::ApplyFinished { rejected: vec![] });
-        let Some(held) = self.subscriber.as_ref().map(|s| (s.state().log_id(), s.state().up_to())) else {
-            return;
-        };
-        let (lineage, upto) = held;
-        let Some(relay) = &mut self.relay else { return };
-        if whole {
+        self.handle_subscriber_event(SubscriberEvent::ApplyFinished { rejected: vec![] });
+        let (Some(subscriber), Some(relay)) = (&self.subscriber, &mut self.relay) else { return };
+        let (log_id, upto) = (subscriber.state().log_id(), subscriber.state().up_to());
+        if is_complete {
             let mut catalogue = relay.catalogue().clone();
-            catalogue.restore(lineage, &changes, upto);
-            return self.restored(catalogue);
+            catalogue.restore(log_id, &changes, upto);
+            self.replace_catalogue(catalogue);
+        } else {
+            relay.catalogue_mut().merge(&changes, upto);
+            self.handle_relay_event(RelayEvent::CatalogueChanged(changes));
         }
-        relay.catalogue_mut().merge(&changes, upto);
-        self.serve(RelayEvent::CatalogueChanged(changes));
     }
 
-    /// A relay holds all up to where it has heard that nothing more has changed.
-    fn passed(&mut self) {
+    /// Lets the relay know up to where nothing more has changed, and whether it is cut off itself.
+    fn update_relay_position(&mut self) {
         let (Some(relay), Some(subscriber)) = (&mut self.relay, &self.subscriber) else { return };
         let (held, catalogue) = (subscriber.state(), relay.catalogue_mut());
         if held.log_id() == catalogue.log_id() && held.up_to() > catalogue.applied() {
             catalogue.advance(held.up_to());
         }
-        // Subscribers are told how old what they hear is.
+        // The relay sends its subscribers how old the configuration is.
         relay.set_isolated_since(subscriber.isolated_since());
     }
 }
--- a/crates/coordination/src/frame.rs
+++ b/crates/coordination/src/frame.rs
@@ -1,77 +1,84 @@
-//! What fronts say to each other over TCP: one frame a message, sealed, with a version.
-use crate::gateway_message::Measures;
-use crate::state_machine::machine::What;
+//! The messages between members over TCP: each travels in a frame of its own, sealed, with a version.
+use crate::measurements::Measurements;
+use crate::state_machine::Command;
 use cluster_types::Index;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The form of the messages. A front does not act on another one, and says so.
+/// The version of the messages. A member does not act on another one, and says so.
 pub const VERSION: u16 = 1;
 
-/// A message from front to front.
+/// A message from member to member. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The first on a link: it shows that the sender has the key, so that larger ones may follow.
+    /// The first frame on a link: it shows that the sender holds the key, so that larger frames may follow.
     Hello,
-    /// The replicated log's own.
+    /// A message of the replicated log.
     Log {
-        /// The life of the sender's store.
-        life: u64,
-        /// What it says.
+        /// The incarnation of the sender's store.
+        incarnation: u64,
+        /// The message.
         message: consensus::Message,
     },
-    /// To the leader: this is to go into the log.
+    /// To the leader: a command to be proposed.
     Forward {
-        /// The sender's number for it.
+        /// The sender's id of the command.
         ticket: u64,
-        /// What.
-        what: What,
+        /// The command.
+        command: Command,
     },
-    /// To the leader: what this front measured, and a request for a lease.
+    /// To the leader: the sender's measurements, and a request for a lease.
     Measured {
-        /// When it asked, by its own clock: comes back as it is.
-        asked: u64,
-        /// Up to where it had applied the log when it measured.
-        seen: Index,
-        /// What.
-        measures: Box<Measures>,
+        /// When the lease was requested, by the sender's clock; returned unchanged.
+        requested_at: u64,
+        /// The index up to which the sender had applied the log when it measured.
+        applied_index: Index,
+        /// The measurements.
+        measurements: Box<Measurements>,
     },
-    /// From the leader: the lease runs from when it was asked for.
+    /// From the leader: a lease, which runs from when it was requested.
     Lease {
-        /// When that was, by the asker's clock.
-        asked: u64,
-        /// For how long, in microseconds.
-        span: u64,
+        /// When it was requested, by the receiver's clock.
+        requested_at: u64,
+        /// How long it lasts, in microseconds.
+        span_us: u64,
     },
-    /// Where changes of configuration are in force, as control machines tell each other.
+    /// From a control member: how far configuration changes have been rolled out.
     Reports(Vec<config_distribution::Report>),
 }
 
-/// A message as bytes.
-pub fn write<T: Serialize>(frame: &T) -> Option<Vec<u8>> {
-    postcard::to_stdvec(&(VERSION, frame)).ok()
+/// Why a message cannot be decoded.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecodeError {
+    /// The message has another version: its meaning cannot be known.
+    #[error("its messages have version {found}, this program's have {VERSION}")]
+    UnknownVersion {
+        /// The version of the message.
+        found: u16,
+    },
+    /// The bytes are not a message.
+    #[error("{0}")]
+    Malformed(#[from] postcard::Error),
 }
 
-/// A message from bytes; an error in plain words.
-pub fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
-    let (version, rest) = postcard::take_from_bytes::<u16>(bytes).map_err(|e| e.to_string())?;
-    // Guards against messages of another form: what can't be known is not acted on.
-    if version != VERSION {
-        return Err(format!("its messages have form {version}, this program's have {VERSION}"));
-    }
-    postcard::from_bytes(rest).map_err(|e| e.to_string())
+/// Encodes a message with the version before it.
+///
+/// # Errors
+///
+/// Returns the encoder's error; none is known for the messages of this program.
+pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, postcard::Error> {
+    postcard::to_stdvec(&(VERSION, message))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_frame_of_another_version_is_not_read() {
-        let bytes = write(&Frame::Lease { asked: 7, span: 9 }).unwrap();
-        assert!(matches!(read(&bytes), Ok(Frame::Lease { asked: 7, span: 9 })));
-        let other = postcard::to_stdvec(&(VERSION + 1, Frame::Lease { asked: 7, span: 9 })).unwrap();
-        assert!(read::<Frame>(&other).unwrap_err().contains("form 2"));
-        assert!(read::<Frame>(&bytes[..2]).is_err() && read::<Frame>(&[]).is_err());
+/// Decodes a message.
+///
+/// # Errors
+///
+/// Returns an error for a message of another version and for bytes that are not a message.
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
+    let (version, rest) = postcard::take_from_bytes::<u16>(bytes)?;
+    if version != VERSION {
+        return Err(DecodeError::UnknownVersion { found: version });
     }
+    Ok(postcard::from_bytes(rest)?)
 }
--- /dev/null
+++ b/crates/coordination/src/log_thread/apply.rs
@@ -0,0 +1,54 @@
+//! Applying committed entries, and answering who waits for them.
+use crate::log_thread::status::maintenance_text;
+use crate::log_thread::thread::LogThread;
+use crate::operator_call::{respond, OperatorResponse, ResponseSender};
+use crate::state_machine::CatalogueChange;
+use cluster_types::Index;
+use maintenance::{Effect, Rejection};
+
+impl LogThread {
+    pub(crate) fn apply_entry(&mut self, index: Index, data: &[u8]) {
+        let applied = self.state.apply(index, data);
+        self.has_new_state = true;
+        for effect in &applied.effects {
+            self.log_effect(effect);
+        }
+        self.note_catalogue_change(&applied.catalogue);
+        let own = applied.by.filter(|(member, _)| *member == self.settings.me);
+        let Some((_, ticket)) = own else { return };
+        let Some(respond_to) = self.complete(ticket) else { return };
+        let response = match applied.catalogue {
+            CatalogueChange::Ordered { version, .. } => OperatorResponse::Done(version.0.to_string()),
+            CatalogueChange::Unchanged | CatalogueChange::Replaced => maintenance_response(&applied.effects),
+        };
+        respond(&respond_to, response);
+    }
+
+    /// Forgets a command that is in the log; returns who waits for its outcome.
+    fn complete(&mut self, ticket: u64) -> Option<ResponseSender> {
+        self.pending.remove(&ticket)?.respond_to
+    }
+}
+
+/// The response to an operator about the effects of a command.
+fn maintenance_response(effects: &[Effect]) -> OperatorResponse {
+    let mut response = OperatorResponse::Done("done\n".into());
+    for effect in effects {
+        match effect {
+            Effect::Status(status) | Effect::Ended(status) => {
+                response = OperatorResponse::Done(maintenance_text(status));
+            }
+            Effect::Rejected { command, reason } => {
+                let text = format!("{command}: {reason}\n");
+                return match reason {
+                    Rejection::Unknown | Rejection::NotListed(_) | Rejection::MemberNotPresent => {
+                        OperatorResponse::NotFound(text)
+                    }
+                    _ => OperatorResponse::Rejected(text),
+                };
+            }
+            _ => {}
+        }
+    }
+    response
+}
--- /dev/null
+++ b/crates/coordination/src/log_thread/leader.rs
@@ -0,0 +1,46 @@
+//! What the leader proposes by itself.
+use crate::clock::unix_time_ms;
+use crate::log_thread::facts::{failing_backends, maintenance_view};
+use crate::log_thread::maintenance_host::NO_TICKET;
+use crate::log_thread::measured::Measured;
+use crate::log_thread::thread::LogThread;
+use crate::state_machine::Command;
+use cluster_types::{MemberId, Time};
+use std::time::Duration;
+
+/// Older measurements count as none.
+const MAX_MEASUREMENT_AGE: Duration = Duration::from_secs(3);
+/// When a proposal of which nothing was heard is made again.
+const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(2);
+
+impl LogThread {
+    /// Proposes the next steps of planned maintenance, once the earlier ones are committed.
+    pub(crate) fn propose_next(&mut self, now: Time) {
+        self.proposed.retain(|_, at| now.since(*at) < PROPOSAL_TIMEOUT);
+        if !self.proposed.is_empty() {
+            return;
+        }
+        let failing = failing_backends(self.recent_measurements(now));
+        self.stage_timer.update(now, &self.state.maintenance, &failing);
+        let commands = if *self.state.maintenance.rules() == self.settings.rules {
+            let view = maintenance_view(
+                self.recent_measurements(now),
+                self.stage_timer.healthy_ms(now),
+                self.state.applied_index,
+                &self.state.maintenance,
+            );
+            self.state.maintenance.propose(unix_time_ms(), &view)
+        } else {
+            vec![maintenance::Command::SetRules(self.settings.rules.clone())]
+        };
+        let me = self.settings.me.clone();
+        for command in commands {
+            self.propose(now, me.clone(), NO_TICKET, Command::Maintenance(command));
+        }
+    }
+
+    fn recent_measurements(&self, now: Time) -> impl Iterator<Item = (&MemberId, &Measured)> {
+        let is_recent = move |measured: &Measured| now.since(measured.received_at) < MAX_MEASUREMENT_AGE;
+        self.measured.iter().filter(move |(_, measured)| is_recent(measured))
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/log_thread/measured.rs
@@ -0,0 +1,11 @@
+//! The measurements of a member.
+use crate::measurements::Measurements;
+use cluster_types::{Index, Time};
+
+/// What a member measured, as it arrived here.
+pub(crate) struct Measured {
+    pub(crate) received_at: Time,
+    /// The index up to which the member had applied the log.
+    pub(crate) applied_index: Index,
+    pub(crate) measurements: Measurements,
+}
--- a/crates/coordination/src/log_thread/mod.rs
+++ b/crates/coordination/src/log_thread/mod.rs
@@ -1,6 +1,23 @@
 //! The thread of the replicated log.
-pub mod operator_calls;
+//!
+//! Frames of the other members, reports of the storage, measurements and calls of this gateway arrive in one mailbox and are
+//! handled one after the other; what the state machines decide goes out to the other threads.
+mod apply;
+mod catalogue_feed;
+mod effect_log;
+mod facts;
+mod frames;
+mod leader;
+mod maintenance_host;
+mod measured;
+mod message;
+mod operator_calls;
+mod pending_command;
 mod periodic;
 mod raft_host;
-pub(crate) mod serve_catalogue;
-pub(crate) mod thread;
+mod serve_catalogue;
+pub mod status;
+mod thread;
+
+pub(crate) use message::LogMessage;
+pub(crate) use thread::{LogThread, LogThreadParts, Outboxes};
--- a/crates/coordination/src/log_thread/operator_calls.rs
+++ b/crates/coordination/src/log_thread/operator_calls.rs
@@ -1,201 +1,78 @@
-//! Operators' calls: what they ask for goes into the log, and its answer is what the log made of it here.
-use crate::gateway_message::{Call, Told};
-use crate::log_thread::thread::Core;
-use crate::state_machine::machine::{Ledger, What};
-use cluster_types::{Index, MemberId, Time};
-use consensus::Role;
-use maintenance::{Command, Effect, Status, Why};
-use std::fmt::Write;
+//! Calls of operators: what they ask for goes into the log, and the response is what applying it led to here.
+use crate::log_thread::status::{maintenance_text, status_text, Status};
+use crate::log_thread::thread::LogThread;
+use crate::operator_call::{respond, OperatorCall, OperatorResponse, ResponseSender};
+use crate::state_machine::Command;
+use cluster_types::Time;
 use std::time::Duration;
 
 /// How long a caller waits.
-const PATIENCE: Duration = Duration::from_millis(1_400);
-/// Commands that may wait to come into the log.
-pub const WAITING: usize = 256;
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_400);
+/// The most commands that wait to get into the log.
+pub(crate) const MAX_PENDING_COMMANDS: usize = 256;
 
-/// Where an answer goes.
-pub type Answer = async_channel::Sender<Told>;
-
-/// What waits to come into the log.
-pub struct Waiting {
-    /// What.
-    pub what: What,
-    /// Since when.
-    pub since: Time,
-    /// When it was last said.
-    pub said: Time,
-    /// Where the answer goes, where there is somebody.
-    pub answer: Option<Answer>,
-}
-
-/// How a wish stands, in words.
-pub fn words(status: &Status) -> String {
-    let mut out = format!("wish {}\n", status.name);
-    for (id, fate) in &status.wish.boxes {
-        let _ = writeln!(out, "box {id} {}", format!("{fate:?}").to_lowercase());
-    }
-    for (grant, fronts) in &status.waits_for {
-        let fronts: Vec<_> = fronts.iter().map(|m| m.0.to_string()).collect();
-        let _ = writeln!(out, "grant {} waits for {}", grant.0, fronts.join(" "));
-    }
-    if let Some(why) = &status.why {
-        let _ = writeln!(out, "waits because {why}");
-    }
-    out
-}
-
-impl Core {
-    /// Takes a call.
-    pub fn call(&mut self, now: Time, call: Call, to: Answer) {
+impl LogThread {
+    pub(crate) fn handle_call(&mut self, now: Time, call: OperatorCall, respond_to: ResponseSender) {
         let command = match call {
-            Call::Status => return drop(to.try_send(Told::Yes(self.status()))),
-            Call::Ask { name } => {
-                let told = match self.ledger.desk.status(&name) {
-                    Some(status) => Told::Yes(words(&status)),
-                    None => Told::Unknown(format!("no wish {name:?} is known\n")),
-                };
-                return drop(to.try_send(told));
+            OperatorCall::Status => {
+                respond(&respond_to, OperatorResponse::Done(self.status()));
+                return;
+            }
+            OperatorCall::RequestStatus { name } => {
+                respond(&respond_to, self.request_status(&name));
+                return;
             }
-            Call::Wish { name, boxes, work_ms, by_ms, together } => {
-                Command::Wish { name, boxes, work_ms, by_ms, together }
+            OperatorCall::ChangeConfig(order) => {
+                self.change_config(now, order, respond_to);
+                return;
             }
-            Call::Withdraw { name } => Command::Withdraw { name },
-            Call::Returned { name, id } => Command::Returned { name, id },
-            Call::Done { name } => Command::Done { name },
-            Call::Excuse { member } => Command::Excuse { member },
-            Call::Change(order) => return self.order(now, order, to),
+            OperatorCall::RequestMaintenance { name, backends, work_ms, deadline_ms, all_at_once } => {
+                maintenance::Command::Request { name, backends, work_ms, deadline_ms, all_at_once }
+            }
+            OperatorCall::Withdraw { name } => maintenance::Command::Withdraw { name },
+            OperatorCall::Returned { name, backend } => maintenance::Command::ReturnBackend { name, backend },
+            OperatorCall::Done { name } => maintenance::Command::Finish { name },
+            OperatorCall::DeclareDead { member } => maintenance::Command::DeclareDead { member },
         };
-        if self.waiting.len() >= WAITING {
-            return drop(to.try_send(Told::No("too many calls wait\n".into())));
+        if self.pending.len() >= MAX_PENDING_COMMANDS {
+            respond(&respond_to, OperatorResponse::Rejected("too many calls wait\n".into()));
+            return;
         }
-        self.say(now, What::Maintenance(command), Some(to));
+        self.submit(now, Command::Maintenance(command), Some(respond_to));
     }
 
-    /// Something of this front's is in the log.
-    pub fn settled(&mut self, ticket: u64, effects: &[Effect]) {
-        let Some(answer) = self.waiting.remove(&ticket).and_then(|w| w.answer) else { return };
-        let mut told = Told::Yes("done\n".into());
-        for effect in effects {
-            match effect {
-                Effect::Told(status) | Effect::Ended(status) => told = Told::Yes(words(status)),
-                Effect::Refused { what, why: why @ (Why::Unknown | Why::NotListed(_) | Why::NotPresent) } => {
-                    told = Told::Unknown(format!("{what}: {why}\n"));
-                    break;
-                }
-                Effect::Refused { what, why } => {
-                    told = Told::No(format!("{what}: {why}\n"));
-                    break;
-                }
-                _ => {}
-            }
+    fn request_status(&self, name: &str) -> OperatorResponse {
+        match self.state.maintenance.status(name) {
+            Some(status) => OperatorResponse::Done(maintenance_text(&status)),
+            None => OperatorResponse::NotFound(format!("no wish {name:?} is known\n")),
         }
-        let _ = answer.try_send(told);
     }
 
-    /// Those who have waited long enough hear that nothing is settled; their command is not said again.
-    pub fn expire(&mut self, now: Time) {
-        self.waiting.retain(|_, waiting| {
-            let over = now.since(waiting.since) >= PATIENCE;
-            if let Some(answer) = waiting.answer.as_ref().filter(|_| over) {
+    /// Gives up commands that have waited too long: their callers get a response, and they are not sent again.
+    pub(crate) fn expire_pending(&mut self, now: Time) {
+        self.pending.retain(|_, pending| {
+            let is_expired = now.since(pending.created_at) >= CALL_TIMEOUT;
+            if let Some(respond_to) = pending.respond_to.as_ref().filter(|_| is_expired) {
                 let text = "no majority of the fronts could be reached: ask again under the same name\n";
-                let _ = answer.try_send(Told::Late(text.into()));
+                respond(respond_to, OperatorResponse::Unsettled(text.into()));
             }
-            !over
+            !is_expired
         });
     }
 
-    /// How everything stands: one thing on a line.
     fn status(&self) -> String {
         let view = self.view.lock();
-        standing(&Standing {
+        status_text(&Status {
             me: &self.settings.me,
-            role: self.node.role(),
-            term: self.node.term(),
-            leader: self.node.leader(),
-            commit: self.node.commit_index(),
-            leased: self.front.leased(self.clock.now()),
-            members: &view.members,
-            figures: &view.figures,
-            doubts: &view.doubts,
-            frames: &self.counts,
-            refused: self.node.counters(),
-            ledger: &self.ledger,
+            role: self.raft.role(),
+            term: self.raft.term(),
+            leader: self.raft.leader(),
+            commit_index: self.raft.commit_index(),
+            has_lease: self.local.has_lease(self.clock.now()),
+            view: &view,
+            link_counters: &self.link_counters,
+            raft_counters: self.raft.counters(),
+            state: &self.state,
         })
     }
 }
-
-/// What operators are told of a member.
-pub struct Standing<'a> {
-    /// The member.
-    pub me: &'a MemberId,
-    /// What it is in the group of the log.
-    pub role: Role,
-    /// In which term.
-    pub term: u64,
-    /// Whom it follows.
-    pub leader: Option<&'a MemberId>,
-    /// Up to where the log is committed.
-    pub commit: Index,
-    /// Whether its lease runs.
-    pub leased: bool,
-    /// All members as they are held.
-    pub members: &'a [membership::Member],
-    /// What membership did and refused.
-    pub figures: &'a membership::Counters,
-    /// What is doubted.
-    pub doubts: &'a [(membership::Subject, membership::Verdict)],
-    /// What was bad on the links.
-    pub frames: &'a crate::network_thread::framing::Counts,
-    /// What the log refused.
-    pub refused: consensus::Counters,
-    /// What the log comes to.
-    pub ledger: &'a Ledger,
-}
-
-/// How a member stands, in words: one thing on a line.
-pub fn standing(of: &Standing<'_>) -> String {
-    let leader = of.leader.map_or("none", |l| &l.0);
-    let mut out = format!("accord me={} role={:?} term={} leader={leader}\n", of.me, of.role, of.term);
-    let (commit, applied) = (of.commit.0, of.ledger.applied.0);
-    let _ = writeln!(out, "log commit={commit} applied={applied} lease={}", of.leased);
-    for m in of.members {
-        let _ = writeln!(out, "member {} hall={} state={:?}", m.member, m.zone, m.state);
-    }
-    let _ = writeln!(out, "membership {}", of.figures);
-    let _ = writeln!(out, "frames {:?}", of.frames);
-    let (refused, desk) = (&of.refused, &of.ledger.desk);
-    let _ = writeln!(
-        out,
-        "refused {} commands={} unread={}",
-        refused_text(refused),
-        desk.refused(),
-        of.ledger.unread
-    );
-    for (subject, verdict) in of.doubts {
-        let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.score, verdict.sources);
-    }
-    for (name, _) in desk.open() {
-        if let Some(status) = desk.status(name) {
-            out.push_str(&words(&status));
-        }
-    }
-    for id in desk.out() {
-        let _ = writeln!(out, "out {id}");
-    }
-    out
-}
-
-/// The counters of the log under the names that operators know.
-fn refused_text(counters: &consensus::Counters) -> String {
-    format!(
-        "Counts {{ foreign: {}, unadmitted: {}, stale: {}, malformed: {}, full: {}, leased: {}, disk: {}, unknown: {} }}",
-        counters.unknown_sender,
-        counters.unadmitted_incarnation,
-        counters.stale,
-        counters.malformed,
-        counters.over_capacity,
-        counters.lease_active,
-        counters.storage_failed,
-        counters.unknown_batch,
-    )
-}
--- a/crates/coordination/src/log_thread/raft_host.rs
+++ b/crates/coordination/src/log_thread/raft_host.rs
@@ -1,175 +1,86 @@
-//! What the log and the front's own side say is done here.
+//! Runs the replicated log: carries out what it asks for.
 use crate::frame::Frame;
-use crate::gateway_message::ToFront;
-use crate::log_thread::thread::Core;
-use crate::state_machine::machine::{Cataloged, Ledger, What};
-use crate::storage_thread::writer::Write;
-use cluster_types::{Index, Time};
-use consensus::{Action, Event, Rejection};
-use maintenance::{Command, Effect, Report};
-use std::sync::mpsc::TrySendError;
+use crate::log_thread::thread::LogThread;
+use crate::state_machine::{CatalogueChange, StateMachine};
+use crate::storage_thread::WriteRequest;
+use cluster_types::{Index, MemberId};
+use consensus::{Action, Event, Rejection, Role, WriteBatch};
+use maintenance::StageTimer;
+use std::sync::Arc;
 
-impl Core {
-    /// Tells the log's machine something and does what it says.
-    pub fn log_event(&mut self, event: Event) {
+impl LogThread {
+    /// Hands an event to the log and carries out the actions.
+    pub(crate) fn handle_raft_event(&mut self, event: Event) {
         let now = self.clock.now();
-        let mut out = Vec::new();
-        self.node.handle(now, event, &mut out);
-        for action in out {
-            self.log_action(now, action);
+        let mut actions = Vec::new();
+        self.raft.handle(now, event, &mut actions);
+        for action in actions {
+            self.carry_out_raft_action(action);
         }
     }
 
-    fn log_action(&mut self, now: Time, action: Action) {
+    fn carry_out_raft_action(&mut self, action: Action) {
         match action {
             Action::Send { to, message } => {
-                let life = self.life;
-                self.send(&to, &Frame::Log { life, message });
-            }
-            Action::Persist(batch) => {
-                let id = batch.id;
-                if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
-                    self.disk.try_send(Write::Batch(batch))
-                {
-                    // Guards promises: what is not even handed to the disk is not on it.
-                    self.log_event(Event::PersistFailed { batch_id: id });
-                }
-            }
-            Action::Apply { index, data, .. } => {
-                let applied = self.ledger.apply(index, &data);
-                self.changed = true;
-                for effect in &applied.effects {
-                    self.tell(effect);
-                }
-                self.cataloged(&applied.catalogue);
-                if let Some((_, ticket)) = applied.by.filter(|(by, _)| *by == self.settings.me) {
-                    match applied.catalogue {
-                        Cataloged::Ordered(version, _) => self.ordered(ticket, version),
-                        _ => self.settled(ticket, &applied.effects),
-                    }
-                }
-            }
-            Action::Restore { index, data } => match Ledger::restore(&data) {
-                Some(ledger) => {
-                    self.ledger = ledger;
-                    self.changed = true;
-                    self.cataloged(&Cataloged::Founded);
-                    (self.log)(&format!("accord restored upto={}", index.0));
-                }
-                // Nothing may rest on half a state.
-                None => {
-                    (self.log)("accord error=a snapshot can't be read; this front follows nothing any more")
-                }
-            },
-            Action::SnapshotRequested { last_index: upto } => {
-                if let Some(data) = self.ledger.snapshot() {
-                    let upto = Index(upto.0.max(self.ledger.applied.0));
-                    self.log_event(Event::SnapshotTaken { last_index: upto, data: data.into() });
-                }
+                let incarnation = self.store_incarnation;
+                self.outboxes.send(&to, &Frame::Log { incarnation, message });
             }
+            Action::Persist(batch) => self.persist(batch),
+            Action::Apply { index, data, .. } => self.apply_entry(index, &data),
+            Action::Restore { index, data } => self.restore(index, &data),
+            Action::SnapshotRequested { last_index } => self.take_snapshot(last_index),
             Action::Committed { ticket, .. } => {
                 self.proposed.remove(&ticket);
             }
-            Action::Rejected { ticket, reason: why } => {
+            Action::Rejected { ticket, reason } => {
                 self.proposed.remove(&ticket);
-                if !matches!(why, Rejection::NotLeader(_)) {
-                    (self.log)(&format!("accord proposal refused={why:?}"));
+                if !matches!(reason, Rejection::NotLeader(_)) {
+                    (self.log)(&format!("coordination proposal rejected={reason:?}"));
                 }
             }
+            // This host requests no read barriers.
             Action::Readable { .. } => {}
-            Action::RoleChanged { role, term, leader } => {
-                let leader = leader.as_ref().map_or("none", |l| &l.0);
-                (self.log)(&format!("accord role={role:?} term={term} leader={leader}"));
-                // A leader begins with nothing of what an earlier one knew.
-                self.watch = maintenance::StageTimer::new();
-                self.proposed.clear();
-                self.leases.clear();
-            }
+            Action::RoleChanged { role, term, leader } => self.note_role(role, term, leader.as_ref()),
         }
-        let _ = now;
     }
 
-    /// A line of the log for what operators wait for.
-    fn tell(&self, effect: &Effect) {
-        let names = |boxes: &std::collections::BTreeSet<cluster_types::BackendId>| {
-            boxes.iter().map(|b| b.0.to_string()).collect::<Vec<_>>().join(",")
-        };
-        let line = match effect {
-            Effect::Drain { grant, backends: boxes } => {
-                format!("accord drain grant={} boxes={}", grant.0, names(boxes))
-            }
-            Effect::Drained { grant, name, backends: boxes } => {
-                format!("accord open grant={} wish={name} boxes={}", grant.0, names(boxes))
-            }
-            Effect::Recovering { backend: id, step: number, stage } => {
-                format!("accord return box={id} number={} stage={stage:?}", number.0)
-            }
-            Effect::InService { backend: id } => format!("accord in box={id}"),
-            Effect::DeadlineMissed { name, backends: boxes } => {
-                format!("accord missed wish={name} boxes={}", names(boxes))
-            }
-            Effect::Overdue { grant, name, backends: boxes } => {
-                format!("accord overdue grant={} wish={name} boxes={}", grant.0, names(boxes))
-            }
-            Effect::Unlisted { name, backend: id } => format!("accord gone wish={name} box={id}"),
-            Effect::Ended(status) => format!("accord ended wish={}", status.name),
-            Effect::Status(_) | Effect::Rejected { .. } => return,
-        };
-        (self.log)(&line);
-    }
-
-    /// Tells the front's own side something and does what it says.
-    pub fn own(&mut self, now: Time, event: maintenance::Event) {
-        let mut out = Vec::new();
-        self.front.handle(now, event, &mut out);
-        for action in out {
-            self.own_action(now, action);
+    fn persist(&mut self, batch: WriteBatch) {
+        let batch_id = batch.id;
+        if self.storage.try_send(WriteRequest::Batch(batch)).is_err() {
+            // Guards promises: what was not even handed to the storage thread is not on disk.
+            self.handle_raft_event(Event::PersistFailed { batch_id });
         }
     }
 
-    /// Does what the front's own side says.
-    pub fn own_action(&mut self, now: Time, action: maintenance::Action) {
-        match action {
-            maintenance::Action::Drain { backend: id, order: grant } => {
-                self.late.push_back(ToFront::Drain { id, grant })
-            }
-            maintenance::Action::Undrain { backend: id, quota: share } => {
-                self.late.push_back(ToFront::Undrain { id, share })
-            }
-            maintenance::Action::Report(report) => {
-                let member = self.settings.me.clone();
-                let command = match report {
-                    Report::Drained { grant } => Command::ReportDrained { grant, member },
-                    Report::StageAcknowledged { backend, step } => {
-                        Command::AcknowledgeStage { backend, step, member }
-                    }
-                };
-                // It makes its report again by itself, so nobody waits for this one.
-                self.forward(now, 0, What::Maintenance(command));
-            }
-            maintenance::Action::Persist { serial, orders: kept } => {
-                if let Ok(bytes) = postcard::to_stdvec(&kept) {
-                    let _ = self.disk.try_send(Write::Kept(serial, bytes));
-                }
+    fn restore(&mut self, index: Index, data: &Arc<[u8]>) {
+        match StateMachine::restore(data) {
+            Ok(state) => {
+                self.state = state;
+                self.has_new_state = true;
+                self.note_catalogue_change(&CatalogueChange::Replaced);
+                (self.log)(&format!("coordination restored index={}", index.0));
+            }
+            // Nothing may rest on a part of the state.
+            Err(error) => {
+                let consequence = "this member follows the log no longer";
+                (self.log)(&format!("coordination error=a snapshot can't be read: {error}; {consequence}"));
             }
         }
     }
 
-    /// Hands on what waits, and tells the front's own side of new orders.
-    pub fn follow(&mut self, now: Time) {
-        if std::mem::take(&mut self.changed) {
-            let (index, orders) = (self.ledger.applied, self.ledger.desk.orders(&self.settings.me));
-            self.own(now, maintenance::Event::Orders { index, orders });
-        }
-        self.own(now, maintenance::Event::Tick);
-        while let Some(letter) = self.late.pop_front() {
-            if let Err(e) = self.to_front.try_send(letter) {
-                // Guards the order of letters: the next turn goes on with this one.
-                if let async_channel::TrySendError::Full(letter) = e {
-                    self.late.push_front(letter);
-                }
-                return;
-            }
+    fn take_snapshot(&mut self, at_least: Index) {
+        if let Ok(data) = self.state.snapshot() {
+            let last_index = at_least.max(self.state.applied_index);
+            self.handle_raft_event(Event::SnapshotTaken { last_index, data: data.into() });
         }
     }
+
+    fn note_role(&mut self, role: Role, term: u64, leader: Option<&MemberId>) {
+        let leader = leader.map_or("none", |leader| &leader.0);
+        (self.log)(&format!("coordination role={role:?} term={term} leader={leader}"));
+        // A leader starts without what an earlier one knew.
+        self.stage_timer = StageTimer::new();
+        self.proposed.clear();
+        self.granted_leases.clear();
+    }
 }
--- a/crates/coordination/src/log_thread/serve_catalogue.rs
+++ b/crates/coordination/src/log_thread/serve_catalogue.rs
@@ -1,82 +1,66 @@
-//! The way from the log to the machine that serves, and of orders into the log.
-use crate::distribution::mailbox::{Letter, Mailbox};
-use crate::gateway_message::Told;
-use crate::log_thread::operator_calls::{Answer, WAITING};
-use crate::log_thread::thread::Core;
-use crate::state_machine::machine::{Cataloged, What};
-use cluster_types::{Index, Time};
+//! Configuration changes: from operators into the log, and from the log to the relay.
+use crate::distribution::HostMessage;
+use crate::log_thread::maintenance_host::NO_TICKET;
+use crate::log_thread::operator_calls::MAX_PENDING_COMMANDS;
+use crate::log_thread::thread::LogThread;
+use crate::operator_call::{respond, OperatorResponse, ResponseSender};
+use crate::state_machine::{CatalogueChange, Command};
+use cluster_types::Time;
 use config_distribution::{Report, WriteBatch};
 use std::time::Duration;
 
-/// A catalogue that is not there yet is asked for again after that.
-const AGAIN: Duration = Duration::from_millis(400);
+/// When a catalogue that does not exist yet is requested again.
+const CATALOGUE_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The host that serves what the log comes to.
-pub struct Serves {
-    to: async_channel::Sender<Letter>,
-    /// Whether it has missed something: it is to be told all.
-    missed: bool,
-    /// When a catalogue was last asked for, where there is none.
-    founding: Time,
-}
-
-impl Serves {
-    pub(crate) fn new(mailbox: Mailbox) -> Serves {
-        Serves { to: mailbox.to, missed: false, founding: Time(0) }
-    }
-}
-
-impl Core {
-    /// An entry was applied.
-    pub(crate) fn cataloged(&mut self, catalogue: &Cataloged) {
-        let Some(serves) = &mut self.serves else { return };
-        match catalogue {
-            Cataloged::Same => {}
-            Cataloged::Founded => serves.missed = true,
-            Cataloged::Ordered(version, order) if !serves.missed => {
-                serves.missed = serves.to.try_send(Letter::Ordered(*version, order.clone())).is_err();
+impl LogThread {
+    /// Passes a change of the catalogue on to the relay.
+    pub(crate) fn note_catalogue_change(&mut self, change: &CatalogueChange) {
+        let Some(feed) = &mut self.catalogue_feed else { return };
+        match change {
+            CatalogueChange::Unchanged => {}
+            CatalogueChange::Replaced => feed.is_behind = true,
+            CatalogueChange::Ordered { version, order } if !feed.is_behind => {
+                let message = HostMessage::Ordered { version: *version, order: order.clone() };
+                feed.is_behind = feed.relay.try_send(message).is_err();
             }
-            Cataloged::Ordered(..) => {}
+            CatalogueChange::Ordered { .. } => {}
         }
     }
 
-    /// Sees to it that there is a catalogue, and tells all to a host that has missed something.
-    pub(crate) fn serve(&mut self, now: Time) {
-        let none = self.ledger.catalogue.log_id() == 0;
-        if let Some(serves) = self.serves.as_mut().filter(|s| none && now.since(s.founding) >= AGAIN) {
-            serves.founding = now;
-            self.forward(now, 0, What::Founding);
+    /// Requests a catalogue where there is none, and sends the whole of it to a relay that has missed something.
+    pub(crate) fn feed_relay(&mut self, now: Time) {
+        let has_catalogue = self.state.catalogue.log_id() != 0;
+        let Some(feed) = &mut self.catalogue_feed else { return };
+        if !has_catalogue && now.since(feed.requested_at) >= CATALOGUE_REQUEST_INTERVAL {
+            feed.requested_at = now;
+            self.send_to_leader(now, NO_TICKET, Command::CreateCatalogue);
         }
-        let Some(serves) = self.serves.as_mut().filter(|s| s.missed) else { return };
-        let catalogue = Box::new(self.ledger.catalogue.clone());
-        serves.missed = serves.to.try_send(Letter::Catalogue(catalogue)).is_err();
-    }
-
-    /// Where changes are in force, by the word of another voter.
-    pub(crate) fn reported(&self, reports: Vec<Report>) {
-        if let Some(serves) = &self.serves {
-            let _ = serves.to.try_send(Letter::Reports(reports));
+        if let Some(feed) = self.catalogue_feed.as_mut().filter(|feed| feed.is_behind) {
+            let catalogue = Box::new(self.state.catalogue.clone());
+            feed.is_behind = feed.relay.try_send(HostMessage::Catalogue(catalogue)).is_err();
         }
     }
 
-    /// An operator's order: checked, and said until it is in the log.
-    pub(crate) fn order(&mut self, now: Time, order: WriteBatch, to: Answer) {
-        let refused = match order.check() {
-            Err(fault) => Some(Told::Unknown(format!("{fault}\n"))),
-            Ok(()) if self.serves.is_none() => Some(Told::No("this machine serves no changes\n".into())),
-            Ok(()) if self.waiting.len() >= WAITING => Some(Told::Late("too many calls wait\n".into())),
-            Ok(()) => None,
-        };
-        match refused {
-            Some(told) => drop(to.try_send(told)),
-            None => drop(self.say(now, What::Order(order), Some(to))),
+    /// Passes rollout reports of another control member on to the relay.
+    pub(crate) fn forward_reports(&self, reports: Vec<Report>) {
+        if let Some(feed) = &self.catalogue_feed {
+            // Reports that find no room are replaced by those of the next second.
+            drop(feed.relay.try_send(HostMessage::Reports(reports)));
         }
     }
 
-    /// An order of this machine's is in the log.
-    pub(crate) fn ordered(&mut self, ticket: u64, version: Index) {
-        if let Some(answer) = self.waiting.remove(&ticket).and_then(|w| w.answer) {
-            let _ = answer.try_send(Told::Yes(version.0.to_string()));
-        }
+    /// Checks an operator's order and submits it.
+    pub(crate) fn change_config(&mut self, now: Time, order: WriteBatch, respond_to: ResponseSender) {
+        let rejection = if let Err(fault) = order.check() {
+            OperatorResponse::NotFound(format!("{fault}\n"))
+        } else if self.catalogue_feed.is_none() {
+            OperatorResponse::Rejected("this machine serves no changes\n".into())
+        } else if self.pending.len() >= MAX_PENDING_COMMANDS {
+            OperatorResponse::Unsettled("too many calls wait\n".into())
+        } else {
+            self.submit(now, Command::ChangeConfig(order), Some(respond_to));
+            return;
+        };
+        respond(&respond_to, rejection);
     }
 }
--- a/crates/coordination/src/log_thread/thread.rs
+++ b/crates/coordination/src/log_thread/thread.rs
@@ -1,231 +1,209 @@
-//! The thread of the log: what the others said, what the disk has, what the front measured and operators asked come in here, one
-//! after the other; what the machines make of it goes out.
-use crate::clock::{unix, Clock};
-use crate::frame::{self as frames, Frame};
-use crate::gateway_message::{Measures, ToAccord, ToFront};
-use crate::log_thread::operator_calls::Waiting;
-use crate::network_thread::thread::View;
+//! The state and the loop of the log thread.
+use crate::clock::Clock;
+use crate::distribution::Mailbox;
+use crate::frame::{self, Frame};
+use crate::gateway_message::{CoordinationMessage, GatewayMessage};
+use crate::log_thread::catalogue_feed::CatalogueFeed;
+use crate::log_thread::measured::Measured;
+use crate::log_thread::message::LogMessage;
+use crate::log_thread::pending_command::PendingCommand;
+use crate::network_thread::{LinkCounters, MembershipView};
 use crate::settings::Settings;
-use crate::state_machine::machine::{Entry, Ledger, What};
-use crate::storage_thread::writer::{Write, Wrote};
-use cluster_types::{Index, MemberId, Time};
-use consensus::{Node, Role};
-use maintenance::{FrontSide, Watch};
+use crate::state_machine::{Command, StateMachine};
+use crate::storage_thread::{WriteReport, WriteRequest};
+use cluster_types::{MemberId, Time};
+use maintenance::{MemberAgent, Presence, StageTimer};
 use parking_lot::Mutex;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, VecDeque};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the machines look at what is due beside what comes in.
-pub const TURN: Duration = Duration::from_millis(100);
-/// Letters that are taken in one go, before what is due is looked at.
-const BURST: usize = 256;
+/// How often the periodic work runs.
+const PERIODIC_INTERVAL: Duration = Duration::from_millis(100);
+/// The least wait for a message.
+const MIN_WAIT: Duration = Duration::from_millis(1);
+/// Messages that are handled in one go, beside the first, before the periodic work is looked at.
+const MAX_BURST: usize = 256;
 
-/// What comes in.
-pub enum Inbox {
-    /// From another front.
-    Frame(MemberId, Frame),
-    /// From this front.
-    Tell(ToAccord),
-    /// From the disk.
-    Disk(Wrote),
-    /// From this front's server of changes: for the others'.
-    Reports(Vec<config_distribution::Report>),
+/// When periodic work was last done.
+#[derive(Clone, Copy, Default)]
+pub(crate) struct LastRuns {
+    /// The leader's proposals.
+    pub(crate) proposals: Time,
+    /// The report of measurements to the leader, with the request for a lease.
+    pub(crate) measurements: Time,
+    /// The announcement that this member is present.
+    pub(crate) presence: Time,
 }
 
-/// What a front measured, as of when it came here.
-pub struct Measured {
-    /// When it came.
-    pub came: Time,
-    /// Up to where it had applied the log.
-    pub seen: Index,
-    /// What.
-    pub measures: Measures,
+/// The mailboxes of the links to the other members.
+pub(crate) struct Outboxes(pub(crate) BTreeMap<MemberId, async_channel::Sender<Vec<u8>>>);
+
+impl Outboxes {
+    /// Sends a frame. One that finds no room is lost, as on the network: everything that matters is sent again.
+    pub(crate) fn send(&self, to: &MemberId, frame: &Frame) {
+        if let (Some(link), Ok(bytes)) = (self.0.get(to), frame::encode(frame)) {
+            drop(link.try_send(bytes));
+        }
+    }
+
+    pub(crate) fn broadcast(&self, frame: &Frame) {
+        self.0.keys().for_each(|to| self.send(to, frame));
+    }
 }
 
-/// The state of the thread.
-pub struct Core {
-    /// What the hosts were told.
-    pub settings: Settings,
-    /// The clock.
-    pub clock: Clock,
-    /// This start of the process.
-    pub start: u64,
-    /// The life of the store.
-    pub life: u64,
-    /// The replicated log.
-    pub node: Node,
-    /// What it comes to.
-    pub ledger: Ledger,
-    /// This front's own side.
-    pub front: FrontSide,
-    /// How long boxes that come back have done well.
-    pub watch: Watch,
-    /// What each front measured last.
-    pub measured: BTreeMap<MemberId, Measured>,
-    /// Calls and commands that are not in the log yet, by this front's number.
-    pub waiting: BTreeMap<u64, Waiting>,
-    /// The last number given.
-    pub ticket: u64,
-    /// What the leader has proposed and not seen committed.
-    pub proposed: BTreeMap<u64, Time>,
-    /// Until when each front's lease may run at the most, as the leader granted it.
-    pub leases: BTreeMap<MemberId, Time>,
-    /// When this front last measured, asked for its lease, and said that it is there.
-    pub last: [Time; 3],
-    /// Whether this front is about to end.
-    pub leaving: bool,
-    /// Whether this front's own side must be told of new orders.
-    pub changed: bool,
-    /// Mailboxes of the others.
-    pub outbox: BTreeMap<MemberId, async_channel::Sender<Vec<u8>>>,
-    /// The disk's mailbox.
-    pub disk: SyncSender<Write>,
-    /// The front's mailbox.
-    pub to_front: async_channel::Sender<ToFront>,
-    /// Letters that found the front's mailbox full.
-    pub late: std::collections::VecDeque<ToFront>,
-    /// What was bad or lost on the links.
-    pub counts: Arc<crate::network_thread::framing::Counts>,
-    /// What membership comes to.
-    pub view: Arc<Mutex<View>>,
-    /// The server of changes of configuration, where there is one.
-    pub serves: Option<crate::distribution::Serves>,
+/// The state of the log thread.
+pub(crate) struct LogThread {
+    pub(crate) settings: Settings,
+    pub(crate) clock: Clock,
+    /// The incarnation of this process.
+    pub(crate) process_incarnation: u64,
+    /// The incarnation of the store.
+    pub(crate) store_incarnation: u64,
+    pub(crate) raft: consensus::Node,
+    pub(crate) state: StateMachine,
+    /// This member's own part in maintenance.
+    pub(crate) local: MemberAgent,
+    /// How long returning backends have been free of failures.
+    pub(crate) stage_timer: StageTimer,
+    /// The latest measurements of each member.
+    pub(crate) measured: BTreeMap<MemberId, Measured>,
+    /// Commands of this member that are not in the log yet, by ticket.
+    pub(crate) pending: BTreeMap<u64, PendingCommand>,
+    pub(crate) last_ticket: u64,
+    /// When this leader made the proposals that are not committed yet, by ticket.
+    pub(crate) proposed: BTreeMap<u64, Time>,
+    /// Until when the lease may run that this leader granted each member.
+    pub(crate) granted_leases: BTreeMap<MemberId, Time>,
+    pub(crate) last_runs: LastRuns,
+    /// Whether this member shuts down.
+    pub(crate) is_leaving: bool,
+    /// Whether entries were applied that the local part has not seen.
+    pub(crate) has_new_state: bool,
+    pub(crate) outboxes: Outboxes,
+    pub(crate) storage: SyncSender<WriteRequest>,
+    pub(crate) gateway: async_channel::Sender<GatewayMessage>,
+    /// Messages that found the gateway's mailbox full.
+    pub(crate) unsent: VecDeque<GatewayMessage>,
+    pub(crate) link_counters: Arc<LinkCounters>,
+    pub(crate) view: Arc<Mutex<MembershipView>>,
+    /// The relay of configuration changes, where this member has one.
+    pub(crate) catalogue_feed: Option<CatalogueFeed>,
     /// Writes a line of the log.
-    pub log: fn(&str),
+    pub(crate) log: fn(&str),
+}
+
+/// What the log thread is built from.
+pub(crate) struct LogThreadParts {
+    pub(crate) settings: Settings,
+    pub(crate) clock: Clock,
+    pub(crate) process_incarnation: u64,
+    pub(crate) store_incarnation: u64,
+    pub(crate) raft: consensus::Node,
+    pub(crate) local: MemberAgent,
+    pub(crate) outboxes: Outboxes,
+    pub(crate) storage: SyncSender<WriteRequest>,
+    pub(crate) gateway: async_channel::Sender<GatewayMessage>,
+    pub(crate) link_counters: Arc<LinkCounters>,
+    pub(crate) view: Arc<Mutex<MembershipView>>,
+    pub(crate) relay: Option<Mailbox>,
+    pub(crate) log: fn(&str),
 }
 
-impl Core {
-    /// Runs until all other ends of the mailbox have gone.
-    pub fn run(mut self, inbox: &Receiver<Inbox>) {
-        let mut turn = Time(0);
+impl LogThread {
+    pub(crate) fn new(parts: LogThreadParts) -> LogThread {
+        LogThread {
+            settings: parts.settings,
+            clock: parts.clock,
+            process_incarnation: parts.process_incarnation,
+            store_incarnation: parts.store_incarnation,
+            raft: parts.raft,
+            state: StateMachine::new(),
+            local: parts.local,
+            stage_timer: StageTimer::new(),
+            measured: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            // Above the tickets of all earlier starts.
+            last_ticket: parts.process_incarnation,
+            proposed: BTreeMap::new(),
+            granted_leases: BTreeMap::new(),
+            last_runs: LastRuns::default(),
+            is_leaving: false,
+            has_new_state: false,
+            outboxes: parts.outboxes,
+            storage: parts.storage,
+            gateway: parts.gateway,
+            unsent: VecDeque::new(),
+            link_counters: parts.link_counters,
+            view: parts.view,
+            catalogue_feed: parts.relay.map(CatalogueFeed::new),
+            log: parts.log,
+        }
+    }
+
+    /// Runs until all other ends of the mailbox are dropped.
+    pub(crate) fn run(mut self, mailbox: &Receiver<LogMessage>) {
+        let mut periodic_at = Time(0);
         loop {
             let now = self.clock.now();
-            let wakes = [self.node.next_wakeup(), self.front.wake(), Some(turn + TURN)];
-            let wake = wakes.into_iter().flatten().min().unwrap_or(now + TURN);
-            match inbox.recv_timeout(wake.since(now).max(Duration::from_millis(1))) {
+            let deadlines =
+                [self.raft.next_wakeup(), self.local.next_wakeup(), Some(periodic_at + PERIODIC_INTERVAL)];
+            let deadline = deadlines.into_iter().flatten().min().unwrap_or(now + PERIODIC_INTERVAL);
+            match mailbox.recv_timeout(deadline.since(now).max(MIN_WAIT)) {
                 Ok(first) => {
-                    self.take(first);
-                    for _ in 0..BURST {
-                        let Ok(next) = inbox.try_recv() else { break };
-                        self.take(next);
-                    }
+                    self.handle(first);
+                    mailbox.try_iter().take(MAX_BURST).for_each(|next| self.handle(next));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = self.clock.now();
-            self.log_event(consensus::Event::Tick);
-            if now.since(turn) >= TURN {
-                turn = now;
-                self.turn(now);
+            self.handle_raft_event(consensus::Event::Tick);
+            if now.since(periodic_at) >= PERIODIC_INTERVAL {
+                periodic_at = now;
+                self.run_periodic(now);
             }
-            self.follow(now);
-            self.serve(now);
+            self.follow_state(now);
+            self.feed_relay(now);
         }
     }
 
-    fn take(&mut self, letter: Inbox) {
+    fn handle(&mut self, message: LogMessage) {
         let now = self.clock.now();
-        match letter {
-            Inbox::Frame(from, frame) => self.frame(now, from, frame),
-            Inbox::Tell(ToAccord::Measured(measures)) => self.measures(now, measures),
-            Inbox::Tell(ToAccord::Call(call, to)) => self.call(now, call, to),
-            Inbox::Tell(ToAccord::Stopping) => {
-                self.leaving = true;
-                let (member, presence) = (self.settings.me.clone(), maintenance::Presence::Left);
-                self.say(now, What::Maintenance(maintenance::Command::Roster { member, presence }), None);
-            }
-            Inbox::Reports(reports) => {
-                let frame = Frame::Reports(reports);
-                self.outbox.keys().for_each(|to| self.send(to, &frame));
-            }
-            Inbox::Disk(Wrote::Batch(batch)) => {
-                self.log_event(consensus::Event::Persisted { batch_id: batch })
+        match message {
+            LogMessage::Frame { from, frame } => self.handle_frame(now, from, frame),
+            LogMessage::FromGateway(CoordinationMessage::Measured(measurements)) => {
+                self.record_own_measurements(now, measurements);
             }
-            Inbox::Disk(Wrote::Failed(batch)) => {
-                self.log_event(consensus::Event::PersistFailed { batch_id: batch })
+            LogMessage::FromGateway(CoordinationMessage::Call(call, respond_to)) => {
+                self.handle_call(now, call, respond_to);
             }
-            Inbox::Disk(Wrote::Recovered) => self.log_event(consensus::Event::StorageRecovered),
-            Inbox::Disk(Wrote::Kept(serial)) => self.own(now, maintenance::Event::Saved { serial }),
+            LogMessage::FromGateway(CoordinationMessage::Stopping) => self.leave(now),
+            LogMessage::Reports(reports) => self.outboxes.broadcast(&Frame::Reports(reports)),
+            LogMessage::Storage(report) => self.handle_write_report(now, &report),
         }
     }
 
-    fn frame(&mut self, now: Time, from: MemberId, frame: Frame) {
-        match frame {
-            Frame::Hello => {}
-            Frame::Log { life, message } => {
-                self.log_event(consensus::Event::Message { from, incarnation: life, message })
-            }
-            Frame::Forward { ticket, what } => self.propose(now, from, ticket, what),
-            Frame::Measured { asked, seen, measures } => {
-                self.measured.insert(from.clone(), Measured { came: now, seen, measures: *measures });
-                // Only while nobody else can lead: a leader that was cut off must not go on granting.
-                if self.node.lease_expiry(now).is_some() {
-                    let span = self.settings.lease;
-                    self.leases.insert(from.clone(), now + span);
-                    let span = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-                    self.send(&from, &Frame::Lease { asked, span });
-                }
-            }
-            Frame::Reports(reports) => self.reported(reports),
-            Frame::Lease { asked, span } => self.leased(Time(asked), Duration::from_micros(span)),
-        }
-    }
-
-    /// The lease runs from when it was asked for, by this front's clock, and ends early by what clocks may differ.
-    pub fn leased(&mut self, asked: Time, span: Duration) {
-        let until = asked + span.min(self.settings.lease).mul_f64(1.0 - self.settings.drift);
-        let now = self.clock.now();
-        self.own(now, maintenance::Event::Lease { until });
-    }
-
-    /// Puts an entry into the log, where this front leads.
-    pub fn propose(&mut self, now: Time, by: MemberId, ticket: u64, what: What) {
-        if self.node.role() != Role::Leader {
-            return;
-        }
-        let at_ms = u64::try_from(unix().as_millis()).unwrap_or(u64::MAX);
-        let Ok(data) = postcard::to_stdvec(&Entry { at_ms, by, ticket, what }) else { return };
-        self.ticket += 1;
-        self.proposed.insert(self.ticket, now);
-        let event = consensus::Event::Propose { ticket: self.ticket, data: data.into() };
-        self.log_event(event);
+    fn leave(&mut self, now: Time) {
+        self.is_leaving = true;
+        let (member, presence) = (self.settings.me.clone(), Presence::Left);
+        let command = maintenance::Command::SetPresence { member, presence };
+        self.submit(now, Command::Maintenance(command), None);
     }
 
-    /// Tells the log something by this front's word, by way of the leader; tells the number under which it is waited for.
-    pub fn say(
-        &mut self,
-        now: Time,
-        what: What,
-        answer: Option<crate::log_thread::operator_calls::Answer>,
-    ) -> u64 {
-        self.ticket += 1;
-        let ticket = self.ticket;
-        let waiting = Waiting { what: what.clone(), since: now, said: now, answer };
-        self.waiting.insert(ticket, waiting);
-        self.forward(now, ticket, what);
-        ticket
-    }
-
-    /// Hands something to the leader, where one is known; it is said again until it is in the log.
-    pub fn forward(&mut self, now: Time, ticket: u64, what: What) {
-        let me = self.settings.me.clone();
-        match (self.node.role(), self.node.leader()) {
-            (Role::Leader, _) => self.propose(now, me, ticket, what),
-            (_, Some(leader)) => {
-                let leader = leader.clone();
-                self.send(&leader, &Frame::Forward { ticket, what });
+    fn handle_write_report(&mut self, now: Time, report: &WriteReport) {
+        match *report {
+            WriteReport::BatchWritten(batch_id) => {
+                self.handle_raft_event(consensus::Event::Persisted { batch_id });
             }
-            _ => {}
-        }
-    }
-
-    /// Sends a frame; one that finds no room is lost, as on the way.
-    pub fn send(&self, to: &MemberId, frame: &Frame) {
-        if let (Some(link), Some(bytes)) = (self.outbox.get(to), frames::write(frame)) {
-            let _ = link.try_send(bytes);
+            WriteReport::BatchFailed(batch_id) => {
+                self.handle_raft_event(consensus::Event::PersistFailed { batch_id });
+            }
+            WriteReport::LocalStateWritten(serial) => {
+                self.handle_local_event(now, maintenance::Event::Persisted { serial });
+            }
+            WriteReport::Recovered => self.handle_raft_event(consensus::Event::StorageRecovered),
         }
     }
 }
--- /dev/null
+++ b/crates/coordination/src/network_thread/incoming.rs
@@ -0,0 +1,45 @@
+//! The link from one member, which is only read.
+use crate::frame::{self, Frame};
+use crate::network_thread::close_reason::{CloseReason, ConnectionEnd};
+use crate::network_thread::counters::{increment, LinkCounters};
+use crate::network_thread::framing::{read_frame, ReadState, MEMBER_CHANNEL};
+use async_io::Async;
+use cluster_types::MemberId;
+use message_auth::{Opener, MAX_FRAME_BYTES};
+use std::cell::RefCell;
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// Takes a frame and its sender; returns false where there is no room for it.
+pub(crate) type FrameHandler = Arc<dyn Fn(MemberId, Frame) -> bool + Send + Sync>;
+
+/// Reads a link to its end.
+pub(crate) async fn read_link(
+    mut stream: Async<TcpStream>,
+    opener: Rc<RefCell<Opener>>,
+    handler: FrameHandler,
+    counters: Arc<LinkCounters>,
+) -> ConnectionEnd {
+    let mut frames = 0;
+    let reason = loop {
+        let state = ReadState { frames, max_frame_bytes: MAX_FRAME_BYTES };
+        let opened = match read_frame(&mut stream, MEMBER_CHANNEL, state, &opener, &counters).await {
+            Ok(opened) => opened,
+            Err(reason) => break reason,
+        };
+        frames += 1;
+        match frame::decode(&opened.body) {
+            Ok(frame) => {
+                if !handler(opened.from, frame) {
+                    increment(&counters.dropped_frames);
+                }
+            }
+            Err(error) => {
+                increment(&counters.undecodable_frames);
+                break CloseReason::Protocol(error);
+            }
+        }
+    };
+    ConnectionEnd { frames, reason }
+}
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,48 +1,44 @@
-//! What the hosts are told at their start.
+//! What the hosts are given at start.
 use cluster_types::{MemberId, Zone};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// One of the fronts that act together.
+/// A member of the group.
 #[derive(Clone, Debug)]
-pub struct Fellow {
-    /// Where this front reaches it, over UDP and TCP.
-    pub at: SocketAddr,
-    /// The hall in which it stands.
-    pub hall: Zone,
+pub struct Peer {
+    /// Where this member reaches it, over UDP and TCP.
+    pub address: SocketAddr,
+    /// Its zone.
+    pub zone: Zone,
 }
 
-/// Everything that the hosts need.
+/// The settings of the hosts.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This front.
+    /// The name of this member.
     pub me: MemberId,
-    /// The hall in which it stands.
-    pub hall: Zone,
-    /// Where it hears the others, over UDP and TCP.
+    /// The zone of this member.
+    pub zone: Zone,
+    /// Where this member listens for the others, over UDP and TCP.
     pub listen: SocketAddr,
-    /// The folder of its store.
-    pub state: PathBuf,
+    /// The folder of the store.
+    pub state_dir: PathBuf,
     /// The key that signs, and another one that is accepted.
     pub keys: ([u8; 32], Option<[u8; 32]>),
-    /// All fronts, this one among them.
-    pub members: BTreeMap<MemberId, Fellow>,
-    /// Bytes a second of membership at the most.
-    pub bytes_s: u32,
-    /// For how long a front may count on what it was granted.
+    /// All members, including this one.
+    pub members: BTreeMap<MemberId, Peer>,
+    /// The most bytes a second that membership sends.
+    pub max_membership_bytes_per_s: u32,
+    /// How long a member may rely on what it was granted.
     pub lease: Duration,
-    /// The share by which two steady clocks may differ.
-    pub drift: f64,
-    /// For how long a front waits without its leader before it seeks another.
-    pub election: Duration,
-    /// Bounds of what may be out for work.
+    /// The fraction by which two monotonic clocks may differ.
+    pub max_clock_drift: f64,
+    /// How long a member waits without its leader before it campaigns.
+    pub election_timeout: Duration,
+    /// Bounds of what may be out for maintenance.
     pub rules: maintenance::Rules,
-    /// The share of all boxes that fronts together may keep from, by what they tell each other.
-    pub share: f64,
-    /// For how long one claim about a box counts.
-    pub lasts: Duration,
-    /// A number drawn by chance: the life of a store that is new, and the seed of everything random.
+    /// Drawn at random: the incarnation of a store that is created, and the seed of everything random.
     pub seed: u64,
 }
--- a/crates/coordination/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -1,165 +1,172 @@
-//! The start of the hosts: the store is read and the sockets are bound first, so that what is wrong ends the start.
-use crate::clock::{unix, Clock};
-use crate::distribution::{Mailbox, Serves};
-use crate::gateway_message::{ToAccord, ToFront};
-use crate::log_thread::thread::{Core, Inbox};
-use crate::network_thread::framing as links;
-use crate::network_thread::thread::{self as net, Net, Sockets, View};
+//! Starting the hosts: the store is read and the sockets are bound first, so that a fault ends the start.
+use crate::clock::{unix_time, Clock};
+use crate::distribution::Mailbox;
+use crate::error::StartError;
+use crate::gateway_message::GatewayMessage;
+use crate::handle::Handle;
+use crate::log_thread::{LogMessage, LogThread, LogThreadParts, Outboxes};
+use crate::network_thread::{self, FrameHandler, LinkCounters, MembershipView, NetworkThread, Sockets};
 use crate::settings::Settings;
-use crate::state_machine::machine::Ledger;
-use crate::storage_thread::store::Disk;
-use crate::storage_thread::writer as store;
-use cluster_types::Time;
-use consensus::{Config, Node};
-use maintenance::{MemberAgent, StageTimer};
+use crate::storage_thread::{self, stored_state, Store, WriteRequest};
+use async_channel::Receiver;
+use cluster_types::MemberId;
+use consensus::{Config, Node, StoredState};
+use maintenance::{MemberAgent, PersistedOrders};
 use parking_lot::Mutex;
-use std::collections::{BTreeMap, VecDeque};
-use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{sync_channel, SyncSender};
+use std::collections::BTreeMap;
+use std::sync::mpsc::{self, sync_channel, SyncSender};
 use std::sync::Arc;
 use std::thread::Builder;
 use std::time::Duration;
 
-/// Letters that may wait for the thread of the log.
-const INBOX: usize = 4096;
-/// Frames that may wait for one front.
-const OUTBOX: usize = 256;
-/// Writes that may wait for the disk: more than the log has unwritten.
-const WRITES: usize = 256;
-/// The drain rule.
-const DRAIN: Duration = Duration::from_millis(250);
+/// Messages that may wait for the log thread.
+const MAX_LOG_MESSAGES: usize = 4096;
+/// Frames that may wait for one member, and events for membership.
+const MAX_OUTGOING_FRAMES: usize = 256;
+/// Writes that may wait for the storage thread: more than the log leaves unwritten.
+const MAX_WRITES: usize = 256;
+/// How long after the order to drain a backend the gateway may still send to it.
+const DRAIN_DELAY: Duration = Duration::from_millis(250);
+/// How many heartbeats fit into the election timeout.
+const HEARTBEATS_PER_ELECTION_TIMEOUT: u32 = 5;
+/// Parts per million of a whole.
+const MILLION: f64 = 1e6;
 
-/// The front's end of its mailbox to the hosts.
-#[derive(Clone)]
-pub struct Handle {
-    inbox: SyncSender<Inbox>,
-    full: Arc<AtomicU64>,
-    // Closed with the last handle: membership says goodbye then.
-    members: async_channel::Sender<membership::Event>,
+/// The store and what was read from it.
+struct OpenedStore {
+    store: Store,
+    process_incarnation: u64,
+    store_incarnation: u64,
+    log: StoredState,
+    orders: Option<PersistedOrders>,
 }
 
-impl Handle {
-    /// Tells the hosts something; never waits. False where there is no room, which is counted.
-    pub fn tell(&self, letter: ToAccord) -> bool {
-        let told = self.inbox.try_send(Inbox::Tell(letter)).is_ok();
-        self.full.fetch_add(u64::from(!told), Ordering::Relaxed);
-        told
-    }
-
-    /// What this front saw of a box or a hall, for the others.
-    pub fn observed(&self, observation: membership::Observation) {
-        let _ = self.members.try_send(membership::Event::Observed(observation));
-    }
-
-    /// Signs with the first of these keys from now on, and opens under either.
-    pub fn rekey(&self, keys: ([u8; 32], Option<[u8; 32]>)) {
-        let _ =
-            self.members.try_send(membership::Event::KeysChanged(message_auth::Keys::new(keys.0, keys.1)));
-    }
-
-    /// Where this front's server of changes tells what the others' are to know.
-    pub(crate) fn reports(&self) -> SyncSender<Inbox> {
-        self.inbox.clone()
-    }
-
-    /// Letters that found no room.
-    pub fn full(&self) -> u64 {
-        self.full.load(Ordering::Relaxed)
-    }
-}
-
-fn config(settings: &Settings) -> Config {
-    let mut config = Config::new(settings.me.clone(), settings.members.keys().cloned().collect());
-    config.heartbeat_interval = settings.election / 5;
-    config.min_election_timeout = settings.election;
-    config.max_election_timeout = 2 * settings.election;
-    config.max_clock_drift_ppm = (settings.drift * 1e6) as u32;
-    config
+fn open_store(settings: &Settings) -> Result<OpenedStore, StartError> {
+    let store = Store::open(&settings.state_dir, settings.seed)?;
+    let process_incarnation = store.next_process_incarnation(unix_time())?;
+    let content = store.read()?;
+    let log = stored_state(&content)?;
+    let orders = content.local_state.as_deref().map(postcard::from_bytes).transpose();
+    let orders = orders.map_err(StartError::SavedLocalState)?;
+    Ok(OpenedStore { store, process_incarnation, store_incarnation: content.incarnation, log, orders })
 }
 
-/// Starts the hosts. What they tell the front goes to that mailbox, and what becomes of changes of configuration to the one that
-/// serves them, where there is one; an error names the key.
+/// Starts the hosts. What they tell the gateway goes to `gateway`, changes of the catalogue to `relay`, where there is one.
+///
+/// # Errors
+///
+/// Returns an error that names the settings key where the store cannot be opened or read, a socket cannot be bound, or a thread
+/// cannot be started.
 pub fn start(
     settings: Settings,
-    to_front: async_channel::Sender<ToFront>,
-    serves: Option<Mailbox>,
+    gateway: async_channel::Sender<GatewayMessage>,
+    relay: Option<Mailbox>,
     log: fn(&str),
-) -> Result<Handle, String> {
-    let fault = |e: &dyn std::fmt::Display| format!("accord.state: {e}");
-    let disk = Disk::open(&settings.state, settings.seed).map_err(|e| fault(&e))?;
-    let begun = disk.start(unix()).map_err(|e| fault(&e))?;
-    let content = disk.read().map_err(|e| fault(&e))?;
-    let stored = store::stored(&content).map_err(|e| fault(&e))?;
-    let kept = content.kept.as_deref().map(postcard::from_bytes).transpose();
-    let kept = kept.map_err(|e| fault(&format!("what the front kept can't be read: {e}")))?;
-    let sockets = Sockets::bind(&settings)?;
+) -> Result<Handle, StartError> {
+    let opened = open_store(&settings)?;
+    let process_incarnation = opened.process_incarnation;
+    let sockets = Sockets::bind(settings.listen)?;
     let clock = Clock::start();
     let now = clock.now();
-    let node = Node::new(config(&settings), stored, now, settings.seed ^ begun).map_err(|e| fault(&e))?;
-    let mut orders = Vec::new();
-    let front = MemberAgent::new(DRAIN, kept, now, &mut orders);
+    let seed = settings.seed ^ process_incarnation;
+    let raft = Node::new(raft_config(&settings), opened.log, now, seed)?;
+    let mut first_actions = Vec::new();
+    let local = MemberAgent::new(DRAIN_DELAY, opened.orders, now, &mut first_actions);
 
-    let (inbox, letters) = sync_channel(INBOX);
-    let (disk_to, writes) = sync_channel(WRITES);
-    let (members, told) = async_channel::bounded(OUTBOX);
-    let view = Arc::new(Mutex::new(View::default()));
-    let counts = Arc::new(links::Counts::default());
-    let others = settings.members.keys().filter(|m| **m != settings.me);
-    let (mut outbox, mut outgoing) = (BTreeMap::new(), BTreeMap::new());
-    for member in others {
-        let (to, from) = async_channel::bounded(OUTBOX);
-        outbox.insert(member.clone(), to);
-        outgoing.insert(member.clone(), from);
-    }
-    let came = inbox.clone();
-    let came: links::Came = Arc::new(move |from, frame| came.try_send(Inbox::Frame(from, frame)).is_ok());
-    let net = Net {
+    let (log_messages, log_mailbox) = sync_channel(MAX_LOG_MESSAGES);
+    let (storage, write_requests) = sync_channel(MAX_WRITES);
+    let (membership, membership_events) = async_channel::bounded(MAX_OUTGOING_FRAMES);
+    let view = Arc::new(Mutex::new(MembershipView::default()));
+    let link_counters = Arc::new(LinkCounters::default());
+    let (outboxes, outgoing) = outbox_pairs(&settings);
+    let network = NetworkThread {
         settings: settings.clone(),
         clock,
-        start: begun,
-        outbox: outgoing,
-        told,
-        came,
+        process_incarnation,
+        outboxes: outgoing,
+        membership_events,
+        frame_handler: frame_handler(log_messages.clone()),
         view: view.clone(),
-        counts: counts.clone(),
+        counters: link_counters.clone(),
         log,
     };
-    let mut core = Core {
+    let mut log_thread = LogThread::new(LogThreadParts {
         settings,
         clock,
-        start: begun,
-        life: content.life,
-        node,
-        ledger: Ledger::new(),
-        front,
-        watch: StageTimer::new(),
-        measured: BTreeMap::new(),
-        waiting: BTreeMap::new(),
-        ticket: begun,
-        proposed: BTreeMap::new(),
-        leases: BTreeMap::new(),
-        last: [Time(0); 3],
-        leaving: false,
-        changed: false,
-        outbox,
-        disk: disk_to,
-        to_front,
-        late: VecDeque::new(),
-        counts,
+        process_incarnation,
+        store_incarnation: opened.store_incarnation,
+        raft,
+        local,
+        outboxes,
+        storage,
+        gateway,
+        link_counters,
         view,
-        serves: serves.map(Serves::new),
+        relay,
         log,
-    };
-    orders.into_iter().for_each(|order| core.own_action(now, order));
-    let wrote = inbox.clone();
-    let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
-        Builder::new().name(name.into()).spawn(work).map_err(|e| format!("accord: no thread: {e}"))
-    };
-    spawn("accord-net", Box::new(move || net::run(net, sockets)))?;
-    spawn(
-        "accord-disk",
-        Box::new(move || store::run(&disk, &writes, &|news| drop(wrote.send(Inbox::Disk(news))), log)),
-    )?;
-    spawn("accord-log", Box::new(move || core.run(&letters)))?;
-    Ok(Handle { inbox, full: Arc::default(), members })
+    });
+    first_actions.into_iter().for_each(|action| log_thread.carry_out_local_action(now, action));
+    spawn_threads(Threads {
+        network,
+        sockets,
+        store: opened.store,
+        write_requests,
+        log_thread,
+        log_mailbox,
+        reports: log_messages.clone(),
+    })?;
+    Ok(Handle { log_thread: log_messages, dropped: Arc::default(), membership })
+}
+
+/// What the threads run on.
+struct Threads {
+    network: NetworkThread,
+    sockets: Sockets,
+    store: Store,
+    write_requests: mpsc::Receiver<WriteRequest>,
+    log_thread: LogThread,
+    log_mailbox: mpsc::Receiver<LogMessage>,
+    /// Where the storage thread reports.
+    reports: SyncSender<LogMessage>,
+}
+
+fn spawn_threads(threads: Threads) -> Result<(), StartError> {
+    let Threads { network, sockets, store, write_requests, log_thread, log_mailbox, reports } = threads;
+    let log = log_thread.log;
+    spawn("accord-net", move || network_thread::run(network, sockets))?;
+    spawn("accord-disk", move || {
+        // This fails only once the log thread has ended, which needs the report no longer.
+        let report = |report| drop(reports.send(LogMessage::Storage(report)));
+        storage_thread::run(&store, &write_requests, &report, log);
+    })?;
+    spawn("accord-log", move || log_thread.run(&log_mailbox))
+}
+
+fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
+    // Threads run until their mailbox is closed; they are not joined.
+    Builder::new().name(name.into()).spawn(work).map(drop).map_err(StartError::Thread)
+}
+
+fn raft_config(settings: &Settings) -> Config {
+    let mut config = Config::new(settings.me.clone(), settings.members.keys().cloned().collect());
+    config.heartbeat_interval = settings.election_timeout / HEARTBEATS_PER_ELECTION_TIMEOUT;
+    config.min_election_timeout = settings.election_timeout;
+    config.max_election_timeout = 2 * settings.election_timeout;
+    config.max_clock_drift_ppm = (settings.max_clock_drift * MILLION) as u32;
+    config
+}
+
+/// Both ends of the mailboxes of the links to the other members.
+fn outbox_pairs(settings: &Settings) -> (Outboxes, BTreeMap<MemberId, Receiver<Vec<u8>>>) {
+    let (mut senders, mut receivers) = (BTreeMap::new(), BTreeMap::new());
+    for member in settings.members.keys().filter(|member| **member != settings.me) {
+        let (sender, receiver) = async_channel::bounded(MAX_OUTGOING_FRAMES);
+        senders.insert(member.clone(), sender);
+        receivers.insert(member.clone(), receiver);
+    }
+    (Outboxes(senders), receivers)
+}
+
+fn frame_handler(log_thread: SyncSender<LogMessage>) -> FrameHandler {
+    Arc::new(move |from, frame| log_thread.try_send(LogMessage::Frame { from, frame }).is_ok())
 }
--- a/crates/coordination/src/storage_thread/mod.rs
+++ b/crates/coordination/src/storage_thread/mod.rs
@@ -1,3 +1,15 @@
 //! The thread that writes to disk.
-pub mod store;
-pub mod writer;
+//!
+//! Batches of the log and this member's part in maintenance are written in the order in which they arrive. After a write has
+//! failed, none that arrived later is carried out until the store has been opened again.
+mod batch;
+mod error;
+mod message;
+mod store;
+mod writer;
+
+pub use batch::{change_of, stored_state};
+pub use error::StoreError;
+pub use message::{WriteReport, WriteRequest};
+pub use store::{Store, StoreChange, StoreContent};
+pub use writer::run;
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -6,21 +6,18 @@
 mod golden_support;
 
 use cluster_types::Index;
-use config_distribution::{FromRelay, Key, Lag, Refusal, Report, ToRelay, Topic};
-use coordination::frame as frames;
-use coordination::network_thread::framing as links;
-use coordination::state_machine::machine::{Entry, Ledger, What};
-use coordination::{Measures, Seen};
-use frames::Frame;
-use golden_support::entries::{entries, order};
+use config_distribution::{
+    GatewayRejection, Key, Lag, Rejection, RelayMessage, Report, SubscriberMessage, Topic,
+};
+use coordination::frame::{decode, encode, Frame};
+use coordination::network_thread::framing::{append_frame, DISTRIBUTION_CHANNEL, MEMBER_CHANNEL};
+use coordination::state_machine::{Command, Entry, StateMachine};
+use coordination::{BackendMeasurement, Measurements, VolumeMeasurement};
+use golden_support::entries::{config_change, entries};
 use golden_support::{golden, member};
 use message_auth::{Keys, Opener, Sealer};
 use std::cell::RefCell;
 
-/// The channel of frames between members.
-const MEMBERS: u8 = 1;
-/// The channel of frames between relays and subscribers.
-const RELAYS: u8 = 2;
 const KEY: [u8; 32] = [7; 32];
 
 /// Bytes as they stand in a golden file, which is read.
@@ -34,7 +31,7 @@
         .on_channel(channel)
         .with_max_bytes(message_auth::MAX_FRAME_BYTES);
     let mut out = Vec::new();
-    assert!(links::put(&mut out, Some(&member(2)), body, &RefCell::new(sealer)));
+    append_frame(&mut out, Some(&member(2)), body, &RefCell::new(sealer)).unwrap();
     out
 }
 
@@ -55,71 +52,82 @@
     T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug,
 {
     let bytes = file(name);
-    assert_eq!(sent(channel, &frames::write(message).unwrap()), bytes, "{name}: writing");
-    let read: T = frames::read(&received(channel, &bytes)).unwrap();
-    assert_eq!(&read, message, "{name}: reading");
-    assert_eq!(sent(channel, &frames::write(&read).unwrap()), bytes, "{name}: writing what was read");
+    assert_eq!(sent(channel, &encode(message).unwrap()), bytes, "{name}: writing");
+    let decoded: T = decode(&received(channel, &bytes)).unwrap();
+    assert_eq!(&decoded, message, "{name}: reading");
+    assert_eq!(sent(channel, &encode(&decoded).unwrap()), bytes, "{name}: writing what was read");
 }
 
 fn report() -> Report {
-    let refusal = Refusal { key: Key::new(Topic::Fleet, "settings"), version: Index(299), why: "no".into() };
+    let key = Key::new(Topic::Fleet, "settings");
+    let rejection = Rejection { key, version: Index(299), reason: "no".into() };
     Report {
         relay: "control-1".into(),
-        number: 1 << 50,
+        sequence: 1 << 50,
         applied: Index(300),
-        fronts: 3,
-        behind: 1,
-        worst: vec![Lag { front: "front-9".into(), owes: Index(298), why: "slow".into() }],
-        refusing: 1,
-        refused: vec![("front-8".into(), refusal)],
+        gateways: 3,
+        lagging: 1,
+        lags: vec![Lag { gateway: "front-9".into(), first_pending: Index(298), reason: "slow".into() }],
+        rejecting: 1,
+        rejections: vec![GatewayRejection { gateway: "front-8".into(), rejection }],
     }
 }
 
-fn measures() -> Measures {
-    let seen = Seen {
-        hall: "h-1".into(),
-        listed: true,
-        died: false,
-        cold: true,
-        out: 300,
-        last_send: Some(1_000_000),
+fn measurements() -> Measurements {
+    let backend = BackendMeasurement {
+        zone: "h-1".into(),
+        is_listed: true,
+        is_dead: false,
+        is_warming_up: true,
+        in_flight: 300,
+        since_last_send_us: Some(1_000_000),
         units: 70_000,
-        failed: true,
+        has_failed: true,
     };
-    Measures {
-        whole: true,
-        boxes: [("b-1".into(), seen), ("b-2".into(), Seen::default())].into(),
-        reserved: 5_000,
-        volumes: [("00000000000000ff".into(), (4_000, [("b-1".into(), 2_000)].into()))].into(),
+    let volume = VolumeMeasurement { used: 4_000, servable_by: [("b-1".into(), 2_000)].into() };
+    Measurements {
+        is_complete: true,
+        backends: [("b-1".into(), backend), ("b-2".into(), BackendMeasurement::default())].into(),
+        max_reservation: 5_000,
+        volumes: [("00000000000000ff".into(), volume)].into(),
     }
 }
 
 #[test]
 fn frames_between_members_keep_their_bytes() {
     let last = consensus::LogPosition { term: 6, index: 200 };
-    let log = Frame::Log { life: 1 << 40, message: consensus::Message::VoteRequest { term: 7, last } };
-    check_frame("frame.hello", MEMBERS, &Frame::Hello);
-    check_frame("frame.log", MEMBERS, &log);
-    check_frame("frame.forward", MEMBERS, &Frame::Forward { ticket: 300, what: What::Order(order()) });
-    let measured = Frame::Measured { asked: 1 << 41, seen: Index(300), measures: Box::new(measures()) };
-    check_frame("frame.measured", MEMBERS, &measured);
-    check_frame("frame.lease", MEMBERS, &Frame::Lease { asked: 1 << 41, span: 3_000_000 });
-    check_frame("frame.reports", MEMBERS, &Frame::Reports(vec![report()]));
+    let log = Frame::Log { incarnation: 1 << 40, message: consensus::Message::VoteRequest { term: 7, last } };
+    check_frame("frame.hello", MEMBER_CHANNEL, &Frame::Hello);
+    check_frame("frame.log", MEMBER_CHANNEL, &log);
+    check_frame(
+        "frame.forward",
+        MEMBER_CHANNEL,
+        &Frame::Forward { ticket: 300, command: Command::ChangeConfig(config_change()) },
+    );
+    let measured = Frame::Measured {
+        requested_at: 1 << 41,
+        applied_index: Index(300),
+        measurements: Box::new(measurements()),
+    };
+    check_frame("frame.measured", MEMBER_CHANNEL, &measured);
+    check_frame("frame.lease", MEMBER_CHANNEL, &Frame::Lease { requested_at: 1 << 41, span_us: 3_000_000 });
+    check_frame("frame.reports", MEMBER_CHANNEL, &Frame::Reports(vec![report()]));
 }
 
 #[test]
 fn frames_between_relays_and_subscribers_keep_their_bytes() {
-    check_frame("relay.next", RELAYS, &ToRelay::Next);
-    check_frame("relay.later", RELAYS, &FromRelay::Later);
+    check_frame("relay.next", DISTRIBUTION_CHANNEL, &SubscriberMessage::NextChunk);
+    check_frame("relay.later", DISTRIBUTION_CHANNEL, &RelayMessage::RetryLater);
     let hello = file("relay.hello");
-    assert_eq!(sent(RELAYS, &[]), hello);
-    assert_eq!(received(RELAYS, &hello), b"");
+    assert_eq!(sent(DISTRIBUTION_CHANNEL, &[]), hello);
+    assert_eq!(received(DISTRIBUTION_CHANNEL, &hello), b"");
 }
 
 #[test]
 fn entries_of_the_state_machine_keep_their_bytes() {
-    for (number, (name, by, what)) in (1..).zip(entries()) {
-        let entry = Entry { at_ms: 1_700_000_000_000 + number, by: member(by), ticket: 299 + number, what };
+    for (number, (name, by, command)) in (1..).zip(entries()) {
+        let entry =
+            Entry { at_ms: 1_700_000_000_000 + number, by: member(by), ticket: 299 + number, command };
         let bytes = file(&format!("entry.{name}"));
         assert_eq!(postcard::to_stdvec(&entry).unwrap(), bytes, "{name}: writing");
         let read: Entry = postcard::from_bytes(&bytes).unwrap();
@@ -130,18 +138,18 @@
 
 #[test]
 fn snapshots_of_the_state_machine_keep_their_bytes() {
-    let mut ledger = Ledger::new();
+    let mut state = StateMachine::new();
     for (number, (name, ..)) in (1..).zip(entries()) {
-        ledger.apply(Index(number), &file(&format!("entry.{name}")));
+        state.apply(Index(number), &file(&format!("entry.{name}")));
         if !["drained.other", "staged", "tick", "config_change"].contains(&name) {
             continue;
         }
         let golden = file(&format!("snapshot.{name}"));
-        assert_eq!(ledger.snapshot().unwrap(), golden, "{name}: writing");
-        let read = Ledger::restore(&golden).unwrap();
+        assert_eq!(state.snapshot().unwrap(), golden, "{name}: writing");
+        let read = StateMachine::restore(&golden).unwrap();
         assert_eq!(
-            (read.applied, &read.desk, read.unread),
-            (ledger.applied, &ledger.desk, 0),
+            (read.applied_index, &read.maintenance, read.undecodable_entries),
+            (state.applied_index, &state.maintenance, 0),
             "{name}: reading"
         );
         assert_eq!(read.snapshot().unwrap(), golden, "{name}: writing what was read");
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -3,9 +3,9 @@
 mod golden_support;
 
 use cluster_types::Index;
-use coordination::log_thread::operator_calls as calls;
-use coordination::network_thread::framing as links;
-use coordination::state_machine::machine::Ledger;
+use coordination::log_thread::status::{maintenance_text, status_text, Status};
+use coordination::network_thread::{LinkCounters, MembershipView};
+use coordination::state_machine::StateMachine;
 use golden_support::entries::entries;
 use golden_support::golden;
 use maintenance::{BackendOutcome, MaintenanceRequest, Rejection, RequestStatus};
@@ -15,13 +15,7 @@
     std::fs::read(golden(&format!("{name}.bin"))).unwrap_or_default()
 }
 
-#[test]
-fn status_for_operators_keeps_its_text() {
-    let mut ledger = Ledger::new();
-    for (number, (name, ..)) in (1..=6).zip(entries()) {
-        ledger.apply(Index(number), &file(&format!("entry.{name}")));
-    }
-    ledger.unread = 3;
+fn membership_view() -> MembershipView {
     let member = |number, state| membership::Member {
         member: golden_support::member(number),
         zone: "h-1".into(),
@@ -30,13 +24,13 @@
         incarnation: 6,
         state,
     };
-    let all = [
+    let members = vec![
         member(1, membership::MemberState::Alive),
         member(2, membership::MemberState::Suspect),
         member(3, membership::MemberState::Dead),
         member(4, membership::MemberState::Left),
     ];
-    let figures = membership::Counters {
+    let counters = membership::Counters {
         probes_started: 1,
         probes_failed: 2,
         refutations: 3,
@@ -55,16 +49,33 @@
     };
     let verdict =
         membership::Verdict { score: 0.456, sources: 2, newest_age: None, kinds: Default::default() };
-    let doubts = [
+    let doubts = vec![
         (membership::Subject::Backend("b-1".into()), verdict.clone()),
         (membership::Subject::Zone("h-1".into()), verdict),
     ];
-    let frames = links::Counts::default();
-    let counters = [&frames.refused, &frames.unread, &frames.full, &frames.lost, &frames.crowded];
+    MembershipView { members, doubts, counters }
+}
+
+#[test]
+fn status_matches_its_golden_text() {
+    let mut state = StateMachine::new();
+    for (number, (name, ..)) in (1..=6).zip(entries()) {
+        state.apply(Index(number), &file(&format!("entry.{name}")));
+    }
+    state.undecodable_entries = 3;
+    let view = membership_view();
+    let frames = LinkCounters::default();
+    let counters = [
+        &frames.rejected_frames,
+        &frames.undecodable_frames,
+        &frames.dropped_frames,
+        &frames.lost_frames,
+        &frames.rejected_connections,
+    ];
     for (counter, value) in counters.into_iter().zip(21..) {
         counter.store(value, std::sync::atomic::Ordering::Relaxed);
     }
-    let refused = consensus::Counters {
+    let raft_counters = consensus::Counters {
         unknown_sender: 31,
         unadmitted_incarnation: 32,
         stale: 33,
@@ -81,19 +92,17 @@
         (consensus::Role::Leader, Some(golden_support::member(1))),
     ];
     let texts = roles.map(|(role, leader)| {
-        calls::standing(&calls::Standing {
+        status_text(&Status {
             me: &golden_support::member(1),
             role,
             term: 7,
             leader: leader.as_ref(),
-            commit: Index(9),
-            leased: role == consensus::Role::Leader,
-            members: &all,
-            figures: &figures,
-            doubts: &doubts,
-            frames: &frames,
-            refused,
-            ledger: &ledger,
+            commit_index: Index(9),
+            has_lease: role == consensus::Role::Leader,
+            view: &view,
+            link_counters: &frames,
+            raft_counters,
+            state: &state,
         })
     });
     let golden = std::fs::read_to_string(golden("status.txt")).unwrap_or_default();
@@ -101,8 +110,8 @@
 }
 
 #[test]
-fn maintenance_status_for_operators_keeps_its_text() {
-    let fates = [
+fn maintenance_status_matches_its_golden_text() {
+    let outcomes = [
         ("b-1", BackendOutcome::Waiting),
         ("b-2", BackendOutcome::Granted(Index(300))),
         ("b-3", BackendOutcome::Returned),
@@ -112,7 +121,7 @@
     ];
     let request = MaintenanceRequest {
         index: Index(5),
-        backends: fates.map(|(id, fate)| (id.into(), fate)).into(),
+        backends: outcomes.map(|(id, outcome)| (id.into(), outcome)).into(),
         work_ms: 1,
         deadline_ms: None,
         all_at_once: false,
@@ -122,5 +131,5 @@
     let waiting_reason = Some(Rejection::NoMemberPresent);
     let status = RequestStatus { name: "w-1".into(), request, undrained_members, waiting_reason };
     let golden = std::fs::read_to_string(golden("maintenance_status.txt")).unwrap_or_default();
-    assert_eq!(calls::words(&status), golden);
+    assert_eq!(maintenance_text(&status), golden);
 }
--- a/crates/coordination/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -7,15 +7,14 @@
 
 use cluster_types::Index;
 use consensus::{Entry, HardState, LogPosition, Payload, Snapshot, Vote, WriteBatch};
-use coordination::storage_thread::store::{Change, Content, Disk};
-use coordination::storage_thread::writer as store;
-use golden_support::{golden, kept};
+use coordination::storage_thread::{change_of, stored_state, Store, StoreChange, StoreContent};
+use golden_support::{golden, persisted_orders};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
 
-const LIFE: u64 = 1 << 40;
+const INCARNATION: u64 = 1 << 40;
 const META: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("meta");
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 
@@ -45,58 +44,63 @@
     Entry { index: Index(index), term: 7, payload }
 }
 
-fn hard(commit: u64) -> HardState {
+fn hard_state(commit: u64) -> HardState {
     HardState {
         term: 7,
-        vote: Some(Vote { candidate: "front-2".into(), incarnation: LIFE }),
+        vote: Some(Vote { candidate: "front-2".into(), incarnation: INCARNATION }),
         commit: Index(commit),
     }
 }
 
 fn snapshot() -> Snapshot {
-    let lives = [("front-1".into(), LIFE), ("front-2".into(), 300)].into();
-    Snapshot {
-        last: LogPosition { term: 7, index: 2 },
-        incarnations: lives,
-        data: b"state".as_slice().into(),
-    }
+    let incarnations = [("front-1".into(), INCARNATION), ("front-2".into(), 300)].into();
+    Snapshot { last: LogPosition { term: 7, index: 2 }, incarnations, data: b"state".as_slice().into() }
 }
 
 /// The writes of a member: entries, one of them written again, a snapshot that takes the place of two, and what the front keeps.
-fn write_all(disk: &Disk) {
-    let founding = Payload::Bootstrap(snapshot().incarnations);
+fn write_all(store: &Store) {
+    let bootstrap = Payload::Bootstrap(snapshot().incarnations);
     let readmit = Payload::Readmit { member: "front-2".into(), incarnation: 300 };
     let data = Payload::Data([0, 127, 255].as_slice().into());
     let append = vec![
-        entry(1, founding),
+        entry(1, bootstrap),
         entry(2, Payload::Noop),
         entry(3, readmit),
         entry(4, Payload::Noop),
         entry(5, data.clone()),
     ];
-    let first = WriteBatch { id: 1, hard_state: hard(1), truncate_from: None, snapshot: None, append };
+    let first = WriteBatch { id: 1, hard_state: hard_state(1), truncate_from: None, snapshot: None, append };
     let append = vec![entry(4, data), entry(5, Payload::Noop)];
-    let second =
-        WriteBatch { id: 2, hard_state: hard(2), truncate_from: Some(Index(4)), snapshot: None, append };
+    let second = WriteBatch {
+        id: 2,
+        hard_state: hard_state(2),
+        truncate_from: Some(Index(4)),
+        snapshot: None,
+        append,
+    };
     let third = WriteBatch {
         id: 3,
-        hard_state: hard(4),
+        hard_state: hard_state(4),
         truncate_from: None,
         snapshot: Some(snapshot()),
         append: vec![],
     };
     for batch in [first, second, third] {
-        disk.write(&store::change(&batch).unwrap()).unwrap();
+        store.write(&change_of(&batch).unwrap()).unwrap();
     }
-    let kept = Some(postcard::to_stdvec(&kept()).unwrap());
-    disk.write(&Change { kept, ..Change::default() }).unwrap();
+    let orders = Some(postcard::to_stdvec(&persisted_orders()).unwrap());
+    store.write(&StoreChange { local_state: orders, ..StoreChange::default() }).unwrap();
 }
 
-fn check_content(content: &Content) {
-    let kept: maintenance::PersistedOrders = postcard::from_bytes(content.kept.as_deref().unwrap()).unwrap();
-    assert_eq!(kept, golden_support::kept());
-    let stored = store::stored(content).unwrap();
-    assert_eq!((stored.incarnation, &stored.hard_state, stored.snapshot), (LIFE, &hard(4), Some(snapshot())));
+fn check_content(content: &StoreContent) {
+    let orders: maintenance::PersistedOrders =
+        postcard::from_bytes(content.local_state.as_deref().unwrap()).unwrap();
+    assert_eq!(orders, persisted_orders());
+    let stored = stored_state(content).unwrap();
+    assert_eq!(
+        (stored.incarnation, &stored.hard_state, stored.snapshot),
+        (INCARNATION, &hard_state(4), Some(snapshot()))
+    );
     let readmit = Payload::Readmit { member: "front-2".into(), incarnation: 300 };
     let data = Payload::Data([0, 127, 255].as_slice().into());
     assert_eq!(stored.entries, [entry(3, readmit), entry(4, data), entry(5, Payload::Noop)]);
@@ -105,11 +109,14 @@
 #[test]
 fn new_store_holds_the_same_keys_and_values() {
     let folder = tempfile::tempdir().unwrap();
-    let disk = Disk::open(folder.path(), LIFE).unwrap();
-    assert_eq!(disk.start(Duration::from_millis(1_700_000_000_000)).unwrap(), 1_700_000_000_000 << 20);
-    write_all(&disk);
-    check_content(&disk.read().unwrap());
-    drop(disk);
+    let store = Store::open(folder.path(), INCARNATION).unwrap();
+    assert_eq!(
+        store.next_process_incarnation(Duration::from_millis(1_700_000_000_000)).unwrap(),
+        1_700_000_000_000 << 20
+    );
+    write_all(&store);
+    check_content(&store.read().unwrap());
+    drop(store);
     let text = std::fs::read_to_string(golden("accord.redb.txt")).unwrap_or_default();
     assert_eq!(dump(&folder.path().join("accord.redb")), text);
 }
@@ -121,15 +128,15 @@
     std::fs::copy(golden("accord.redb"), &file).unwrap();
     let text = std::fs::read_to_string(golden("accord.redb.txt")).unwrap();
     assert_eq!(dump(&file), text);
-    let disk = Disk::open(folder.path(), 99).unwrap();
-    check_content(&disk.read().unwrap());
+    let store = Store::open(folder.path(), 99).unwrap();
+    check_content(&store.read().unwrap());
     // All of it written again, over what is there, is the same.
-    disk.write(&Change { truncate: Some(0), ..Change::default() }).unwrap();
-    write_all(&disk);
-    check_content(&disk.read().unwrap());
-    drop(disk);
+    store.write(&StoreChange { truncate_from: Some(0), ..StoreChange::default() }).unwrap();
+    write_all(&store);
+    check_content(&store.read().unwrap());
+    drop(store);
     assert_eq!(dump(&file), text);
-    let disk = Disk::open(folder.path(), 99).unwrap();
-    let next = disk.start(Duration::from_millis(1_600_000_000_000)).unwrap();
+    let store = Store::open(folder.path(), 99).unwrap();
+    let next = store.next_process_incarnation(Duration::from_millis(1_600_000_000_000)).unwrap();
     assert_eq!(next, (1_700_000_000_000 << 20) + 1, "above the stored one");
 }
--- a/crates/coordination/tests/golden_support/entries.rs
+++ b/crates/coordination/tests/golden_support/entries.rs
@@ -1,12 +1,12 @@
 //! Entries of the replicated state machine, one of each kind.
 use super::member;
 use cluster_types::{BackendId, Index};
-use config_distribution::{Class, Key, Order, Put, Topic};
-use coordination::state_machine::machine::What;
-use maintenance::{BoxFact, Command, Presence, Rules, VolumeFact};
+use config_distribution::{Class, Key, Put, Topic, WriteBatch};
+use coordination::state_machine::Command;
+use maintenance::{BackendFacts, Presence, Rules, VolumeFacts};
 
-/// An order with a key of each topic.
-pub fn order() -> Order {
+/// A write batch with a key of each topic.
+pub fn config_change() -> WriteBatch {
     let put = |topic, name, class, value: Option<&[u8]>| Put {
         class,
         key: Key::new(topic, name),
@@ -19,59 +19,78 @@
         put(Topic::Shard(300), "primary", Class::Primary, Some(b"b-1")),
         put(Topic::Volume("00000000000000ff".into()), "plan", Class::Configuration, Some(&[0, 255])),
     ];
-    Order { puts }
+    WriteBatch { puts }
 }
 
-/// One entry of each kind, in an order in which applying them makes the state hold something of everything.
-pub fn entries() -> Vec<(&'static str, u8, What)> {
-    let boxes: std::collections::BTreeSet<BackendId> = ["b-1".into()].into();
+fn observe() -> maintenance::Command {
+    let fact = BackendFacts { zone: "h-1".into(), is_listed: true, has_failed: false, is_warming_up: false };
+    let volume = VolumeFacts { reserved: 100, backends: [("b-1".into(), 400), ("b-2".into(), 300)].into() };
+    maintenance::Command::Observe {
+        seen: Index(3),
+        is_complete: true,
+        backends: [("b-1".into(), fact.clone()), ("b-2".into(), fact)].into(),
+        volumes: [("00000000000000ff".into(), volume)].into(),
+    }
+}
+
+/// One command of maintenance of each kind, with its name and the member that sends it.
+fn maintenance_commands() -> [(&'static str, u8, maintenance::Command); 17] {
+    let backends: std::collections::BTreeSet<BackendId> = ["b-1".into()].into();
     let (name, id): (String, BackendId) = ("w-1".into(), "b-1".into());
-    let rules = Rules { out: 2, out_hall: 1, out_volume: 1, ..Rules::default() };
-    let fact = BoxFact { hall: "h-1".into(), listed: true, died: false, cold: false };
-    let volume = VolumeFact { reserved: 100, boxes: [("b-1".into(), 400), ("b-2".into(), 300)].into() };
-    let present =
-        |number| Command::Roster { member: member(number), presence: Presence::Present { life: 5 } };
-    let wish = Command::Wish {
+    let rules = Rules { max_out: 2, max_out_per_zone: 1, max_out_per_volume: 1, ..Rules::default() };
+    let present = |number| maintenance::Command::SetPresence {
+        member: member(number),
+        presence: Presence::Present { incarnation: 5 },
+    };
+    let request = maintenance::Command::Request {
         name: name.clone(),
-        boxes: boxes.clone(),
+        backends: backends.clone(),
         work_ms: 60_000,
-        by_ms: Some(1_800_000_000_000),
-        together: false,
+        deadline_ms: Some(1_800_000_000_000),
+        all_at_once: false,
     };
-    let observe = Command::Observe {
-        seen: Index(3),
-        whole: true,
-        boxes: [("b-1".into(), fact.clone()), ("b-2".into(), fact)].into(),
-        volumes: [("00000000000000ff".into(), volume)].into(),
-    };
-    let stage = Command::Stage {
-        id: id.clone(),
+    let stage = maintenance::Command::SetStage {
+        backend: id.clone(),
         after: Index(9),
         stage: 0,
-        parts: [(member(1), 125), (member(2), 125)].into(),
+        quotas: [(member(1), 125), (member(2), 125)].into(),
     };
-    let commands = [
-        ("rules", 1, Command::Rules(rules)),
+    [
+        ("rules", 1, maintenance::Command::SetRules(rules)),
         ("roster.present", 1, present(1)),
         ("roster.present.other", 2, present(2)),
-        ("observe", 1, observe),
-        ("maintenance_request", 1, wish),
-        ("grant", 1, Command::Grant { name: name.clone(), boxes }),
-        ("drained", 1, Command::Drained { grant: Index(6), member: member(1) }),
-        ("drained.other", 2, Command::Drained { grant: Index(6), member: member(2) }),
-        ("returned", 1, Command::Returned { name: name.clone(), id: id.clone() }),
+        ("observe", 1, observe()),
+        ("maintenance_request", 1, request),
+        ("grant", 1, maintenance::Command::Grant { name: name.clone(), backends }),
+        ("drained", 1, maintenance::Command::ReportDrained { grant: Index(6), member: member(1) }),
+        ("drained.other", 2, maintenance::Command::ReportDrained { grant: Index(6), member: member(2) }),
+        ("returned", 1, maintenance::Command::ReturnBackend { name: name.clone(), backend: id.clone() }),
         ("stage", 1, stage),
-        ("staged", 1, Command::Staged { id: id.clone(), number: Index(10), member: member(1) }),
-        ("warm", 1, Command::Warm { id, number: Index(10) }),
-        ("withdraw", 1, Command::Withdraw { name: name.clone() }),
-        ("done", 1, Command::Done { name }),
-        ("declare_left", 1, Command::Excuse { member: member(2) }),
-        ("roster.left", 1, Command::Roster { member: member(1), presence: Presence::Left }),
-        ("tick", 1, Command::Tick),
-    ];
-    let mut all: Vec<_> =
-        commands.into_iter().map(|(name, by, command)| (name, by, What::Maintenance(command))).collect();
-    all.push(("create_catalogue", 1, What::Founding));
-    all.push(("config_change", 1, What::Order(order())));
+        (
+            "staged",
+            1,
+            maintenance::Command::AcknowledgeStage {
+                backend: id.clone(),
+                step: Index(10),
+                member: member(1),
+            },
+        ),
+        ("warm", 1, maintenance::Command::CompleteRecovery { backend: id, step: Index(10) }),
+        ("withdraw", 1, maintenance::Command::Withdraw { name: name.clone() }),
+        ("done", 1, maintenance::Command::Finish { name }),
+        ("declare_left", 1, maintenance::Command::DeclareDead { member: member(2) }),
+        ("roster.left", 1, maintenance::Command::SetPresence { member: member(1), presence: Presence::Left }),
+        ("tick", 1, maintenance::Command::Tick),
+    ]
+}
+
+/// One entry of each kind, in an order in which applying them makes the state hold something of everything.
+pub fn entries() -> Vec<(&'static str, u8, Command)> {
+    let mut all: Vec<_> = maintenance_commands()
+        .into_iter()
+        .map(|(name, by, command)| (name, by, Command::Maintenance(command)))
+        .collect();
+    all.push(("create_catalogue", 1, Command::CreateCatalogue));
+    all.push(("config_change", 1, Command::ChangeConfig(config_change())));
     all
 }
--- a/crates/coordination/tests/golden_support/mod.rs
+++ b/crates/coordination/tests/golden_support/mod.rs
@@ -12,23 +12,23 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// What a front keeps of two orders of the replicated state, by way of the machine that writes it.
+/// What a member persists of two orders of the replicated state, as its state machine writes it.
 #[allow(dead_code, reason = "used by the tests of the store alone")]
-pub fn kept() -> PersistedOrders {
+pub fn persisted_orders() -> PersistedOrders {
     let mut actions = Vec::new();
     let now = cluster_types::Time(1_000_000);
-    let mut front = MemberAgent::new(Duration::from_millis(250), None, now, &mut actions);
-    front.handle(now, Event::LeaseRenewed { until: now + Duration::from_secs(9) }, &mut actions);
+    let mut agent = MemberAgent::new(Duration::from_millis(250), None, now, &mut actions);
+    agent.handle(now, Event::LeaseRenewed { until: now + Duration::from_secs(9) }, &mut actions);
     let orders = [
         ("b-1".into(), MemberOrder::Drain { grant: Index(300), is_reported: false }),
         ("b-2".into(), MemberOrder::Ramp { step: Index(301), permille: 250, is_reported: true }),
     ];
-    front.handle(now, Event::Orders { index: Index(302), orders: orders.into() }, &mut actions);
-    let kept = actions.into_iter().filter_map(|action| match action {
+    agent.handle(now, Event::Orders { index: Index(302), orders: orders.into() }, &mut actions);
+    let persisted = actions.into_iter().filter_map(|action| match action {
         Action::Persist { orders, .. } => Some(orders),
         _ => None,
     });
-    kept.last().expect("it keeps what it was ordered")
+    persisted.last().expect("it persists what it was ordered")
 }
 
 /// A member of the tests.
--- a/crates/coordination/tests/saved_config.rs
+++ b/crates/coordination/tests/saved_config.rs
@@ -1,17 +1,15 @@
-//! What a front keeps of the changes that it has put in force is written in the end, though the folder takes nothing for a
+//! The configuration that a subscriber saves is replaced whole, and is written in the end though the folder accepts nothing for a
 //! while.
 #![allow(clippy::unwrap_used)]
-#[path = "../src/distribution/saved_config.rs"]
-#[allow(dead_code, reason = "the host uses the rest")]
-mod keep;
-
+use coordination::distribution::saved_config::{read, run, write};
+use std::fs;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-fn kept_within(folder: &Path, want: &[u8], patience: Duration) -> bool {
-    let end = Instant::now() + patience;
+fn is_saved_within(folder: &Path, expected: &[u8], timeout: Duration) -> bool {
+    let end = Instant::now() + timeout;
     while Instant::now() < end {
-        if std::fs::read(folder.join("changes.kept")).is_ok_and(|bytes| bytes == want) {
+        if fs::read(folder.join("changes.kept")).is_ok_and(|bytes| bytes == expected) {
             return true;
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -20,23 +18,35 @@
 }
 
 #[test]
-fn what_could_not_be_written_is_written_later_and_the_newest_counts() {
+fn writes_the_newest_once_the_folder_accepts_it() {
     let folder = tempfile::tempdir().unwrap();
-    // A folder that is not there takes nothing.
+    // A folder that does not exist accepts nothing.
     let missing = folder.path().join("state");
-    let (to, from) = async_channel::bounded(1);
+    let (sender, mailbox) = async_channel::bounded(1);
     let at = missing.clone();
-    let writer = std::thread::spawn(move || keep::run(&at, &from, |_| {}));
-    to.send_blocking(b"one".to_vec()).unwrap();
+    let writer = std::thread::spawn(move || run(&at, &mailbox, |_| {}));
+    sender.send_blocking(b"one".to_vec()).unwrap();
     std::thread::sleep(Duration::from_millis(300));
-    std::fs::create_dir(&missing).unwrap();
-    assert!(kept_within(&missing, b"one", Duration::from_secs(3)), "nothing newer has come");
-    std::fs::remove_dir_all(&missing).unwrap();
-    to.send_blocking(b"two".to_vec()).unwrap();
+    fs::create_dir(&missing).unwrap();
+    assert!(is_saved_within(&missing, b"one", Duration::from_secs(3)), "nothing newer has arrived");
+    fs::remove_dir_all(&missing).unwrap();
+    sender.send_blocking(b"two".to_vec()).unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    to.send_blocking(b"three".to_vec()).unwrap();
-    std::fs::create_dir(&missing).unwrap();
-    assert!(kept_within(&missing, b"three", Duration::from_secs(3)));
-    drop(to);
+    sender.send_blocking(b"three".to_vec()).unwrap();
+    fs::create_dir(&missing).unwrap();
+    assert!(is_saved_within(&missing, b"three", Duration::from_secs(3)));
+    drop(sender);
     writer.join().unwrap();
 }
+
+#[test]
+fn reads_what_was_written_last_and_removes_unfinished_files() {
+    let folder = tempfile::tempdir().unwrap();
+    let state_dir = folder.path().join("state");
+    assert!(read(&state_dir).unwrap().is_none());
+    write(&state_dir, b"one").unwrap();
+    write(&state_dir, b"two").unwrap();
+    fs::write(state_dir.join("changes.kept.1"), b"thr").unwrap();
+    assert_eq!(read(&state_dir).unwrap().unwrap(), b"two");
+    assert_eq!(fs::read_dir(&state_dir).unwrap().count(), 1, "what was left is removed");
+}
--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -4,8 +4,8 @@
 use async_io::Timer;
 use cluster_types::Index;
 use config_distribution::{Class, GatewayRejection, Key, Put, Rejection, RolloutStatus, Topic, WriteBatch};
-use coordination::distribution::{Query, State, Told};
-use coordination::{Call, ToAccord};
+use coordination::distribution::{DistributionStatus, Query, QueryResponse};
+use coordination::{CoordinationMessage, OperatorCall, OperatorResponse};
 use futures_lite::future;
 use serde::Deserialize;
 use serde_json::{json, Value};
@@ -88,14 +88,14 @@
     match (method, rest.strip_prefix('/').filter(|n| !n.is_empty()), coordination) {
         ("POST", None, Some(coordination)) if config_overlay.votes => order(coordination, body).await,
         ("POST", None, _) => {
-            let what = if config_overlay.handle.control() { "a relay" } else { "a front" };
+            let what = if config_overlay.handle.serves_subscribers() { "a relay" } else { "a front" };
             let why =
                 format!("this is {what} and has no vote: order where [accord] and changes.listen are\n");
             http::answer(409, "Conflict", &why)
         }
-        ("GET", None, _) => ask(config_overlay, Query::State).await,
+        ("GET", None, _) => ask(config_overlay, Query::Status).await,
         ("GET", Some(version), _) => match version.parse() {
-            Ok(version) => ask(config_overlay, Query::Where(Index(version))).await,
+            Ok(version) => ask(config_overlay, Query::Rollout(Index(version))).await,
             Err(_) => http::answer(400, "Bad Request", "version: must be a number\n"),
         },
         _ => http::answer(405, "Method Not Allowed", "GET the state, POST what changes it\n"),
@@ -116,16 +116,16 @@
         Err(why) => return http::answer(400, "Bad Request", &format!("{why}\n")),
     };
     let (to, from) = async_channel::bounded(1);
-    if !coordination.tell(ToAccord::Call(Call::Change(order), to)) {
+    if !coordination.send(CoordinationMessage::Call(OperatorCall::ChangeConfig(order), to)) {
         return http::answer(503, "Service Unavailable", "too many calls wait\n");
     }
     match within(async { from.recv().await.ok() }).await {
-        Some(coordination::Told::Yes(version)) => {
+        Some(OperatorResponse::Done(version)) => {
             http::answer(200, "OK", &format!("{{\"version\":{version}}}\n"))
         }
-        Some(coordination::Told::Unknown(why)) => http::answer(400, "Bad Request", &why),
-        Some(coordination::Told::No(why)) => http::answer(409, "Conflict", &why),
-        Some(coordination::Told::Late(_)) | None => {
+        Some(OperatorResponse::NotFound(why)) => http::answer(400, "Bad Request", &why),
+        Some(OperatorResponse::Rejected(why)) => http::answer(409, "Conflict", &why),
+        Some(OperatorResponse::Unsettled(_)) | None => {
             let why = "no majority of the voters could be reached: it may come yet; ordering it again does no harm\n";
             http::answer(503, "Service Unavailable", why)
         }
@@ -136,11 +136,11 @@
     let (to, from) = async_channel::bounded(1);
     let asked = config_overlay.handle.ask(query, to);
     match within(async { from.recv().await.ok().filter(|_| asked) }).await {
-        Some(Told::Where(told)) => http::answer(200, "OK", &format!("{}\n", not_yet(&told))),
-        Some(Told::State(told)) => {
+        Some(QueryResponse::Rollout(told)) => http::answer(200, "OK", &format!("{}\n", not_yet(&told))),
+        Some(QueryResponse::Status(told)) => {
             http::answer(200, "OK", &format!("{}\n", state(&told, config_overlay.passed_over())))
         }
-        Some(Told::Elsewhere(relays)) => {
+        Some(QueryResponse::AskRelays(relays)) => {
             let why = format!("this is a front and knows of no others: ask {}\n", relays.join(" or "));
             http::answer(409, "Conflict", &why)
         }
@@ -171,16 +171,16 @@
     })
 }
 
-fn state(told: &State, passed_over: u64) -> Value {
+fn state(told: &DistributionStatus, passed_over: u64) -> Value {
     let counts: serde_json::Map<String, Value> =
-        told.counts.iter().map(|(what, count)| (what.to_string(), json!(count))).collect();
+        told.counters.iter().map(|(what, count)| (what.to_string(), json!(count))).collect();
     json!({
         "role": told.role,
-        "lineage": told.lineage,
-        "upto": told.upto.0,
+        "lineage": told.log_id,
+        "upto": told.decided_up_to.0,
         "follows": told.follows.as_ref().map(|relay| &*relay.0),
-        "heard_s": told.heard.map(|span| (span.as_secs_f64() * 1000.0).round() / 1000.0),
-        "refused": told.refused.iter().map(refusal).collect::<Vec<_>>(),
+        "heard_s": told.since_relay_message.map(|span| (span.as_secs_f64() * 1000.0).round() / 1000.0),
+        "refused": told.rejections.iter().map(refusal).collect::<Vec<_>>(),
         "passed_over": passed_over,
         "counts": counts,
     })
--- a/crates/gateway/src/admin/coordination_calls.rs
+++ b/crates/gateway/src/admin/coordination_calls.rs
@@ -1,7 +1,7 @@
 //! Operators' calls about what the fronts settle among themselves.
 use async_io::Timer;
 use cluster_types::{BackendId, MemberId};
-use coordination::{Call, Handle, ToAccord, Told};
+use coordination::{CoordinationMessage, Handle, OperatorCall, OperatorResponse};
 use futures_lite::future;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -23,19 +23,23 @@
         Err((_, why)) => return http::answer(400, "Bad Request", &why),
     };
     let (to, from) = async_channel::bounded(1);
-    if !handle.tell(ToAccord::Call(call, to)) {
+    if !handle.send(CoordinationMessage::Call(call, to)) {
         return http::answer(503, "Service Unavailable", "too many calls wait\n");
     }
     let late = async {
         Timer::after(TIMEOUT).await;
-        Told::Late("no answer in time: ask again under the same name\n".into())
+        OperatorResponse::Unsettled("no answer in time: ask again under the same name\n".into())
     };
-    match future::or(async { from.recv().await.unwrap_or(Told::Late("the front ends\n".into())) }, late).await
+    match future::or(
+        async { from.recv().await.unwrap_or(OperatorResponse::Unsettled("the front ends\n".into())) },
+        late,
+    )
+    .await
     {
-        Told::Yes(text) => http::answer(200, "OK", &text),
-        Told::Unknown(text) => http::answer(404, "Not Found", &text),
-        Told::No(text) => http::answer(409, "Conflict", &text),
-        Told::Late(text) => http::answer(503, "Service Unavailable", &text),
+        OperatorResponse::Done(text) => http::answer(200, "OK", &text),
+        OperatorResponse::NotFound(text) => http::answer(404, "Not Found", &text),
+        OperatorResponse::Rejected(text) => http::answer(409, "Conflict", &text),
+        OperatorResponse::Unsettled(text) => http::answer(503, "Service Unavailable", &text),
     }
 }
 
@@ -46,23 +50,27 @@
 }
 
 /// What a call asks for: `/v1/accord`, `/v1/accord/wishes/NAME[/withdraw|/done|/returned]`, `/v1/accord/members/NAME/excuse`.
-fn read(method: &str, target: &str) -> Result<Call, Bad> {
+fn read(method: &str, target: &str) -> Result<OperatorCall, Bad> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let words: Vec<String> = path.split('/').skip(3).map(http::unescape).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let query: BTreeMap<String, String> = form_urlencoded::parse(query.as_bytes()).into_owned().collect();
     let get = method == "GET";
     let call = match words.as_slice() {
-        [] | [""] if get => Call::Status,
-        ["wishes", name] if get => Call::Ask { name: name.to_string() },
+        [] | [""] if get => OperatorCall::Status,
+        ["wishes", name] if get => OperatorCall::RequestStatus { name: name.to_string() },
         ["wishes", name] if method == "POST" => wish(name, &query)?,
-        ["wishes", name, "withdraw"] if method == "POST" => Call::Withdraw { name: name.to_string() },
-        ["wishes", name, "done"] if method == "POST" => Call::Done { name: name.to_string() },
+        ["wishes", name, "withdraw"] if method == "POST" => OperatorCall::Withdraw { name: name.to_string() },
+        ["wishes", name, "done"] if method == "POST" => OperatorCall::Done { name: name.to_string() },
         ["wishes", name, "returned"] if method == "POST" => match query.get("box") {
-            Some(id) => Call::Returned { name: name.to_string(), id: BackendId(id.as_str().into()) },
+            Some(id) => {
+                OperatorCall::Returned { name: name.to_string(), backend: BackendId(id.as_str().into()) }
+            }
             None => return bad("box: which one is back?"),
         },
-        ["members", name, "excuse"] if method == "POST" => Call::Excuse { member: MemberId((*name).into()) },
+        ["members", name, "excuse"] if method == "POST" => {
+            OperatorCall::DeclareDead { member: MemberId((*name).into()) }
+        }
         []
         | [""]
         | ["wishes", _]
@@ -76,7 +84,7 @@
     Ok(call)
 }
 
-fn wish(name: &str, query: &BTreeMap<String, String>) -> Result<Call, Bad> {
+fn wish(name: &str, query: &BTreeMap<String, String>) -> Result<OperatorCall, Bad> {
     const KEYS: [&str; 4] = ["boxes", "work_s", "by_s", "together"];
     if let Some(key) = query.keys().find(|k| !KEYS.contains(&k.as_str())) {
         return bad(format!("{key}: unknown; a wish has boxes, work_s, by_s and together"));
@@ -104,7 +112,13 @@
         Some("1") => true,
         Some(_) => return bad("together: must be 0 or 1"),
     };
-    Ok(Call::Wish { name: name.into(), boxes, work_ms, by_ms, together })
+    Ok(OperatorCall::RequestMaintenance {
+        name: name.into(),
+        backends: boxes,
+        work_ms,
+        deadline_ms: by_ms,
+        all_at_once: together,
+    })
 }
 
 #[cfg(test)]
@@ -115,9 +129,15 @@
     fn calls_are_understood_or_refused_in_plain_words() {
         let wish = read("POST", "/v1/accord/wishes/shelf%204?boxes=box-04,box-05&work_s=90&together=1");
         let boxes = ["box-04".into(), "box-05".into()].into();
-        let want = Call::Wish { name: "shelf 4".into(), boxes, work_ms: 90_000, by_ms: None, together: true };
+        let want = OperatorCall::RequestMaintenance {
+            name: "shelf 4".into(),
+            backends: boxes,
+            work_ms: 90_000,
+            deadline_ms: None,
+            all_at_once: true,
+        };
         assert_eq!(wish, Ok(want));
-        assert_eq!(read("GET", "/v1/accord"), Ok(Call::Status));
+        assert_eq!(read("GET", "/v1/accord"), Ok(OperatorCall::Status));
         assert_eq!(read("POST", "/v1/accord").unwrap_err().0, 405);
         assert_eq!(read("GET", "/v1/accord/other").unwrap_err().0, 404);
         for (query, key) in [
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -9,7 +9,7 @@
 use cluster_types::MemberId;
 use config::{Changes, Config};
 use config_distribution::{RateLimit, Scope, Topic};
-use coordination::distribution::{Decide, Handle, Mailbox, Role, Settings, Upstream};
+use coordination::distribution::{ConfigUpdate, Handle, Mailbox, Role, Settings, Upstream};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -39,7 +39,7 @@
     let mut hash = DefaultHasher::new();
     name.hash(&mut hash);
     let turn = hash.finish() as usize;
-    let upstream = |r: &config::Upstream| Upstream { name: MemberId(r.name.as_str().into()), at: r.at };
+    let upstream = |r: &config::Upstream| Upstream { name: MemberId(r.name.as_str().into()), address: r.at };
     let rotated = relays.chunk_by(|_, next| next.equal).flat_map(|equals| {
         let (after, first) = equals.split_at(turn % equals.len());
         first.iter().chain(after).map(upstream)
@@ -53,9 +53,9 @@
     let topics = topics.chain(section.shards.iter().map(|of| Topic::Shard(*of)));
     let topics = topics.chain(section.volumes.iter().map(|of| Topic::Volume(of.as_str().into())));
     let role = match section.listen {
-        Some(at) if config.accord.is_some() => Role::Voter(at),
-        Some(at) => Role::Relay(at),
-        None => Role::Front(Scope::of(topics), section.state.clone()),
+        Some(at) if config.accord.is_some() => Role::Voter { listen: at },
+        Some(at) => Role::Relay { listen: at },
+        None => Role::Subscriber { scope: Scope::of(topics), state_dir: section.state.clone() },
     };
     let machine = config_distribution::Settings {
         batch_interval: Duration::from_secs_f64(section.batch_s),
@@ -72,11 +72,11 @@
     Ok(Settings {
         me: MemberId(config.name.as_str().into()),
         role,
-        expects: expects.map(|name| MemberId(name.as_str().into())).collect(),
+        expected_reporters: expects.map(|name| MemberId(name.as_str().into())).collect(),
         relays: in_order(&config.name, &section.relays),
         keys: section.keys().map_err(|e| e.to_string())?,
-        machine,
-        fleet: config.settings.gateways,
+        limits: machine,
+        fleet_size: config.settings.gateways,
         seed: chance(),
     })
 }
@@ -87,9 +87,10 @@
     let config = context.config();
     let Some(section) = &config.changes else { return Err("changes: not in the configuration".into()) };
     let settings = settings(&config, section)?;
-    let votes = matches!(settings.role, Role::Voter(_));
+    let votes = matches!(settings.role, Role::Voter { .. });
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let started = coordination::distribution::start(settings, mailbox, coordination.as_ref(), log)?;
+    let started = coordination::distribution::start(settings, mailbox, coordination.as_ref(), log)
+        .map_err(|e| e.to_string())?;
     let config_overlay = Rc::new(ConfigOverlay {
         context: context.clone(),
         scheduler: scheduler.clone(),
@@ -99,12 +100,12 @@
         values: RefCell::default(),
         passed_over: Cell::new(0),
     });
-    if started.kept {
-        if let Ok(first) = started.decides.recv().await {
+    if started.has_saved_config {
+        if let Ok(first) = started.updates.recv().await {
             config_overlay.decide(first).await;
         }
     }
-    let (follows, decides) = (config_overlay.clone(), started.decides);
+    let (follows, decides) = (config_overlay.clone(), started.updates);
     let follow = async move {
         while let Ok(next) = decides.recv().await {
             follows.decide(next).await;
@@ -129,13 +130,13 @@
     pub fn rekey(&self, old: &Config, new: &Config) {
         let keys = |c: &Config| c.changes.as_ref().and_then(|changes| changes.keys().ok());
         if let Some(keys) = keys(new).filter(|k| Some(*k) != keys(old)) {
-            self.handle.rekey(keys);
+            self.handle.set_keys(keys);
         }
     }
 
     /// Puts in force, and tells what could not be.
-    async fn decide(&self, decide: Decide) {
-        let Decide { whole, changes } = &decide;
+    async fn decide(&self, decide: ConfigUpdate) {
+        let ConfigUpdate { is_complete: whole, changes } = &decide;
         let refused = match self.next(*whole, changes) {
             Ok(next) => {
                 self.put(next).await;
@@ -151,7 +152,7 @@
                 refused
             }
         };
-        self.handle.decided(refused).await;
+        self.handle.report_decided(refused).await;
     }
 
     fn next(&self, whole: bool, changes: &[config_distribution::Change]) -> Result<Next, Refused> {
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -7,7 +7,9 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use cluster_types::{BackendId, MemberId, Volume, Zone};
-use coordination::{Fellow, Handle, Measures, Seen, Settings, ToAccord, ToFront};
+use coordination::{
+    BackendMeasurement, CoordinationMessage, GatewayMessage, Handle, Measurements, Peer, Settings,
+};
 use futures_lite::future;
 use maintenance::{Quota, Rules};
 use scheduler::interface::{BackendState, Micros};
@@ -28,7 +30,7 @@
 fn settings(context: &Context, section: &config::Accord) -> Result<Settings, String> {
     let keys = section.keys().map_err(|e| e.to_string())?;
     let fellow = |m: &config::Fellow| {
-        (MemberId(m.name.as_str().into()), Fellow { at: m.at, hall: Zone(m.hall.as_str().into()) })
+        (MemberId(m.name.as_str().into()), Peer { address: m.at, zone: Zone(m.hall.as_str().into()) })
     };
     let ms = |s: f64| (s * 1000.0) as u64;
     let stage = ms(section.out.stage_s).max(1);
@@ -44,18 +46,16 @@
     rules.check().map_err(|e| format!("accord.out.{e}"))?;
     Ok(Settings {
         me: MemberId(context.config().name.as_str().into()),
-        hall: Zone(section.hall.as_str().into()),
+        zone: Zone(section.hall.as_str().into()),
         listen: section.listen,
-        state: section.state.clone(),
+        state_dir: section.state.clone(),
         keys,
         members: section.members.iter().map(fellow).collect(),
-        bytes_s: section.bytes_s,
+        max_membership_bytes_per_s: section.bytes_s,
         lease: Duration::from_secs_f64(section.lease_s),
-        drift: section.drift,
-        election: Duration::from_millis(section.election_ms),
+        max_clock_drift: section.drift,
+        election_timeout: Duration::from_millis(section.election_ms),
         rules,
-        share: section.evidence.share,
-        lasts: Duration::from_secs_f64(section.evidence.lasts_s),
         seed: chance(),
     })
 }
@@ -77,7 +77,8 @@
     let Some(section) = &config.accord else { return Ok(None) };
     let (to_front, letters) = async_channel::bounded(MAILBOX_CAPACITY);
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let handle = coordination::start(settings(context, section)?, to_front, serves, log)?;
+    let handle =
+        coordination::start(settings(context, section)?, to_front, serves, log).map_err(|e| e.to_string())?;
     context.executor.spawn(follow(context.clone(), pool.clone(), letters)).detach();
     let measuring = measure(context.clone(), scheduler.clone(), pool.clone(), handle.clone());
     context.executor.spawn(measuring).detach();
@@ -85,15 +86,19 @@
 }
 
 /// Does what the fronts have settled.
-async fn follow(context: Rc<Context>, pool: Rc<BackendPool>, letters: Receiver<ToFront>) {
+async fn follow(context: Rc<Context>, pool: Rc<BackendPool>, letters: Receiver<GatewayMessage>) {
     while let Ok(message) = letters.recv().await {
-        let leaves = matches!(message, ToFront::Drain { .. });
+        let leaves = matches!(message, GatewayMessage::Drain { .. });
         let (id, out, why) = match message {
-            ToFront::Drain { id, grant } => (id, true, format!("grant={}", grant.map_or(0, |g| g.0))),
+            GatewayMessage::Drain { backend: id, order: grant } => {
+                (id, true, format!("grant={}", grant.map_or(0, |g| g.0)))
+            }
             // Without a part the box stays drained at this front; others begin.
-            ToFront::Undrain { id, share: Quota::Permille(0) } => (id, true, "part=0".into()),
-            ToFront::Undrain { id, share: Quota::Permille(part) } => (id, false, format!("part={part}")),
-            ToFront::Undrain { id, share: Quota::Full } => (id, false, "part=whole".into()),
+            GatewayMessage::Undrain { backend: id, quota: Quota::Permille(0) } => (id, true, "part=0".into()),
+            GatewayMessage::Undrain { backend: id, quota: Quota::Permille(part) } => {
+                (id, false, format!("part={part}"))
+            }
+            GatewayMessage::Undrain { backend: id, quota: Quota::Full } => (id, false, "part=whole".into()),
         };
         crate::log::line(format_args!("settled box={id} out={out} {why}"));
         pool.settle(&id.0, out).await;
@@ -122,15 +127,16 @@
             true => future::or(async { from.recv().await.unwrap_or_default() }, late).await,
             false => vec![],
         };
-        handle.tell(ToAccord::Measured(measures(&context, &pool, &away.into_iter().collect())));
+        handle.send(CoordinationMessage::Measured(measures(&context, &pool, &away.into_iter().collect())));
     }
 }
 
-fn measures(context: &Context, pool: &BackendPool, away: &BTreeSet<BackendId>) -> Measures {
+fn measures(context: &Context, pool: &BackendPool, away: &BTreeSet<BackendId>) -> Measurements {
     let (config, now) = (context.config(), context.clock.now());
     let ago = |at: Micros| u64::try_from(now.0 - at.0).unwrap_or(0);
     let warm = config.accord.as_ref().map_or(0, |a| (a.out.warm_s * 1e6) as i64);
-    let mut measures = Measures { whole: context.lifecycle.serving.get(), ..Measures::default() };
+    let mut measures =
+        Measurements { is_complete: context.lifecycle.serving.get(), ..Measurements::default() };
     let endpoints = pool.endpoints();
     for endpoint in &endpoints {
         endpoint.statistics.on.set(true);
@@ -141,20 +147,20 @@
         let silent = endpoint.statistics.answered().is_none_or(|at| now.0 - at.0 > SILENT);
         let warm_up = config.settings.slow_start.duration.0;
         let hall = config.zones.get(entry.zone as usize).map_or("", String::as_str);
-        let seen = Seen {
-            hall: hall.into(),
-            listed: entry.state != BackendState::Gone,
-            died: entry.state == BackendState::Ready && silent && away.contains(&entry.backend),
-            cold: endpoint.statistics.back().is_some_and(|at| now.0 - at.0 < warm)
+        let seen = BackendMeasurement {
+            zone: hall.into(),
+            is_listed: entry.state != BackendState::Gone,
+            is_dead: entry.state == BackendState::Ready && silent && away.contains(&entry.backend),
+            is_warming_up: endpoint.statistics.back().is_some_and(|at| now.0 - at.0 < warm)
                 || entry.started_at.is_some_and(|at| now.0 - at.0 < warm_up),
-            out,
-            last_send: sent.map(ago),
+            in_flight: out,
+            since_last_send_us: sent.map(ago),
             units: rates.values().sum(),
-            failed: endpoint.statistics.take_failed(),
+            has_failed: endpoint.statistics.take_failed(),
         };
         for (volume, rate) in rates {
             let all = measures.volumes.entry(Volume::from(&*volume)).or_default();
-            all.0 += rate;
+            all.used += rate;
             // Another box that holds the shard could serve it as well; without one its data is nowhere else.
             let others = endpoints.iter().filter(|other| {
                 let other = other.entry.borrow();
@@ -163,11 +169,11 @@
                     && other.backend != entry.backend
             });
             let ids = others.map(|other| other.entry.borrow().backend.clone());
-            ids.chain([id.clone()]).for_each(|id| *all.1.entry(id).or_default() += rate);
+            ids.chain([id.clone()]).for_each(|id| *all.servable_by.entry(id).or_default() += rate);
         }
-        measures.boxes.insert(id, seen);
+        measures.backends.insert(id, seen);
     }
     let reservations = config.settings.plans.iter().map(|p| (1000.0 * p.reservation) as u64);
-    measures.reserved = reservations.max().unwrap_or(0);
+    measures.max_reservation = reservations.max().unwrap_or(0);
     measures
 }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -66,7 +66,7 @@
         if let (Some(coordination), Some(keys)) =
             (&self.coordination, keys(&new).filter(|k| Some(*k) != keys(&old)))
         {
-            coordination.rekey(keys);
+            coordination.set_keys(keys);
         }
         if let Some(config_overlay) = &self.config_overlay {
             config_overlay.rekey(&old, &new);
@@ -115,7 +115,7 @@
         self.pool.stop();
         if let Some(coordination) = &self.coordination {
             // Nothing is sent any more: those who wait for this front's word need not.
-            coordination.tell(coordination::ToAccord::Stopping);
+            coordination.send(coordination::CoordinationMessage::Stopping);
             Timer::after(GOODBYE).await;
         }
         Timer::after(Duration::from_millis(5)).await;
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -81,8 +81,12 @@
     context.lifecycle.serving.set(!config.known.targets.is_empty());
     let mailbox = config_overlay::actor::mailbox(&config);
     let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
-    on.coordination =
-        member::start(&context, &scheduler, &pool, voter.map(coordination::distribution::Mailbox::for_the_log))?;
+    on.coordination = member::start(
+        &context,
+        &scheduler,
+        &pool,
+        voter.map(coordination::distribution::Mailbox::for_log_thread),
+    )?;
     running.coordination = on.coordination.clone();
     on.config_overlay = match mailbox {
         Some(mailbox) => Some(config_overlay::actor::start(&on, mailbox).await?),
