--- a/crates/gateway/src/client/arrival_times.rs
+++ b/crates/gateway/src/client/arrival_times.rs
@@ -1,49 +1,51 @@
-//! When the bytes of a connection have come. A command's time runs from then on, also while it waits behind others unread.
+//! Arrival times of the bytes of a connection. A command's deadline counts from the arrival of its last byte, also while it waits
+//! unread behind other commands.
 use scheduler::interface::Micros;
 use std::collections::VecDeque;
 
-/// Bytes that come within this time of others count as come with them.
-const TOGETHER: i64 = 5_000;
+/// Bytes that arrive within this span of earlier ones share their time, in microseconds.
+const RESOLUTION_US: i64 = 5_000;
 
-/// Times of what has been read and is not used up.
+/// Arrival times of the bytes that were read and not consumed.
 #[derive(Default)]
-pub struct Arrivals {
-    /// Bytes read and used up so far.
+pub struct ArrivalTimes {
+    /// Bytes read so far.
     read: u64,
-    used: u64,
-    /// Up to which byte had come when, the oldest first.
+    /// Bytes consumed so far.
+    consumed: u64,
+    /// Stream offsets with the time by which all bytes before them had arrived, the oldest first.
     marks: VecDeque<(u64, Micros)>,
-    /// Since when there is no room: what is read next may have come at any time since.
+    /// Since when the buffer is full: what is read next may have arrived at any time since.
     full_since: Option<Micros>,
 }
 
-impl Arrivals {
-    /// So many bytes have been read in all; `room` tells whether there is room for more, so that nothing waits unread.
-    pub fn note(&mut self, read: u64, room: bool, now: Micros) {
+impl ArrivalTimes {
+    /// Records that `read` bytes have been read in all. `has_room` tells whether the buffer takes more, so that nothing waits unread.
+    pub fn record(&mut self, read: u64, has_room: bool, now: Micros) {
         if read > self.read {
             self.read = read;
-            let came = self.full_since.unwrap_or(now);
+            let arrived = self.full_since.unwrap_or(now);
             match self.marks.back_mut() {
-                Some((upto, at)) if came.0 - at.0 < TOGETHER => *upto = read,
-                _ => self.marks.push_back((read, came)),
+                Some((end, at)) if arrived.0 - at.0 < RESOLUTION_US => *end = read,
+                _ => self.marks.push_back((read, arrived)),
             }
-            self.full_since = self.full_since.filter(|_| !room);
+            self.full_since = self.full_since.filter(|_| !has_room);
         }
-        if !room {
+        if !has_room {
             self.full_since.get_or_insert(now);
         }
     }
 
-    /// When the last of the next so many bytes has come.
+    /// When the last of the next `bytes` bytes arrived; `None` where it has not.
     pub fn of_next(&self, bytes: usize) -> Option<Micros> {
-        let last = self.used + bytes as u64;
-        self.marks.iter().find(|(upto, _)| *upto >= last).map(|(_, at)| *at)
+        let last = self.consumed + bytes as u64;
+        self.marks.iter().find(|(end, _)| *end >= last).map(|(_, at)| *at)
     }
 
-    /// The next so many bytes are used up.
-    pub fn use_up(&mut self, bytes: usize) {
-        self.used += bytes as u64;
-        while self.marks.front().is_some_and(|(upto, _)| *upto <= self.used) {
+    /// Forgets the next `bytes` bytes: they were consumed.
+    pub fn consume(&mut self, bytes: usize) {
+        self.consumed += bytes as u64;
+        while self.marks.front().is_some_and(|(end, _)| *end <= self.consumed) {
             self.marks.pop_front();
         }
     }
--- a/crates/gateway/src/client/connection_slots.rs
+++ b/crates/gateway/src/client/connection_slots.rs
@@ -1,5 +1,4 @@
-//! The places that clients' connections take, of both fronts. Where they run out, the one that has stood idle for the
-//! longest makes room for a newcomer.
+//! Connection slots of RESP2 clients and iSCSI initiators. Where they run short, idle connections are evicted for new ones.
 use crate::context::Context;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
@@ -8,83 +7,91 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A connection on which nothing has come has nothing to lose; where connections are scarce it makes room after this
-/// time.
-const SILENT: i64 = 50_000;
-/// Where nearly none are left, a client that opens connections as it needs them makes room after this time.
-pub const SHORT: Micros = Micros(100_000);
+/// Where connections are scarce, one that has never sent anything is evicted after this time, in microseconds.
+const SILENT_TIMEOUT_US: i64 = 50_000;
+/// Where nearly none are left, an idle connection is evicted after this time.
+pub const EXHAUSTED_IDLE_TIMEOUT: Micros = Micros(100_000);
 
-/// Connections are scarce from this part of their bound on.
-const SCARCE: usize = 4;
+/// Connections count as scarce from the limit divided by this on.
+const SCARCE_DIVISOR: usize = 4;
 
-/// What a connection does.
+/// What a connection is activity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
-    /// Nothing has come on it yet.
+pub enum Activity {
+    /// It has not sent anything yet.
     Silent,
-    /// It stands between requests.
+    /// It is between requests.
     Idle,
-    /// Something is owed or half there.
+    /// A request is open or partly received.
     Busy,
 }
 
-/// All places that are taken.
+/// All slots in use.
 pub struct ConnectionSlots {
     context: Rc<Context>,
     taken: RefCell<BTreeMap<u64, Rc<Entry>>>,
 }
 
-/// One connection's place, given up when dropped.
+/// One connection's slot, released when dropped.
 pub struct ConnectionSlot {
     slots: Rc<ConnectionSlots>,
     number: u64,
     entry: Rc<Entry>,
-    /// A letter asks to make room.
-    pub asked: Receiver<()>,
+    /// Receives a message when the connection is to be evicted.
+    pub evictions: Receiver<()>,
 }
 
-/// What others see of a place.
-pub struct Entry {
-    doing: Cell<Doing>,
-    /// Whether it was in use more than once.
-    usual: Cell<bool>,
+/// How long a connection may be idle before it is evicted.
+#[derive(Clone, Copy)]
+pub struct IdleTimeouts {
+    /// Where connections are scarce.
+    pub scarce: Micros,
+    /// Where nearly none are left.
+    pub exhausted: Micros,
+}
+
+/// A slot as the others see it.
+struct Entry {
+    activity: Cell<Activity>,
+    /// Whether it has carried more than one request.
+    is_reused: Cell<bool>,
+    /// Since when it has been doing so.
     since: Cell<Micros>,
-    /// How long it may stand idle where places are scarce, and where nearly none are left.
-    timeout: (Micros, Micros),
-    asked: Cell<bool>,
-    ask: Sender<()>,
+    idle_timeouts: IdleTimeouts,
+    is_eviction_sent: Cell<bool>,
+    eviction: Sender<()>,
 }
 
 impl ConnectionSlot {
-    /// Takes a place; `patience` is for how long it may stand idle where places are scarce, and nearly none left.
-    pub fn take(slots: &Rc<ConnectionSlots>, timeout: (Micros, Micros)) -> ConnectionSlot {
-        let (ask, asked) = async_channel::bounded(1);
+    /// Takes a slot.
+    pub fn take(slots: &Rc<ConnectionSlots>, idle_timeouts: IdleTimeouts) -> ConnectionSlot {
+        let (eviction, evictions) = async_channel::bounded(1);
         let entry = Rc::new(Entry {
-            doing: Cell::new(Doing::Silent),
-            usual: Cell::new(false),
+            activity: Cell::new(Activity::Silent),
+            is_reused: Cell::new(false),
             since: Cell::new(slots.context.clock.now()),
-            timeout,
-            asked: Cell::new(false),
-            ask,
+            idle_timeouts,
+            is_eviction_sent: Cell::new(false),
+            eviction,
         });
         let number = slots.context.number().0;
         slots.taken.borrow_mut().insert(number, entry.clone());
-        ConnectionSlot { slots: slots.clone(), number, entry, asked }
+        ConnectionSlot { slots: slots.clone(), number, entry, evictions }
     }
 
-    /// Says what the connection does now.
-    pub fn set(&self, doing: Doing) {
-        let before = self.entry.doing.replace(doing);
-        if before != doing {
-            self.entry.usual.set(self.entry.usual.get() || before == Doing::Idle);
+    /// Records what the connection is doing now.
+    pub fn set_activity(&self, activity: Activity) {
+        let before = self.entry.activity.replace(activity);
+        if before != activity {
+            self.entry.is_reused.set(self.entry.is_reused.get() || before == Activity::Idle);
             self.entry.since.set(self.slots.context.clock.now());
-            self.entry.asked.set(false);
+            self.entry.is_eviction_sent.set(false);
         }
     }
 
-    /// Whether it stands between requests, or nothing has come on it yet.
-    pub fn idle(&self) -> bool {
-        self.entry.doing.get() != Doing::Busy
+    /// Whether it is between requests, or has not sent anything yet.
+    pub fn is_idle(&self) -> bool {
+        self.entry.activity.get() != Activity::Busy
     }
 }
 
@@ -95,42 +102,52 @@
 }
 
 impl ConnectionSlots {
-    /// No place is taken yet.
+    /// Creates an empty table.
     pub fn new(context: Rc<Context>) -> Rc<ConnectionSlots> {
         Rc::new(ConnectionSlots { context, taken: RefCell::default() })
     }
 
-    /// The connection that is to make room: silent ones first, then those that asked once, and of these the one idle for
-    /// the longest; none where all are in use or have just been.
-    fn longest_idle(&self) -> Option<Rc<Entry>> {
+    /// The connection to evict: silent ones first, then those that carried one request, and of these the one that has been idle the
+    /// longest; `None` where all are in use or were until just now.
+    fn eviction_candidate(&self) -> Option<Rc<Entry>> {
         let context = &self.context;
         let now = context.clock.now();
-        // Guards newcomers, whose requests would fail: it costs less that another client opens one more.
-        let full = context.gauges.clients.get() >= context.clients_full();
+        // A new connection brings a request that would fail; an evicted client only has to reconnect.
+        let is_exhausted = context.gauges.clients.get() >= context.clients_full();
         let slots = self.taken.borrow();
-        let may = |e: &&Rc<Entry>| {
-            let stood = now.0 - e.since.get().0;
-            !e.asked.get()
-                && match e.doing.get() {
-                    Doing::Silent => stood >= SILENT,
-                    Doing::Idle => stood >= if full { e.timeout.1 .0 } else { e.timeout.0 .0 },
-                    Doing::Busy => false,
+        let may_evict = |entry: &&Rc<Entry>| {
+            let idle_us = now.0 - entry.since.get().0;
+            !entry.is_eviction_sent.get()
+                && match entry.activity.get() {
+                    Activity::Silent => idle_us >= SILENT_TIMEOUT_US,
+                    Activity::Idle => {
+                        idle_us
+                            >= if is_exhausted {
+                                entry.idle_timeouts.exhausted.0
+                            } else {
+                                entry.idle_timeouts.scarce.0
+                            }
+                    }
+                    Activity::Busy => false,
                 }
         };
-        let turn = |e: &&Rc<Entry>| (e.doing.get() != Doing::Silent, e.usual.get(), e.since.get());
-        slots.values().filter(may).min_by_key(turn).cloned()
+        let order = |entry: &&Rc<Entry>| {
+            (entry.activity.get() != Activity::Silent, entry.is_reused.get(), entry.since.get())
+        };
+        slots.values().filter(may_evict).min_by_key(order).cloned()
     }
 
-    /// Before one more connection is accepted: where connections are scarce, lets others make room, as far as they can.
-    // Guards the usual clients against crowds that connect, ask once or never, and stay. It begins well under the bound:
-    // clients may count their own connections, and those that only stand would be among them.
-    pub async fn room(&self) {
+    /// Evicts idle connections while connections are scarce, before another one is accepted.
+    ///
+    /// This begins well below the limit: it protects regular clients from crowds that connect, send one request or none, and stay.
+    pub async fn evict_idle(&self) {
         let context = &self.context;
-        while context.gauges.clients.get() >= context.client_bound() / SCARCE {
-            let Some(entry) = self.longest_idle() else { return };
-            entry.asked.set(true);
-            let _ = entry.ask.try_send(());
-            // Its own task closes it, and comes before this one.
+        while context.gauges.clients.get() >= context.client_bound() / SCARCE_DIVISOR {
+            let Some(entry) = self.eviction_candidate() else { return };
+            entry.is_eviction_sent.set(true);
+            // A full mailbox already holds an eviction.
+            let _ = entry.eviction.try_send(());
+            // The connection's own task, which closes it, runs first.
             future::yield_now().await;
         }
     }
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -1,9 +1,11 @@
-//! The platform's front: RESP2 connections of clients.
+//! The RESP2 server: accepts clients and drives each client's session on its connection.
 use crate::backend::value::Answer;
-use crate::client::arrival_times::Arrivals;
-use crate::client::connection_slots::{ConnectionSlot, ConnectionSlots, SHORT};
-use crate::client::response::Reply;
-use crate::client::session::{Client, PIPELINE};
+use crate::client::arrival_times::ArrivalTimes;
+use crate::client::connection_slots::{
+    ConnectionSlot, ConnectionSlots, IdleTimeouts, EXHAUSTED_IDLE_TIMEOUT,
+};
+use crate::client::response::EncodedResponse;
+use crate::client::session::{Progress, Session, PIPELINE};
 use crate::context::Context;
 use crate::counts::{Count, Weight};
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
@@ -12,23 +14,26 @@
 use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
 use crate::scatter_gather::handle::{Gathering, Owed};
+use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use dispatch::Bytes;
 use futures_lite::{future, StreamExt};
 use scheduler::interface::Micros;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
+use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 
-const BOUNDS: (usize, usize) = (resp::LONGEST + 4096, resp::LONGEST + 4096);
-/// How often a process that ends looks whether another has come.
-const FOLLOWED: Duration = Duration::from_millis(20);
-
-/// How long a client may take to close a connection that is shut.
+/// Capacities of a client's input and output buffer, in bytes: one value and its arguments.
+const BUFFER_BYTES: (usize, usize) = (resp::LONGEST + 4096, resp::LONGEST + 4096);
+/// How often a process that shuts down checks whether a successor has started.
+const SUCCESSOR_CHECK: Duration = Duration::from_millis(20);
+/// How long a client may take to close a connection that was shut down.
 const LINGER: Duration = Duration::from_millis(200);
 
-/// Accepts clients until the program ends.
+/// Accepts clients until the process shuts down and a successor has taken over. Dropping the future closes the listener; clients
+/// that were accepted go on.
 pub async fn listen(
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
@@ -36,153 +41,196 @@
     gathering: Option<Gathering>,
     listener: Async<TcpListener>,
 ) {
-    // Guards the descriptors of everything else: beyond the bound some are refused, more are not accepted for now.
-    let may = || context.gauges.clients.get() < context.client_bound() + context.beyond_bound();
-    let take = |socket, address| {
-        let talk =
-            client(context.clone(), scheduler.clone(), slots.clone(), gathering.clone(), socket, address);
-        context.executor.spawn(talk).detach();
-    };
-    // Guards new connections against a process that is about to end, where another listens beside it.
-    let over = async || {
+    // Beyond the limit some clients are rejected, and further ones are not accepted for now: the descriptors are needed elsewhere.
+    let has_slot = || context.gauges.clients.get() < context.client_bound() + context.beyond_bound();
+    let server = Server { context: context.clone(), scheduler, slots: slots.clone(), gathering };
+    let on_accept = |socket, address| context.executor.spawn(server.clone().serve(socket, address)).detach();
+    // While a successor listens at the same address, new connections must not come to a process that is about to end.
+    let shutdown = async || {
+        // The channel is only ever closed.
         let _ = context.lifecycle.stopped.1.recv().await;
         while !context.followed() {
-            Timer::after(FOLLOWED).await;
+            Timer::after(SUCCESSOR_CHECK).await;
         }
     };
-    accept(listener, may, async || slots.room().await, take, over).await;
-}
-
-enum Woken {
-    Piece(Option<Bytes>),
-    Answer(Option<(u64, Answer)>),
-    Gathered(u64, Reply),
-    Moved,
-    Tick,
-    MakeRoom,
-    End(CloseReason),
+    accept(listener, has_slot, async || slots.evict_idle().await, on_accept, shutdown).await;
 }
 
-async fn client(
+/// What all sessions share.
+#[derive(Clone)]
+struct Server {
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     slots: Rc<ConnectionSlots>,
     gathering: Option<Gathering>,
-    socket: Socket,
-    address: SocketAddr,
-) {
-    let _count = Count::up(&context.gauges, |g| &g.clients);
-    let mut stream = Connection::new(socket, "client", address, BOUNDS);
-    let (answers, answered) = async_channel::bounded(PIPELINE);
-    let mut answered = Box::pin(answered);
-    let idle = Micros((context.config().clients.idle_s * 1e6) as i64);
-    let mut client = Client {
-        beyond: context.gauges.clients.get() > context.client_bound(),
-        answers,
-        slots: VecDeque::new(),
-        first: 0,
-        closing: None,
-        slot: ConnectionSlot::take(&slots, (idle, idle.min(SHORT))),
-        rings: Weight::new(&context.gauges, |g| &g.rings),
-        came: context.clock.now(),
-        arrivals: Arrivals::default(),
-        whole_by: None,
-        went_on: (0, context.clock.now()),
-        context: context.clone(),
-        scheduler: scheduler.clone(),
-        gathers: gathering.map(|g| Owed::new(g, PIPELINE)),
-    };
-    stream.reason = loop {
-        // Guards against a client that sends much at once and goes: its end lies behind what there is no room for.
+}
+
+impl Server {
+    /// Drives a client's session until its connection is to be closed, then closes it.
+    async fn serve(self, socket: Socket, address: SocketAddr) {
+        let count = Count::up(&self.context.gauges, |gauges| &gauges.clients);
+        let mut stream = Connection::new(socket, "client", address, BUFFER_BYTES);
+        let (answers, answered) = async_channel::bounded(PIPELINE);
+        let mut answered = Box::pin(answered);
+        let mut session = self.new_session(answers);
+        stream.reason = drive(&mut session, &mut stream, &mut answered).await;
+        cancel_open_requests(&session).await;
+        // The slot is released before the descriptor is.
+        drop(session);
+        // An evicted connection is closed at once: no response is due on it.
+        if matches!(stream.reason, CloseReason::Protocol | CloseReason::Bound | CloseReason::Stopped) {
+            let timeout = async {
+                Timer::after(LINGER).await;
+            };
+            future::or(stream.lingering_close(), timeout).await;
+        }
+        drop(stream);
+        drop(count);
+    }
+
+    fn new_session(&self, answers: Sender<(u64, Answer)>) -> Session {
+        let Server { context, scheduler, slots, gathering } = self;
+        let idle_timeout = Micros((context.config().clients.idle_s * 1e6) as i64);
+        let idle_timeouts =
+            IdleTimeouts { scarce: idle_timeout, exhausted: idle_timeout.min(EXHAUSTED_IDLE_TIMEOUT) };
+        Session {
+            is_over_limit: context.gauges.clients.get() > context.client_bound(),
+            answers,
+            slots: VecDeque::new(),
+            first: 0,
+            closing: None,
+            slot: ConnectionSlot::take(slots, idle_timeouts),
+            rings: Weight::new(&context.gauges, |gauges| &gauges.rings),
+            connected_at: context.clock.now(),
+            arrivals: ArrivalTimes::default(),
+            command_deadline: None,
+            last_progress: Progress { written: 0, at: context.clock.now() },
+            context: context.clone(),
+            scheduler: scheduler.clone(),
+            gathers: gathering.clone().map(|gathering| Owed::new(gathering, PIPELINE)),
+        }
+    }
+}
+
+/// What ended a session's wait.
+enum Wakeup {
+    /// A piece of the value that is being sent; `None` where it can't be completed.
+    Piece(Option<Bytes>),
+    /// A final answer, with the number of its slot.
+    Answer(Option<(u64, Answer)>),
+    /// A gathered response, with the number of its slot.
+    Gathered(u64, EncodedResponse),
+    /// The connection made progress.
+    Socket,
+    /// A deadline or a check is due, or the process begins to shut down.
+    Timer,
+    /// The connection is to be evicted.
+    Evicted,
+    /// The client has closed the connection, or it broke.
+    Closed(CloseReason),
+}
+
+/// Runs the session; returns why its connection is to be closed.
+async fn drive(
+    session: &mut Session,
+    stream: &mut Connection,
+    answered: &mut Pin<Box<Receiver<(u64, Answer)>>>,
+) -> CloseReason {
+    loop {
+        // The end of a client that sent more than fits is behind bytes that can't be read yet.
         if stream.input.room() == 0 && stream.hung_up() {
-            break CloseReason::PeerClosed;
+            return CloseReason::PeerClosed;
         }
-        let more = client.read(&mut stream);
-        // What was written makes place for commands that have come already.
-        let wrote = client.write(&mut stream);
-        if let Some(reason) = client.ends(&stream) {
-            break reason;
+        let has_more = session.read_commands(stream);
+        // What was sent makes room for commands that have already arrived.
+        let has_sent = session.send_ready(stream);
+        if let Some(reason) = session.close_reason(stream) {
+            return reason;
         }
-        let look = client.settle(&stream);
-        // Guards the others: whatever there is to do, each turn is one of many.
+        let next_check = session.update_activity(stream);
+        // Every turn is short, so that the other connections have theirs.
         future::yield_now().await;
-        let stopping = context.lifecycle.stopping.get().is_some();
-        let answer = async { Woken::Answer(answered.next().await) };
-        let moved = async {
-            match stream.next().await {
-                Some(Ok(SocketEvent::End)) => Woken::End(CloseReason::PeerClosed),
-                Some(Err(_)) => Woken::End(CloseReason::Reset),
-                _ => Woken::Moved,
-            }
-        };
-        let stop = async {
-            match stopping {
-                false => drop(context.lifecycle.stopped.1.recv().await),
-                true => future::pending().await,
-            }
-            Woken::Tick
-        };
-        let tick = async {
-            match more || wrote {
-                true => {}
-                false => drop(Timer::at(context.clock.instant(look)).await),
-            }
-            Woken::Tick
-        };
-        let asked = client.slot.asked.clone();
-        let leave = async {
-            let _ = asked.recv().await;
-            Woken::MakeRoom
-        };
-        let awaited = client.awaits();
-        let piece = async {
-            match awaited {
-                Some(pieces) => Woken::Piece(pieces.recv().await.ok()),
-                None => future::pending().await,
-            }
-        };
-        let gathers = client.gathers.as_ref().map(|owed| owed.answers.1.clone());
-        let gathered = async {
-            match gathers.as_ref().map(|g| g.recv()) {
-                Some(next) => match next.await {
-                    Ok((slot, reply)) => Woken::Gathered(slot, reply),
-                    Err(_) => future::pending().await,
-                },
-                None => future::pending().await,
-            }
-        };
-        let others = future::or(future::or(piece, leave), future::or(stop, tick));
-        let others = future::or(gathered, others);
-        match future::or(future::or(answer, moved), others).await {
-            Woken::Answer(Some((slot, answer))) => client.answered(slot, answer),
-            Woken::Gathered(slot, reply) => client.gathered(slot, reply),
-            // Guards the client: a value that can't be finished ends its connection, and it can tell.
-            Woken::Piece(piece) => {
-                if !client.piece(piece) {
-                    break CloseReason::Cut;
+        let next_check = (!has_more && !has_sent).then_some(next_check);
+        match next_wakeup(session, stream, answered, next_check).await {
+            Wakeup::Answer(Some((slot, answer))) => session.take_answer(slot, answer),
+            Wakeup::Gathered(slot, response) => session.take_response(slot, response),
+            // A value that can't be completed ends the connection, which tells the client that it is not whole.
+            Wakeup::Piece(piece) => {
+                if !session.take_piece(piece) {
+                    return CloseReason::Cut;
                 }
             }
-            Woken::Answer(None) | Woken::Tick | Woken::Moved => {}
-            // Only between requests: what has come meanwhile is served.
-            Woken::MakeRoom if client.slot.idle() => break CloseReason::Idle,
-            Woken::MakeRoom => {}
-            Woken::End(reason) => break reason,
+            Wakeup::Answer(None) | Wakeup::Timer | Wakeup::Socket => {}
+            // Only between requests: what has arrived meanwhile is served.
+            Wakeup::Evicted if session.slot.is_idle() => return CloseReason::Idle,
+            Wakeup::Evicted => {}
+            Wakeup::Closed(reason) => return reason,
         }
+    }
+}
+
+/// Waits for the next event; with no `next_check`, only polls.
+async fn next_wakeup(
+    session: &Session,
+    stream: &mut Connection,
+    answered: &mut Pin<Box<Receiver<(u64, Answer)>>>,
+    next_check: Option<Micros>,
+) -> Wakeup {
+    let context = &session.context;
+    let answer = async { Wakeup::Answer(answered.next().await) };
+    let socket = async {
+        match stream.next().await {
+            Some(Ok(SocketEvent::End)) => Wakeup::Closed(CloseReason::PeerClosed),
+            Some(Err(_)) => Wakeup::Closed(CloseReason::Reset),
+            _ => Wakeup::Socket,
+        }
+    };
+    let is_stopping = context.lifecycle.stopping.get().is_some();
+    let shutdown = async {
+        if is_stopping {
+            future::pending::<()>().await;
+        }
+        // The channel is only ever closed.
+        let _ = context.lifecycle.stopped.1.recv().await;
+        Wakeup::Timer
     };
-    for slot in client.slots.iter().filter(|s| s.reply.is_none()) {
-        match (slot.id, client.gathers.as_ref().filter(|_| slot.gathers)) {
+    let timer = async {
+        if let Some(at) = next_check {
+            Timer::at(context.clock.instant(at)).await;
+        }
+        Wakeup::Timer
+    };
+    let evicted = async {
+        // The slot holds the sender, so the channel is open.
+        let _ = session.slot.evictions.recv().await;
+        Wakeup::Evicted
+    };
+    let pieces = session.awaited_pieces();
+    let piece = async {
+        match pieces {
+            Some(pieces) => Wakeup::Piece(pieces.recv().await.ok()),
+            None => future::pending().await,
+        }
+    };
+    let gathered = async {
+        let Some(owed) = &session.gathers else { return future::pending().await };
+        match owed.answers.1.recv().await {
+            Ok((slot, response)) => Wakeup::Gathered(slot, response),
+            Err(_) => future::pending().await,
+        }
+    };
+    let others = future::or(future::or(piece, evicted), future::or(shutdown, timer));
+    future::or(future::or(answer, socket), future::or(gathered, others)).await
+}
+
+/// Tells whoever works on them that the client of the open requests has gone.
+async fn cancel_open_requests(session: &Session) {
+    for slot in session.slots.iter().filter(|slot| slot.response.is_none()) {
+        match (slot.id, session.gathers.as_ref().filter(|_| slot.is_gathered)) {
             (Some(id), Some(owed)) => owed.gathering.left(id).await,
-            (Some(id), None) => drop(scheduler.send(SchedulerMessage::Left(id)).await),
+            // The mailbox is closed only at the end of the process.
+            (Some(id), None) => drop(session.scheduler.send(SchedulerMessage::Left(id)).await),
             (None, _) => {}
         }
     }
-    // Its seat is free before its descriptor is.
-    drop(client);
-    // One that makes room does so at once; nothing is owed on it.
-    if matches!(stream.reason, CloseReason::Protocol | CloseReason::Bound | CloseReason::Stopped) {
-        let late = async {
-            Timer::after(LINGER).await;
-        };
-        future::or(stream.lingering_close(), late).await;
-    }
 }
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -1,79 +1,82 @@
-//! Answers on their way to a client of the platform's front.
+//! Responses to RESP2 clients, as bytes.
 use crate::backend::value::{Answer, StreamedValue, Value};
 use crate::context::Context;
 use crate::counts::Gauges;
 use dispatch::Bytes;
 use std::rc::Rc;
 
-/// An answer as bytes.
-pub enum Reply {
-    /// The head of a bulk string, whose value is coming.
-    StreamedValue(Vec<u8>, StreamedValue),
-    /// All of it.
+/// An encoded response.
+pub enum EncodedResponse {
+    /// The head of a bulk string, whose value is still arriving.
+    Streamed(Vec<u8>, StreamedValue),
+    /// The whole response.
     Bytes(Vec<u8>),
     /// The head of a bulk string, and its value.
     Value(Vec<u8>, Bytes),
-    /// Pieces, one after the other, and what they hold of another bound until they are written.
-    Pieces(Vec<Bytes>, #[allow(dead_code, reason = "held, not read")] Vec<scatter_gather::Held>),
+    /// Pieces, one after the other, and the memory reservations that last until they are written.
+    Pieces(Vec<Bytes>, Vec<scatter_gather::Held>),
 }
 
-/// An answer that waits for its client; its bytes count against the bound while it does.
-pub struct Waiting {
-    /// The answer.
-    pub reply: Reply,
-    /// How much of it is in the ring.
-    pub begun: usize,
-    /// Whether the end of a value that came is there.
-    pub ended: bool,
+/// Responses up to this size are sent whatever waits.
+const SMALL_RESPONSE_BYTES: usize = 1024;
+
+/// A response that waits to be sent; its bytes count against the memory limit for unsent responses until it is dropped.
+pub struct PendingResponse {
+    /// The encoded response.
+    pub response: EncodedResponse,
+    /// Bytes of its current part that were copied to the connection's output.
+    pub copied: usize,
+    /// Whether the end of a streamed value was encoded.
+    pub is_end_encoded: bool,
     weight: usize,
     gauges: Rc<Gauges>,
 }
 
-impl Waiting {
-    /// Counts an answer; one beyond the bound fails.
-    pub fn new(context: &Rc<Context>, reply: Reply) -> Waiting {
-        let weight = match &reply {
-            Reply::Bytes(bytes) => bytes.len(),
-            // What is on its way counts where it comes in.
-            Reply::StreamedValue(..) => 0,
-            Reply::Value(_, value) => value.len(),
-            Reply::Pieces(..) => 0,
+impl PendingResponse {
+    /// Counts a response; one beyond the limit is replaced by an error.
+    pub fn new(context: &Rc<Context>, response: EncodedResponse) -> PendingResponse {
+        let weight = match &response {
+            EncodedResponse::Bytes(bytes) => bytes.len(),
+            // A streamed value counts where it arrives.
+            EncodedResponse::Streamed(..) => 0,
+            EncodedResponse::Value(_, value) => value.len(),
+            EncodedResponse::Pieces(..) => 0,
         };
-        // Guards the memory against clients that ask and do not read. It has run: failed, and not refused.
+        // Clients that send requests and don't read would fill the memory. The request has run: it is failed, not rejected.
         let unsent = context.gauges.unsent.get() + weight;
-        if weight > 1024 && unsent > context.unsent_bound() {
-            return Waiting::new(
+        if weight > SMALL_RESPONSE_BYTES && unsent > context.unsent_bound() {
+            return PendingResponse::new(
                 context,
-                Reply::Bytes(b"-ERR too many answers wait for clients\r\n".to_vec()),
+                EncodedResponse::Bytes(b"-ERR too many answers wait for clients\r\n".to_vec()),
             );
         }
         context.gauges.unsent.set(unsent);
-        Waiting { reply, begun: 0, ended: false, weight, gauges: context.gauges.clone() }
+        PendingResponse { response, copied: 0, is_end_encoded: false, weight, gauges: context.gauges.clone() }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
         self.gauges.unsent.set(self.gauges.unsent.get() - self.weight);
     }
 }
 
-impl Reply {
-    /// A short text.
-    pub fn text(text: impl Into<Vec<u8>>) -> Reply {
-        Reply::Bytes(text.into())
+impl EncodedResponse {
+    /// A whole response.
+    pub fn bytes(text: impl Into<Vec<u8>>) -> EncodedResponse {
+        EncodedResponse::Bytes(text.into())
     }
 
-    /// What follows after so many bytes, as far as it lies in one piece; empty at the end.
-    pub fn from(&self, at: usize) -> &[u8] {
+    /// The contiguous bytes that follow after `at` bytes; empty at the end.
+    pub fn remaining(&self, at: usize) -> &[u8] {
         match self {
-            Reply::Bytes(bytes) | Reply::StreamedValue(bytes, _) => &bytes[at..],
-            Reply::Value(head, value) => match at.checked_sub(head.len()) {
+            EncodedResponse::Bytes(bytes) | EncodedResponse::Streamed(bytes, _) => &bytes[at..],
+            EncodedResponse::Value(head, value) => match at.checked_sub(head.len()) {
                 None => &head[at..],
                 Some(at) if at < value.len() => &value[at..],
                 Some(at) => &b"\r\n"[at - value.len()..],
             },
-            Reply::Pieces(pieces, _) => {
+            EncodedResponse::Pieces(pieces, _) => {
                 let mut left = at;
                 for piece in pieces {
                     match left.checked_sub(piece.len()) {
@@ -87,19 +90,21 @@
     }
 }
 
-/// The words for an answer of the core.
-pub fn worded(answer: Answer) -> Reply {
+/// Encodes a final answer.
+pub fn encode(answer: Answer) -> EncodedResponse {
     match answer {
-        Answer::Served(Value::Streamed(coming)) => {
-            Reply::StreamedValue(format!("${}\r\n", coming.length).into_bytes(), coming)
+        Answer::Served(Value::Streamed(value)) => {
+            EncodedResponse::Streamed(format!("${}\r\n", value.length).into_bytes(), value)
         }
         Answer::Served(Value::Complete(value)) => {
-            Reply::Value(format!("${}\r\n", value.len()).into_bytes(), value)
+            EncodedResponse::Value(format!("${}\r\n", value.len()).into_bytes(), value)
+        }
+        // Rounded up: a client that retries earlier would be rejected again.
+        Answer::Rejected(Some(wait)) => {
+            EncodedResponse::bytes(format!("-BUSY {}\r\n", (wait.0.max(0) + 999) / 1000))
         }
-        // Rounded up: a client that came back earlier than told would be refused again.
-        Answer::Rejected(Some(wait)) => Reply::text(format!("-BUSY {}\r\n", (wait.0.max(0) + 999) / 1000)),
-        Answer::Rejected(None) => Reply::text("-BUSY\r\n"),
-        Answer::Failed(reason) => Reply::text(format!("-ERR {reason}\r\n")),
+        Answer::Rejected(None) => EncodedResponse::bytes("-BUSY\r\n"),
+        Answer::Failed(reason) => EncodedResponse::bytes(format!("-ERR {reason}\r\n")),
     }
 }
 
@@ -112,13 +117,14 @@
         let file = include_str!("../../tests/common/config.toml").replace("@IP@", "127.0.0.1");
         let config = config::read("x.toml", &format!("limits = {{ memory_mb = 8 }}\n{file}")).unwrap();
         let context = Context::new(config);
-        let value = || worded(Answer::Served(Value::Complete(Bytes::from(vec![0; resp::LONGEST]))));
-        let mut waiting: Vec<Waiting> = (0..20).map(|_| Waiting::new(&context, value())).collect();
-        let whole = |w: &Waiting| matches!(w.reply, Reply::Value(..));
+        let value = || encode(Answer::Served(Value::Complete(Bytes::from(vec![0; resp::LONGEST]))));
+        let mut waiting: Vec<PendingResponse> =
+            (0..20).map(|_| PendingResponse::new(&context, value())).collect();
+        let whole = |w: &PendingResponse| matches!(w.response, EncodedResponse::Value(..));
         assert_eq!(waiting.iter().filter(|w| whole(w)).count(), 16, "an eighth of 8 MB");
-        assert!(waiting[19].reply.from(0).starts_with(b"-ERR "), "it has run: failed, not refused");
+        assert!(waiting[19].response.remaining(0).starts_with(b"-ERR "), "it has run: failed, not refused");
         waiting.drain(..2);
-        assert!(whole(&Waiting::new(&context, value())));
+        assert!(whole(&PendingResponse::new(&context, value())));
         drop(waiting);
         assert_eq!(context.gauges.unsent.get(), 0);
     }
--- a/crates/gateway/src/client/response_queue.rs
+++ b/crates/gateway/src/client/response_queue.rs
@@ -1,43 +1,42 @@
-//! A client's answers on their way out, in the order of its commands.
+//! Sending a client's responses in the order of its commands.
 use crate::backend::value::Answer;
-use crate::client::response::{worded, Reply, Waiting};
-use crate::client::session::Client;
+use crate::client::response::{encode, EncodedResponse, PendingResponse};
+use crate::client::session::{Progress, Session};
 use crate::net::connection::Connection;
 use async_channel::Receiver;
 use dispatch::Bytes;
 
-impl Client {
-    /// Puts out the answers whose turn it is, as far as there is room; tells whether there were any.
-    pub fn write(&mut self, stream: &mut Connection) -> bool {
-        // Guards answers that their box takes long over: they begin to wait unread now, and not when the connection was
-        // last looked at, which is when the request came.
+impl Session {
+    /// Copies the responses whose turn it is to the connection's output, as far as there is room. Returns whether any was completed.
+    pub fn send_ready(&mut self, stream: &mut Connection) -> bool {
+        // A response that its backend took long over begins to wait unread now, not when the request arrived.
         if stream.output.is_empty() {
-            self.went_on = (stream.written, self.context.clock.now());
+            self.last_progress = Progress { written: stream.written, at: self.context.clock.now() };
         }
         let before = self.first;
-        while let Some(waiting) = self.slots.front_mut().and_then(|s| s.reply.as_mut()) {
-            // What is not read waits where it counts, and not in many rings.
+        while let Some(waiting) = self.slots.front_mut().and_then(|s| s.response.as_mut()) {
+            // What clients don't read waits here, where it is counted, rather than in many buffers.
             if !stream.output.is_empty() && self.context.rings_full() {
                 break;
             }
-            let piece = waiting.reply.from(waiting.begun);
+            let piece = waiting.response.remaining(waiting.copied);
             if !piece.is_empty() {
                 let count = piece.len().min(stream.output.room());
                 if count == 0 {
                     break;
                 }
                 stream.output.push(&piece[..count]);
-                waiting.begun += count;
+                waiting.copied += count;
                 continue;
             }
-            if let Reply::StreamedValue(bytes, coming) = &mut waiting.reply {
-                if coming.length > 0 {
-                    // The next piece is awaited by the connection's own loop.
+            if let EncodedResponse::Streamed(bytes, value) = &mut waiting.response {
+                if value.length > 0 {
+                    // The connection's own loop waits for the next piece.
                     break;
                 }
-                if !std::mem::replace(&mut waiting.ended, true) {
+                if !std::mem::replace(&mut waiting.is_end_encoded, true) {
                     *bytes = b"\r\n".to_vec();
-                    waiting.begun = 0;
+                    waiting.copied = 0;
                     continue;
                 }
             }
@@ -47,34 +46,40 @@
         self.first > before
     }
 
-    /// The pieces of the value that is being written, where the next one is awaited.
-    pub fn awaits(&self) -> Option<Receiver<Bytes>> {
-        let waiting = self.slots.front()?.reply.as_ref()?;
-        match &waiting.reply {
-            Reply::StreamedValue(bytes, coming) if waiting.begun == bytes.len() && coming.length > 0 => {
-                Some(coming.pieces.clone())
+    /// Where the next piece of the value that is being sent will arrive; `None` where none is awaited.
+    pub fn awaited_pieces(&self) -> Option<Receiver<Bytes>> {
+        let waiting = self.slots.front()?.response.as_ref()?;
+        match &waiting.response {
+            EncodedResponse::Streamed(bytes, value) if waiting.copied == bytes.len() && value.length > 0 => {
+                Some(value.pieces.clone())
             }
             _ => None,
         }
     }
 
-    /// Takes the next piece of the value that is being written; false where it can't be finished.
-    pub fn piece(&mut self, piece: Option<Bytes>) -> bool {
-        let waiting = self.slots.front_mut().and_then(|s| s.reply.as_mut());
+    /// Takes the next piece of the value that is being sent. Returns false where the value can't be completed.
+    pub fn take_piece(&mut self, piece: Option<Bytes>) -> bool {
+        let waiting = self.slots.front_mut().and_then(|s| s.response.as_mut());
         let (Some(waiting), Some(piece)) = (waiting, piece) else { return false };
-        if let Reply::StreamedValue(bytes, coming) = &mut waiting.reply {
-            coming.length -= piece.len().min(coming.length);
+        if let EncodedResponse::Streamed(bytes, value) = &mut waiting.response {
+            value.length -= piece.len().min(value.length);
             *bytes = piece.to_vec();
-            waiting.begun = 0;
+            waiting.copied = 0;
         }
         true
     }
 
-    pub fn answered(&mut self, slot: u64, answer: Answer) {
-        let reply = Waiting::new(&self.context, worded(answer));
-        let endpoint = slot.checked_sub(self.first).and_then(|n| self.slots.get_mut(n as usize));
-        if let Some(slot) = endpoint {
-            slot.reply = Some(reply);
+    /// Takes the final answer for the command in `slot`.
+    pub fn take_answer(&mut self, slot: u64, answer: Answer) {
+        self.take_response(slot, encode(answer));
+    }
+
+    /// Takes the encoded response for the command in `slot`.
+    pub fn take_response(&mut self, slot: u64, response: EncodedResponse) {
+        let pending = PendingResponse::new(&self.context, response);
+        let index = slot.checked_sub(self.first).and_then(|index| usize::try_from(index).ok());
+        if let Some(slot) = index.and_then(|index| self.slots.get_mut(index)) {
+            slot.response = Some(pending);
         }
     }
 }
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -1,9 +1,9 @@
-//! A client of the platform's front, without its connection: commands in, answers out in their order.
+//! The session of one RESP2 client, without its connection: commands in, responses out in the order of the commands.
 use crate::backend::value::Answer;
-use crate::client::arrival_times::Arrivals;
-use crate::client::command::{understand, Asked};
-use crate::client::connection_slots::{ConnectionSlot, Doing};
-use crate::client::response::{worded, Reply, Waiting};
+use crate::client::arrival_times::ArrivalTimes;
+use crate::client::command::{parse, Command};
+use crate::client::connection_slots::{Activity, ConnectionSlot};
+use crate::client::response::{encode, EncodedResponse, PendingResponse};
 use crate::context::Context;
 use crate::counts::Weight;
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
@@ -17,210 +17,237 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What a ring takes in any case.
-const SMALL: usize = 4096;
+/// The memory of a ring buffer that is not counted against the limit, in bytes.
+const UNCOUNTED_RING_BYTES: usize = 4096;
 /// Commands of one connection that may be unanswered.
 pub const PIPELINE: usize = 128;
-/// A connection that comes while the others are closed has so long to bring its request.
-const CROSSED: i64 = 200_000;
-/// How often a connection is looked at while the program ends, or while there is no room to read its end.
-const LOOK: i64 = 50_000;
-/// Commands that one connection has understood in one turn; then the others have theirs.
-const TURN: usize = 16;
-
-/// The place of one command in the order of answers.
+/// Commands of one connection that are parsed before other connections have their turn.
+const COMMANDS_PER_TURN: usize = 16;
+/// How long a connection that was accepted during the shutdown has for its first request, in microseconds.
+const FIRST_REQUEST_GRACE_US: i64 = 200_000;
+/// How often a session is checked while the process shuts down, or while its input is full and the client's end can't be read, in
+/// microseconds.
+const FREQUENT_CHECK_US: i64 = 50_000;
+/// How often it is checked otherwise, in microseconds.
+const RARE_CHECK_US: i64 = 20_000_000;
+
+/// The place of one command in the order of responses.
 pub struct Slot {
-    /// Its request, where the core has one.
+    /// Its request, where it has one.
     pub id: Option<RequestId>,
-    /// Whether its answer is gathered from parts.
-    pub gathers: bool,
-    /// Its answer, once that is there.
-    pub reply: Option<Waiting>,
+    /// Whether its response is gathered from shards.
+    pub is_gathered: bool,
+    /// Its response, once there is one.
+    pub response: Option<PendingResponse>,
+}
+
+/// When the connection last took bytes of a response.
+pub struct Progress {
+    /// Bytes written to the socket by then.
+    pub written: u64,
+    /// The time.
+    pub at: Micros,
 }
 
-/// A client's side toward the core, without its connection.
-pub struct Client {
+/// The state of one client's session.
+pub struct Session {
+    /// The gateway's shared state.
     pub context: Rc<Context>,
+    /// The scheduler's mailbox.
     pub scheduler: SchedulerMailbox,
-    /// Whether it came beyond the bound: it is answered with a refusal and closed, which guards the descriptors.
-    pub beyond: bool,
+    /// Whether the connection is over the limit: its commands are rejected, and it is closed.
+    pub is_over_limit: bool,
+    /// Receives the final answers, each with the number of its slot.
     pub answers: Sender<(u64, Answer)>,
-    /// Commands whose answers are not written yet, in order, and the number of the first.
+    /// Commands whose responses are not sent yet, in order.
     pub slots: VecDeque<Slot>,
+    /// The number of the first slot.
     pub first: u64,
+    /// Why the connection will be closed once all responses are sent.
     pub closing: Option<CloseReason>,
+    /// The connection's slot in the table of connections.
     pub slot: ConnectionSlot,
-    /// What its rings count for.
+    /// The memory of its ring buffers, as counted against the limit.
     pub rings: Weight,
-    pub came: Micros,
-    /// When what is read has come.
-    pub arrivals: Arrivals,
-    /// When the command that is being read must be whole.
-    pub whole_by: Option<Micros>,
-    /// What was written when it last went on, and when that was.
-    pub went_on: (u64, Micros),
-    /// Its side toward answers that are gathered, where there are any.
+    /// When the connection was accepted.
+    pub connected_at: Micros,
+    /// Arrival times of unread bytes.
+    pub arrivals: ArrivalTimes,
+    /// By when the command that is being received must be complete.
+    pub command_deadline: Option<Micros>,
+    /// When a response last made progress.
+    pub last_progress: Progress,
+    /// The session's side of the scatter-gather actor, where there is one.
     pub gathers: Option<Owed>,
 }
 
-impl Client {
-    fn push(&mut self, id: Option<RequestId>, reply: Option<Reply>) {
-        let reply = reply.map(|r| Waiting::new(&self.context, r));
-        self.slots.push_back(Slot { id, gathers: false, reply });
+impl Session {
+    fn push(&mut self, id: Option<RequestId>, response: Option<EncodedResponse>) {
+        let response = response.map(|response| PendingResponse::new(&self.context, response));
+        self.slots.push_back(Slot { id, is_gathered: false, response });
     }
 
-    /// Takes in the commands that have come, as many as may be unanswered and as one turn allows; tells whether it
-    /// was the turn that ended it.
-    pub fn read(&mut self, stream: &mut Connection) -> bool {
-        self.arrivals.note(stream.read, stream.input.room() > 0, self.context.clock.now());
-        let mut left = TURN;
+    /// Parses the commands that have arrived, as many as may be unanswered and as one turn allows. Returns true where the turn's
+    /// limit ended it.
+    pub fn read_commands(&mut self, stream: &mut Connection) -> bool {
+        self.arrivals.record(stream.read, stream.input.room() > 0, self.context.clock.now());
+        let mut left = COMMANDS_PER_TURN;
         while self.closing.is_none() && self.slots.len() < PIPELINE {
-            // Guards the others against one that sends as fast as it can.
             if left == 0 {
                 return true;
             }
             left -= 1;
             let now = self.context.clock.now();
-            let room = stream.input.room() > 0;
-            let fault = match resp::command(stream.input.contiguous()) {
+            let has_room = stream.input.room() > 0;
+            let error = match resp::command(stream.input.contiguous()) {
                 Ok(Some((words, used))) => {
-                    let came = self.arrivals.of_next(used).unwrap_or(now);
-                    let asked = understand(&self.context, &words, came);
+                    let arrived = self.arrivals.of_next(used).unwrap_or(now);
+                    let command = parse(&self.context, &words, arrived);
                     stream.input.consume(used);
-                    self.arrivals.use_up(used);
+                    self.arrivals.consume(used);
                     stream.carried += 1;
-                    self.whole_by = None;
-                    self.take(asked);
+                    self.command_deadline = None;
+                    self.execute(command);
                     continue;
                 }
-                // Each command that has come is refused, and then it ends.
-                Ok(None) if self.beyond && stream.carried > 0 => {
+                // Over the limit, all commands that have arrived are rejected before the connection is closed.
+                Ok(None) if self.is_over_limit && stream.carried > 0 => {
                     self.closing = Some(CloseReason::Bound);
                     return false;
                 }
-                Ok(None) if room => {
-                    if stream.input.is_empty() && stream.carried > 0 {
-                        self.whole_by = None;
-                    } else if self.whole_by.is_none() {
-                        self.whole_by = Some(Micros(now.0 + self.limits().0));
-                    }
-                    // Guards memory against many large halves.
-                    if stream.input.memory() > SMALL && self.context.rings_full() {
-                        self.push(None, Some(Reply::text("-ERR too much is half there\r\n")));
-                        self.closing = Some(CloseReason::Bound);
-                        return false;
-                    }
-                    // Guards descriptors and memory: silent connections, and commands that stay halves.
-                    if self.whole_by.is_none_or(|by| now < by) {
-                        return false;
-                    }
-                    if stream.input.is_empty() {
-                        self.closing = Some(CloseReason::Idle);
-                        return false;
-                    }
-                    "the command was not whole in time"
-                }
+                Ok(None) if has_room => match self.check_incomplete_command(stream, now) {
+                    Some(error) => error,
+                    None => return false,
+                },
                 Ok(None) => "too long",
-                Err(e) => e.0,
+                Err(error) => error.0,
             };
-            self.push(None, Some(Reply::text(format!("-ERR Protocol error: {fault}\r\n"))));
+            self.push(None, Some(EncodedResponse::bytes(format!("-ERR Protocol error: {error}\r\n"))));
             self.closing = Some(CloseReason::Protocol);
         }
         false
     }
 
-    /// Refuses a request that the module is not told of.
-    fn refuse(&mut self, class: usize) {
+    /// Applies the time and memory limits to a command that has not arrived completely. Returns the error of one that took too long.
+    fn check_incomplete_command(&mut self, stream: &Connection, now: Micros) -> Option<&'static str> {
+        if stream.input.is_empty() && stream.carried > 0 {
+            self.command_deadline = None;
+        } else if self.command_deadline.is_none() {
+            self.command_deadline = Some(Micros(now.0 + self.command_timeout_us()));
+        }
+        // Many large incomplete commands would fill the memory.
+        if stream.input.memory() > UNCOUNTED_RING_BYTES && self.context.rings_full() {
+            self.push(None, Some(EncodedResponse::bytes("-ERR too much is half there\r\n")));
+            self.closing = Some(CloseReason::Bound);
+            return None;
+        }
+        if self.command_deadline.is_none_or(|deadline| now < deadline) {
+            return None;
+        }
+        if stream.input.is_empty() {
+            self.closing = Some(CloseReason::Idle);
+            return None;
+        }
+        Some("the command was not whole in time")
+    }
+
+    /// Rejects a request that the scheduler does not get to see.
+    fn reject(&mut self, class: usize) {
         self.context.counters.answer(class, 1);
-        self.push(None, Some(worded(Answer::Rejected(None))));
+        self.push(None, Some(encode(Answer::Rejected(None))));
+    }
+
+    /// How long a command may take to arrive, in microseconds.
+    fn command_timeout_us(&self) -> i64 {
+        (self.context.config().clients.command_s * 1e6) as i64
     }
 
-    /// How long a command may take to be whole, and how long answers may wait unread.
-    fn limits(&self) -> (i64, i64) {
-        let clients = self.context.config().clients;
-        ((clients.command_s * 1e6) as i64, (clients.unread_s * 1e6) as i64)
+    /// How long responses may wait unread, in microseconds.
+    fn unread_timeout_us(&self) -> i64 {
+        (self.context.config().clients.unread_s * 1e6) as i64
     }
 
-    /// Tells the others what the connection does, and when it is to be looked at again.
-    pub fn settle(&mut self, stream: &Connection) -> Micros {
+    /// Updates the connection's activity and memory. Returns when the session is to be checked again.
+    pub fn update_activity(&mut self, stream: &Connection) -> Micros {
         let now = self.context.clock.now();
-        let nothing = self.slots.is_empty() && stream.output.is_empty() && stream.input.is_empty();
-        self.slot.set(match (nothing, stream.carried) {
-            (true, 0) => Doing::Silent,
-            (true, _) => Doing::Idle,
-            _ => Doing::Busy,
+        let is_quiet = self.slots.is_empty() && stream.output.is_empty() && stream.input.is_empty();
+        self.slot.set_activity(match (is_quiet, stream.carried) {
+            (true, 0) => Activity::Silent,
+            (true, _) => Activity::Idle,
+            _ => Activity::Busy,
         });
-        let beyond = |ring: &Ring| ring.memory().saturating_sub(SMALL);
-        self.rings.set(beyond(&stream.input) + beyond(&stream.output));
-        if stream.output.is_empty() || stream.written != self.went_on.0 {
-            self.went_on = (stream.written, now);
+        let counted = |ring: &Ring| ring.memory().saturating_sub(UNCOUNTED_RING_BYTES);
+        self.rings.set(counted(&stream.input) + counted(&stream.output));
+        if stream.output.is_empty() || stream.written != self.last_progress.written {
+            self.last_progress = Progress { written: stream.written, at: now };
         }
-        let unread = (!stream.output.is_empty()).then_some(Micros(self.went_on.1 .0 + self.limits().1));
-        let looks = self.context.lifecycle.stopping.get().is_some() || stream.input.room() == 0;
-        let waits = if looks { LOOK } else { 20_000_000 };
-        let ends = [self.whole_by.filter(|_| self.closing.is_none()), unread];
-        let next = ends.into_iter().flatten().min().unwrap_or(Micros(i64::MAX));
-        next.min(Micros(now.0 + waits))
+        let unread_deadline =
+            (!stream.output.is_empty()).then_some(Micros(self.last_progress.at.0 + self.unread_timeout_us()));
+        let is_frequent = self.context.lifecycle.stopping.get().is_some() || stream.input.room() == 0;
+        let check_us = if is_frequent { FREQUENT_CHECK_US } else { RARE_CHECK_US };
+        let deadlines = [self.command_deadline.filter(|_| self.closing.is_none()), unread_deadline];
+        let next_deadline = deadlines.into_iter().flatten().min().unwrap_or(Micros(i64::MAX));
+        next_deadline.min(Micros(now.0 + check_us))
     }
 
-    fn take(&mut self, asked: Asked) {
-        match asked {
-            Asked::Now(reply) => self.push(None, Some(Reply::text(reply))),
-            Asked::Request(request) if self.beyond => self.refuse(request.class),
-            Asked::Request(request) => {
-                let Some(request) = self.gather(request) else { return };
-                let (id, class) = (self.context.number(), request.class);
-                let slot = self.first + self.slots.len() as u64;
-                let ticket = Ticket { slot, to: self.answers.clone(), class };
-                match self.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)) {
-                    Ok(()) => self.push(Some(id), None),
-                    Err(_) => self.refuse(class),
+    fn execute(&mut self, command: Command) {
+        match command {
+            Command::Answered(response) => self.push(None, Some(EncodedResponse::bytes(response))),
+            Command::Request(request) if self.is_over_limit => self.reject(request.class),
+            Command::Request(request) => {
+                if let Some(request) = self.gather(request) {
+                    self.submit(request);
                 }
             }
         }
     }
 
-    /// Hands a request over that is gathered from parts; gives any other back.
+    /// Hands a request to the scheduler; rejects it where the mailbox is full.
+    fn submit(&mut self, request: Request) {
+        let (id, class) = (self.context.number(), request.class);
+        let slot = self.next_slot();
+        let ticket = Ticket { slot, to: self.answers.clone(), class };
+        match self.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)) {
+            Ok(()) => self.push(Some(id), None),
+            Err(_) => self.reject(class),
+        }
+    }
+
+    fn next_slot(&self) -> u64 {
+        self.first + self.slots.len() as u64
+    }
+
+    /// Hands a request that is gathered from shards to its actor; returns any other.
     fn gather(&mut self, request: Request) -> Option<Request> {
         let policy = self.gathers.as_ref().and_then(|o| o.gathering.policy(&self.context.config(), &request));
         let (Some(owed), Some(policy)) = (&self.gathers, policy) else { return Some(request) };
         let (id, class) = (self.context.number(), request.class);
-        let slot = self.first + self.slots.len() as u64;
+        let slot = self.next_slot();
         let begin = Begin { id, policy, request, slot, to: owed.answers.0.clone() };
-        match owed.gathering.begin(begin) {
-            true => self.slots.push_back(Slot { id: Some(id), gathers: true, reply: None }),
-            false => self.refuse(class),
+        if owed.gathering.begin(begin) {
+            self.slots.push_back(Slot { id: Some(id), is_gathered: true, response: None });
+        } else {
+            self.reject(class);
         }
         None
     }
 
-    /// Takes an answer that was gathered.
-    pub fn gathered(&mut self, slot: u64, reply: Reply) {
-        let reply = Waiting::new(&self.context, reply);
-        let endpoint = slot.checked_sub(self.first).and_then(|n| self.slots.get_mut(n as usize));
-        if let Some(slot) = endpoint {
-            slot.reply = Some(reply);
-        }
-    }
-
-    /// Whether the connection is to end now, and why.
-    pub fn ends(&self, stream: &Connection) -> Option<CloseReason> {
-        let context = &self.context;
-        let now = context.clock.now();
+    /// Whether the connection is to be closed now, and why.
+    pub fn close_reason(&self, stream: &Connection) -> Option<CloseReason> {
+        let now = self.context.clock.now();
         if self.slots.is_empty() && stream.output.is_empty() {
             if self.closing.is_some() {
                 return self.closing;
             }
-            // One that has just come brings a request that crossed the closing of another.
-            let brings = stream.carried == 0 && now.0 < self.came.0 + CROSSED;
-            if stream.input.is_empty() && context.lingered() && !brings {
+            // A new connection may carry a request that crossed the closing of another one.
+            let awaits_request = stream.carried == 0 && now.0 < self.connected_at.0 + FIRST_REQUEST_GRACE_US;
+            if stream.input.is_empty() && self.context.lingered() && !awaits_request {
                 return Some(CloseReason::Stopped);
             }
         }
-        // Guards memory and descriptors against clients that ask and do not read.
-        (!stream.output.is_empty()
-            && stream.written == self.went_on.0
-            && now.0 - self.went_on.1 .0 >= self.limits().1)
-            .then_some(CloseReason::Unread)
+        // Clients that send requests and don't read would fill memory and descriptors.
+        let is_stalled = !stream.output.is_empty() && stream.written == self.last_progress.written;
+        let is_unread = is_stalled && now.0 - self.last_progress.at.0 >= self.unread_timeout_us();
+        is_unread.then_some(CloseReason::Unread)
     }
 }
--- a/crates/gateway/src/iscsi/server.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -1,6 +1,6 @@
 //! The iSCSI front: connections of initiators.
 use crate::backend::value::Answer;
-use crate::client::connection_slots::{ConnectionSlot, ConnectionSlots, Doing};
+use crate::client::connection_slots::{Activity, ConnectionSlot, ConnectionSlots, IdleTimeouts};
 use crate::context::Context;
 use crate::counts::Count;
 use crate::iscsi::session::{Session, ANSWER};
@@ -60,7 +60,7 @@
         context.executor.spawn(session(front.clone(), slots.clone(), socket, address)).detach();
     };
     let may = || context.gauges.clients.get() < context.client_bound();
-    accept(listener, may, async || slots.room().await, take, async || future::pending().await).await;
+    accept(listener, may, async || slots.evict_idle().await, take, async || future::pending().await).await;
 }
 
 enum Woken {
@@ -84,7 +84,7 @@
     let mut session = Session::new(front, answers);
     let replaced = session.replaced.1.clone();
     let begun = context.clock.now();
-    let slot = ConnectionSlot::take(&slots, (STANDS, STANDS));
+    let slot = ConnectionSlot::take(&slots, IdleTimeouts { scarce: STANDS, exhausted: STANDS });
     let mut went_on = (0, 0, begun);
     stream.reason = loop {
         session.answer(&mut stream);
@@ -96,10 +96,10 @@
             break reason;
         }
         let nothing = !session.target.busy() && session.ready.is_empty() && stream.output.is_empty();
-        slot.set(match (nothing && stream.input.is_empty(), stream.carried) {
-            (true, 0) => Doing::Silent,
-            (true, _) if session.name.is_some() => Doing::Idle,
-            _ => Doing::Busy,
+        slot.set_activity(match (nothing && stream.input.is_empty(), stream.carried) {
+            (true, 0) => Activity::Silent,
+            (true, _) if session.name.is_some() => Activity::Idle,
+            _ => Activity::Busy,
         });
         // Guards the others: whatever there is to do, each turn is one of many.
         future::yield_now().await;
@@ -121,13 +121,13 @@
             Woken::Tick
         };
         let leave = async {
-            let _ = slot.asked.recv().await;
+            let _ = slot.evictions.recv().await;
             Woken::MakeRoom
         };
         match future::or(future::or(answer, moved), future::or(leave, future::or(gone, tick))).await {
             Woken::Answer(Some(answer)) => session.ready.push_back(answer),
             Woken::Answer(None) | Woken::Moved | Woken::Tick => {}
-            Woken::MakeRoom if slot.idle() => break CloseReason::Idle,
+            Woken::MakeRoom if slot.is_idle() => break CloseReason::Idle,
             Woken::MakeRoom => {}
             Woken::End(reason) => break reason,
         }
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -18,7 +18,7 @@
 pub const ANSWER: usize = iscsi::LONGEST + 16 * 1024;
 
 /// A read or write that is on its way.
-struct BackendContext {
+struct Task {
     tag: u32,
     write: bool,
     read: Option<RequestId>,
@@ -35,7 +35,7 @@
     /// Closed once another session takes its place.
     pub replaced: (Sender<()>, Receiver<()>),
     answers: Sender<(u64, Answer)>,
-    works: BTreeMap<u64, BackendContext>,
+    tasks: BTreeMap<u64, Task>,
     next: u64,
     pub ready: VecDeque<(u64, Answer)>,
     unacknowledged: VecDeque<(u32, Key)>,
@@ -50,7 +50,7 @@
             name: None,
             replaced: async_channel::bounded(1),
             answers,
-            works: BTreeMap::new(),
+            tasks: BTreeMap::new(),
             next: 0,
             ready: VecDeque::new(),
             unacknowledged: VecDeque::new(),
@@ -64,7 +64,7 @@
         let mut out = Vec::new();
         while stream.output.room() >= ANSWER {
             let Some((slot, answer)) = self.ready.pop_front() else { break };
-            let Some(work) = self.works.remove(&slot) else { continue };
+            let Some(work) = self.tasks.remove(&slot) else { continue };
             let status = self.target.answer(work.tag, outcome(&answer, work.write), &mut out);
             if let (Some(status), Some(key)) = (status, work.key) {
                 self.unacknowledged.push_back((status, key));
@@ -110,8 +110,7 @@
             Event::Read { tag, lun, lba, blocks } => {
                 let id = self.front.context.number();
                 let request = request(&self.front.context, &self.front.iscsi, lun, lba, blocks, None);
-                let ticket =
-                    self.begin(BackendContext { tag, write: false, read: Some(id), key: None }, &request);
+                let ticket = self.begin(Task { tag, write: false, read: Some(id), key: None }, &request);
                 self.hand_over(ticket, request, |front, request, ticket| {
                     front.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)).is_ok()
                 });
@@ -130,15 +129,15 @@
                     blocks,
                     Some(Bytes::from(data)),
                 );
-                let work = BackendContext { tag, write: true, read: None, key: Some(key.clone()) };
+                let work = Task { tag, write: true, read: None, key: Some(key.clone()) };
                 let ticket = self.begin(work, &request);
                 self.hand_over(ticket, request, |front, request, ticket| {
                     front.record.try_send(Note::Begin(key, request, ticket)).is_ok()
                 });
             }
             Event::Aborted(tag) => {
-                let slot = self.works.iter().find(|(_, w)| w.tag == tag).map(|(s, _)| *s);
-                if let Some(id) = slot.and_then(|s| self.works.remove(&s)).and_then(|w| w.read) {
+                let slot = self.tasks.iter().find(|(_, w)| w.tag == tag).map(|(s, _)| *s);
+                if let Some(id) = slot.and_then(|s| self.tasks.remove(&s)).and_then(|w| w.read) {
                     let _ = self.front.scheduler.send(SchedulerMessage::Left(id)).await;
                 }
             }
@@ -154,11 +153,11 @@
         }
     }
 
-    fn begin(&mut self, work: BackendContext, request: &Option<Request>) -> Ticket {
+    fn begin(&mut self, work: Task, request: &Option<Request>) -> Ticket {
         let class = request.as_ref().map_or(0, |r| r.class);
         let slot = self.next;
         self.next += 1;
-        self.works.insert(slot, work);
+        self.tasks.insert(slot, work);
         Ticket { slot, to: self.answers.clone(), class }
     }
 
@@ -221,7 +220,7 @@
         }
         // The record tells by the closed mailbox that this session waits no more.
         self.answers.close();
-        for work in self.works.into_values() {
+        for work in self.tasks.into_values() {
             // A write that has begun goes on, and its result is on the record.
             match (work.read, work.key) {
                 (Some(id), _) => drop(self.front.scheduler.send(SchedulerMessage::Left(id)).await),
--- a/crates/gateway/src/iscsi/write_record.rs
+++ b/crates/gateway/src/iscsi/write_record.rs
@@ -33,7 +33,7 @@
 }
 
 enum State {
-    SignalLoop(Vec<Ticket>),
+    Running(Vec<Ticket>),
     Done(Answer, Micros),
 }
 
@@ -69,7 +69,7 @@
         let full = self.entries.len() >= self.most;
         match self.entries.get_mut(&key).map(|e| &mut e.state) {
             // Guards against a booking that runs twice: cut off, its initiator sends it again after a reconnect.
-            Some(State::SignalLoop(waiting)) => {
+            Some(State::Running(waiting)) => {
                 waiting.retain(|t| !t.to.is_closed());
                 waiting.push(ticket);
                 Next::Known
@@ -85,10 +85,8 @@
             None => {
                 self.next += 1;
                 self.running.insert(self.next, key.clone());
-                self.entries.insert(
-                    key,
-                    Entry { number: self.next, id: None, state: State::SignalLoop(vec![ticket]) },
-                );
+                self.entries
+                    .insert(key, Entry { number: self.next, id: None, state: State::Running(vec![ticket]) });
                 Next::Run(self.next)
             }
         }
@@ -109,7 +107,7 @@
             }
             None => self.entries.remove(&key),
         };
-        if let Some(Entry { state: State::SignalLoop(waiting), .. }) = entry {
+        if let Some(Entry { state: State::Running(waiting), .. }) = entry {
             for ticket in waiting {
                 let _ = ticket.to.try_send((ticket.slot, answer.clone()));
             }
@@ -126,7 +124,7 @@
     /// A session has ended: gives the number of a write for which no session waits any more.
     fn left(&mut self, key: &Key) -> Option<RequestId> {
         let entry = self.entries.get_mut(key)?;
-        let State::SignalLoop(waiting) = &mut entry.state else { return None };
+        let State::Running(waiting) = &mut entry.state else { return None };
         waiting.retain(|ticket| !ticket.to.is_closed());
         entry.id.filter(|_| waiting.is_empty())
     }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -3,7 +3,7 @@
 use crate::config_overlay::actor::ConfigOverlay;
 use crate::context::Context;
 use crate::messages::{DiscoveryMessage, SchedulerMailbox, SchedulerMessage};
-use crate::net::resource_shortage::RETRY;
+use crate::net::resource_shortage::RETRY_DELAY;
 use async_channel::Sender;
 use async_io::Timer;
 use async_signal::{Signal, Signals};
@@ -99,7 +99,7 @@
                 // The system could not tell of a signal: none has come that ends the program.
                 Err(error) => {
                     crate::log::line(format_args!("signals error={error}"));
-                    Timer::after(RETRY).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! The start: what is shared is made, actors are spawned, listeners opened, in the order in which one needs another.
+//! The start: creates the shared state, spawns the actors and opens the listeners, in the order of their dependencies.
 use crate::admin::health_checks::{self, Form};
 use crate::admin::operators::Operators;
 use crate::admin::suspension_files;
@@ -15,27 +15,54 @@
 use crate::lifecycle::process_files;
 use crate::lifecycle::shutdown::SignalLoop;
 use crate::messages::{SchedulerMessage, MAILBOX};
-use crate::net::listeners::{self, bind, AddressSharing};
+use crate::net::listeners::{self, bind, AddressSharing, ListenError};
 use crate::scatter_gather;
 use crate::scatter_gather::handle::Gathering;
 use crate::scheduler_actor;
 use async_channel::Receiver;
-use async_io::Timer;
+use async_io::{Async, Timer};
 use scheduler::interface::EndpointUpdate;
+use std::io;
+use std::net::TcpListener;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A process that follows another waits so long for fresh news of discovery before it serves.
-const FRESH: i64 = 3_000_000;
+/// How long a successor process waits for a fresh endpoint list before it serves, in microseconds.
+const FRESH_LIST_TIMEOUT_US: i64 = 3_000_000;
+/// How often it checks whether the list has arrived.
+const FRESH_LIST_CHECK: Duration = Duration::from_millis(5);
 
-/// Runs the program by what its environment names.
-pub fn start() -> Result<(), String> {
-    let config = config::from_env(|key| std::env::var(key).ok()).map_err(|e| e.to_string())?;
+/// Why the gateway could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The configuration is faulty.
+    #[error(transparent)]
+    Config(#[from] config::Fault),
+    /// A listener could not be opened.
+    #[error(transparent)]
+    Listen(#[from] ListenError),
+    /// The signals can't be handled.
+    #[error(transparent)]
+    Signals(io::Error),
+    /// The section `[accord]` can't be put into effect.
+    #[error("{0}")]
+    Coordination(String),
+    /// The section `[changes]` can't be put into effect.
+    #[error("{0}")]
+    ConfigOverlay(String),
+}
+
+/// Runs the gateway that the environment configures, until it is told to end.
+///
+/// # Errors
+/// [`StartError`] where it can't start serving.
+pub fn start() -> Result<(), StartError> {
+    let config = config::from_env(|key| std::env::var(key).ok())?;
     let (scheduler, inbox) = async_channel::bounded(MAILBOX);
     let context = Context::new(config);
     let suspensions = Rc::new(Suspensions::default());
     let pool = BackendPool::new(context.clone(), scheduler.clone(), suspensions.clone());
-    let on = Operators {
+    let operators = Operators {
         context: context.clone(),
         scheduler,
         pool,
@@ -44,24 +71,20 @@
         config_overlay: None,
         gathering: None,
     };
-    async_io::block_on(context.executor.run(serve(on, inbox)))
+    async_io::block_on(context.executor.run(serve(operators, inbox)))
 }
 
-async fn serve(mut on: Operators, inbox: Receiver<SchedulerMessage>) -> Result<(), String> {
-    let Operators { context, scheduler, pool, suspensions, .. } = on.clone();
+async fn serve(mut operators: Operators, inbox: Receiver<SchedulerMessage>) -> Result<(), StartError> {
+    let Operators { context, scheduler, pool, suspensions, .. } = operators.clone();
     let config = context.config();
-    let lock = handover::begin(&context);
-    let follows = context.lifecycle.other.get() != OtherProcess::None;
-    let sharing = if lock.is_some() { AddressSharing::WithOtherProcess } else { AddressSharing::Exclusive };
-    if let Some(lock) = lock {
-        let looks = handover::run(context.clone(), scheduler.clone(), pool.clone(), lock);
-        context.executor.spawn(looks).detach();
-    }
-    let signals = listeners::signals().await?;
-    let (watch, asked) = async_channel::bounded(4);
-    // Before anything is served: what an earlier process had banned.
-    suspensions.take_over(process_files::path(&context).and_then(|front| suspension_files::read(&front)));
-    let mut running = SignalLoop {
+    let sharing = begin_handover(&operators);
+    let is_successor = context.lifecycle.other.get() != OtherProcess::None;
+    let signals = listeners::signals().await.map_err(StartError::Signals)?;
+    let (watch, discovery_messages) = async_channel::bounded(4);
+    // Suspensions of an earlier process take effect before anything is served.
+    let persisted = process_files::path(&context).and_then(|path| suspension_files::read(&path));
+    suspensions.take_over(persisted);
+    let mut signal_loop = SignalLoop {
         context: context.clone(),
         scheduler: scheduler.clone(),
         pool: pool.clone(),
@@ -69,72 +92,131 @@
         coordination: None,
         config_overlay: None,
     };
-    let cached = |news| match news {
-        EndpointUpdate::Full(entries) => EndpointUpdate::Cached(entries),
-        news => news,
-    };
-    running.know(&config.known, cached).await;
-    let actor = scheduler_actor::run(context.clone(), pool.clone(), inbox, watch);
-    context.executor.spawn(actor).detach();
-    let actor = endpoint_list::run(context.clone(), scheduler.clone(), pool.clone(), asked);
-    context.executor.spawn(actor).detach();
+    signal_loop.know(&config.known, as_cached).await;
+    let scheduling = scheduler_actor::run(context.clone(), pool.clone(), inbox, watch);
+    context.executor.spawn(scheduling).detach();
+    let watching = endpoint_list::run(context.clone(), scheduler.clone(), pool.clone(), discovery_messages);
+    context.executor.spawn(watching).detach();
     context.lifecycle.serving.set(!config.known.targets.is_empty());
-    let mailbox = config_overlay::actor::mailbox(&config);
-    let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
-    on.coordination =
-        member::start(&context, &scheduler, &pool, voter.map(coordination::changes::Mailbox::for_the_log))?;
-    running.coordination = on.coordination.clone();
-    on.config_overlay = match mailbox {
-        Some(mailbox) => Some(config_overlay::actor::start(&on, mailbox).await?),
+    start_coordination(&mut operators, &mut signal_loop).await?;
+    start_scatter_gather(&mut operators);
+    let gathering = operators.gathering.clone();
+    if let Some(address) = config.admin {
+        let listener = bind("admin", address, AddressSharing::Exclusive).await?;
+        let form = Form::Operators(operators.clone());
+        context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
+    }
+    if is_successor {
+        wait_for_fresh_list(&context).await;
+    }
+    let resp_listener = match config.listen {
+        Some(address) => Some(bind("GW_LISTEN", address, sharing).await?),
         None => None,
     };
-    running.config_overlay = on.config_overlay.clone();
-    if let Some((gathering, inbox)) = Gathering::new(&config) {
-        let (context, pool) = (context.clone(), pool.clone());
-        let actor =
-            scatter_gather::actor::run(context.clone(), scheduler.clone(), pool, gathering.clone(), inbox);
-        context.executor.spawn(actor).detach();
-        on.gathering = Some(gathering);
+    context.lifecycle.listening.set(true);
+    let (name, address, other) = (&config.name, config.listen, context.lifecycle.other.get());
+    crate::log::line(format_args!("start name={name} listen={address:?} other={other:?}"));
+    serve_clients(&operators, resp_listener, gathering).await?;
+    serve_load_balancers(&context).await?;
+    signal_loop.follow(signals).await;
+    Ok(())
+}
+
+/// Takes the process lock and starts to watch for another process. Tells whether that one may share the address of RESP2 clients.
+fn begin_handover(operators: &Operators) -> AddressSharing {
+    let Operators { context, scheduler, pool, .. } = operators;
+    let Some(lock) = handover::begin(context) else { return AddressSharing::Exclusive };
+    let watching = handover::run(context.clone(), scheduler.clone(), pool.clone(), lock);
+    context.executor.spawn(watching).detach();
+    AddressSharing::WithOtherProcess
+}
+
+/// A list from the configuration file: it says nothing about what discovery knows now.
+fn as_cached(update: EndpointUpdate) -> EndpointUpdate {
+    match update {
+        EndpointUpdate::Full(entries) => EndpointUpdate::Cached(entries),
+        other => other,
     }
-    let gathering = on.gathering.clone();
-    if let Some(at) = config.admin {
-        let listener = bind("admin", at, AddressSharing::Exclusive).await?;
-        let form = Form::Operators(on);
-        context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
+}
+
+/// Starts the hosts of `[accord]` and `[changes]`, where the configuration has these sections.
+async fn start_coordination(
+    operators: &mut Operators,
+    signal_loop: &mut SignalLoop,
+) -> Result<(), StartError> {
+    let config = operators.context.config();
+    let mailbox = config_overlay::actor::mailbox(&config);
+    let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
+    let voter = voter.map(coordination::changes::Mailbox::for_the_log);
+    let Operators { context, scheduler, pool, .. } = &*operators;
+    operators.coordination =
+        member::start(context, scheduler, pool, voter).map_err(StartError::Coordination)?;
+    signal_loop.coordination = operators.coordination.clone();
+    if let Some(mailbox) = mailbox {
+        let overlay = config_overlay::actor::start(operators, mailbox).await;
+        operators.config_overlay = Some(overlay.map_err(StartError::ConfigOverlay)?);
     }
-    // Guards clients of a front that follows another, which still serves: they come here once the list is fresh.
-    let timeout = context.clock.now().0 + FRESH;
-    while follows
-        && config.discovery.is_some()
+    signal_loop.config_overlay = operators.config_overlay.clone();
+    Ok(())
+}
+
+/// Starts the scatter-gather actor, where the configuration has policies for it.
+fn start_scatter_gather(operators: &mut Operators) {
+    let Operators { context, scheduler, pool, .. } = &*operators;
+    let Some((gathering, inbox)) = Gathering::new(&context.config()) else { return };
+    let actor = scatter_gather::actor::run(
+        context.clone(),
+        scheduler.clone(),
+        pool.clone(),
+        gathering.clone(),
+        inbox,
+    );
+    context.executor.spawn(actor).detach();
+    operators.gathering = Some(gathering);
+}
+
+/// Waits until discovery has sent a list, for a while. The predecessor still serves, and clients move here once this process
+/// listens.
+async fn wait_for_fresh_list(context: &Context) {
+    let deadline = context.clock.now().0 + FRESH_LIST_TIMEOUT_US;
+    while context.config().discovery.is_some()
         && !context.lifecycle.heard.get()
-        && context.clock.now().0 < timeout
+        && context.clock.now().0 < deadline
     {
-        Timer::after(Duration::from_millis(5)).await;
+        Timer::after(FRESH_LIST_CHECK).await;
     }
-    let listener = match config.listen {
-        Some(at) => Some(bind("GW_LISTEN", at, sharing).await?),
-        None => None,
-    };
-    context.lifecycle.listening.set(true);
-    let (name, at, other) = (&config.name, config.listen, context.lifecycle.other.get());
-    crate::log::line(format_args!("start name={name} listen={at:?} other={other:?}"));
+}
+
+/// Starts the servers of RESP2 clients and of iSCSI initiators.
+async fn serve_clients(
+    operators: &Operators,
+    resp_listener: Option<Async<TcpListener>>,
+    gathering: Option<Gathering>,
+) -> Result<(), StartError> {
+    let Operators { context, scheduler, .. } = operators;
     let slots = ConnectionSlots::new(context.clone());
-    if let Some(listener) = listener {
-        let front =
+    if let Some(listener) = resp_listener {
+        let server =
             resp_server::listen(context.clone(), scheduler.clone(), slots.clone(), gathering, listener);
-        context.executor.spawn(front).detach();
+        context.executor.spawn(server).detach();
     }
-    if let Some(front) = &config.iscsi {
-        let listener = bind("iscsi.listen", front.listen, AddressSharing::Exclusive).await?;
-        let front = server::listen(context.clone(), scheduler, slots, front.clone(), listener);
-        context.executor.spawn(front).detach();
+    if let Some(section) = &context.config().iscsi {
+        let listener = bind("iscsi.listen", section.listen, AddressSharing::Exclusive).await?;
+        let server = server::listen(context.clone(), scheduler.clone(), slots, section.clone(), listener);
+        context.executor.spawn(server).detach();
     }
-    for (key, what, form) in [("agent", &config.agent, Form::Agent), ("health", &config.health, Form::Http)] {
-        if let Some(at) = what {
-            let listener = bind(&format!("{key}.listen"), at.listen, AddressSharing::Exclusive).await?;
+    Ok(())
+}
+
+/// Starts the agent check and the HTTP health checks.
+async fn serve_load_balancers(context: &Rc<Context>) -> Result<(), StartError> {
+    let config = context.config();
+    let checks = [("agent", &config.agent, Form::Agent), ("health", &config.health, Form::Http)];
+    for (key, section, form) in checks {
+        if let Some(section) = section {
+            let listener = bind(&format!("{key}.listen"), section.listen, AddressSharing::Exclusive).await?;
             context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
         }
     }
-    running.follow(signals).await;
     Ok(())
 }
--- a/crates/gateway/src/net/accept.rs
+++ b/crates/gateway/src/net/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections. What the system refuses for a moment is tried again; no connection that it has accepted is given up.
+//! The accept loop. Transient failures of `accept` are retried; a connection that the system has accepted is never dropped.
 use crate::net::socket::Socket;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -6,68 +6,70 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long accepting waits where it can't go on.
-const PAUSE: Duration = Duration::from_millis(5);
-/// How long the last look goes on where the system refuses to accept those that have connected.
-const LAST_LOOK: Duration = Duration::from_millis(200);
+/// The pause after an error of `accept`, and between two checks whether another connection is allowed.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
+/// For how long connections that are pending at the end are accepted while the system keeps failing.
+const FINAL_DRAIN: Duration = Duration::from_millis(200);
 
-/// Whether the error is that of one connection, and the next can be accepted at once.
-fn concerns_one(error: &io::Error) -> bool {
+/// Whether the error concerns a single connection, so that the next one can be accepted at once.
+fn is_connection_error(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted)
 }
 
-/// The next connection.
-async fn next(listener: &Async<TcpListener>) -> (TcpStream, SocketAddr) {
+/// Waits for the next connection.
+async fn next_connection(listener: &Async<TcpListener>) -> (TcpStream, SocketAddr) {
     loop {
         match listener.get_ref().accept() {
             Ok(accepted) => return accepted,
-            Err(error) if concerns_one(&error) => future::yield_now().await,
-            // The reactor may fail, too; then it is looked again a little later.
+            Err(error) if is_connection_error(&error) => future::yield_now().await,
+            // The reactor may fail as well; then accept is tried again after a delay.
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 if listener.readable().await.is_err() {
-                    Timer::after(PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
-            // Out of descriptors or memory: what waits will be accepted a little later.
-            Err(_) => drop(Timer::after(PAUSE).await),
+            // Out of descriptors or memory: pending connections are accepted after a delay.
+            Err(_) => drop(Timer::after(RETRY_DELAY).await),
         }
     }
 }
 
-/// Accepts connections until `over`, each time after `room` was made and `may` allows one more.
+/// Accepts connections until `shutdown` completes, then those that are still pending, and closes the listener.
+///
+/// Before each one, `evict` may close idle connections, and `has_slot` says whether another is allowed. `on_accept` takes the connection.
+/// Dropping the future closes the listener and resets pending connections.
 pub async fn accept(
     listener: Async<TcpListener>,
-    may: impl Fn() -> bool,
-    room: impl AsyncFn(),
-    mut take: impl FnMut(Socket, SocketAddr),
-    over: impl AsyncFn(),
+    has_slot: impl Fn() -> bool,
+    evict: impl AsyncFn(),
+    mut on_accept: impl FnMut(Socket, SocketAddr),
+    shutdown: impl AsyncFn(),
 ) {
-    let mut over = Box::pin(over());
+    let mut shutdown = Box::pin(shutdown());
     loop {
-        room().await;
-        while !may() {
-            Timer::after(PAUSE).await;
-            room().await;
+        evict().await;
+        while !has_slot() {
+            Timer::after(RETRY_DELAY).await;
+            evict().await;
         }
-        let accepted = future::or(async { Some(next(&listener).await) }, async {
-            (&mut over).await;
+        let accepted = future::or(async { Some(next_connection(&listener).await) }, async {
+            (&mut shutdown).await;
             None
         });
         let Some((stream, address)) = accepted.await else { break };
-        take(Socket::new(stream), address);
-        // Invariant: it is counted before the next one asks whether there is room.
+        on_accept(Socket::new(stream), address);
+        // The new connection must be counted before the next `has_slot`.
         future::yield_now().await;
     }
-    // Prevents resets of those that have connected, of whom the reactor may not have told yet: all are taken in, and the
-    // listener closes at once.
-    let end = Instant::now() + LAST_LOOK;
+    // Closing the listener resets pending connections, of which the reactor may not have reported all: accept them first.
+    let end = Instant::now() + FINAL_DRAIN;
     loop {
         match listener.get_ref().accept() {
-            Ok((stream, address)) => take(Socket::new(stream), address),
+            Ok((stream, address)) => on_accept(Socket::new(stream), address),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-            Err(error) if concerns_one(&error) => {}
+            Err(error) if is_connection_error(&error) => {}
             Err(_) if Instant::now() >= end => return,
-            Err(_) => drop(Timer::after(PAUSE).await),
+            Err(_) => drop(Timer::after(RETRY_DELAY).await),
         }
     }
 }
--- a/crates/gateway/src/net/close_reason.rs
+++ b/crates/gateway/src/net/close_reason.rs
@@ -1,34 +1,34 @@
-//! Why connections end.
+//! Reason codes of closed connections, as logged.
 use std::fmt;
 
-/// Why a connection ended; the code on its log line.
+/// Why a connection was closed; its `Display` is the code in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The other side closed it.
+    /// The peer closed it.
     PeerClosed,
-    /// It broke.
+    /// It was reset.
     Reset,
-    /// What came can't be understood.
+    /// The peer violated the protocol.
     Protocol,
-    /// An attempt got no answer in time.
+    /// A backend did not answer within the attempt's deadline.
     Timeout,
-    /// It did not come up, or not in time.
+    /// It could not be established in time.
     ConnectFailed,
-    /// It stood idle for long.
+    /// It was idle for too long.
     Idle,
-    /// Its chunk server drains, is gone or has started again.
+    /// Its backend is draining, has left or was restarted.
     Drained,
-    /// The program ends.
+    /// The process is shutting down.
     Stopped,
-    /// A bound was reached.
+    /// A resource limit was reached.
     Bound,
-    /// Answers waited that the client did not read.
+    /// The client did not read its responses in time.
     Unread,
-    /// A value that was being passed on could not be finished.
+    /// A streamed value could not be completed.
     Cut,
-    /// Its work is done.
+    /// Its one exchange is complete.
     Done,
-    /// The watch was asked for anew.
+    /// A newer watch replaced it.
     Replaced,
 }
 
--- a/crates/gateway/src/net/connection.rs
+++ b/crates/gateway/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: a stream of what happens on it, with one ring buffer a direction.
+//! A TCP connection with a ring buffer for each direction, as a stream of socket events.
 use crate::net::close_reason::CloseReason;
 use crate::net::socket::Socket;
 use futures_lite::{Stream, StreamExt};
@@ -8,38 +8,39 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// What has happened.
+/// Progress on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketEvent {
-    /// Bytes came into `input`.
+    /// Bytes were read into `input`.
     Read,
     /// All of `output` was written.
     Wrote,
-    /// The other side has ended its sending.
+    /// The peer has shut down its sending side.
     End,
 }
 
-/// The connection. It logs its end, with the reason that was set last.
+/// A connection. Dropping it closes the socket and logs one line with the last value of `reason`.
 pub struct Connection {
     socket: Socket,
     kind: &'static str,
     address: SocketAddr,
-    /// What has come and is not used up.
+    /// Bytes that were received and not consumed.
     pub input: Ring,
-    /// What is to be written.
+    /// Bytes to be sent.
     pub output: Ring,
-    /// Bytes that it has written, and read.
+    /// Bytes written to the socket.
     pub written: u64,
+    /// Bytes read from the socket.
     pub read: u64,
-    /// Commands or answers that it carried.
+    /// Commands or responses that were exchanged.
     pub carried: u64,
-    /// The reason for its end.
+    /// Logged when the connection is dropped.
     pub reason: CloseReason,
     ended: bool,
 }
 
 impl Connection {
-    /// A connection that is up.
+    /// Wraps an established socket. `bounds` are the capacities of `input` and `output` in bytes.
     pub fn new(
         socket: Socket,
         kind: &'static str,
@@ -61,7 +62,10 @@
         }
     }
 
-    /// Opens a connection.
+    /// Connects to `address`.
+    ///
+    /// # Errors
+    /// The system's error where the connection can't be established. Dropping the future abandons the attempt.
     pub async fn connect(
         kind: &'static str,
         address: SocketAddr,
@@ -70,14 +74,14 @@
         Ok(Connection::new(Socket::connect(address).await?, kind, address, bounds))
     }
 
-    /// Shuts the sending and reads on, to no end, until the other side has closed. Prevents the loss of answers on their way: a close over
-    /// bytes that were not read resets the connection, and what the system still holds goes with it.
+    /// Lingering close: shuts down the sending side, then reads and discards until the peer closes. Closing a socket with unread
+    /// bytes resets it, and responses that the system still buffers would be lost.
     pub async fn lingering_close(&mut self) {
         if self.socket.shutdown_write().is_err() {
             return;
         }
         loop {
-            // What comes now is not understood, and so not sent on: its client sends it again on another connection.
+            // Discarded requests are not forwarded: the client repeats them on another connection.
             self.input.consume(usize::MAX);
             match self.next().await {
                 Some(Ok(SocketEvent::Read)) => {}
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Whether the other side has closed, though what it sent before may not be read yet.
+    /// Whether the peer has closed, even while bytes that it sent before are unread.
     pub fn hung_up(&self) -> bool {
         self.socket.hung_up()
     }
--- a/crates/gateway/src/net/dial.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -1,9 +1,9 @@
-//! New connections to disk boxes, within the descriptors that there are.
+//! Outgoing connections to backends, within the descriptor limit.
 use crate::backend::actor::BackendContext;
 use crate::counts::Count;
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::Connection;
-use crate::net::resource_shortage::{is_shortage, no_port, RETRY};
+use crate::net::resource_shortage::{is_port_shortage, is_shortage, RETRY_DELAY};
 use async_io::Timer;
 use dispatch::Attempt;
 use futures_lite::future;
@@ -12,34 +12,38 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What a reply holds beside its value: the figures and the report.
-const BESIDE: usize = 4096;
-/// What a command may take: one value and its words.
-const COMMAND: usize = resp::LONGEST + 16 * 1024;
-/// How often it is looked whether an attempt may still begin while its connection comes up.
-const LOOK: i64 = 50_000;
+/// Space in a reply beside its value, in bytes: the usage figures and the load report.
+const REPLY_OVERHEAD_BYTES: usize = 4096;
+/// The largest command in bytes: one value and its arguments.
+const COMMAND_BYTES: usize = resp::LONGEST + 16 * 1024;
+/// How often a pending dial checks whether its attempt may still begin, in microseconds.
+const CHECK_INTERVAL_US: i64 = 50_000;
 
-/// A connection to the disk box that counts against the bound while it lives.
+/// A connection to a backend, counted against the descriptor limit until dropped.
 pub struct BackendConnection {
-    /// The connection itself.
+    /// The socket with its buffers.
     pub stream: Connection,
-    /// The session on it, for iSCSI.
+    /// The iSCSI session, where the backend speaks iSCSI.
     pub session: Option<Initiator>,
     _count: Count,
-    /// Since when it is free.
+    /// Since when it has been idle.
     pub since: Micros,
-    /// The life of its box that it belongs to.
+    /// The incarnation of the backend that it was opened to.
     pub incarnation: u32,
 }
 
-/// A new connection, or how the attempt ends without one.
+/// Opens a connection for an attempt.
+///
+/// # Errors
+/// The outcome of the attempt: `NotSent` where it may no longer begin or no descriptor is free, `ConnectFailed` otherwise.
+/// Dropping the future abandons the dial.
 pub async fn connect(work: &BackendContext, attempt: &Attempt) -> Result<BackendConnection, AttemptOutcome> {
     let BackendContext { context, endpoint, .. } = work;
     if !work.may_begin(attempt) {
         return Err(AttemptOutcome::NotSent);
     }
     let Some(address) = endpoint.address.get() else { return Err(AttemptOutcome::ConnectFailed) };
-    // Guards the module's belief: the front's own bound says nothing about the box. Idle connections make room first.
+    // The gateway's own limit says nothing about the backend, so the scheduler must not count it as a failure.
     while context.gauges.upstream.get() >= context.upstream_bound() {
         if !(work.make_room)() {
             return Err(AttemptOutcome::NotSent);
@@ -48,25 +52,15 @@
     }
     let count = Count::up(&context.gauges, |g| &g.upstream);
     let incarnation = endpoint.incarnation.get();
-    let timeout = context.config().settings.connect_timeout.0;
-    let until = match timeout {
+    let now = context.clock.now();
+    let connect_deadline = match context.config().settings.connect_timeout.0 {
         0 => attempt.deadline,
-        timeout => attempt.deadline.min(Micros(context.clock.now().0 + timeout)),
+        connect_timeout => attempt.deadline.min(Micros(now.0 + connect_timeout)),
     };
-    let bounds = (context.longest_value() + BESIDE, COMMAND);
-    let up = async { dial(address, bounds).await.map_err(|_| Unconnected::Failed) };
-    let late = async {
-        // Looked at while it comes up: nobody waits for a connection over which nothing may be sent any more.
-        while work.may_begin(attempt)
-            && incarnation == endpoint.incarnation.get()
-            && context.clock.now() < until
-        {
-            let look = Micros(context.clock.now().0 + LOOK).min(until);
-            Timer::at(context.clock.instant(look)).await;
-        }
-        Err(if context.clock.now() < until { Unconnected::Abandoned } else { Unconnected::Failed })
-    };
-    match future::or(up, late).await {
+    let bounds = (context.longest_value() + REPLY_OVERHEAD_BYTES, COMMAND_BYTES);
+    let dialled = async { dial(address, bounds).await.map_err(|_| DialError::Failed) };
+    let given_up = async { Err(give_up(work, attempt, incarnation, connect_deadline).await) };
+    match future::or(dialled, given_up).await {
         Ok(stream) => Ok(BackendConnection {
             stream,
             session: None,
@@ -74,8 +68,8 @@
             since: context.clock.now(),
             incarnation,
         }),
-        Err(Unconnected::Abandoned) => Err(AttemptOutcome::NotSent),
-        Err(Unconnected::Failed) => {
+        Err(DialError::Abandoned) => Err(AttemptOutcome::NotSent),
+        Err(DialError::Failed) => {
             crate::log::line(format_args!(
                 "conn kind=box peer={address} carried=0 reason={}",
                 CloseReason::ConnectFailed
@@ -86,19 +80,36 @@
 }
 
 /// Why there is no connection.
-enum Unconnected {
-    /// It was refused, or did not come up in time.
+enum DialError {
+    /// It was refused, or not established in time.
     Failed,
-    /// It may carry nothing any more.
+    /// Nothing may be sent on it any more.
     Abandoned,
 }
 
-/// Opens a connection. Where this machine lacks something for a moment, which says nothing of the server, it is tried again.
+/// Waits until the dial is to be given up: at the deadline, or as soon as nothing may be sent on the connection any more.
+async fn give_up(work: &BackendContext, attempt: &Attempt, incarnation: u32, deadline: Micros) -> DialError {
+    let clock = &work.context.clock;
+    while work.may_begin(attempt) && incarnation == work.endpoint.incarnation.get() && clock.now() < deadline
+    {
+        let next_check = Micros(clock.now().0 + CHECK_INTERVAL_US).min(deadline);
+        Timer::at(clock.instant(next_check)).await;
+    }
+    if clock.now() < deadline {
+        DialError::Abandoned
+    } else {
+        DialError::Failed
+    }
+}
+
+/// Connects; a local shortage, which says nothing about the backend, is retried until the caller gives up.
 async fn dial(address: SocketAddr, bounds: (usize, usize)) -> io::Result<Connection> {
     loop {
         match Connection::connect("box", address, bounds).await {
-            Err(error) if is_shortage(&error) || no_port(&error) => drop(Timer::after(RETRY).await),
-            ended => return ended,
+            Err(error) if is_shortage(&error) || is_port_shortage(&error) => {
+                Timer::after(RETRY_DELAY).await;
+            }
+            result => return result,
         }
     }
 }
--- a/crates/gateway/src/net/listeners.rs
+++ b/crates/gateway/src/net/listeners.rs
@@ -1,5 +1,5 @@
-//! The listeners of the program, and its signals: what they need from the system may be short for a moment at the start.
-use crate::net::resource_shortage::{is_shortage, RETRY};
+//! Opening listeners and signal handlers. Shortages of system resources at the start are retried.
+use crate::net::resource_shortage::{is_shortage, RETRY_DELAY};
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use rustix::net::{self, sockopt, AddressFamily, SocketFlags, SocketType};
@@ -7,28 +7,40 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Connections that may wait to be accepted.
+/// Connections that may be pending.
 const BACKLOG: i32 = 1024;
-/// A shortage that lasts longer ends the start.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// A shortage that lasts longer fails the start.
+const SHORTAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Who else may listen at an address.
+/// Whether another process may listen at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressSharing {
-    /// Nobody.
+    /// This process alone.
     Exclusive,
-    /// Another process of this front.
+    /// Another process of this gateway (`SO_REUSEPORT`).
     WithOtherProcess,
 }
 
-/// Listens; an error names the key of the configuration.
+/// A listener could not be opened.
+#[derive(Debug, thiserror::Error)]
+#[error("{key}: cannot listen on {address}: {source}")]
+pub struct ListenError {
+    key: String,
+    address: SocketAddr,
+    source: io::Error,
+}
+
+/// Opens a listener for the configuration key `key`.
+///
+/// # Errors
+/// [`ListenError`], which names the key and the address.
 pub async fn bind(
     key: &str,
     address: SocketAddr,
     sharing: AddressSharing,
-) -> Result<Async<TcpListener>, String> {
-    let listener = once_there_is(|| listen(address, sharing)).await;
-    listener.map_err(|e| format!("{key}: cannot listen on {address}: {e}"))
+) -> Result<Async<TcpListener>, ListenError> {
+    let listener = retry_shortage(|| listen(address, sharing)).await;
+    listener.map_err(|source| ListenError { key: key.to_owned(), address, source })
 }
 
 fn listen(address: SocketAddr, sharing: AddressSharing) -> io::Result<Async<TcpListener>> {
@@ -43,19 +55,24 @@
     Async::new(TcpListener::from(socket))
 }
 
-/// The signals that the program follows.
-pub async fn signals() -> Result<Signals, String> {
+/// Subscribes to the signals that the program handles.
+///
+/// # Errors
+/// The system's error where they can't be handled.
+pub async fn signals() -> io::Result<Signals> {
     let followed = [Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup];
-    once_there_is(|| Signals::new(followed)).await.map_err(|e| e.to_string())
+    retry_shortage(|| Signals::new(followed)).await
 }
 
-/// Makes a call until the machine has what it needs.
-async fn once_there_is<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let end = Instant::now() + TIMEOUT;
+/// Repeats a call while the system lacks resources for it.
+async fn retry_shortage<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let end = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
         match call() {
-            Err(error) if is_shortage(&error) && Instant::now() < end => drop(Timer::after(RETRY).await),
-            done => return done,
+            Err(error) if is_shortage(&error) && Instant::now() < end => {
+                drop(Timer::after(RETRY_DELAY).await)
+            }
+            result => return result,
         }
     }
 }
--- a/crates/gateway/src/net/socket.rs
+++ b/crates/gateway/src/net/socket.rs
@@ -1,5 +1,5 @@
-//! A TCP stream that is registered with the reactor. A call that a signal interrupts is made again, and a registration that
-//! the system refuses is tried again: neither says anything of the connection.
+//! A non-blocking TCP stream registered with the reactor. Interrupted calls and failed registrations are retried: neither says
+//! anything about the connection.
 use async_io::{Async, Timer};
 use futures_lite::future;
 use rustix::event::{PollFd, PollFlags, Timespec};
@@ -13,8 +13,8 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 
-/// How long a registration that was refused waits for its next try.
-const RETRY: Duration = Duration::from_millis(5);
+/// The delay before a failed registration is retried.
+const REGISTRATION_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Copy)]
 enum Direction {
@@ -22,10 +22,10 @@
     Write,
 }
 
-/// The stream.
+/// A TCP stream.
 pub struct Socket {
     stream: Arc<TcpStream>,
-    /// None while the reactor could not be told of it.
+    /// `None` while registration fails.
     registered: Option<Async<Arc<TcpStream>>>,
     retry: Timer,
 }
@@ -34,20 +34,24 @@
     /// Registers a stream.
     pub fn new(stream: TcpStream) -> Socket {
         let stream = Arc::new(stream);
-        // Without this a command's last bytes may wait for an acknowledgement.
+        // Both can only fail on a socket that is broken already, which the first read reports.
+        // Without TCP_NODELAY the last bytes of a command may be delayed until an acknowledgement arrives.
         let _ = stream.set_nodelay(true);
         let _ = stream.set_nonblocking(true);
         let registered = Async::new_nonblocking(stream.clone()).ok();
-        Socket { stream, registered, retry: Timer::after(RETRY) }
+        Socket { stream, registered, retry: Timer::after(REGISTRATION_RETRY_DELAY) }
     }
 
-    /// Connects; the error is that of the first call that failed.
+    /// Connects to `address`. Dropping the future abandons the connection.
+    ///
+    /// # Errors
+    /// The error of the first system call that failed.
     pub async fn connect(address: SocketAddr) -> io::Result<Socket> {
         let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
         let socket = net::socket_with(family, SocketType::STREAM, flags, None)?;
         match net::connect(&socket, &address) {
-            // An interrupted connect goes on by itself.
+            // An interrupted connect continues in the background.
             Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
             Err(error) => return Err(error.into()),
         }
@@ -59,27 +63,30 @@
         }
     }
 
-    /// Reads what has come, at least a byte; 0 at its end.
+    /// Reads at least one byte; 0 at the end of the stream.
     pub fn poll_read(&mut self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         self.poll_call(Direction::Read, cx, |mut stream| stream.read(buffer))
     }
 
-    /// Writes as much as the system takes.
+    /// Writes as many bytes as the system accepts.
     pub fn poll_write(&mut self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_call(Direction::Write, cx, |mut stream| stream.write(bytes))
     }
 
-    /// Ends the sending.
+    /// Shuts down the sending side.
+    ///
+    /// # Errors
+    /// The system's error, as a rule that the socket is no longer connected.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Whether the other side has closed, though what it sent before may not be read yet.
+    /// Whether the peer has closed, even while bytes that it sent before are unread.
     pub fn hung_up(&self) -> bool {
-        let mut look = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
+        let mut polled = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
         let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-        // A look that fails tells nothing.
-        rustix::event::poll(&mut look, Some(&now)).is_ok() && !look[0].revents().is_empty()
+        // A poll that fails reveals nothing.
+        rustix::event::poll(&mut polled, Some(&now)).is_ok() && !polled[0].revents().is_empty()
     }
 
     fn poll_call(
@@ -98,7 +105,7 @@
         }
     }
 
-    /// Waits for the reactor's word; registers the stream anew where the reactor fails.
+    /// Waits until the reactor reports readiness; registers the stream again where the reactor fails.
     fn poll_ready(&mut self, direction: Direction, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             let ready = self.registered.as_ref().map(|registered| match direction {
@@ -110,13 +117,13 @@
                 Some(Poll::Ready(Ok(()))) => return Poll::Ready(()),
                 Some(Poll::Ready(Err(_))) => {
                     self.registered = None;
-                    self.retry.set_after(RETRY);
+                    self.retry.set_after(REGISTRATION_RETRY_DELAY);
                 }
                 None => {}
             }
             ready!(Pin::new(&mut self.retry).poll(cx));
             self.registered = Async::new_nonblocking(self.stream.clone()).ok();
-            self.retry.set_after(RETRY);
+            self.retry.set_after(REGISTRATION_RETRY_DELAY);
         }
     }
 }
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -1,7 +1,7 @@
 //! The actor that gathers: each part is a request of its own in the module, with its own credits, limits and attempts.
 use crate::backend::pool::BackendPool;
 use crate::backend::value::Answer;
-use crate::client::response::{worded, Reply};
+use crate::client::response::{encode, EncodedResponse};
 use crate::context::Context;
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use crate::scatter_gather::handle::{Begin, Gathering, Letter};
@@ -147,7 +147,7 @@
             }
             Err(scatter_gather::Full) => {
                 self.context.counters.answer(begin.request.class, 1);
-                put(&begin, worded(Answer::Rejected(Some(AGAIN))));
+                put(&begin, encode(Answer::Rejected(Some(AGAIN))));
             }
         }
         self.carry_out(out);
@@ -241,6 +241,6 @@
 }
 
 /// Puts the one answer in the client's mailbox, which has room for all that it is owed; a closed one has gone.
-fn put(begin: &Begin, reply: Reply) {
-    let _ = begin.to.try_send((begin.slot, reply));
+fn put(begin: &Begin, response: EncodedResponse) {
+    let _ = begin.to.try_send((begin.slot, response));
 }
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -1,6 +1,6 @@
 //! Answers that are gathered from parts: what fronts hand over, and the actor's mailbox. Without a table `[[gather]]` in an
 //! operator's file there is no handle, and the actor is never started.
-use crate::client::response::Reply;
+use crate::client::response::EncodedResponse;
 use async_channel::{Receiver, Sender};
 use config::Config;
 use dispatch::Request;
@@ -106,7 +106,7 @@
 }
 
 /// A gathered answer, and its place in the connection's order of answers.
-pub type Placed = (u64, Reply);
+pub type Placed = (u64, EncodedResponse);
 
 /// A connection's side toward the actor.
 pub struct Owed {
--- a/crates/gateway/src/scatter_gather/response.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -1,24 +1,24 @@
 //! How gathered answers are worded to RESP2 clients: whole as one bulk string, in part as an array of what came and a text
 //! that names what is missing, and a failure as an error with its reason.
 use crate::backend::value;
-use crate::client::response::{worded, Reply};
+use crate::client::response::{encode, EncodedResponse};
 use dispatch::Bytes;
 use scatter_gather::{Answer, Gathered, Held};
 use scheduler::interface::Micros;
 
 /// The one answer's words. Values keep their place in the bound on memory until they are written.
-pub fn reply(answer: Answer<Bytes>) -> Reply {
+pub fn reply(answer: Answer<Bytes>) -> EncodedResponse {
     match answer {
         Answer::Gathered(gathered) => joined(gathered),
         Answer::Failed(failure) if failure.turned_away() => {
             let micros = |h: std::time::Duration| Micros(i64::try_from(h.as_micros()).unwrap_or(i64::MAX));
-            worded(value::Answer::Rejected(failure.hint.map(micros)))
+            encode(value::Answer::Rejected(failure.hint.map(micros)))
         }
-        failed => Reply::text(format!("-ERR {}\r\n", failed.told().text())),
+        failed => EncodedResponse::bytes(format!("-ERR {}\r\n", failed.told().text())),
     }
 }
 
-fn joined(gathered: Gathered<Bytes>) -> Reply {
+fn joined(gathered: Gathered<Bytes>) -> EncodedResponse {
     let told = (!gathered.whole()).then(|| gathered.told().text());
     let (values, held): (Vec<Bytes>, Vec<Held>) = gathered.into_values().into_iter().flatten().unzip();
     let length: usize = values.iter().map(|v| v.len()).sum();
@@ -34,7 +34,7 @@
     pieces.push(Bytes::from(head.as_bytes()));
     pieces.extend(values);
     pieces.push(Bytes::from(tail.as_bytes()));
-    Reply::Pieces(pieces, held)
+    EncodedResponse::Pieces(pieces, held)
 }
 
 #[cfg(test)]
@@ -44,7 +44,7 @@
     use scatter_gather::{Budget, Ended, Event, Gathers, Halls, Rules};
 
     /// What a client is sent where these two parts end so, and the budget.
-    fn told(ends: [Ended<Bytes>; 2]) -> (Reply, Budget) {
+    fn told(ends: [Ended<Bytes>; 2]) -> (EncodedResponse, Budget) {
         let part = |n: u32| {
             format!("[[gather.part]]\nname = \"p{n}\"\nhall = \"hall-a\"\npiece = \"{n:016x}\"\nshard = 0\n")
         };
@@ -69,7 +69,7 @@
         Ended::Served(text.as_bytes().into())
     }
 
-    fn bytes(reply: &Reply) -> String {
+    fn bytes(reply: &EncodedResponse) -> String {
         let mut all = Vec::new();
         while !reply.from(all.len()).is_empty() {
             all.push(reply.from(all.len())[0]);
