--- a/crates/gateway/src/admin/health_checks.rs
+++ b/crates/gateway/src/admin/health_checks.rs
@@ -1,5 +1,5 @@
-//! What balancers ask for: the agent check (a line on connecting, as HAProxy reads it) and HTTP health checks; and
-//! the connections on which operators call.
+//! The listeners of load balancers and operators: the agent check (one line on connecting, as HAProxy reads it), HTTP health checks, and
+//! operators' HTTP calls, one call to a connection.
 use crate::admin::config_calls;
 use crate::admin::operators::{self, Operators};
 use crate::context::Context;
@@ -7,134 +7,146 @@
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
+use crate::scheduler_actor::MAX_REQUESTS;
 use async_io::{Async, Timer};
 use futures_lite::{future, StreamExt};
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a listener speaks.
+/// What a listener serves.
 #[derive(Clone)]
-pub enum Form {
+pub enum Service {
     /// The agent check.
     Agent,
     /// HTTP health checks.
-    Http,
+    Health,
     /// Operators' calls.
     Operators(Operators),
 }
 
-/// Checks at once; what comes beyond is closed.
-const MOST: usize = 16;
-/// How long one check may take.
+/// Connections to a listener at once; further ones are closed.
+const MAX_CONNECTIONS: usize = 16;
+/// How long one check or call may take.
 const TIMEOUT: Duration = Duration::from_secs(2);
-const BOUNDS: (usize, usize) = (16 * 1024, 4096);
-/// Operators' calls may have bodies, and long answers.
-const OPERATORS: (usize, usize) = (16 * 1024 + http::BODY, 256 * 1024);
+/// Capacities of a check's input and output buffer, in bytes.
+const CHECK_BUFFER_BYTES: (usize, usize) = (16 * 1024, 4096);
+/// The same for operators' calls, which may have bodies and long answers.
+const CALL_BUFFER_BYTES: (usize, usize) = (16 * 1024 + http::BODY, 256 * 1024);
 
-/// Answers checks until the program ends.
-pub async fn listen(context: Rc<Context>, listener: Async<TcpListener>, form: Form) {
-    let open = Rc::new(());
-    let take = |socket, address| {
-        let check = check(context.clone(), socket, address, form.clone(), open.clone());
-        context.executor.spawn(check).detach();
+/// Serves checks or calls until the process ends.
+pub async fn listen(context: Rc<Context>, listener: Async<TcpListener>, service: Service) {
+    let connections = Rc::new(());
+    let on_accept = |socket, address| {
+        let connection = serve(context.clone(), socket, address, service.clone(), connections.clone());
+        context.executor.spawn(connection).detach();
     };
-    accept(listener, || true, async || {}, take, async || future::pending().await).await;
+    accept(listener, || true, async || {}, on_accept, async || future::pending().await).await;
 }
 
-/// The agent's line: whether to send here, and how much, by how full the table is and how much is refused.
-fn line(context: &Context) -> String {
+/// The agent's line: whether to send requests here, and a weight that falls with the open and the rejected requests.
+fn agent_line(context: &Context) -> String {
     if context.lifecycle.stopping.get().is_some() {
         return "drain\n".into();
     }
     if !context.lifecycle.serving.get() {
         return "down\n".into();
     }
-    let full = (100 * context.counters.open.get() / crate::scheduler_actor::REQUESTS) as u64;
-    let weight = 100 - full.max(context.counters.refusing.get()).min(99);
+    let open_percent = (100 * context.counters.open.get() / MAX_REQUESTS) as u64;
+    let weight = 100 - open_percent.max(context.counters.rejection_percent.get()).min(99);
     format!("up {weight}%\n")
 }
 
-/// The body of a call that has one.
+/// The body of a call that has one; `None` while it is incomplete.
 fn body<'a>(target: &str, bytes: &'a [u8]) -> Result<Option<&'a [u8]>, http::Malformed> {
-    match target.starts_with(config_calls::FOLDER) {
-        true => http::request_body(bytes),
-        false => Ok(Some(&[])),
+    if target.starts_with(config_calls::FOLDER) {
+        http::request_body(bytes)
+    } else {
+        Ok(Some(&[]))
     }
 }
 
-async fn page(context: &Rc<Context>, bytes: &[u8], form: &Form) -> Option<Vec<u8>> {
-    Some(match http::request_head(bytes) {
+/// The answer to an HTTP request; `None` while the request is incomplete.
+async fn answer(context: &Rc<Context>, bytes: &[u8], service: &Service) -> Option<Vec<u8>> {
+    let (method, target) = match http::request_head(bytes) {
         Ok(None) => return None,
-        Err(e) => http::answer(400, "Bad Request", e.0),
-        Ok(Some((method, target, _))) if matches!(form, Form::Operators(_)) => {
-            let Form::Operators(on) = form else { return None };
-            match body(target, bytes) {
-                Ok(None) => return None,
-                Ok(Some(body)) => operators::answer(on, method, target, body).await,
-                Err(e) => http::answer(400, "Bad Request", &format!("{}\n", e.0)),
-            }
-        }
-        Ok(Some((method, _, _))) if method != "GET" && method != "HEAD" => {
-            http::answer(405, "Method Not Allowed", "GET or HEAD\n")
-        }
-        Ok(Some((method, target, _))) => {
-            let ready = context.lifecycle.serving.get() && context.lifecycle.stopping.get().is_none();
-            let mut answer = match target {
-                "/healthz" => http::answer(200, "OK", "ok\n"),
-                "/readyz" if ready => http::answer(200, "OK", "ready\n"),
-                "/readyz" => http::answer(503, "Service Unavailable", "not ready\n"),
-                _ => http::answer(404, "Not Found", "/healthz or /readyz\n"),
-            };
-            if method == "HEAD" {
-                let end = answer.windows(4).position(|w| w == b"\r\n\r\n").map_or(answer.len(), |at| at + 4);
-                answer.truncate(end);
-            }
-            answer
-        }
-    })
+        Err(error) => return Some(http::answer(400, "Bad Request", error.0)),
+        Ok(Some((method, target, _))) => (method, target),
+    };
+    let Service::Operators(operators) = service else { return Some(health_answer(context, method, target)) };
+    match body(target, bytes) {
+        Ok(None) => None,
+        Ok(Some(body)) => Some(operators::answer(operators, method, target, body).await),
+        Err(error) => Some(http::answer(400, "Bad Request", &format!("{}\n", error.0))),
+    }
+}
+
+fn health_answer(context: &Context, method: &str, target: &str) -> Vec<u8> {
+    if method != "GET" && method != "HEAD" {
+        return http::answer(405, "Method Not Allowed", "GET or HEAD\n");
+    }
+    let is_ready = context.lifecycle.serving.get() && context.lifecycle.stopping.get().is_none();
+    let mut answer = match target {
+        "/healthz" => http::answer(200, "OK", "ok\n"),
+        "/readyz" if is_ready => http::answer(200, "OK", "ready\n"),
+        "/readyz" => http::answer(503, "Service Unavailable", "not ready\n"),
+        _ => http::answer(404, "Not Found", "/healthz or /readyz\n"),
+    };
+    if method == "HEAD" {
+        let head_end = answer.windows(4).position(|window| window == b"\r\n\r\n");
+        answer.truncate(head_end.map_or(answer.len(), |at| at + 4));
+    }
+    answer
 }
 
-async fn check(context: Rc<Context>, socket: Socket, address: SocketAddr, form: Form, open: Rc<()>) {
-    let kind = match form {
-        Form::Agent => "agent",
-        Form::Http => "health",
-        Form::Operators(_) => "operator",
+/// Serves one connection.
+async fn serve(
+    context: Rc<Context>,
+    socket: Socket,
+    address: SocketAddr,
+    service: Service,
+    connections: Rc<()>,
+) {
+    let (kind, buffer_bytes) = match service {
+        Service::Agent => ("agent", CHECK_BUFFER_BYTES),
+        Service::Health => ("health", CHECK_BUFFER_BYTES),
+        Service::Operators(_) => ("operator", CALL_BUFFER_BYTES),
     };
-    let bounds = if matches!(form, Form::Operators(_)) { OPERATORS } else { BOUNDS };
-    let mut stream = Connection::new(socket, kind, address, bounds);
-    if Rc::strong_count(&open) > MOST + 1 {
+    let mut stream = Connection::new(socket, kind, address, buffer_bytes);
+    if Rc::strong_count(&connections) > MAX_CONNECTIONS + 1 {
         stream.reason = CloseReason::Bound;
         return;
     }
-    let talk = async {
-        let mut answered = false;
-        if matches!(form, Form::Agent) {
-            stream.output.push(line(&context).as_bytes());
-            answered = true;
-        }
-        loop {
-            match stream.next().await {
-                Some(Ok(SocketEvent::Wrote)) if answered => return CloseReason::Done,
-                Some(Ok(SocketEvent::Wrote)) => {}
-                Some(Ok(SocketEvent::Read)) if answered => stream.input.consume(usize::MAX),
-                Some(Ok(SocketEvent::Read)) => {
-                    if let Some(answer) = page(&context, stream.input.contiguous(), &form).await {
-                        stream.output.push(&answer);
-                        answered = true;
-                    }
-                }
-                Some(Ok(SocketEvent::End)) if answered => {}
-                Some(Ok(SocketEvent::End)) | None => return CloseReason::PeerClosed,
-                Some(Err(_)) => return CloseReason::Reset,
-            }
-        }
-    };
-    let late = async {
+    let timed_out = async {
         Timer::after(TIMEOUT).await;
         CloseReason::Timeout
     };
-    let reason = future::or(talk, late).await;
+    let reason = future::or(exchange(&context, &mut stream, &service), timed_out).await;
     stream.carried += 1;
     stream.reason = reason;
 }
+
+/// Reads the request, where there is one, and sends the answer. Returns why the connection is to be closed.
+async fn exchange(context: &Rc<Context>, stream: &mut Connection, service: &Service) -> CloseReason {
+    let mut is_answered = false;
+    if matches!(service, Service::Agent) {
+        stream.output.push(agent_line(context).as_bytes());
+        is_answered = true;
+    }
+    loop {
+        match stream.next().await {
+            Some(Ok(SocketEvent::Wrote)) if is_answered => return CloseReason::Done,
+            Some(Ok(SocketEvent::Wrote)) => {}
+            Some(Ok(SocketEvent::Read)) if is_answered => stream.input.consume(usize::MAX),
+            Some(Ok(SocketEvent::Read)) => {
+                if let Some(answer) = answer(context, stream.input.contiguous(), service).await {
+                    stream.output.push(&answer);
+                    is_answered = true;
+                }
+            }
+            Some(Ok(SocketEvent::End)) if is_answered => {}
+            Some(Ok(SocketEvent::End)) | None => return CloseReason::PeerClosed,
+            Some(Err(_)) => return CloseReason::Reset,
+        }
+    }
+}
--- a/crates/gateway/src/admin/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -1,8 +1,7 @@
-//! Where operators call, over HTTP/1.1 with one call to a connection: whether this process is ready, its figures,
-//! and taking a disk box out or putting it back.
+//! Operators' calls over HTTP/1.1, one call to a connection: readiness, metrics, and suspending a backend or resuming it.
 use crate::admin::config_calls;
 use crate::admin::coordination_calls;
-use crate::admin::suspensions::{Change, Suspensions};
+use crate::admin::suspensions::{Persistence, Suspensions};
 use crate::backend::pool::BackendPool;
 use crate::config_overlay::actor::ConfigOverlay;
 use crate::context::Context;
@@ -10,56 +9,60 @@
 use crate::scatter_gather::handle::Gathering;
 use async_io::Timer;
 use futures_lite::future;
+use scheduler::interface::BackendId;
 use std::fmt::Write;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A caller waits for 1 s; the module is asked for less.
-const ASKED: Duration = Duration::from_millis(300);
-const FOLDER: &str = "/v1/chunk-servers/";
-/// The answer to a call that is in force and would not outlast a kill yet.
-const NOT_KEPT_YET: &str = "in force, but the folder takes no file: it is tried on; ask again\n";
+/// How long the scheduler has to answer; callers give up after 1 s.
+const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Where calls about a backend are.
+const BACKENDS_PATH: &str = "/v1/chunk-servers/";
+/// The answer to a call that has taken effect and would not survive a kill yet.
+const NOT_PERSISTED: &str = "in force, but the folder takes no file: it is tried on; ask again\n";
 
-/// What operators' calls are about.
+/// What operators' calls act on.
 #[derive(Clone)]
 pub struct Operators {
-    /// What every actor stands on.
+    /// The gateway's shared state.
     pub context: Rc<Context>,
-    /// The module's mailbox.
+    /// The scheduler's mailbox.
     pub scheduler: SchedulerMailbox,
-    /// The disk boxes.
+    /// The pool of backends.
     pub pool: Rc<BackendPool>,
-    /// What is taken out by hand.
+    /// The suspended backends.
     pub suspensions: Rc<Suspensions>,
-    /// The hosts of what fronts settle among themselves, where there are any.
+    /// The coordination host, where the configuration has `[accord]`.
     pub coordination: Option<coordination::Handle>,
-    /// What is in force of changes of configuration, where any come.
+    /// The distributed configuration, where the configuration has `[changes]`.
     pub config_overlay: Option<Rc<ConfigOverlay>>,
-    /// Answers that are gathered from parts, where there are any.
+    /// The scatter-gather actor, where the configuration has policies for it.
     pub gathering: Option<Gathering>,
 }
 
 /// The answer to one call.
-pub async fn answer(on: &Operators, method: &str, target: &str, body: &[u8]) -> Vec<u8> {
-    let context = &on.context;
+pub async fn answer(operators: &Operators, method: &str, target: &str, body: &[u8]) -> Vec<u8> {
+    let coordination = operators.coordination.as_ref();
     if target.starts_with(coordination_calls::FOLDER) {
-        return coordination_calls::answer(on.coordination.as_ref(), method, target).await;
+        return coordination_calls::answer(coordination, method, target).await;
     }
     if target.starts_with(config_calls::FOLDER) {
-        let config_overlay = on.config_overlay.as_deref();
-        return config_calls::answer(config_overlay, on.coordination.as_ref(), method, target, body).await;
+        let overlay = operators.config_overlay.as_deref();
+        return config_calls::answer(overlay, coordination, method, target, body).await;
     }
     let target = target.split('?').next().unwrap_or_default();
-    let call = target.strip_prefix(FOLDER).and_then(|rest| rest.rsplit_once('/'));
-    match (method, target, call) {
-        ("GET", "/v1/readyz", _) if ready(context) => http::answer(200, "OK", "ready\n"),
+    let backend_call = target.strip_prefix(BACKENDS_PATH).and_then(|rest| rest.rsplit_once('/'));
+    match (method, target, backend_call) {
+        ("GET", "/v1/readyz", _) if is_ready(&operators.context) => http::answer(200, "OK", "ready\n"),
         ("GET", "/v1/readyz", _) => http::answer(503, "Service Unavailable", "not ready\n"),
-        ("GET", "/v1/metrics", _) => http::answer(200, "OK", &figures(on).await),
-        ("POST", _, Some((id, what @ ("suspend" | "resume")))) => {
-            match on.pool.set(&http::unescape(id), what == "suspend").await {
-                Change::Kept => http::answer(200, "OK", "done\n"),
-                Change::NotKeptYet => http::answer(503, "Service Unavailable", NOT_KEPT_YET),
-                Change::Unknown => http::answer(404, "Not Found", "no such chunk server was listed\n"),
+        ("GET", "/v1/metrics", _) => http::answer(200, "OK", &metrics(operators).await),
+        ("POST", _, Some((id, action @ ("suspend" | "resume")))) => {
+            match operators.pool.set_suspension(&http::unescape(id), action == "suspend").await {
+                Persistence::Done => http::answer(200, "OK", "done\n"),
+                Persistence::Pending => http::answer(503, "Service Unavailable", NOT_PERSISTED),
+                Persistence::UnknownBackend => {
+                    http::answer(404, "Not Found", "no such chunk server was listed\n")
+                }
             }
         }
         (_, "/v1/readyz" | "/v1/metrics", _) | (_, _, Some((_, "suspend" | "resume"))) => {
@@ -73,49 +76,59 @@
     }
 }
 
-/// Whether this process serves: it listens, knows the boxes, and is not about to end.
-fn ready(context: &Context) -> bool {
-    context.lifecycle.listening.get()
-        && context.lifecycle.serving.get()
-        && context.lifecycle.stopping.get().is_none()
+/// Whether this process serves clients: it listens, knows backends, and is not shutting down.
+fn is_ready(context: &Context) -> bool {
+    let lifecycle = &context.lifecycle;
+    lifecycle.listening.get() && lifecycle.serving.get() && lifecycle.stopping.get().is_none()
 }
 
-/// The figures, one on a line.
-async fn figures(on: &Operators) -> String {
-    let context = &on.context;
-    let (to, from) = async_channel::bounded(1);
-    let _ = on.scheduler.send(SchedulerMessage::Avoided(to)).await;
-    let late = async {
-        Timer::after(ASKED).await;
-        vec![]
-    };
-    let mut away = future::or(async { from.recv().await.unwrap_or_default() }, late).await;
-    let mut out = String::new();
+/// The metrics, one `NAME=VALUE` a line.
+async fn metrics(operators: &Operators) -> String {
+    let Operators { context, pool, .. } = operators;
+    let out_of_rotation = out_of_rotation(operators).await;
+    let mut text = String::new();
     let config = context.config();
     let answers = context.counters.answers.borrow();
-    for (i, class) in config.classes.iter().enumerate() {
-        let [served, refused, failed] = answers.get(i).copied().unwrap_or_default();
-        for (what, count) in [("fulfilled", served), ("throttled", refused), ("faulted", failed)] {
-            let _ = writeln!(out, "app.operations.{}.{what}={count}", class.name);
+    for (index, class) in config.classes.iter().enumerate() {
+        let counts = answers.get(index).copied().unwrap_or_default();
+        for (name, count) in
+            [("fulfilled", counts.served), ("throttled", counts.rejected), ("faulted", counts.failed)]
+        {
+            // Writing to a string can't fail.
+            let _ = writeln!(text, "app.operations.{}.{name}={count}", class.name);
         }
     }
-    away.extend(on.suspensions.all());
-    away.sort();
-    away.dedup();
-    away.retain(|node| on.pool.contains(node));
-    let (accepted, invalid) = context.counters.reloads.get();
-    for (what, count) in [
+    for (name, count) in [
         ("relayed", context.counters.relayed.get()),
         ("open_requests", (context.counters.unanswered.get() + context.gauges.passing.get()) as u64),
-        ("registry_entries", on.pool.len() as u64),
-        ("out_of_rotation", away.len() as u64),
-        ("cfg_accepted", accepted),
-        ("cfg_invalid", invalid),
+        ("registry_entries", pool.len() as u64),
+        ("out_of_rotation", out_of_rotation as u64),
+        ("cfg_accepted", context.counters.reloads.get()),
+        ("cfg_invalid", context.counters.reload_errors.get()),
     ] {
-        let _ = writeln!(out, "app.{what}={count}");
+        // Writing to a string can't fail.
+        let _ = writeln!(text, "app.{name}={count}");
     }
-    if let Some(gathering) = &on.gathering {
-        gathering.figures(&mut out);
+    if let Some(gathering) = &operators.gathering {
+        gathering.figures(&mut text);
     }
-    out
+    text
+}
+
+/// How many listed backends are ejected or suspended.
+async fn out_of_rotation(operators: &Operators) -> usize {
+    let (to, from) = async_channel::bounded(1);
+    // The mailbox is closed only at the end of the process.
+    let _ = operators.scheduler.send(SchedulerMessage::GetEjected(to)).await;
+    let timed_out = async {
+        Timer::after(SCHEDULER_TIMEOUT).await;
+        vec![]
+    };
+    let ejected = async { from.recv().await.unwrap_or_default() };
+    let mut backends: Vec<BackendId> = future::or(ejected, timed_out).await;
+    backends.extend(operators.suspensions.all());
+    backends.sort();
+    backends.dedup();
+    backends.retain(|backend| operators.pool.contains(backend));
+    backends.len()
 }
--- a/crates/gateway/src/admin/suspensions.rs
+++ b/crates/gateway/src/admin/suspensions.rs
@@ -1,6 +1,5 @@
-//! Chunk servers that operators have taken out. To the module such a server drains, whatever discovery lists, until the
-//! call that puts it back. What is taken out is kept in a file under `TMPDIR`, so that it holds for the process that
-//! follows; where there is none, it ends with the process.
+//! Suspended backends. To the scheduler a suspended backend is draining, whatever discovery reports, until it is resumed. Operators'
+//! suspensions are persisted under `TMPDIR` for the process that follows; without `TMPDIR` they end with the process.
 use crate::admin::suspension_files::{self, Snapshot};
 use crate::context::Context;
 use crate::lifecycle::process_files;
@@ -14,153 +13,165 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// So many servers are remembered as listed; with each server replaced by another, older ones are forgotten.
-const LISTED: usize = 4096;
-/// How long a write that failed waits for the next try.
-const RETRY: Duration = Duration::from_millis(100);
-/// How long a caller is kept waiting for the file; callers wait for 1 s in all.
-const KEPT_WITHIN: Duration = Duration::from_millis(600);
+/// Backends that are remembered as listed; older ones are forgotten.
+const MAX_REMEMBERED: usize = 4096;
+/// The delay before a write that failed is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long an operator's call waits for the file; callers give up after 1 s.
+const PERSIST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What has become of a call that takes a chunk server out or puts it back.
+/// The result of an operator's call. The suspension is in effect in either case, unless the backend is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// It is in force, and outlasts this process where its folder does.
-    Kept,
-    /// It is in force, and not written down yet; that is tried until it is.
-    NotKeptYet,
-    /// No such server was ever listed.
-    Unknown,
+pub enum Persistence {
+    /// It is persisted, where the folder lasts.
+    Done,
+    /// It is not persisted yet; that is retried until it is.
+    Pending,
+    /// No such backend was ever listed.
+    UnknownBackend,
 }
 
-/// The chunk servers that are taken out, and those that were listed lately.
+/// The suspended backends, and those that were listed lately.
 #[derive(Default)]
 pub struct Suspensions {
-    /// Those that operators have taken out.
-    now: RefCell<Snapshot>,
-    /// The number of the newest snapshot that is in a file.
-    kept: Cell<i64>,
+    /// Operators' suspensions.
+    current: RefCell<Snapshot>,
+    /// The number of the newest snapshot that is persisted.
+    persisted: Cell<i64>,
     /// Whether the writer runs.
-    writing: Cell<bool>,
+    is_writing: Cell<bool>,
+    /// Notified after each snapshot that was persisted.
     written: Event,
-    /// Those that the fronts have settled to take out.
-    settled: RefCell<BTreeSet<BackendId>>,
-    /// Servers that were listed lately, the oldest first.
-    listed: RefCell<(BTreeSet<BackendId>, VecDeque<BackendId>)>,
+    /// Suspensions that the coordination group has agreed on.
+    agreed: RefCell<BTreeSet<BackendId>>,
+    remembered: RefCell<Remembered>,
+}
+
+/// Backends that were listed lately.
+#[derive(Default)]
+struct Remembered {
+    backends: BTreeSet<BackendId>,
+    /// The same, the longest remembered first.
+    order: VecDeque<BackendId>,
 }
 
 impl Suspensions {
-    /// All that are taken out.
+    /// All suspended backends.
     pub fn all(&self) -> Vec<BackendId> {
-        self.now.borrow().out.union(&self.settled.borrow()).cloned().collect()
+        self.current.borrow().suspended.union(&self.agreed.borrow()).cloned().collect()
     }
 
-    /// Puts in place what was read, where it is newer than what is held; tells whether anything changed.
-    pub fn take_over(&self, read: Option<Snapshot>) -> bool {
-        let Some(read) = read.filter(|read| read.number > self.now.borrow().number) else { return false };
-        self.kept.set(read.number);
-        read.out.iter().for_each(|node| self.remember(node));
-        let before = self.now.replace(read);
-        before.out != self.now.borrow().out
+    /// Takes over a persisted snapshot where it is newer. Returns whether the suspensions changed.
+    pub fn take_over(&self, persisted: Option<Snapshot>) -> bool {
+        let is_newer = |snapshot: &Snapshot| snapshot.number > self.current.borrow().number;
+        let Some(snapshot) = persisted.filter(is_newer) else { return false };
+        self.persisted.set(snapshot.number);
+        snapshot.suspended.iter().for_each(|backend| self.remember(backend));
+        let before = self.current.replace(snapshot);
+        before.suspended != self.current.borrow().suspended
     }
 
-    /// Notes that a server was listed.
-    pub fn remember(&self, node: &BackendId) {
-        let mut listed = self.listed.borrow_mut();
-        let (names, order) = &mut *listed;
-        if names.insert(node.clone()) {
-            order.push_back(node.clone());
-            if order.len() > LISTED {
-                if let Some(old) = order.pop_front() {
-                    names.remove(&old);
+    /// Remembers that a backend was listed.
+    pub fn remember(&self, backend: &BackendId) {
+        let mut remembered = self.remembered.borrow_mut();
+        let Remembered { backends, order } = &mut *remembered;
+        if backends.insert(backend.clone()) {
+            order.push_back(backend.clone());
+            if order.len() > MAX_REMEMBERED {
+                if let Some(oldest) = order.pop_front() {
+                    backends.remove(&oldest);
                 }
             }
         }
     }
 
-    /// What the module is told of an entry of the list.
-    pub fn seen(&self, mut entry: BackendEntry) -> BackendEntry {
-        let out =
-            self.now.borrow().out.contains(&entry.backend) || self.settled.borrow().contains(&entry.backend);
-        if entry.state == BackendState::Ready && out {
+    /// An entry of the list as the scheduler is to see it.
+    pub fn apply_to(&self, mut entry: BackendEntry) -> BackendEntry {
+        let is_suspended = self.current.borrow().suspended.contains(&entry.backend)
+            || self.agreed.borrow().contains(&entry.backend);
+        if entry.state == BackendState::Ready && is_suspended {
             entry.state = BackendState::Draining;
         }
         entry
     }
 
-    /// The fronts have settled that a server is out, or back; tells whether that changed anything.
-    pub fn settle(&self, node: BackendId, out: bool) -> bool {
-        match out {
-            true => self.settled.borrow_mut().insert(node),
-            false => self.settled.borrow_mut().remove(&node),
+    /// Applies a decision of the coordination group. Returns whether it changed anything.
+    pub fn set_agreed(&self, backend: BackendId, is_suspended: bool) -> bool {
+        if is_suspended {
+            self.agreed.borrow_mut().insert(backend)
+        } else {
+            self.agreed.borrow_mut().remove(&backend)
         }
     }
 
-    /// Takes a server out, or puts it back; tells whether that changed anything, and none for one that was never listed.
-    pub fn set(self: &Rc<Suspensions>, context: &Rc<Context>, node: &str, out: bool) -> Option<bool> {
-        let node = BackendId(node.into());
-        if !self.listed.borrow().0.contains(&node) {
+    /// Suspends a backend or resumes it, and begins to persist that. Returns whether it changed anything; `None` for a backend that was
+    /// never listed.
+    pub fn set(self: &Rc<Self>, context: &Rc<Context>, backend: &str, is_suspended: bool) -> Option<bool> {
+        let backend = BackendId(backend.into());
+        if !self.remembered.borrow().backends.contains(&backend) {
             return None;
         }
-        let mut now = self.now.borrow_mut();
-        let changed = match out {
-            true => now.out.insert(node.clone()),
-            false => now.out.remove(&node),
+        let mut current = self.current.borrow_mut();
+        let has_changed = if is_suspended {
+            current.suspended.insert(backend.clone())
+        } else {
+            current.suspended.remove(&backend)
         };
-        if changed {
-            crate::log::line(format_args!("ban node={} out={out}", node.0));
-            now.number = context.clock.now().0.max(now.number + 1);
-            drop(now);
-            self.keep(context);
+        if has_changed {
+            crate::log::line(format_args!("suspension backend={} suspended={is_suspended}", backend.0));
+            current.number = context.clock.now().0.max(current.number + 1);
+            drop(current);
+            self.begin_writing(context);
         }
-        Some(changed)
+        Some(has_changed)
     }
 
-    /// Waits until what is in force now is in a file; false where that takes long.
-    pub async fn is_kept(&self) -> bool {
-        let number = self.now.borrow().number;
-        let kept = async {
+    /// Waits until the suspensions as they are now are persisted. Returns false where that takes too long.
+    pub async fn wait_until_persisted(&self) -> bool {
+        let number = self.current.borrow().number;
+        let persisted = async {
             loop {
                 let written = self.written.listen();
-                if self.kept.get() >= number {
+                if self.persisted.get() >= number {
                     return true;
                 }
                 written.await;
             }
         };
-        let late = async {
-            Timer::after(KEPT_WITHIN).await;
+        let timed_out = async {
+            Timer::after(PERSIST_TIMEOUT).await;
             false
         };
-        future::or(kept, late).await
+        future::or(persisted, timed_out).await
     }
 
-    /// Sees to it that what is in force is written down, beside everything else: the one thread never waits for a disk.
-    fn keep(self: &Rc<Suspensions>, context: &Rc<Context>) {
-        let Some(front) = process_files::path(context) else {
-            return self.kept.set(self.now.borrow().number);
+    /// Starts the writer where it does not run: the main thread never waits for a disk.
+    fn begin_writing(self: &Rc<Self>, context: &Rc<Context>) {
+        let Some(prefix) = process_files::path(context) else {
+            return self.persisted.set(self.current.borrow().number);
         };
-        if !self.writing.replace(true) {
+        if !self.is_writing.replace(true) {
             let suspensions = self.clone();
-            context.executor.spawn(async move { suspensions.write(front).await }).detach();
+            context.executor.spawn(async move { suspensions.write(prefix).await }).detach();
         }
     }
 
-    /// Writes down what is in force until the newest is kept. A folder that takes nothing for a while is tried again.
-    async fn write(&self, front: PathBuf) {
-        while self.kept.get() < self.now.borrow().number {
-            let snapshot = self.now.borrow().clone();
-            let (to, number) = (front.clone(), snapshot.number);
-            match blocking::unblock(move || suspension_files::write(&to, &snapshot)).await {
+    /// Writes snapshots until the newest is persisted. A folder that fails for a while is retried.
+    async fn write(&self, prefix: PathBuf) {
+        while self.persisted.get() < self.current.borrow().number {
+            let snapshot = self.current.borrow().clone();
+            let (prefix, number) = (prefix.clone(), snapshot.number);
+            match blocking::unblock(move || suspension_files::write(&prefix, &snapshot)).await {
                 Ok(()) => {
-                    self.kept.set(self.kept.get().max(number));
+                    self.persisted.set(self.persisted.get().max(number));
                     self.written.notify(usize::MAX);
                 }
                 Err(error) => {
-                    crate::log::line(format_args!("bans error={error}"));
-                    Timer::after(RETRY).await;
+                    crate::log::line(format_args!("suspensions error={error}"));
+                    Timer::after(WRITE_RETRY_DELAY).await;
                 }
             }
         }
-        self.writing.set(false);
+        self.is_writing.set(false);
     }
 }
--- a/crates/gateway/src/backend/actor.rs
+++ b/crates/gateway/src/backend/actor.rs
@@ -1,248 +1,129 @@
-//! The actor of one disk box: it carries out attempts, each alone on a connection, and keeps idle connections.
-use crate::backend::iscsi_exchange;
-use crate::backend::resp_exchange::{exchange, pass_on, Exchanged};
-use crate::backend::start_times::Start;
-use crate::backend::statistics::BackendStatistics;
-use crate::backend::value::{Ended, ValueWriter};
-use crate::context::Context;
-use crate::messages::{SchedulerMailbox, SchedulerMessage};
+//! The actor of one backend: it starts attempts, each alone on a connection, and keeps idle connections for reuse.
+use crate::backend::attempt;
+use crate::backend::endpoint::BackendContext;
 use crate::net::close_reason::CloseReason;
-use crate::net::dial::{connect, BackendConnection};
-use async_channel::{Receiver, Sender, WeakSender};
+use crate::net::dial::BackendConnection;
+use async_channel::{Receiver, WeakSender};
 use async_io::Timer;
-use config::Speaks;
 use dispatch::Attempt;
 use futures_lite::{future, StreamExt};
-use scheduler::interface::{AttemptOutcome, BackendEntry, Micros};
-use std::cell::{Cell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
+use scheduler::interface::Micros;
 use std::time::Duration;
 
-/// Idle connections that are kept for one disk box.
-const KEPT: usize = 48;
-/// A connection rests for so long before it is used again: a second answer may come some milliseconds late. It is seen by
-/// then, and is not taken for the reply to the next command.
-const REST: i64 = 5_000;
-/// Of the time after which the disk box closes an idle connection, the part for which it is used again.
-const FRESH: f64 = 0.6;
+/// Idle connections that are kept for one backend.
+const MAX_IDLE_CONNECTIONS: usize = 48;
+/// How often idle connections are checked for their age.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a connection rests before it is reused, in microseconds: a duplicate reply, which may follow some milliseconds later, must
+/// not be taken for the reply to the next command.
+pub const REST_US: i64 = 5_000;
+/// An idle connection is reused for this part of the time after which the backend closes it.
+const REUSE_FRACTION: f64 = 0.6;
 
-/// A value that is being passed on is cut so long after its client has stopped waiting.
-const NEVER_ENDING: i64 = 10_000_000;
-
-/// What the list says of the disk box; read by attempts that are still waiting for a connection.
-pub struct Endpoint {
-    /// Its entry on the list.
-    pub entry: RefCell<BackendEntry>,
-    /// Where it listens.
-    pub address: Cell<Option<SocketAddr>>,
-    /// Whether it has been told to be draining or gone.
-    pub closed: Cell<bool>,
-    /// Its last start, where the list tells one.
-    pub start: Cell<Option<Start>>,
-    /// How it is spoken to.
-    pub speaks: Cell<Speaks>,
-    /// Its target's name, for iSCSI.
-    pub target: RefCell<String>,
-    /// Its idle connections.
-    pub idle: Cell<usize>,
-    /// What is measured of it.
-    pub statistics: Rc<BackendStatistics>,
-    /// Its sessions or connections belong to this life of it.
-    pub incarnation: Cell<u32>,
-}
-
-/// What a box's actor and its attempts need.
-#[derive(Clone)]
-pub struct BackendContext {
-    /// What every actor stands on.
-    pub context: Rc<Context>,
-    /// Where ends of attempts go.
-    pub scheduler: SchedulerMailbox,
-    /// What the list says of the box.
-    pub endpoint: Rc<Endpoint>,
-    /// Asks a box that has idle connections to close one; false where none has any.
-    pub make_room: Rc<dyn Fn() -> bool>,
-}
-
-impl BackendContext {
-    /// Whether an attempt may begin now, here. Asked in the instant of sending, after whatever was waited for.
-    pub fn may_begin(&self, attempt: &Attempt) -> bool {
-        !self.endpoint.closed.get() && attempt.may_begin(self.context.clock.now())
-    }
-}
-
-/// A peer's mail.
+/// A message to a backend's actor.
 pub enum BackendMessage {
-    /// Make an attempt.
+    /// Start an attempt.
     Start(Attempt),
-    /// A connection that is free again.
-    Free(Box<BackendConnection>),
-    /// The list has changed.
-    Changed,
-    /// Close the connection that has stood idle the longest: another disk box needs its place.
-    Spare,
-    /// The program ends.
+    /// Keep a connection whose attempt has ended.
+    Release(Box<BackendConnection>),
+    /// The backend's entry has changed.
+    EndpointChanged,
+    /// Close the connection that has been idle the longest: another backend needs its descriptor.
+    EvictIdle,
+    /// Close all idle connections: the process is shutting down.
     Stop,
 }
 
-/// Whether an idle connection may carry a request: nothing has come on it, not even its end.
-async fn usable(connection: &mut BackendConnection) -> bool {
-    future::poll_once(connection.stream.next()).await.is_none()
-}
-
-/// The connection to be used next: of those that have rested the one used last, else the one that has rested longest.
-fn next_idle(idle: &mut Vec<BackendConnection>, now: Micros) -> Option<BackendConnection> {
-    let rested = idle.iter().rposition(|c| now.0 - c.since.0 >= REST);
-    (!idle.is_empty()).then(|| idle.remove(rested.unwrap_or(0)))
-}
-
-/// Runs until its box has left and nothing is out there.
-pub async fn run(work: BackendContext, inbox: Receiver<BackendMessage>, own: WeakSender<BackendMessage>) {
-    let BackendContext { context, endpoint, .. } = &work;
+/// Runs until the backend is forgotten and no attempt is in flight, which closes the mailbox.
+pub async fn run(backend: BackendContext, inbox: Receiver<BackendMessage>, own: WeakSender<BackendMessage>) {
     let mut inbox = Box::pin(inbox);
-    let mut idle: Vec<BackendConnection> = Vec::new();
+    let mut idle = IdleConnections { backend: backend.clone(), connections: Vec::new() };
     loop {
+        backend.endpoint.idle.set(idle.connections.len());
         let sweep = async {
-            Timer::after(Duration::from_secs(1)).await;
-            Some(BackendMessage::Changed)
-        };
-        endpoint.idle.set(idle.len());
-        let next = match idle.is_empty() {
-            true => inbox.next().await,
-            false => future::or(inbox.next(), sweep).await,
-        };
-        match next {
-            // Forgotten, and nothing is out any more.
-            None => {
-                idle.iter_mut().for_each(|c| c.stream.reason = CloseReason::Drained);
-                return;
+            if idle.connections.is_empty() {
+                future::pending::<()>().await;
             }
+            Timer::after(SWEEP_INTERVAL).await;
+            Some(BackendMessage::EndpointChanged)
+        };
+        match future::or(inbox.next(), sweep).await {
+            None => return idle.close_all(CloseReason::Drained),
             Some(BackendMessage::Start(attempt)) => {
-                let connection = next_idle(&mut idle, context.clock.now());
-                let connection = connection.filter(|c| c.incarnation == endpoint.incarnation.get());
-                let attempt = serve(work.clone(), attempt, connection, own.upgrade());
-                context.executor.spawn(attempt).detach();
-            }
-            Some(BackendMessage::Free(mut connection)) => {
-                if endpoint.closed.get() || connection.incarnation != endpoint.incarnation.get() {
-                    connection.stream.reason = CloseReason::Drained;
-                } else if idle.len() >= KEPT {
-                    connection.stream.reason = CloseReason::Bound;
-                } else {
-                    idle.push(*connection);
-                }
-            }
-            Some(BackendMessage::Spare) => {
-                if !idle.is_empty() {
-                    idle.remove(0).stream.reason = CloseReason::Bound;
-                }
-            }
-            Some(BackendMessage::Stop) => {
-                idle.iter_mut().for_each(|c| c.stream.reason = CloseReason::Stopped);
-                return;
-            }
-            Some(BackendMessage::Changed) => {
-                let now = context.clock.now();
-                let fresh = (context.config().idle.0 as f64 * FRESH) as i64;
-                for c in idle.iter_mut() {
-                    let dead = endpoint.closed.get() || c.incarnation != endpoint.incarnation.get();
-                    c.stream.reason = if dead { CloseReason::Drained } else { CloseReason::Idle };
-                }
-                idle.retain(|c| {
-                    !endpoint.closed.get()
-                        && c.incarnation == endpoint.incarnation.get()
-                        && now.0 - c.since.0 < fresh
-                });
-                idle.iter_mut().for_each(|c| c.stream.reason = CloseReason::PeerClosed);
+                let connection = idle.take();
+                let attempt = attempt::run(backend.clone(), attempt, connection, own.upgrade());
+                backend.context.executor.spawn(attempt).detach();
             }
+            Some(BackendMessage::Release(connection)) => idle.put(*connection),
+            Some(BackendMessage::EvictIdle) => idle.evict_oldest(),
+            Some(BackendMessage::EndpointChanged) => idle.close_unusable(),
+            Some(BackendMessage::Stop) => return idle.close_all(CloseReason::Stopped),
         }
     }
 }
 
-/// Carries out one attempt and tells the module of its end.
-async fn serve(
-    work: BackendContext,
-    attempt: Attempt,
-    free: Option<BackendConnection>,
-    own: Option<Sender<BackendMessage>>,
-) {
-    let BackendContext { context, scheduler, endpoint, .. } = &work;
-    let _out = endpoint.statistics.begin();
-    let mut ready = None;
-    if let Some(mut free) = free {
-        let rested = Micros(free.since.0 + REST).min(attempt.deadline);
-        if rested > context.clock.now() {
-            Timer::at(context.clock.instant(rested)).await;
-        }
-        ready = usable(&mut free).await.then_some(free);
+/// The idle connections of one backend, the longest idle first.
+struct IdleConnections {
+    backend: BackendContext,
+    connections: Vec<BackendConnection>,
+}
+
+impl IdleConnections {
+    fn is_current(&self, connection: &BackendConnection) -> bool {
+        connection.incarnation == self.backend.endpoint.incarnation.get()
     }
-    let connection = match ready {
-        Some(connection) => Ok(connection),
-        None => connect(&work, &attempt).await,
-    };
-    let ended = match connection {
-        Err(ending) => Some(attempt.ended(ending)),
-        // Guards against what has become known while the connection came up: that the box drains or has started again,
-        // that the client has gone, that a repeat would not be known as one any more.
-        Ok(mut connection)
-            if connection.incarnation != endpoint.incarnation.get() || !work.may_begin(&attempt) =>
-        {
+
+    /// Removes the connection to reuse: of those that have rested the one used last, else the one that has rested the longest. One to
+    /// an earlier incarnation is closed instead.
+    fn take(&mut self) -> Option<BackendConnection> {
+        let now = self.backend.context.clock.now();
+        let rested = self.connections.iter().rposition(|connection| now.0 - connection.since.0 >= REST_US);
+        let connection = (!self.connections.is_empty()).then(|| self.connections.remove(rested.unwrap_or(0)));
+        connection.filter(|connection| self.is_current(connection))
+    }
+
+    /// Keeps a connection, or closes it where it can't be reused.
+    fn put(&mut self, mut connection: BackendConnection) {
+        if self.backend.endpoint.is_closed.get() || !self.is_current(&connection) {
             connection.stream.reason = CloseReason::Drained;
-            let fresh = connection.incarnation == endpoint.incarnation.get() && !endpoint.closed.get();
-            if let Some(own) = own.filter(|_| fresh) {
-                drop(own.try_send(BackendMessage::Free(Box::new(connection))));
-            }
-            Some(attempt.ended(AttemptOutcome::NotSent))
+        } else if self.connections.len() >= MAX_IDLE_CONNECTIONS {
+            connection.stream.reason = CloseReason::Bound;
+        } else {
+            self.connections.push(connection);
         }
-        Ok(mut connection) => {
-            endpoint.statistics.sent(context.clock.now());
-            let (ended, mut keep) = match endpoint.speaks.get() {
-                Speaks::Resp => exchange(context, &attempt, &mut connection.stream).await,
-                Speaks::Iscsi => {
-                    let target = endpoint.target.borrow().clone();
-                    let session = &mut connection.session;
-                    iscsi_exchange::exchange(&work, &attempt, &mut connection.stream, session, &target).await
-                }
-            };
-            connection.stream.carried += 1;
-            let ended = match ended {
-                Exchanged::Ended(ended) => Some(ended),
-                Exchanged::Begun { parts, length } => {
-                    let (passing, coming) = ValueWriter::begin(&context.gauges, length);
-                    let ended = Ended { value: Some(coming), ..attempt.ended(AttemptOutcome::Ok) };
-                    endpoint.statistics.ended(
-                        context.clock.now(),
-                        AttemptOutcome::Ok,
-                        &attempt.request.volume,
-                        attempt.request.units,
-                    );
-                    let _ = scheduler.send(SchedulerMessage::Ended(ended)).await;
-                    // Guards against a value that never ends, and its client that never reads.
-                    connection.stream.reason = CloseReason::Cut;
-                    let passed =
-                        pass_on(context, scheduler, &attempt, &mut connection.stream, passing, parts);
-                    let until = context.clock.instant(Micros(attempt.request.deadline.0 + NEVER_ENDING));
-                    keep = future::or(passed, async {
-                        Timer::at(until).await;
-                        false
-                    })
-                    .await;
-                    None
-                }
-            };
-            if keep {
-                connection.since = context.clock.now();
-                if let Some(own) = own {
-                    drop(own.try_send(BackendMessage::Free(Box::new(connection))));
-                }
+    }
+
+    fn evict_oldest(&mut self) {
+        if !self.connections.is_empty() {
+            self.connections.remove(0).stream.reason = CloseReason::Bound;
+        }
+    }
+
+    /// Closes the connections that have become too old, or whose backend is draining, gone or restarted.
+    fn close_unusable(&mut self) {
+        let context = &self.backend.context;
+        let now = context.clock.now();
+        let reuse_us = (context.config().idle.0 as f64 * REUSE_FRACTION) as i64;
+        let is_closed = self.backend.endpoint.is_closed.get();
+        let connections = std::mem::take(&mut self.connections);
+        for mut connection in connections {
+            if is_closed || !self.is_current(&connection) {
+                connection.stream.reason = CloseReason::Drained;
+            } else if now.0 - connection.since.0 >= reuse_us {
+                connection.stream.reason = CloseReason::Idle;
+            } else {
+                connection.stream.reason = CloseReason::PeerClosed;
+                self.connections.push(connection);
             }
-            ended
         }
-    };
-    if let Some(ended) = ended {
-        let (volume, units) = (&attempt.request.volume, attempt.request.units);
-        endpoint.statistics.ended(context.clock.now(), ended.outcome, volume, units);
-        let _ = scheduler.send(SchedulerMessage::Ended(ended)).await;
     }
+
+    fn close_all(mut self, reason: CloseReason) {
+        self.connections.iter_mut().for_each(|connection| connection.stream.reason = reason);
+    }
+}
+
+/// When a connection has rested, for an attempt with that deadline.
+pub fn rested_at(connection: &BackendConnection, deadline: Micros) -> Micros {
+    Micros(connection.since.0 + REST_US).min(deadline)
 }
--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -1,7 +1,7 @@
-//! Attempts at a disk box that speaks iSCSI: each connection is a session that carries one command at a time.
-use crate::backend::actor::BackendContext;
-use crate::backend::resp_exchange::Exchanged;
-use crate::backend::value::{Ended, Value};
+//! An exchange with an iSCSI backend: each connection is a session that carries one command at a time.
+use crate::backend::endpoint::BackendContext;
+use crate::backend::exchange::Exchanged;
+use crate::backend::value::{AttemptEnd, Value};
 use crate::context::Context;
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
@@ -13,14 +13,14 @@
 use iscsi::BLOCK;
 use scheduler::interface::AttemptOutcome;
 
-/// The LUN and the blocks that a request is about; none where its volume has no LUN.
+/// The LUN and the blocks of a request; `None` where its volume has no LUN.
 fn extent(context: &Context, attempt: &Attempt) -> Option<(u8, Extent)> {
     let request = &attempt.request;
     let config = context.config();
     let luns = &config.iscsi.as_ref()?.luns;
-    let lun = luns.iter().find(|l| *l.volume == *request.volume)?;
+    let lun = luns.iter().find(|lun| *lun.volume == *request.volume)?;
     let extent = request.extent.unwrap_or_else(|| {
-        // A client that names pieces: each has its place on the volume.
+        // RESP2 clients name keys: each has its place on the volume.
         let pieces = u64::from(lun.blocks / lun.piece_blocks).max(1);
         let piece = u64::from_str_radix(&request.key, 16).unwrap_or(0) % pieces;
         let blocks = match &request.body {
@@ -33,122 +33,182 @@
     Some((lun.lun, extent))
 }
 
-/// Logs in where the connection is new, sends the command and gathers its outcome; also tells whether the
-/// connection may be used again.
+/// The SCSI command of an attempt.
+struct Command {
+    lun: u8,
+    cdb: [u8; 16],
+    /// The data of a write, padded to whole blocks.
+    data: Option<Vec<u8>>,
+    /// The bytes that are transferred.
+    expected: usize,
+}
+
+impl Command {
+    /// `None` where the attempt's volume has no LUN.
+    fn new(context: &Context, attempt: &Attempt) -> Option<Command> {
+        let (lun, extent) = extent(context, attempt)?;
+        let expected = extent.blocks as usize * BLOCK;
+        let body = attempt.request.body.as_ref().filter(|_| attempt.request.is_write);
+        let data = body.map(|body| {
+            let mut padded = body.to_vec();
+            padded.resize(expected, 0);
+            padded
+        });
+        let cdb = scsi::transfer(attempt.request.is_write, extent.first, extent.blocks);
+        Some(Command { lun, cdb, data, expected })
+    }
+
+    fn encode(&self, session: &mut Initiator, out: &mut Vec<u8>) {
+        session.command(self.lun, &self.cdb, self.data.as_deref(), self.expected, out);
+    }
+}
+
+/// Logs in where the connection is new, sends the command and reads its outcome. Also returns whether the connection can be reused;
+/// its close reason is set.
+///
+/// Dropping the future leaves the connection in the middle of the exchange: it has to be closed.
 pub async fn exchange(
-    work: &BackendContext,
+    backend: &BackendContext,
     attempt: &Attempt,
     stream: &mut Connection,
     session: &mut Option<Initiator>,
     target: &str,
 ) -> (Exchanged, bool) {
-    let ended = |ended: Ended, keep: bool| (Exchanged::Ended(ended), keep);
-    let context = &work.context;
-    let Some((lun, extent)) = extent(context, attempt) else {
-        return ended(attempt.ended(AttemptOutcome::NotSent), true);
+    let context = &backend.context;
+    let Some(command) = Command::new(context, attempt) else {
+        return (Exchanged::Ended(attempt.ended(AttemptOutcome::NotSent)), true);
     };
-    let body = attempt.request.body.as_ref().filter(|_| attempt.request.is_write).map(|body| {
-        let mut padded = body.to_vec();
-        padded.resize(extent.blocks as usize * BLOCK, 0);
-        padded
-    });
-    let cdb = scsi::transfer(attempt.request.is_write, extent.first, extent.blocks);
-    let expected = extent.blocks as usize * BLOCK;
     let mut out = Vec::new();
-    let mut begun = session.is_some();
+    let is_logged_in = session.is_some();
     let session = session.get_or_insert_with(Initiator::default);
-    if begun {
-        session.command(lun, &cdb, body.as_deref(), expected, &mut out);
+    if is_logged_in {
+        command.encode(session, &mut out);
     } else {
-        let name = format!("iqn.2026-12.lichenrudder:front-{}", context.config().name);
-        // A session of its own for each connection: a random part that this front never uses again.
-        let [.., a, b, c, d] = context.number().0.to_be_bytes();
-        session.login(&name, Some(target), [0x80, a, b, c, d, 0], &mut out);
+        log_in(context, session, target, &mut out);
     }
-    let mut late = Timer::at(context.clock.instant(attempt.deadline));
-    let mut written = false;
-    loop {
-        if !stream.output.push(&out) {
-            stream.reason = CloseReason::Bound;
-            return ended(
-                attempt.ended(if written { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }),
-                false,
-            );
-        }
-        out.clear();
-        let moved = future::or(async { stream.next().await }, async {
-            (&mut late).await;
-            None
-        });
-        let moved = moved.await;
-        // Guards bookings: the box has the command once its first PDU is written, whatever data it still asks
-        // for, and may have begun to write. Only before that it is sure that nothing ran.
-        let whole = begun && stream.output.is_empty();
-        if whole && !std::mem::replace(&mut written, whole) {
-            context.counters.relayed();
+    let mut exchange =
+        Exchange { backend, attempt, stream, session, command, out, is_logged_in, is_sent: false };
+    let (end, is_reusable) = exchange.run().await;
+    (Exchanged::Ended(end), is_reusable)
+}
+
+fn log_in(context: &Context, session: &mut Initiator, target: &str, out: &mut Vec<u8>) {
+    let name = format!("iqn.2026-12.lichenrudder:front-{}", context.config().name);
+    // Each connection is a session of its own, with an ISID that this process never uses again.
+    let [.., a, b, c, d] = context.number().0.to_be_bytes();
+    session.login(&name, Some(target), [0x80, a, b, c, d, 0], out);
+}
+
+struct Exchange<'a> {
+    backend: &'a BackendContext,
+    attempt: &'a Attempt,
+    stream: &'a mut Connection,
+    session: &'a mut Initiator,
+    command: Command,
+    /// Bytes that are not in the connection's output yet.
+    out: Vec<u8>,
+    is_logged_in: bool,
+    /// Whether the command's first PDU was sent. From then on the backend may execute it, whatever data it still asks for.
+    is_sent: bool,
+}
+
+impl Exchange<'_> {
+    async fn run(&mut self) -> (AttemptEnd, bool) {
+        let context = &self.backend.context;
+        let mut deadline = Timer::at(context.clock.instant(self.attempt.deadline));
+        loop {
+            if !self.stream.output.push(&self.out) {
+                self.stream.reason = CloseReason::Bound;
+                return self.broken(AttemptOutcome::Reset);
+            }
+            self.out.clear();
+            let timed_out = async {
+                (&mut deadline).await;
+                None
+            };
+            let event = future::or(async { self.stream.next().await }, timed_out).await;
+            if self.is_logged_in && self.stream.output.is_empty() && !self.is_sent {
+                self.is_sent = true;
+                context.counters.relayed();
+            }
+            let end = match event {
+                Some(Ok(SocketEvent::Wrote)) => None,
+                Some(Ok(SocketEvent::Read)) => self.read(),
+                Some(Ok(SocketEvent::End)) | Some(Err(_)) => {
+                    self.stream.reason = CloseReason::Reset;
+                    Some(self.broken(AttemptOutcome::Reset))
+                }
+                None => {
+                    self.stream.reason = CloseReason::Timeout;
+                    Some(self.broken(AttemptOutcome::Timeout))
+                }
+            };
+            if let Some(end) = end {
+                return end;
+            }
         }
-        let maybe = |ending| if written { ending } else { AttemptOutcome::ConnectFailed };
-        let ending = match moved {
-            Some(Ok(SocketEvent::Wrote)) => continue,
-            Some(Ok(SocketEvent::Read)) => loop {
-                match session.read(stream.input.contiguous(), &mut out) {
-                    Ok((0, _)) => break None,
-                    Ok((used, told)) => {
-                        stream.input.consume(used);
-                        match told {
-                            // Guards against what has become known while the session came up.
-                            Told::LoggedIn if !begun && !work.may_begin(attempt) => {
-                                let keep = !work.endpoint.closed.get() && stream.input.is_empty();
-                                stream.reason = CloseReason::Drained;
-                                return ended(attempt.ended(AttemptOutcome::NotSent), keep);
-                            }
-                            Told::LoggedIn if !begun => {
-                                begun = true;
-                                session.command(lun, &cdb, body.as_deref(), expected, &mut out);
-                            }
-                            Told::Done { status: code, data, .. } => {
-                                let ending = match code {
-                                    status::GOOD => AttemptOutcome::Ok,
-                                    status::BUSY | status::TASK_SET_FULL => AttemptOutcome::Rejected,
-                                    _ => AttemptOutcome::Error,
-                                };
-                                let value = (ending == AttemptOutcome::Ok)
-                                    .then(|| Value::Complete(Bytes::from(data)));
-                                let keep = stream.output.is_empty() && stream.input.is_empty();
-                                stream.reason = CloseReason::Protocol;
-                                if keep {
-                                    stream.reason = CloseReason::PeerClosed;
-                                }
-                                return ended(Ended { value, ..attempt.ended(ending) }, keep);
-                            }
-                            Told::Rejected(_) => {
-                                stream.reason = CloseReason::Protocol;
-                                break Some(maybe(AttemptOutcome::Error));
-                            }
-                            Told::LoggedOut => {
-                                stream.reason = CloseReason::PeerClosed;
-                                break Some(maybe(AttemptOutcome::Reset));
-                            }
-                            _ => {}
-                        }
-                    }
-                    Err(_) => {
-                        stream.reason = CloseReason::Protocol;
-                        break Some(maybe(AttemptOutcome::Reset));
+    }
+
+    /// The end of an attempt whose connection can't go on; before the command was sent, it could not connect.
+    fn broken(&self, outcome: AttemptOutcome) -> (AttemptEnd, bool) {
+        let outcome = if self.is_sent { outcome } else { AttemptOutcome::ConnectFailed };
+        (self.attempt.ended(outcome), false)
+    }
+
+    /// Reads the PDUs in the input buffer. Returns the attempt's end, once it has ended.
+    fn read(&mut self) -> Option<(AttemptEnd, bool)> {
+        loop {
+            match self.session.read(self.stream.input.contiguous(), &mut self.out) {
+                Ok((0, _)) => return None,
+                Ok((used, told)) => {
+                    self.stream.input.consume(used);
+                    if let Some(end) = self.handle(told) {
+                        return Some(end);
                     }
                 }
-            },
-            Some(Ok(SocketEvent::End)) | Some(Err(_)) => {
-                stream.reason = CloseReason::Reset;
-                Some(maybe(AttemptOutcome::Reset))
+                Err(_) => {
+                    self.stream.reason = CloseReason::Protocol;
+                    return Some(self.broken(AttemptOutcome::Reset));
+                }
             }
-            None => {
-                stream.reason = CloseReason::Timeout;
-                Some(maybe(AttemptOutcome::Timeout))
+        }
+    }
+
+    fn handle(&mut self, told: Told) -> Option<(AttemptEnd, bool)> {
+        match told {
+            // While the session was established the backend began to drain, or the client left.
+            Told::LoggedIn if !self.is_logged_in && !self.backend.may_begin(self.attempt) => {
+                let is_reusable = !self.backend.endpoint.is_closed.get() && self.stream.input.is_empty();
+                self.stream.reason = CloseReason::Drained;
+                Some((self.attempt.ended(AttemptOutcome::NotSent), is_reusable))
             }
-        };
-        if let Some(ending) = ending {
-            return ended(attempt.ended(ending), false);
+            Told::LoggedIn if !self.is_logged_in => {
+                self.is_logged_in = true;
+                self.command.encode(self.session, &mut self.out);
+                None
+            }
+            Told::Done { status, data, .. } => Some(self.done(status, data)),
+            Told::Rejected(_) => {
+                self.stream.reason = CloseReason::Protocol;
+                Some(self.broken(AttemptOutcome::Error))
+            }
+            Told::LoggedOut => {
+                self.stream.reason = CloseReason::PeerClosed;
+                Some(self.broken(AttemptOutcome::Reset))
+            }
+            _ => None,
         }
     }
+
+    fn done(&mut self, scsi_status: u8, data: Vec<u8>) -> (AttemptEnd, bool) {
+        let outcome = match scsi_status {
+            status::GOOD => AttemptOutcome::Ok,
+            status::BUSY | status::TASK_SET_FULL => AttemptOutcome::Rejected,
+            _ => AttemptOutcome::Error,
+        };
+        let value = (outcome == AttemptOutcome::Ok).then(|| Value::Complete(Bytes::from(data)));
+        let is_clean = self.stream.output.is_empty() && self.stream.input.is_empty();
+        self.stream.reason = if is_clean { CloseReason::PeerClosed } else { CloseReason::Protocol };
+        (AttemptEnd { value, ..self.attempt.ended(outcome) }, is_clean)
+    }
 }
--- a/crates/gateway/src/backend/resp_encoding.rs
+++ b/crates/gateway/src/backend/resp_encoding.rs
@@ -1,54 +1,66 @@
-//! The words of an attempt at a disk box that speaks RESP2: its command, and what a reply says.
+//! Encoding an attempt as a RESP2 command, and decoding the backend's reply.
 use crate::context::Context;
 use dispatch::{Attempt, Bytes};
 use scheduler::interface::AttemptOutcome;
 
-/// The command of an attempt.
+/// The command of an attempt. The deadline that it tells the backend is what is left of the attempt's, in milliseconds.
 pub fn command(context: &Context, attempt: &Attempt) -> Vec<u8> {
-    let r = &attempt.request;
-    let wait = ((attempt.deadline.0 - context.clock.now().0) / 1000).max(1);
+    let request = &attempt.request;
+    let wait_ms = ((attempt.deadline.0 - context.clock.now().0) / 1000).max(1);
     let config = context.config();
-    let class = config.classes.get(r.class).map_or("", |c| c.name.as_str());
-    let plan = config.plans.get(r.plan).map_or("", |p| p.as_str());
-    let shard = r.shard.map_or(-1, i64::from);
-    let comma = if r.extra.is_empty() { "" } else { "," };
+    let class = config.classes.get(request.class).map_or("", |class| class.name.as_str());
+    let plan = config.plans.get(request.plan).map_or("", |plan| plan.as_str());
+    let shard = request.shard.map_or(-1, i64::from);
+    let comma = if request.extra.is_empty() { "" } else { "," };
     let list = format!(
-        "c={class},t={plan},d={wait},volume={},units={},shard={shard},hosts={}{comma}{}",
-        r.volume, r.units, r.volume_gateways, r.extra
+        "c={class},t={plan},d={wait_ms},volume={},units={},shard={shard},hosts={}{comma}{}",
+        request.volume, request.units, request.volume_gateways, request.extra
     );
-    let verb: &[u8] = if r.is_write { b"PWRITE" } else { b"PREAD" };
-    let mut words = vec![verb, r.key.as_bytes(), r.name.as_bytes(), list.as_bytes()];
-    words.extend(r.body.as_deref());
-    let mut out = Vec::new();
-    resp::write_command(&mut out, &words);
-    out
+    let verb: &[u8] = if request.is_write { b"PWRITE" } else { b"PREAD" };
+    let mut words = vec![verb, request.key.as_bytes(), request.name.as_bytes(), list.as_bytes()];
+    words.extend(request.body.as_deref());
+    let mut encoded = Vec::new();
+    resp::write_command(&mut encoded, &words);
+    encoded
 }
 
-/// Whether what follows an error line's first words has the form of figures: `cost=4 inflight=7,queue=2`.
-fn figures(text: &[u8]) -> bool {
-    let pair = |p: &[u8]| p.contains(&b'=') && p.iter().all(u8::is_ascii_graphic);
-    text.is_empty() || (text[0] == b' ' && text[1..].split(|b| b" ,".contains(b)).all(pair))
+/// What a reply says.
+pub struct ReplyOutcome {
+    /// How the attempt ended.
+    pub outcome: AttemptOutcome,
+    /// Units served for the volume through other gateways.
+    pub remote_units: f64,
+    /// The value, of a request that was served.
+    pub value: Option<Bytes>,
 }
 
-/// What a reply says: how the attempt ended, the units served elsewhere, the value; none for one that is spoilt.
-/// Guards bookings: only an error line of the exact form says that nothing has run. Guards clients: only an array that
-/// begins with a value serves.
-pub fn outcome(reply: &resp::Reply<'_>) -> Option<(AttemptOutcome, f64, Option<Bytes>)> {
+impl ReplyOutcome {
+    /// An outcome without a value.
+    pub fn without_value(outcome: AttemptOutcome, remote_units: f64) -> ReplyOutcome {
+        ReplyOutcome { outcome, remote_units, value: None }
+    }
+}
+
+/// Whether what follows an error line's first word has the form of usage figures, such as ` cost=4 inflight=7,queue=2`.
+fn are_figures(text: &[u8]) -> bool {
+    let is_pair = |pair: &[u8]| pair.contains(&b'=') && pair.iter().all(u8::is_ascii_graphic);
+    text.is_empty() || (text[0] == b' ' && text[1..].split(|byte| b" ,".contains(byte)).all(is_pair))
+}
+
+/// Decodes a reply; `None` for one that violates the protocol.
+///
+/// Only an error line of the exact form promises that nothing has run, and only an array that begins with a value serves a request.
+pub fn outcome(reply: &resp::Reply<'_>) -> Option<ReplyOutcome> {
     match reply {
-        resp::Reply::Error(line) => match (line.strip_prefix(b"BUSY"), line.strip_prefix(b"ERR")) {
-            (Some(rest), _) if figures(rest) => Some((AttemptOutcome::Rejected, elsewhere(rest), None)),
-            (_, Some(rest)) if rest.iter().all(|b| (b' '..=b'~').contains(b)) => {
-                Some((AttemptOutcome::Error, elsewhere(rest), None))
-            }
-            _ => None,
-        },
+        resp::Reply::Error(line) => error_outcome(line),
         resp::Reply::Array(parts) => match parts.first() {
             Some(resp::Reply::Bulk(Some(value))) => {
-                let figures = match parts.get(1) {
-                    Some(resp::Reply::Bulk(Some(figures))) => elsewhere(figures),
+                let remote_units = match parts.get(1) {
+                    Some(resp::Reply::Bulk(Some(figures))) => remote_units(figures),
                     _ => 0.0,
                 };
-                Some((AttemptOutcome::Ok, figures, Some(Bytes::from(*value))))
+                let value = Some(Bytes::from(*value));
+                Some(ReplyOutcome { outcome: AttemptOutcome::Ok, remote_units, value })
             }
             _ => None,
         },
@@ -56,11 +68,24 @@
     }
 }
 
-/// The units that figures tell were served through other fronts.
-pub fn elsewhere(text: &[u8]) -> f64 {
-    let words = text.split(|b| b" ,".contains(b));
-    let cost = words.filter_map(|w| w.strip_prefix(b"cost=")).next();
-    cost.and_then(|c| std::str::from_utf8(c).ok()?.parse().ok())
-        .filter(|c: &f64| c.is_finite() && *c >= 0.0)
+fn error_outcome(line: &[u8]) -> Option<ReplyOutcome> {
+    let is_text = |text: &[u8]| text.iter().all(|byte| (b' '..=b'~').contains(byte));
+    match (line.strip_prefix(b"BUSY"), line.strip_prefix(b"ERR")) {
+        (Some(rest), _) if are_figures(rest) => {
+            Some(ReplyOutcome::without_value(AttemptOutcome::Rejected, remote_units(rest)))
+        }
+        (_, Some(rest)) if is_text(rest) => {
+            Some(ReplyOutcome::without_value(AttemptOutcome::Error, remote_units(rest)))
+        }
+        _ => None,
+    }
+}
+
+/// The units that usage figures say were served through other gateways.
+pub fn remote_units(figures: &[u8]) -> f64 {
+    let words = figures.split(|byte| b" ,".contains(byte));
+    let cost = words.filter_map(|word| word.strip_prefix(b"cost=")).next();
+    cost.and_then(|cost| std::str::from_utf8(cost).ok()?.parse().ok())
+        .filter(|cost: &f64| cost.is_finite() && *cost >= 0.0)
         .unwrap_or(0.0)
 }
--- a/crates/gateway/src/backend/resp_exchange.rs
+++ b/crates/gateway/src/backend/resp_exchange.rs
@@ -1,9 +1,9 @@
-//! Attempts at a disk box that speaks RESP2: the command, its reply, and long values that are passed on while they come.
-use crate::backend::resp_encoding::{command, elsewhere, outcome};
-use crate::backend::value::{self, Ended, Value, ValueWriter};
+//! An exchange with a RESP2 backend: the command and its reply.
+use crate::backend::exchange::Exchanged;
+use crate::backend::resp_encoding::{command, outcome, ReplyOutcome};
+use crate::backend::value::{self, AttemptEnd, Value};
 use crate::context::Context;
 use crate::counts::Weight;
-use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
 use async_io::Timer;
@@ -11,201 +11,52 @@
 use futures_lite::{future, StreamExt};
 use scheduler::interface::AttemptOutcome;
 use std::rc::Rc;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
-/// How long a reply that has begun may stand still.
-const STANDSTILL: Duration = Duration::from_millis(100);
-/// How long a value that is being passed on may stand still. Its client has begun to get it: nobody else can be asked, and
-/// cutting off what still comes would lose the request.
-const PAUSE: Duration = Duration::from_secs(10);
-/// Of a value that is passed on so much is held back until its end has come.
-const HELD_BACK: usize = 1024;
+/// How long a reply that has begun may stall.
+pub const REPLY_STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What has become of a command that was written.
-pub enum Exchanged {
-    /// The attempt has ended.
-    Ended(Ended),
-    /// A long value has begun, the first part of an array; its head is used up.
-    Begun {
-        /// The parts that follow after it.
-        parts: usize,
-        /// Its length.
-        length: usize,
-    },
-}
-
-/// Passes a long value on while it comes; tells whether the connection may be used again.
-pub async fn pass_on(
-    context: &Rc<Context>,
-    scheduler: &SchedulerMailbox,
-    attempt: &Attempt,
-    stream: &mut Connection,
-    mut passing: ValueWriter,
-    parts: usize,
-) -> bool {
-    let mut weight = Weight::new(&context.gauges, |g| &g.arriving);
-    weight.set(3 * value::PIECE);
-    loop {
-        // All but the end goes as it comes.
-        while passing.left > HELD_BACK && !stream.input.is_empty() {
-            let bytes = stream.input.front();
-            let count = bytes.len().min(passing.left - HELD_BACK).min(value::PIECE);
-            let went = passing.put(&bytes[..count]).await;
-            stream.input.consume(count);
-            if !went {
-                // Its client has gone, and this box goes on sending.
-                stream.reason = CloseReason::Bound;
-                return false;
-            }
-        }
-        if passing.left <= HELD_BACK {
-            let bytes = stream.input.contiguous();
-            match bytes.get(passing.left..passing.left + 2) {
-                Some(b"\r\n") => break,
-                // Guards the client: it does not get the end of a value that has another length than was said.
-                Some(_) => {
-                    stream.reason = CloseReason::Protocol;
-                    return false;
-                }
-                None => {}
-            }
-        }
-        stream.input.widen(value::PIECE);
-        if !more(stream, PAUSE).await {
-            return false;
-        }
-    }
-    let end = passing.left;
-    let went = passing.put(&stream.input.contiguous()[..end]).await;
-    stream.input.consume(end + 2);
-    drop(passing);
-    loop {
-        let room = stream.input.room() > 0;
-        match resp::parts(stream.input.contiguous(), parts, resp::LONGEST) {
-            Ok(Some((told, used))) => {
-                if let Some(resp::Reply::Bulk(Some(figures))) = told.first() {
-                    let (volume, units) = (attempt.request.volume.clone(), elsewhere(figures));
-                    let _ = scheduler.send(SchedulerMessage::Told(volume, units)).await;
-                }
-                stream.input.consume(used);
-                stream.reason =
-                    if stream.input.is_empty() { CloseReason::PeerClosed } else { CloseReason::Protocol };
-                return went && stream.input.is_empty();
-            }
-            Ok(None) if room => {
-                if !more(stream, STANDSTILL).await {
-                    return false;
-                }
-            }
-            _ => {
-                stream.reason = CloseReason::Protocol;
-                return false;
-            }
-        }
-    }
-}
-
-/// Waits until more has come; false, and the reason set, where nothing comes any more.
-async fn more(stream: &mut Connection, timeout: Duration) -> bool {
-    let late = async {
-        Timer::after(timeout).await;
-        None
-    };
-    let moved = future::or(async { stream.next().await }, late).await;
-    stream.reason = match moved {
-        Some(Ok(SocketEvent::Read | SocketEvent::Wrote)) => return true,
-        Some(Ok(SocketEvent::End)) | Some(Err(_)) => CloseReason::Reset,
-        None => CloseReason::Protocol,
-    };
-    false
-}
-
-/// Writes the command and reads its reply; also tells whether the connection may be used again.
+/// Sends the command and reads its reply. Also returns whether the connection can be reused; its close reason is set.
+///
+/// Dropping the future leaves the connection in the middle of the exchange: it has to be closed.
 pub async fn exchange(
     context: &Rc<Context>,
     attempt: &Attempt,
     stream: &mut Connection,
 ) -> (Exchanged, bool) {
-    let ended = |ended: Ended, keep: bool| (Exchanged::Ended(ended), keep);
     stream.output.push(&command(context, attempt));
-    let until = context.clock.instant(attempt.deadline);
-    let mut late = Timer::at(until);
-    let mut weight = Weight::new(&context.gauges, |g| &g.arriving);
+    let deadline = context.clock.instant(attempt.deadline);
+    let mut timer = Timer::at(deadline);
+    let mut weight = Weight::new(&context.gauges, |gauges| &gauges.arriving);
     loop {
-        // Guards the time that is left for another attempt: a reply comes in one go, and one that stands still
-        // half-way is spoilt.
-        let begun = !stream.input.is_empty();
-        if begun {
-            late = Timer::at(until.min(std::time::Instant::now() + STANDSTILL));
+        // A reply arrives in one go: one that stalls is broken, and the time left is needed for another attempt.
+        let has_begun = !stream.input.is_empty();
+        if has_begun {
+            timer = Timer::at(deadline.min(Instant::now() + REPLY_STALL_TIMEOUT));
         }
-        let moved = future::or(async { stream.next().await }, async {
-            (&mut late).await;
+        let timed_out = async {
+            (&mut timer).await;
             None
-        });
-        let moved = moved.await;
-        // Guards bookings: only before the last byte was written is it sure that nothing runs.
-        let unsent = !stream.output.is_empty();
-        weight.set(stream.input.memory());
-        // Guards memory: long values come only while there is room for all that are coming.
-        let room =
-            stream.input.room() > 0 && (stream.input.memory() <= resp::LONGEST || !context.arriving_full());
-        // A long value goes on to its client while it comes, where that can take it so.
-        let head = resp::long_head(stream.input.contiguous(), resp::LONGEST);
-        let passed = |(_, length, _): &(usize, usize, usize)| {
-            attempt.request.accepts_stream && !unsent && *length <= value::LONGEST && !context.arriving_full()
         };
-        if let Some((parts, length, used)) = head.filter(passed) {
-            stream.input.consume(used);
-            return (Exchanged::Begun { parts: parts - 1, length }, false);
+        let event = future::or(async { stream.next().await }, timed_out).await;
+        weight.set(stream.input.memory());
+        if let Some(begun) = begin_stream(context, attempt, stream) {
+            return (begun, false);
         }
-        let ending = match moved {
+        let outcome = match event {
             Some(Ok(SocketEvent::Wrote)) => {
                 context.counters.relayed();
                 continue;
             }
-            Some(Ok(SocketEvent::Read)) => {
-                match resp::reply(stream.input.contiguous(), context.longest_value()) {
-                    Ok(None) if room => continue,
-                    Ok(Some((reply, used))) => {
-                        let (ending, elsewhere, value) = match outcome(&reply) {
-                            Some(said) if !unsent || said.0 == AttemptOutcome::Rejected => said,
-                            // Whatever it answers, it is not this command.
-                            _ if unsent => (AttemptOutcome::ConnectFailed, 0.0, None),
-                            _ => {
-                                stream.reason = CloseReason::Protocol;
-                                return ended(attempt.ended(AttemptOutcome::Error), false);
-                            }
-                        };
-                        stream.input.consume(used);
-                        let clean = !unsent && stream.input.is_empty();
-                        if !clean {
-                            stream.reason = CloseReason::Protocol;
-                        }
-                        let value = value.map(Value::Complete);
-                        return ended(
-                            Ended { remote_units: elsewhere, value, ..attempt.ended(ending) },
-                            clean,
-                        );
-                    }
-                    _ => {
-                        stream.reason = CloseReason::Protocol;
-                        // It has run, as far as can be told, and its box is well.
-                        return ended(
-                            attempt.ended(if unsent {
-                                AttemptOutcome::ConnectFailed
-                            } else {
-                                AttemptOutcome::Error
-                            }),
-                            false,
-                        );
-                    }
-                }
-            }
+            Some(Ok(SocketEvent::Read)) => match read_reply(context, attempt, stream) {
+                Some((end, is_reusable)) => return (Exchanged::Ended(end), is_reusable),
+                None => continue,
+            },
             Some(Ok(SocketEvent::End)) | Some(Err(_)) => {
                 stream.reason = CloseReason::Reset;
                 AttemptOutcome::Reset
             }
-            None if begun => {
+            None if has_begun => {
                 stream.reason = CloseReason::Protocol;
                 AttemptOutcome::Error
             }
@@ -214,6 +65,57 @@
                 AttemptOutcome::Timeout
             }
         };
-        return ended(attempt.ended(if unsent { AttemptOutcome::ConnectFailed } else { ending }), false);
+        let outcome = if is_sent(stream) { outcome } else { AttemptOutcome::ConnectFailed };
+        return (Exchanged::Ended(attempt.ended(outcome)), false);
+    }
+}
+
+/// Whether the command's last byte was written: only before that it is certain that nothing runs.
+fn is_sent(stream: &Connection) -> bool {
+    stream.output.is_empty()
+}
+
+/// Consumes the head of a long value that can be streamed to its client, where one has arrived.
+fn begin_stream(context: &Context, attempt: &Attempt, stream: &mut Connection) -> Option<Exchanged> {
+    let (parts, length, used) = resp::long_head(stream.input.contiguous(), resp::LONGEST)?;
+    let is_streamable = attempt.request.accepts_stream && length <= value::LONGEST;
+    if !is_streamable || !is_sent(stream) || context.arriving_full() {
+        return None;
+    }
+    stream.input.consume(used);
+    Some(Exchanged::StreamBegun { parts: parts - 1, length })
+}
+
+/// The attempt's end by the reply in the input buffer, and whether the connection can be reused; `None` while the reply is incomplete.
+fn read_reply(context: &Context, attempt: &Attempt, stream: &mut Connection) -> Option<(AttemptEnd, bool)> {
+    let is_sent = is_sent(stream);
+    // Long values may arrive only while there is memory for all that are arriving.
+    let has_room =
+        stream.input.room() > 0 && (stream.input.memory() <= resp::LONGEST || !context.arriving_full());
+    let (reply, used) = match resp::reply(stream.input.contiguous(), context.longest_value()) {
+        Ok(None) if has_room => return None,
+        Ok(Some(reply)) => reply,
+        _ => {
+            stream.reason = CloseReason::Protocol;
+            // As far as can be told the command has run, and the backend is healthy.
+            let outcome = if is_sent { AttemptOutcome::Error } else { AttemptOutcome::ConnectFailed };
+            return Some((attempt.ended(outcome), false));
+        }
+    };
+    let ReplyOutcome { outcome, remote_units, value } = match outcome(&reply) {
+        Some(said) if is_sent || said.outcome == AttemptOutcome::Rejected => said,
+        // Whatever was answered, it was not this command.
+        _ if !is_sent => ReplyOutcome::without_value(AttemptOutcome::ConnectFailed, 0.0),
+        _ => {
+            stream.reason = CloseReason::Protocol;
+            return Some((attempt.ended(AttemptOutcome::Error), false));
+        }
+    };
+    stream.input.consume(used);
+    let is_clean = is_sent && stream.input.is_empty();
+    if !is_clean {
+        stream.reason = CloseReason::Protocol;
     }
+    let value = value.map(Value::Complete);
+    Some((AttemptEnd { remote_units, value, ..attempt.ended(outcome) }, is_clean))
 }
--- a/crates/gateway/src/backend/statistics.rs
+++ b/crates/gateway/src/backend/statistics.rs
@@ -1,121 +1,130 @@
-//! What a front measures of a disk box for those it acts together with: what is out there, when it was last sent to, what it
-//! served for which volume. Nothing is counted where nobody asks.
+//! Statistics of one backend, for the coordination group: attempts in flight, times, and units served for each volume. Units are
+//! counted only while the group asks for them.
 use scheduler::interface::{AttemptOutcome, Micros};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Volumes of a box that are counted; beyond that the smallest share goes uncounted.
-const VOLUMES: usize = 1024;
-/// What is measured fades to a half in this time, in microseconds.
-const HALF: f64 = 10e6;
+/// Volumes that are counted for one backend; further ones are not.
+const MAX_VOLUMES: usize = 1024;
+/// Units decay to a half in this time, in microseconds.
+const HALF_LIFE_US: f64 = 10e6;
+/// Volumes with fewer units than this are forgotten.
+const NEGLIGIBLE_UNITS: f64 = 1e-3;
 
-/// The figures of one box.
+/// The statistics of one backend.
 #[derive(Default)]
 pub struct BackendStatistics {
-    /// Whether anybody asks.
-    pub on: Cell<bool>,
+    /// Whether units are counted.
+    pub is_enabled: Cell<bool>,
     /// Attempts that have begun and not ended.
-    out: Cell<u32>,
-    /// When the last one was written.
-    sent: Cell<Option<Micros>>,
-    /// Whether one has failed since that was last asked, and whether one was answered.
-    failed: Cell<bool>,
-    /// When it first came back from work.
-    back: Cell<Option<Micros>>,
+    in_flight: Cell<u32>,
+    /// When the last command was sent.
+    last_sent: Cell<Option<Micros>>,
+    /// Whether an attempt has failed since the last `take_failed`.
+    has_failed: Cell<bool>,
+    /// When it was first returned to service after maintenance.
+    returned_at: Cell<Option<Micros>>,
     /// When it last answered.
-    answered: Cell<Option<Micros>>,
-    /// Units served for each volume, fading, and as of when.
+    last_answered: Cell<Option<Micros>>,
+    /// Units served for each volume, decaying.
     units: RefCell<BTreeMap<Rc<str>, f64>>,
-    as_of: Cell<Micros>,
+    /// When the units were last decayed.
+    decayed_at: Cell<Micros>,
 }
 
 impl BackendStatistics {
-    /// An attempt has begun; it counts until its guard is dropped.
-    pub fn begin(self: &Rc<BackendStatistics>) -> Out {
-        self.out.set(self.out.get() + 1);
-        Out(self.clone())
+    /// Counts an attempt until the guard is dropped.
+    pub fn begin(self: &Rc<BackendStatistics>) -> InFlight {
+        self.in_flight.set(self.in_flight.get() + 1);
+        InFlight(self.clone())
     }
 
-    /// A command is about to be written.
+    /// Records that a command is about to be sent.
     pub fn sent(&self, now: Micros) {
-        self.sent.set(Some(now));
+        self.last_sent.set(Some(now));
     }
 
-    /// An attempt has ended.
-    pub fn ended(&self, now: Micros, ending: AttemptOutcome, volume: &Rc<str>, units: u32) {
-        match ending {
+    /// Records the outcome of an attempt.
+    pub fn ended(&self, now: Micros, outcome: AttemptOutcome, volume: &Rc<str>, units: u32) {
+        match outcome {
             AttemptOutcome::Ok => {
-                self.answered.set(Some(now));
-                if self.on.get() {
-                    self.fade(now);
-                    let mut all = self.units.borrow_mut();
-                    if all.len() < VOLUMES || all.contains_key(volume) {
-                        *all.entry(volume.clone()).or_default() += f64::from(units);
+                self.last_answered.set(Some(now));
+                if self.is_enabled.get() {
+                    self.decay(now);
+                    let mut by_volume = self.units.borrow_mut();
+                    if by_volume.len() < MAX_VOLUMES || by_volume.contains_key(volume) {
+                        *by_volume.entry(volume.clone()).or_default() += f64::from(units);
                     }
                 }
             }
-            AttemptOutcome::Error | AttemptOutcome::Rejected => self.answered.set(Some(now)),
+            AttemptOutcome::Error | AttemptOutcome::Rejected => self.last_answered.set(Some(now)),
             AttemptOutcome::Timeout | AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
-                self.failed.set(true)
+                self.has_failed.set(true)
             }
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
     }
 
-    fn fade(&self, now: Micros) {
-        let passed = (now.0 - self.as_of.replace(now).0).max(0) as f64;
-        let kept = 0.5f64.powf(passed / HALF);
-        let mut all = self.units.borrow_mut();
-        all.values_mut().for_each(|u| *u *= kept);
-        all.retain(|_, u| *u > 1e-3);
+    /// Decays the units to the present.
+    fn decay(&self, now: Micros) {
+        let passed = (now.0 - self.decayed_at.replace(now).0).max(0) as f64;
+        let factor = 0.5f64.powf(passed / HALF_LIFE_US);
+        let mut units = self.units.borrow_mut();
+        units.values_mut().for_each(|volume_units| *volume_units *= factor);
+        units.retain(|_, volume_units| *volume_units > NEGLIGIBLE_UNITS);
     }
 
-    /// Attempts out, and when the last was written.
-    pub fn out(&self) -> (u32, Option<Micros>) {
-        (self.out.get(), self.sent.get())
+    /// Attempts in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight.get()
     }
 
-    /// Whether an attempt has failed since this was last asked.
+    /// When the last command was sent.
+    pub fn last_sent(&self) -> Option<Micros> {
+        self.last_sent.get()
+    }
+
+    /// Whether an attempt has failed since the last call.
     pub fn take_failed(&self) -> bool {
-        self.failed.replace(false)
+        self.has_failed.replace(false)
     }
 
-    /// It is taken out for work.
-    pub fn leave(&self) {
-        self.back.set(None);
+    /// Records that it is taken out of service.
+    pub fn take_out_of_service(&self) {
+        self.returned_at.set(None);
     }
 
-    /// It comes back from work; later steps of the same return do not count anew.
-    pub fn come_back(&self, now: Micros) {
-        self.back.set(self.back.get().or(Some(now)));
+    /// Records that it returns to service; later steps of the same return don't count.
+    pub fn return_to_service(&self, now: Micros) {
+        self.returned_at.set(self.returned_at.get().or(Some(now)));
     }
 
-    /// When it came back from work.
-    pub fn back(&self) -> Option<Micros> {
-        self.back.get()
+    /// When it returned to service.
+    pub fn returned_at(&self) -> Option<Micros> {
+        self.returned_at.get()
     }
 
     /// When it last answered.
-    pub fn answered(&self) -> Option<Micros> {
-        self.answered.get()
+    pub fn last_answered(&self) -> Option<Micros> {
+        self.last_answered.get()
     }
 
     /// Units a second that it serves for each volume, in thousandths.
     pub fn rates(&self, now: Micros) -> BTreeMap<Rc<str>, u64> {
-        self.fade(now);
-        // A steady rate adds up to rate x HALF / ln 2.
-        let second = HALF / std::f64::consts::LN_2 / 1e6;
+        self.decay(now);
+        // A steady rate adds up to rate x half-life / ln 2.
+        let second = HALF_LIFE_US / std::f64::consts::LN_2 / 1e6;
         let all = self.units.borrow();
         all.iter().map(|(v, u)| (v.clone(), (1000.0 * u / second).round() as u64)).collect()
     }
 }
 
-/// An attempt that is out, for as long as this lives.
-pub struct Out(Rc<BackendStatistics>);
+/// Counts an attempt as in flight until dropped.
+pub struct InFlight(Rc<BackendStatistics>);
 
-impl Drop for Out {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.0.out.set(self.0.out.get() - 1);
+        self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
 }
--- a/crates/gateway/src/backend/value.rs
+++ b/crates/gateway/src/backend/value.rs
@@ -1,27 +1,26 @@
-//! What a disk box gave: a value that is whole, or a long one that is passed on while it comes. Of a long one the end is
-//! held back until the box has ended it as it should: a client that has it all can rely on it, and one that has not can
-//! tell.
+//! Values from backends: complete ones, and long ones that are streamed while they arrive. The end of a streamed value is withheld until
+//! the backend has completed it, so that a client which received all of it can rely on it, and any other can tell.
 use crate::counts::{Count, Gauges};
 use async_channel::{Receiver, Sender};
 use dispatch::Bytes;
 use std::rc::Rc;
 
-/// The end of a task of the core, with a value of this program.
-pub type Ended = dispatch::AttemptEnd<Value>;
-/// A final answer, with a value of this program.
+/// The end of an attempt, with a value of this program.
+pub type AttemptEnd = dispatch::AttemptEnd<Value>;
+/// A final answer to a client, with a value of this program.
 pub type Answer = dispatch::Response<Value>;
 
-/// Bytes of one piece, at the most.
+/// The size of a piece, in bytes at the most.
 pub const PIECE: usize = 16 * 1024;
-/// The longest value that is passed on; what claims to be longer is spoilt.
+/// The longest value that is streamed, in bytes; a reply that announces more violates the protocol.
 pub const LONGEST: usize = 8 * 1024 * 1024;
 
 /// A value.
 #[derive(Clone, Debug)]
 pub enum Value {
-    /// It is here.
+    /// A value that has arrived.
     Complete(Bytes),
-    /// It is coming.
+    /// A value that is arriving.
     Streamed(StreamedValue),
 }
 
@@ -32,8 +31,8 @@
 }
 
 impl Value {
-    /// The bytes that are here: all, where it is whole.
-    pub fn whole(&self) -> &[u8] {
+    /// The bytes of a complete value; empty for a streamed one.
+    pub fn complete_bytes(&self) -> &[u8] {
         match self {
             Value::Complete(bytes) => bytes,
             Value::Streamed(_) => &[],
@@ -41,32 +40,34 @@
     }
 }
 
-/// A value that is coming. Its pieces end early where it can't be finished.
+/// A value that is arriving. Its pieces end early where it can't be completed.
 #[derive(Clone, Debug)]
 pub struct StreamedValue {
-    /// Its length.
+    /// The bytes that are still to come.
     pub length: usize,
-    /// Its pieces.
+    /// Receives the pieces.
     pub pieces: Receiver<Bytes>,
 }
 
-/// The other end: where the pieces are put. One waits at a time, so that a client that is slow makes the box wait.
+/// The sending side of a streamed value. One piece waits at a time, so that a slow client slows the backend down.
 pub struct ValueWriter {
     pieces: Sender<Bytes>,
-    /// How many bytes are still to be put.
+    /// The bytes that are still to be sent.
     pub left: usize,
     _count: Count,
 }
 
 impl ValueWriter {
-    /// A value of that length.
-    pub fn begin(gauges: &Rc<Gauges>, length: usize) -> (ValueWriter, Value) {
-        let (to, pieces) = async_channel::bounded(1);
-        let passing = ValueWriter { pieces: to, left: length, _count: Count::up(gauges, |g| &g.passing) };
-        (passing, Value::Streamed(StreamedValue { length, pieces }))
+    /// A value of `length` bytes, and the writer for it.
+    pub fn new(gauges: &Rc<Gauges>, length: usize) -> (ValueWriter, Value) {
+        let (sender, pieces) = async_channel::bounded(1);
+        let count = Count::up(gauges, |gauges| &gauges.passing);
+        let writer = ValueWriter { pieces: sender, left: length, _count: count };
+        (writer, Value::Streamed(StreamedValue { length, pieces }))
     }
 
-    /// Puts a piece, once the client has room; false where it has gone.
+    /// Sends a piece once the client has taken the one before. Returns false where the client has gone. Dropping the future drops the
+    /// piece: the value can't be completed then.
     pub async fn put(&mut self, bytes: &[u8]) -> bool {
         self.left -= bytes.len();
         self.pieces.send(Bytes::from(bytes)).await.is_ok()
--- a/crates/gateway/src/client/connection_slots.rs
+++ b/crates/gateway/src/client/connection_slots.rs
@@ -113,7 +113,7 @@
         let context = &self.context;
         let now = context.clock.now();
         // A new connection brings a request that would fail; an evicted client only has to reconnect.
-        let is_exhausted = context.gauges.clients.get() >= context.clients_full();
+        let is_exhausted = context.gauges.clients.get() >= context.exhausted_clients();
         let slots = self.taken.borrow();
         let may_evict = |entry: &&Rc<Entry>| {
             let idle_us = now.0 - entry.since.get().0;
@@ -142,7 +142,7 @@
     /// This begins well below the limit: it protects regular clients from crowds that connect, send one request or none, and stay.
     pub async fn evict_idle(&self) {
         let context = &self.context;
-        while context.gauges.clients.get() >= context.client_bound() / SCARCE_DIVISOR {
+        while context.gauges.clients.get() >= context.client_limit() / SCARCE_DIVISOR {
             let Some(entry) = self.eviction_candidate() else { return };
             entry.is_eviction_sent.set(true);
             // A full mailbox already holds an eviction.
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -42,14 +42,14 @@
     listener: Async<TcpListener>,
 ) {
     // Beyond the limit some clients are rejected, and further ones are not accepted for now: the descriptors are needed elsewhere.
-    let has_slot = || context.gauges.clients.get() < context.client_bound() + context.beyond_bound();
+    let has_slot = || context.gauges.clients.get() < context.client_limit() + context.over_limit_clients();
     let server = Server { context: context.clone(), scheduler, slots: slots.clone(), gathering };
     let on_accept = |socket, address| context.executor.spawn(server.clone().serve(socket, address)).detach();
     // While a successor listens at the same address, new connections must not come to a process that is about to end.
     let shutdown = async || {
         // The channel is only ever closed.
         let _ = context.lifecycle.stopped.1.recv().await;
-        while !context.followed() {
+        while !context.has_successor() {
             Timer::after(SUCCESSOR_CHECK).await;
         }
     };
@@ -94,7 +94,7 @@
         let idle_timeouts =
             IdleTimeouts { scarce: idle_timeout, exhausted: idle_timeout.min(EXHAUSTED_IDLE_TIMEOUT) };
         Session {
-            is_over_limit: context.gauges.clients.get() > context.client_bound(),
+            is_over_limit: context.gauges.clients.get() > context.client_limit(),
             answers,
             slots: VecDeque::new(),
             first: 0,
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -44,7 +44,7 @@
         };
         // Clients that send requests and don't read would fill the memory. The request has run: it is failed, not rejected.
         let unsent = context.gauges.unsent.get() + weight;
-        if weight > SMALL_RESPONSE_BYTES && unsent > context.unsent_bound() {
+        if weight > SMALL_RESPONSE_BYTES && unsent > context.unsent_limit() {
             return PendingResponse::new(
                 context,
                 EncodedResponse::Bytes(b"-ERR too many answers wait for clients\r\n".to_vec()),
@@ -107,25 +107,3 @@
         Answer::Failed(reason) => EncodedResponse::bytes(format!("-ERR {reason}\r\n")),
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn answers_beyond_the_bound_fail_and_make_room_again_once_taken() {
-        let file = include_str!("../../tests/common/config.toml").replace("@IP@", "127.0.0.1");
-        let config = config::read("x.toml", &format!("limits = {{ memory_mb = 8 }}\n{file}")).unwrap();
-        let context = Context::new(config);
-        let value = || encode(Answer::Served(Value::Complete(Bytes::from(vec![0; resp::LONGEST]))));
-        let mut waiting: Vec<PendingResponse> =
-            (0..20).map(|_| PendingResponse::new(&context, value())).collect();
-        let whole = |w: &PendingResponse| matches!(w.response, EncodedResponse::Value(..));
-        assert_eq!(waiting.iter().filter(|w| whole(w)).count(), 16, "an eighth of 8 MB");
-        assert!(waiting[19].response.remaining(0).starts_with(b"-ERR "), "it has run: failed, not refused");
-        waiting.drain(..2);
-        assert!(whole(&PendingResponse::new(&context, value())));
-        drop(waiting);
-        assert_eq!(context.gauges.unsent.get(), 0);
-    }
-}
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -5,6 +5,7 @@
 use crate::client::connection_slots::{Activity, ConnectionSlot};
 use crate::client::response::{encode, EncodedResponse, PendingResponse};
 use crate::context::Context;
+use crate::counters::AnswerKind;
 use crate::counts::Weight;
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use crate::net::close_reason::CloseReason;
@@ -153,7 +154,7 @@
 
     /// Rejects a request that the scheduler does not get to see.
     fn reject(&mut self, class: usize) {
-        self.context.counters.answer(class, 1);
+        self.context.counters.answer(class, AnswerKind::Rejected);
         self.push(None, Some(encode(Answer::Rejected(None))));
     }
 
@@ -241,7 +242,7 @@
             }
             // A new connection may carry a request that crossed the closing of another one.
             let awaits_request = stream.carried == 0 && now.0 < self.connected_at.0 + FIRST_REQUEST_GRACE_US;
-            if stream.input.is_empty() && self.context.lingered() && !awaits_request {
+            if stream.input.is_empty() && self.context.closes_between_requests() && !awaits_request {
                 return Some(CloseReason::Stopped);
             }
         }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,29 +1,30 @@
-//! The program's one clock: microseconds that begin at Unix time and run on with the monotonic clock. It tells real spans;
-//! what time of day it is may be off, for the wall clock may be wrong at the start or stepped later.
+//! The process's clock: microseconds that begin at Unix time and then follow the monotonic clock. Spans are exact; the time of day may
+//! be off, since the wall clock may be wrong at the start or stepped later.
 use scheduler::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The clock, as of the start.
+/// The clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix: i64,
+    /// Unix time at the start, in microseconds.
+    unix_us: i64,
     start: Instant,
 }
 
 impl Clock {
-    /// Reads the system's clocks once; from then on only the steady one counts.
+    /// Reads the system's clocks once; from then on only the monotonic one counts.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_micros() as i64, start: Instant::now() }
+        Clock { unix_us: unix.as_micros() as i64, start: Instant::now() }
     }
 
-    /// The time.
+    /// The present time, in microseconds.
     pub fn now(&self) -> Micros {
-        Micros(self.unix + self.start.elapsed().as_micros() as i64)
+        Micros(self.unix_us + self.start.elapsed().as_micros() as i64)
     }
 
-    /// When a point in time comes.
+    /// A point in time as the monotonic clock's instant; times before the start become the start.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros((at.0 - self.unix).max(0) as u64)
+        self.start + Duration::from_micros((at.0 - self.unix_us).max(0) as u64)
     }
 }
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -166,7 +166,7 @@
             self.context.configure(config);
         }
         if !next.backends.is_empty() {
-            self.pool.put(next.values.backends(), &next.backends).await;
+            self.pool.set_overlay(next.values.backends(), &next.backends).await;
         }
         self.passed_over.set(self.passed_over.get() + next.passed_over);
         self.values.replace(next.values);
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -96,12 +96,12 @@
             ToFront::Undrain { id, share: Share::Whole } => (id, false, "part=whole".into()),
         };
         crate::log::line(format_args!("settled box={id} out={out} {why}"));
-        pool.settle(&id.0, out).await;
+        pool.set_agreed_suspension(&id.0, out).await;
         if let Some(endpoint) = pool.endpoints().into_iter().find(|p| p.entry.borrow().backend == id) {
             match (out, leaves) {
-                (true, true) => endpoint.statistics.leave(),
+                (true, true) => endpoint.statistics.take_out_of_service(),
                 // However the list tells of its start: it may be cold.
-                (false, _) => endpoint.statistics.come_back(context.clock.now()),
+                (false, _) => endpoint.statistics.return_to_service(context.clock.now()),
                 (true, false) => {}
             }
         }
@@ -113,7 +113,7 @@
     loop {
         Timer::after(MEASURE).await;
         let (to, from) = async_channel::bounded(1);
-        let asked = scheduler.try_send(SchedulerMessage::Avoided(to)).is_ok();
+        let asked = scheduler.try_send(SchedulerMessage::GetEjected(to)).is_ok();
         let late = async {
             Timer::after(ASKED).await;
             vec![]
@@ -133,19 +133,19 @@
     let mut measures = Measures { whole: context.lifecycle.serving.get(), ..Measures::default() };
     let endpoints = pool.endpoints();
     for endpoint in &endpoints {
-        endpoint.statistics.on.set(true);
+        endpoint.statistics.is_enabled.set(true);
         let entry = endpoint.entry.borrow();
         let id = entry.backend.clone();
-        let (out, sent) = endpoint.statistics.out();
+        let (out, sent) = (endpoint.statistics.in_flight(), endpoint.statistics.last_sent());
         let rates = endpoint.statistics.rates(now);
-        let silent = endpoint.statistics.answered().is_none_or(|at| now.0 - at.0 > SILENT);
+        let silent = endpoint.statistics.last_answered().is_none_or(|at| now.0 - at.0 > SILENT);
         let warm_up = config.settings.slow_start.duration.0;
         let hall = config.zones.get(entry.zone as usize).map_or("", String::as_str);
         let seen = Seen {
             hall: hall.into(),
             listed: entry.state != BackendState::Gone,
             died: entry.state == BackendState::Ready && silent && away.contains(&entry.backend),
-            cold: endpoint.statistics.back().is_some_and(|at| now.0 - at.0 < warm)
+            cold: endpoint.statistics.returned_at().is_some_and(|at| now.0 - at.0 < warm)
                 || entry.started_at.is_some_and(|at| now.0 - at.0 < warm_up),
             out,
             last_send: sent.map(ago),
--- a/crates/gateway/src/counts.rs
+++ b/crates/gateway/src/counts.rs
@@ -1,44 +1,45 @@
-//! Counts of what is open and what it weighs, each for as long as its holder lives.
+//! Gauges of what is open and of the memory it uses; each contribution lasts until its guard is dropped.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What counts against a bound now.
+/// The values that limits apply to.
 #[derive(Default)]
 pub struct Gauges {
-    /// Connections of clients.
+    /// Client connections.
     pub clients: Cell<usize>,
-    /// Connections to disk boxes, with those that are coming up.
+    /// Connections to backends, including those being established.
     pub upstream: Cell<usize>,
-    /// Bytes of answers that their clients have not taken yet.
+    /// Bytes of responses that wait to be sent.
     pub unsent: Cell<usize>,
-    /// Memory of the rings of clients' connections, beyond what each has in any case.
+    /// Bytes of client connections' ring buffers, beyond what each may use uncounted.
     pub rings: Cell<usize>,
-    /// Memory of replies that are coming from disk boxes.
+    /// Bytes of replies that are arriving from backends.
     pub arriving: Cell<usize>,
-    /// Long values that are being passed on.
+    /// Values that are being streamed.
     pub passing: Cell<usize>,
 }
 
-/// One of them.
-pub type Which = fn(&Gauges) -> &Cell<usize>;
+/// Selects a gauge.
+pub type Selector = fn(&Gauges) -> &Cell<usize>;
 
-/// Memory that counts while this lives.
+/// A number of bytes that counts in a gauge until dropped.
 pub struct Weight {
     gauges: Rc<Gauges>,
-    which: Which,
+    selector: Selector,
     bytes: usize,
 }
 
 impl Weight {
-    /// Nothing yet.
-    pub fn new(gauges: &Rc<Gauges>, which: Which) -> Weight {
-        Weight { gauges: gauges.clone(), which, bytes: 0 }
+    /// A weight of zero bytes.
+    pub fn new(gauges: &Rc<Gauges>, selector: Selector) -> Weight {
+        Weight { gauges: gauges.clone(), selector, bytes: 0 }
     }
 
-    /// So many bytes from now on.
+    /// Replaces the number of bytes.
     pub fn set(&mut self, bytes: usize) {
-        let (sum, before) = ((self.which)(&self.gauges), std::mem::replace(&mut self.bytes, bytes));
-        sum.set(sum.get() - before + bytes);
+        let gauge = (self.selector)(&self.gauges);
+        let before = std::mem::replace(&mut self.bytes, bytes);
+        gauge.set(gauge.get() - before + bytes);
     }
 }
 
@@ -48,24 +49,24 @@
     }
 }
 
-/// Counts one thing while it lives.
+/// Counts one in a gauge until dropped.
 pub struct Count {
     gauges: Rc<Gauges>,
-    which: Which,
+    selector: Selector,
 }
 
 impl Count {
-    /// Counts one up.
-    pub fn up(gauges: &Rc<Gauges>, which: Which) -> Count {
-        let count = which(gauges);
-        count.set(count.get() + 1);
-        Count { gauges: gauges.clone(), which }
+    /// Adds one to a gauge.
+    pub fn up(gauges: &Rc<Gauges>, selector: Selector) -> Count {
+        let gauge = selector(gauges);
+        gauge.set(gauge.get() + 1);
+        Count { gauges: gauges.clone(), selector }
     }
 }
 
 impl Drop for Count {
     fn drop(&mut self) {
-        let count = (self.which)(&self.gauges);
-        count.set(count.get() - 1);
+        let gauge = (self.selector)(&self.gauges);
+        gauge.set(gauge.get() - 1);
     }
 }
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,7 +1,8 @@
-//! The list's actor: one watch at discovery, resumed from the last version. When it calls is `backoff`'s to say.
+//! The actor that keeps the endpoint list up to date: one watch on discovery, resumed from the last version. `backoff` decides when it
+//! calls.
 use crate::backend::pool::BackendPool;
 use crate::context::Context;
-use crate::discovery::watch::{fault, Watch};
+use crate::discovery::watch::{protocol_error, Watch};
 use crate::messages::{DiscoveryMessage, SchedulerMailbox, SchedulerMessage};
 use crate::net::close_reason::CloseReason;
 use async_channel::Receiver;
@@ -16,40 +17,39 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// The list's mailbox.
-type Asked = Pin<Box<Receiver<DiscoveryMessage>>>;
-/// A call that has no answer yet.
-type Call = Pin<Box<dyn Future<Output = Result<Box<Watch>, CloseReason>>>>;
+/// The actor's mailbox.
+type Inbox = Pin<Box<Receiver<DiscoveryMessage>>>;
+/// A call that is not established yet.
+type PendingCall = Pin<Box<dyn Future<Output = Result<Box<Watch>, CloseReason>>>>;
 
-/// The law for one of all fronts.
+/// The call rate for one of all gateways.
 fn law(config: &Config) -> Law {
     Law::fleet(config.settings.gateways)
 }
 
-/// Runs until the program ends, which closes the mailbox.
+/// Runs until the process ends, which closes the mailbox.
 pub async fn run(
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     pool: Rc<BackendPool>,
-    asked: Receiver<DiscoveryMessage>,
+    inbox: Receiver<DiscoveryMessage>,
 ) {
-    let mut asked = Box::pin(asked);
+    let mut inbox = Box::pin(inbox);
     let config = context.config();
     let now = context.clock.now().0;
     let mut caller = Caller::new(law(&config), config.seed, now);
-    // Where lists are pushed, what the agent has counts from the first moment on. Else all fronts may start at once, and
-    // discovery is one service for all.
+    // All gateways may start at once, and discovery is one service for all: spread the first calls, where lists are pushed anyway.
     if config.settings.discovery_mode == DiscoveryMode::Subscribe {
         caller.spread(now);
     }
-    let mut list = List { context, scheduler, pool, version: config.known.generation, caller };
+    let mut list = EndpointList { context, scheduler, pool, version: config.known.generation, caller };
     loop {
-        // Read each time: a reload may have given another address, which is asked from the version that is held.
+        // Read each time: a reload may have changed the address, which is then asked for the changes after the known version.
         let config = list.context.config();
         list.caller.obey(law(&config));
         let reason = match config.discovery {
-            Some(discovery) => list.watch(discovery, &mut asked).await,
-            None => asked.next().await.map_or(CloseReason::Stopped, |_| CloseReason::Replaced),
+            Some(discovery) => list.watch(discovery, &mut inbox).await,
+            None => inbox.next().await.map_or(CloseReason::Stopped, |_| CloseReason::Replaced),
         };
         let now = list.context.clock.now().0;
         match reason {
@@ -58,13 +58,13 @@
             CloseReason::Timeout => list.caller.ended(now, Failure::Silent),
             _ => list.caller.ended(now, Failure::Ended),
         }
-        // What leaves from now on is not heard of: the module is to take care.
-        let _ = list.scheduler.send(SchedulerMessage::News(EndpointUpdate::Failed)).await;
+        // Backends that leave from now on go unnoticed until the next watch: the scheduler has to be careful.
+        let _ = list.scheduler.send(SchedulerMessage::Endpoints(EndpointUpdate::Failed)).await;
     }
 }
 
-/// What the watch goes on from.
-struct List {
+/// The state that the next watch resumes from.
+struct EndpointList {
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     pool: Rc<BackendPool>,
@@ -72,19 +72,24 @@
     caller: Caller,
 }
 
-enum Woken {
-    Asked(Option<DiscoveryMessage>),
-    Answered(u64, Result<Box<Watch>, CloseReason>),
-    Moved(Result<(), CloseReason>),
+/// What ended a wait.
+enum Wakeup {
+    /// A message; `None` at the end of the process.
+    Message(Option<DiscoveryMessage>),
+    /// A call was established, or failed.
+    Called(u64, Result<Box<Watch>, CloseReason>),
+    /// The watch has received bytes, or was closed.
+    Received(Result<(), CloseReason>),
+    /// The time of the next call, or of the watch's timeout.
     Due,
 }
 
-/// Whichever call has ended or is up, by its number; none ever where there is no call.
-async fn answered(calls: &mut Vec<(u64, Call)>) -> (u64, Result<Box<Watch>, CloseReason>) {
+/// Waits for the first call that is established or has failed; forever where there is no call.
+async fn first_called(calls: &mut Vec<(u64, PendingCall)>) -> (u64, Result<Box<Watch>, CloseReason>) {
     future::poll_fn(|cx| {
-        for n in 0..calls.len() {
-            if let Poll::Ready(answer) = calls[n].1.as_mut().poll(cx) {
-                return Poll::Ready((calls.remove(n).0, answer));
+        for index in 0..calls.len() {
+            if let Poll::Ready(result) = calls[index].1.as_mut().poll(cx) {
+                return Poll::Ready((calls.remove(index).0, result));
             }
         }
         Poll::Pending
@@ -92,7 +97,7 @@
     .await
 }
 
-/// What a call that failed tells of discovery. A reset may be one that waited too long, too.
+/// What a failed call says about discovery. A reset may be that of a call that waited too long.
 fn failure(reason: CloseReason) -> Failure {
     match reason {
         CloseReason::ConnectFailed => Failure::Down,
@@ -100,60 +105,61 @@
     }
 }
 
-/// Waits for a letter that ends what is done; the module's, that asks for a watch, is answered by what is done already.
-async fn message(asked: &mut Asked) -> Woken {
+/// Waits for a message that ends the present call or watch. The scheduler's request for a watch does not: it is being served.
+async fn next_message(inbox: &mut Inbox) -> Wakeup {
     loop {
-        match asked.next().await {
+        match inbox.next().await {
             Some(DiscoveryMessage::Watch) => {}
-            other => return Woken::Asked(other),
+            other => return Wakeup::Message(other),
         }
     }
 }
 
-fn ends(message: Option<DiscoveryMessage>) -> CloseReason {
+fn close_reason(message: Option<DiscoveryMessage>) -> CloseReason {
     message.map_or(CloseReason::Stopped, |_| CloseReason::Replaced)
 }
 
-impl List {
-    /// Calls until one is up, and follows that watch until it ends; tells why.
-    async fn watch(&mut self, discovery: SocketAddr, asked: &mut Asked) -> CloseReason {
-        match self.call(discovery, asked).await {
+impl EndpointList {
+    /// Calls until a watch is established, and follows it until it ends. Returns why it ended.
+    async fn watch(&mut self, discovery: SocketAddr, inbox: &mut Inbox) -> CloseReason {
+        match self.call(discovery, inbox).await {
             Err(reason) => reason,
             Ok(mut watch) => {
                 self.caller.up(self.context.clock.now().0);
                 self.context.lifecycle.watching.set(true);
-                watch.stream.reason = self.follow(&mut watch, asked).await;
+                watch.stream.reason = self.follow(&mut watch, inbox).await;
                 self.context.lifecycle.watching.set(false);
                 watch.stream.reason
             }
         }
     }
 
-    async fn call(&mut self, discovery: SocketAddr, asked: &mut Asked) -> Result<Box<Watch>, CloseReason> {
+    /// Calls, perhaps several times, until a watch is established.
+    async fn call(&mut self, discovery: SocketAddr, inbox: &mut Inbox) -> Result<Box<Watch>, CloseReason> {
         let context = self.context.clone();
-        let mut calls: Vec<(u64, Call)> = Vec::new();
+        let mut calls: Vec<(u64, PendingCall)> = Vec::new();
         loop {
             let due = self.caller.due().map(Micros);
-            let next = async {
+            let call_due = async {
                 match due {
                     Some(due) => drop(Timer::at(context.clock.instant(due)).await),
                     None => future::pending().await,
                 }
-                Woken::Due
+                Wakeup::Due
             };
-            let answer = async {
-                let (number, answer) = answered(&mut calls).await;
-                Woken::Answered(number, answer)
+            let called = async {
+                let (number, result) = first_called(&mut calls).await;
+                Wakeup::Called(number, result)
             };
-            match future::or(future::or(message(asked), answer), next).await {
-                Woken::Answered(_, Ok(watch)) => return Ok(watch),
-                Woken::Answered(number, Err(reason)) => {
+            match future::or(future::or(next_message(inbox), called), call_due).await {
+                Wakeup::Called(_, Ok(watch)) => return Ok(watch),
+                Wakeup::Called(number, Err(reason)) => {
                     self.caller.failed(context.clock.now().0, number, failure(reason));
                 }
-                // Guards against a watch at an old address, which tells nothing any more.
-                Woken::Asked(message) => return Err(ends(message)),
-                Woken::Moved(_) => {}
-                Woken::Due => {
+                // The address may have changed: a watch at the old one is of no use.
+                Wakeup::Message(message) => return Err(close_reason(message)),
+                Wakeup::Received(_) => {}
+                Wakeup::Due => {
                     let call = self.caller.call(context.clock.now().0);
                     calls.retain(|(number, _)| Some(*number) != call.instead_of);
                     calls.push((call.number, Box::pin(Watch::call(discovery, self.version))));
@@ -162,57 +168,63 @@
         }
     }
 
-    async fn follow(&mut self, watch: &mut Watch, asked: &mut Asked) -> CloseReason {
+    /// Follows a watch until it ends. Returns why it ended.
+    async fn follow(&mut self, watch: &mut Watch, inbox: &mut Inbox) -> CloseReason {
         let context = self.context.clone();
-        let (mut heard, mut told, mut came) = (context.clock.now(), false, false);
+        let (mut last_alive, mut has_reported, mut has_received) = (context.clock.now(), false, false);
         loop {
-            match self.take(watch).await {
+            match self.take_objects(watch).await {
                 Ok(count) => {
-                    // Guards discovery: a watch with nothing to tell is up all the same, and not to be asked for again.
-                    if !std::mem::replace(&mut told, true) && count == 0 {
-                        let _ =
-                            self.scheduler.send(SchedulerMessage::News(EndpointUpdate::Delta(vec![]))).await;
+                    // A watch without changes is established all the same: the scheduler must not ask for another.
+                    if !std::mem::replace(&mut has_reported, true) && count == 0 {
+                        let _ = self
+                            .scheduler
+                            .send(SchedulerMessage::Endpoints(EndpointUpdate::Delta(vec![])))
+                            .await;
                     }
                     watch.stream.carried += count;
                 }
                 Err(reason) => return reason,
             }
-            if watch.done {
+            if watch.is_done {
                 return CloseReason::Done;
             }
-            if std::mem::take(&mut came) && watch.objects.alive() {
-                heard = context.clock.now();
+            if std::mem::take(&mut has_received) && watch.objects.take_is_alive() {
+                last_alive = context.clock.now();
             }
-            let moved = async { Woken::Moved(watch.more().await) };
-            let silent = async {
-                Timer::at(context.clock.instant(Micros(heard.0 + LIVENESS))).await;
-                Woken::Due
+            let received = async { Wakeup::Received(watch.receive().await) };
+            let timed_out = async {
+                Timer::at(context.clock.instant(Micros(last_alive.0 + LIVENESS))).await;
+                Wakeup::Due
             };
-            match future::or(future::or(message(asked), moved), silent).await {
-                Woken::Moved(Ok(())) => came = true,
-                Woken::Answered(..) => {}
-                Woken::Moved(Err(reason)) => return reason,
-                Woken::Asked(message) => return ends(message),
-                Woken::Due => return CloseReason::Timeout,
+            match future::or(future::or(next_message(inbox), received), timed_out).await {
+                Wakeup::Received(Ok(())) => has_received = true,
+                Wakeup::Called(..) => {}
+                Wakeup::Received(Err(reason)) => return reason,
+                Wakeup::Message(message) => return close_reason(message),
+                Wakeup::Due => return CloseReason::Timeout,
             }
         }
     }
 
-    /// Takes in what has come on a watch; tells how many objects.
-    async fn take(&mut self, watch: &mut Watch) -> Result<u64, CloseReason> {
+    /// Applies the objects that have arrived on a watch. Returns their number.
+    async fn take_objects(&mut self, watch: &mut Watch) -> Result<u64, CloseReason> {
         let mut count = 0;
-        self.context.lifecycle.heard.set(true);
+        self.context.lifecycle.has_heard_discovery.set(true);
         loop {
-            let endpoint = match watch.first.take() {
-                Some(endpoint) => Some(endpoint),
-                None => watch.objects.next().map_err(|_| fault(&"not a stream of objects"))?,
+            let object = match watch.first.take() {
+                Some(object) => Some(object),
+                None => watch.objects.next_object().map_err(|error| protocol_error(&error))?,
             };
-            let Some(endpoint) = endpoint else { return Ok(count) };
-            let news = config::targets(watch.objects.at(endpoint), &self.context.config().zones)
-                .map_err(|e| fault(&e))?;
+            let Some(object) = object else { return Ok(count) };
+            let targets = config::targets(watch.objects.bytes(object), &self.context.config().zones)
+                .map_err(|error| protocol_error(&error))?;
             count += 1;
-            self.version = news.generation;
-            let _ = self.scheduler.send(SchedulerMessage::News(self.pool.news(&news))).await;
+            self.version = targets.generation;
+            let _ = self
+                .scheduler
+                .send(SchedulerMessage::Endpoints(self.pool.update_from_discovery(&targets)))
+                .await;
             self.context.lifecycle.serving.set(true);
         }
     }
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -1,96 +1,106 @@
-//! Cuts a stream of JSON objects into single ones. Each may span lines; empty lines may come between them.
+//! Splits a stream of JSON objects into single ones. An object may span lines, and empty lines may stand between objects.
 use std::ops::Range;
 
-/// The longest object.
-pub const LONGEST: usize = 1024 * 1024;
+/// The longest object, in bytes.
+pub const MAX_OBJECT_BYTES: usize = 1024 * 1024;
 
-/// What comes is no stream of objects, or one is too long.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Faulty;
+/// The bytes are not a stream of objects, or an object is too long.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("not a stream of objects")]
+pub struct NotObjects;
 
-/// What has come and is not taken yet.
+/// The bytes that were received and not consumed, and how far they were scanned.
 #[derive(Default)]
-pub struct Objects {
-    body: Vec<u8>,
-    /// How much of it has been looked at, and where the object begins that is not whole.
-    seen: usize,
-    begun: usize,
+pub struct JsonStream {
+    buffer: Vec<u8>,
+    /// The end of the scanned bytes.
+    scanned: usize,
+    /// The start of the object that is incomplete.
+    start: usize,
+    /// How many braces and brackets are open.
     depth: usize,
-    text: bool,
-    escaped: bool,
-    /// Whether a line has ended between objects since this was last asked.
-    lines: bool,
-    /// Whether anything else than blanks has come since this was last asked.
-    moved: bool,
+    is_in_string: bool,
+    is_escaped: bool,
+    /// Whether a line has ended between objects since `take_line_end`.
+    has_line_end: bool,
+    /// Whether anything but blanks has arrived since `take_is_alive`.
+    has_content: bool,
 }
 
-impl Objects {
-    /// Where what comes is to be put.
-    pub fn body(&mut self) -> &mut Vec<u8> {
-        &mut self.body
+impl JsonStream {
+    /// The buffer to which received bytes are appended.
+    pub fn buffer(&mut self) -> &mut Vec<u8> {
+        &mut self.buffer
     }
 
-    /// The next whole object's place, if it has come.
+    /// The range of the next complete object, if there is one. The end of a line does not end an object: lists may be indented.
     ///
-    /// Guards against lists that are indented: the end of a line is not the end of an object.
-    pub fn next(&mut self) -> Result<Option<Range<usize>>, Faulty> {
-        while let Some(byte) = self.body.get(self.seen).copied() {
-            self.seen += 1;
-            self.moved |= !byte.is_ascii_whitespace();
-            if self.text {
-                match byte {
-                    _ if self.escaped => self.escaped = false,
-                    b'\\' => self.escaped = true,
-                    b'"' => self.text = false,
-                    _ => {}
-                }
+    /// # Errors
+    /// [`NotObjects`]; the stream can't be continued then.
+    pub fn next_object(&mut self) -> Result<Option<Range<usize>>, NotObjects> {
+        while let Some(byte) = self.buffer.get(self.scanned).copied() {
+            self.scanned += 1;
+            self.has_content |= !byte.is_ascii_whitespace();
+            if self.is_in_string {
+                self.scan_string(byte);
                 continue;
             }
             match byte {
                 b'{' | b'[' => {
                     if self.depth == 0 {
-                        self.begun = self.seen - 1;
+                        self.start = self.scanned - 1;
                     }
                     self.depth += 1;
                 }
                 b'}' | b']' if self.depth == 1 => {
                     self.depth = 0;
-                    return Ok(Some(self.begun..self.seen));
+                    return Ok(Some(self.start..self.scanned));
                 }
                 b'}' | b']' if self.depth > 1 => self.depth -= 1,
-                b'\n' if self.depth == 0 => self.lines = true,
-                b'"' if self.depth > 0 => self.text = true,
+                b'\n' if self.depth == 0 => self.has_line_end = true,
+                b'"' if self.depth > 0 => self.is_in_string = true,
                 _ if byte.is_ascii_whitespace() || self.depth > 0 => {}
-                _ => return Err(Faulty),
+                _ => return Err(NotObjects),
             }
         }
-        self.forget();
-        match self.body.len() > LONGEST {
-            true => Err(Faulty),
-            false => Ok(None),
+        self.discard_consumed();
+        if self.buffer.len() > MAX_OBJECT_BYTES {
+            Err(NotObjects)
+        } else {
+            Ok(None)
+        }
+    }
+
+    fn scan_string(&mut self, byte: u8) {
+        match byte {
+            _ if self.is_escaped => self.is_escaped = false,
+            b'\\' => self.is_escaped = true,
+            b'"' => self.is_in_string = false,
+            _ => {}
         }
     }
 
-    /// The bytes of a place.
-    pub fn at(&self, endpoint: Range<usize>) -> &[u8] {
-        self.body.get(endpoint).unwrap_or_default()
+    /// The bytes of an object.
+    pub fn bytes(&self, object: Range<usize>) -> &[u8] {
+        self.buffer.get(object).unwrap_or_default()
     }
 
-    /// Whether a line ended between objects since this was last asked: the stream is up.
-    pub fn line(&mut self) -> bool {
-        std::mem::take(&mut self.lines)
+    /// Whether a line has ended between objects since the last call: the stream is established.
+    pub fn take_line_end(&mut self) -> bool {
+        std::mem::take(&mut self.has_line_end)
     }
 
-    /// Whether the stream goes on. Guards against one that broke within an object: blanks alone are no sign of life then.
-    pub fn alive(&mut self) -> bool {
-        std::mem::take(&mut self.moved) || self.depth == 0
+    /// Whether the stream has shown a sign of life since the last call. Within an object blanks alone are none: it may have broken
+    /// off there.
+    pub fn take_is_alive(&mut self) -> bool {
+        std::mem::take(&mut self.has_content) || self.depth == 0
     }
 
-    /// Forgets what was looked at and belongs to no object that is half there.
-    fn forget(&mut self) {
-        let used = if self.depth > 0 { self.begun } else { self.seen };
-        self.body.drain(..used);
-        self.seen -= used;
-        self.begun = 0;
+    /// Discards the scanned bytes that belong to no incomplete object.
+    fn discard_consumed(&mut self) {
+        let consumed = if self.depth > 0 { self.start } else { self.scanned };
+        self.buffer.drain(..consumed);
+        self.scanned -= consumed;
+        self.start = 0;
     }
 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! One call to discovery: it is up once the first object or empty line has come, and a watch from then on.
-use crate::discovery::json_stream::Objects;
+//! One call to discovery. It is established once the first object or empty line has arrived, and is a watch from then on.
+use crate::discovery::json_stream::JsonStream;
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
 use futures_lite::StreamExt;
@@ -7,50 +7,57 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-const BOUNDS: (usize, usize) = (64 * 1024, 4096);
+/// Capacities of the input and output buffer, in bytes.
+const BUFFER_BYTES: (usize, usize) = (64 * 1024, 4096);
+/// The status of an answer that holds a list.
+const STATUS_OK: u16 = 200;
 
-/// A watch that is up.
+/// An established watch.
 pub struct Watch {
     /// Its connection.
     pub stream: Connection,
-    /// What has come on it.
-    pub objects: Objects,
-    /// The first object, where it began with one.
+    /// The objects that have arrived on it.
+    pub objects: JsonStream,
+    /// The first object, where the watch began with one.
     pub first: Option<Range<usize>>,
-    /// Whether its answer has ended as it should.
-    pub done: bool,
+    /// Whether its answer has ended regularly.
+    pub is_done: bool,
     length: Option<Length>,
     chunks: Chunks,
 }
 
-/// What is not a stream of objects is a fault of its own.
-pub fn fault(e: &dyn std::fmt::Display) -> CloseReason {
-    crate::log::line(format_args!("list error={e}"));
+/// Logs why a message of discovery is not valid.
+pub fn protocol_error(error: &dyn std::fmt::Display) -> CloseReason {
+    crate::log::line(format_args!("discovery error={error}"));
     CloseReason::Protocol
 }
 
 impl Watch {
-    /// Asks for all changes after a version, until the first of them is here.
+    /// Asks for all changes after a version, and waits until the watch is established. Dropping the future closes the connection.
+    ///
+    /// # Errors
+    /// Why the connection was closed.
     pub async fn call(discovery: SocketAddr, version: i64) -> Result<Box<Watch>, CloseReason> {
-        let Ok(mut stream) = Connection::connect("discovery", discovery, BOUNDS).await else {
+        let Ok(mut stream) = Connection::connect("discovery", discovery, BUFFER_BYTES).await else {
             let reason = CloseReason::ConnectFailed;
             crate::log::line(format_args!("conn kind=discovery peer={discovery} carried=0 reason={reason}"));
             return Err(reason);
         };
-        let ask = format!(
+        let request = format!(
             "GET /api/targets?watch=1&from={version} HTTP/1.1\r\nHost: {discovery}\r\nAccept: application/json\r\n\r\n"
         );
-        stream.output.push(ask.as_bytes());
-        // Where it is dropped while it waits, another was called beside it.
+        stream.output.push(request.as_bytes());
+        // The reason where this future is dropped: another call has taken its place.
         stream.reason = CloseReason::Replaced;
-        let (objects, chunks) = (Objects::default(), Chunks::default());
-        let mut watch = Box::new(Watch { stream, objects, first: None, done: false, length: None, chunks });
+        let (objects, chunks) = (JsonStream::default(), Chunks::default());
+        let mut watch =
+            Box::new(Watch { stream, objects, first: None, is_done: false, length: None, chunks });
         loop {
-            let up = match watch.more().await {
-                Ok(()) => watch.begun(),
+            let established = match watch.receive().await {
+                Ok(()) => watch.is_established(),
                 Err(reason) => Err(reason),
             };
-            match up {
+            match established {
                 Ok(true) => return Ok(watch),
                 Ok(false) => {}
                 Err(reason) => {
@@ -61,17 +68,21 @@
         }
     }
 
-    fn begun(&mut self) -> Result<bool, CloseReason> {
-        self.first = self.objects.next().map_err(|_| fault(&"not a stream of objects"))?;
-        match self.first.is_some() || self.objects.line() {
-            // It has ended, and said nothing.
-            false if self.done => Err(CloseReason::Done),
-            up => Ok(up),
+    fn is_established(&mut self) -> Result<bool, CloseReason> {
+        self.first = self.objects.next_object().map_err(|error| protocol_error(&error))?;
+        let is_established = self.first.is_some() || self.objects.take_line_end();
+        if !is_established && self.is_done {
+            // The answer has ended, and was empty.
+            return Err(CloseReason::Done);
         }
+        Ok(is_established)
     }
 
-    /// Waits until more has come, and takes it in.
-    pub async fn more(&mut self) -> Result<(), CloseReason> {
+    /// Waits until more has arrived, and appends it to `objects`.
+    ///
+    /// # Errors
+    /// Why the connection is to be closed.
+    pub async fn receive(&mut self) -> Result<(), CloseReason> {
         match self.stream.next().await {
             Some(Ok(SocketEvent::Wrote)) => return Ok(()),
             Some(Ok(SocketEvent::Read)) => {}
@@ -82,26 +93,25 @@
         if self.length.is_none() {
             match http::answer_head(input.contiguous()) {
                 Ok(None) => return Ok(()),
-                Ok(Some((200, form, used))) => {
+                Ok(Some((STATUS_OK, length, used))) => {
                     input.consume(used);
-                    self.length = Some(form);
+                    self.length = Some(length);
                 }
                 Ok(Some(_)) => return Err(CloseReason::PeerClosed),
+                // The log line of the connection has the reason.
                 Err(_) => return Err(CloseReason::Protocol),
             }
         }
         let bytes = input.contiguous();
-        let used = match self.length {
-            Some(Length::Chunked) => {
-                self.chunks.read(bytes, self.objects.body()).map_err(|_| CloseReason::Protocol)?
-            }
-            _ => {
-                self.objects.body().extend_from_slice(bytes);
-                bytes.len()
-            }
+        let used = if self.length == Some(Length::Chunked) {
+            let read = self.chunks.read(bytes, self.objects.buffer());
+            read.or(Err(CloseReason::Protocol))?
+        } else {
+            self.objects.buffer().extend_from_slice(bytes);
+            bytes.len()
         };
         input.consume(used);
-        self.done = self.chunks == Chunks::Done;
+        self.is_done = self.chunks == Chunks::Done;
         Ok(())
     }
 }
--- a/crates/gateway/src/iscsi/request.rs
+++ b/crates/gateway/src/iscsi/request.rs
@@ -44,7 +44,7 @@
 /// What an answer of the core means to an initiator.
 pub fn outcome(answer: &Answer, write: bool) -> Outcome<'_> {
     match answer {
-        Answer::Served(value) => Outcome::Good(value.whole()),
+        Answer::Served(value) => Outcome::Good(value.complete_bytes()),
         Answer::Rejected(wait) => Outcome::Busy(wait.map(|w| (w.0.max(0) as u64).div_ceil(1000))),
         Answer::Failed(_) if write => Outcome::Failed(Sense::WRITE_FAILED),
         Answer::Failed(_) => Outcome::Failed(Sense::READ_FAILED),
--- a/crates/gateway/src/iscsi/server.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -1,16 +1,17 @@
-//! The iSCSI front: connections of initiators.
+//! The iSCSI target: accepts initiators and drives each session on its connection.
 use crate::backend::value::Answer;
 use crate::client::connection_slots::{Activity, ConnectionSlot, ConnectionSlots, IdleTimeouts};
 use crate::context::Context;
 use crate::counts::Count;
-use crate::iscsi::session::{Session, ANSWER};
-use crate::iscsi::shared::Front;
+use crate::iscsi::session::{Progress, Session, MAX_ANSWER_BYTES};
+use crate::iscsi::shared::TargetContext;
 use crate::iscsi::write_record;
 use crate::messages::SchedulerMailbox;
 use crate::net::accept::accept;
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
+use async_channel::Receiver;
 use async_io::{Async, Timer};
 use config::{Iscsi, Lun};
 use futures_lite::{future, StreamExt};
@@ -19,19 +20,24 @@
 use scheduler::interface::Micros;
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
+use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 
-const BOUNDS: (usize, usize) = (iscsi::LONGEST + 4096, 2 * ANSWER);
-/// Initiators at once.
-const SESSIONS: usize = 24;
+/// Capacities of a session's input and output buffer, in bytes.
+const BUFFER_BYTES: (usize, usize) = (iscsi::LONGEST + 4096, 2 * MAX_ANSWER_BYTES);
+/// Sessions at once.
+const MAX_SESSIONS: usize = 24;
 /// Answers that may wait for a session: those of its tasks, and late ones of reads that were aborted.
-const ANSWERS: usize = 256;
-/// Where connections are scarce, a session that is logged in and has stood idle for so long makes room. Guards mounts
-/// against crowds on the other front: an initiator does not open connections as it needs them.
-const STANDS: Micros = Micros(60_000_000);
+const MAX_PENDING_ANSWERS: usize = 256;
+/// Where connections are scarce, a session that has been idle for this long is evicted. It protects mounts against crowds of RESP2
+/// clients: an initiator does not open connections as it needs them.
+const IDLE_TIMEOUT: Micros = Micros(60_000_000);
+/// How often a session is checked, and how often during the shutdown.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts initiators until the program ends.
+/// Accepts initiators until the process ends.
 pub async fn listen(
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
@@ -39,16 +45,17 @@
     iscsi: Iscsi,
     listener: Async<TcpListener>,
 ) {
-    let disk = |l: &Lun| Disk { lun: l.lun, blocks: u64::from(l.blocks), serial: l.volume.clone() };
+    let disk = |lun: &Lun| Disk { lun: lun.lun, blocks: u64::from(lun.blocks), serial: lun.volume.clone() };
     let shown = Shown {
         name: iscsi.target.clone(),
         address: iscsi.listen.to_string(),
         disks: iscsi.luns.iter().map(disk).collect(),
     };
-    let (record, notes) = async_channel::bounded(write_record::MOST);
-    let kept = iscsi.record_s.saturating_mul(1_000_000) as i64;
-    context.executor.spawn(write_record::run(context.clone(), scheduler.clone(), notes, kept)).detach();
-    let front = Rc::new(Front {
+    let (record, record_messages) = async_channel::bounded(write_record::MAX_WRITES);
+    let retention_us = iscsi.record_s.saturating_mul(1_000_000) as i64;
+    let recording = write_record::run(context.clone(), scheduler.clone(), record_messages, retention_us);
+    context.executor.spawn(recording).detach();
+    let target = Rc::new(TargetContext {
         context: context.clone(),
         scheduler,
         iscsi,
@@ -56,81 +63,120 @@
         record,
         sessions: RefCell::default(),
     });
-    let take = |socket, address| {
-        context.executor.spawn(session(front.clone(), slots.clone(), socket, address)).detach();
+    let on_accept = |socket, address| {
+        context.executor.spawn(serve(target.clone(), slots.clone(), socket, address)).detach();
     };
-    let may = || context.gauges.clients.get() < context.client_bound();
-    accept(listener, may, async || slots.evict_idle().await, take, async || future::pending().await).await;
+    let has_slot = || context.gauges.clients.get() < context.client_limit();
+    let shutdown = async || future::pending().await;
+    accept(listener, has_slot, async || slots.evict_idle().await, on_accept, shutdown).await;
 }
 
-enum Woken {
+/// What ended a session's wait.
+enum Wakeup {
+    /// A final answer, with the number of its task.
     Answer(Option<(u64, Answer)>),
-    Moved,
-    Tick,
-    MakeRoom,
-    End(CloseReason),
+    /// The connection made progress.
+    Socket,
+    /// A check is due.
+    Timer,
+    /// The connection is to be evicted.
+    Evicted,
+    /// The initiator has closed the connection, it broke, or another session has replaced this one.
+    Closed(CloseReason),
 }
 
-async fn session(front: Rc<Front>, slots: Rc<ConnectionSlots>, socket: Socket, address: SocketAddr) {
-    let context = front.context.clone();
-    let _count = Count::up(&context.gauges, |g| &g.clients);
-    let mut stream = Connection::new(socket, "initiator", address, BOUNDS);
-    if Rc::strong_count(&front) > SESSIONS + 1 {
+/// Drives a session until its connection is to be closed.
+async fn serve(target: Rc<TargetContext>, slots: Rc<ConnectionSlots>, socket: Socket, address: SocketAddr) {
+    let context = target.context.clone();
+    let _count = Count::up(&context.gauges, |gauges| &gauges.clients);
+    let mut stream = Connection::new(socket, "initiator", address, BUFFER_BYTES);
+    // The listener holds one reference.
+    if Rc::strong_count(&target) > MAX_SESSIONS + 1 {
         stream.reason = CloseReason::Bound;
         return;
     }
-    let (answers, answered) = async_channel::bounded(ANSWERS);
+    let (answers, answered) = async_channel::bounded(MAX_PENDING_ANSWERS);
+    let mut session = Session::new(target, answers);
+    let idle_timeouts = IdleTimeouts { scarce: IDLE_TIMEOUT, exhausted: IDLE_TIMEOUT };
+    let slot = ConnectionSlot::take(&slots, idle_timeouts);
+    stream.reason = drive(&context, &mut session, &mut stream, &slot, answered).await;
+    session.end().await;
+}
+
+/// Runs the session; returns why its connection is to be closed.
+async fn drive(
+    context: &Context,
+    session: &mut Session,
+    stream: &mut Connection,
+    slot: &ConnectionSlot,
+    answered: Receiver<(u64, Answer)>,
+) -> CloseReason {
     let mut answered = Box::pin(answered);
-    let mut session = Session::new(front, answers);
-    let replaced = session.replaced.1.clone();
-    let begun = context.clock.now();
-    let slot = ConnectionSlot::take(&slots, IdleTimeouts { scarce: STANDS, exhausted: STANDS });
-    let mut went_on = (0, 0, begun);
-    stream.reason = loop {
-        session.answer(&mut stream);
-        session.read(&mut stream).await;
-        if let Some(reason) = session.ends(&stream, begun) {
-            break reason;
+    let connected_at = context.clock.now();
+    let mut progress = Progress { carried: 0, written: 0, at: connected_at };
+    loop {
+        session.send_answers(stream);
+        session.read(stream).await;
+        if let Some(reason) = session.close_reason(stream, connected_at) {
+            return reason;
         }
-        if let Some(reason) = session.stands_still(&stream, &mut went_on) {
-            break reason;
+        if let Some(reason) = session.stall_reason(stream, &mut progress) {
+            return reason;
         }
-        let nothing = !session.target.busy() && session.ready.is_empty() && stream.output.is_empty();
-        slot.set_activity(match (nothing && stream.input.is_empty(), stream.carried) {
-            (true, 0) => Activity::Silent,
-            (true, _) if session.name.is_some() => Activity::Idle,
-            _ => Activity::Busy,
-        });
-        // Guards the others: whatever there is to do, each turn is one of many.
+        slot.set_activity(activity(session, stream));
+        // Every turn is short, so that the other connections have theirs.
         future::yield_now().await;
-        let answer = async { Woken::Answer(answered.next().await) };
-        let moved = async {
-            match stream.next().await {
-                Some(Ok(SocketEvent::End)) => Woken::End(CloseReason::PeerClosed),
-                Some(Err(_)) => Woken::End(CloseReason::Reset),
-                _ => Woken::Moved,
-            }
-        };
-        let gone = async {
-            let _ = replaced.recv().await;
-            Woken::End(CloseReason::Replaced)
-        };
-        let tick = async {
-            let wait = if context.lifecycle.stopping.get().is_some() { 50 } else { 500 };
-            Timer::after(Duration::from_millis(wait)).await;
-            Woken::Tick
-        };
-        let leave = async {
-            let _ = slot.evictions.recv().await;
-            Woken::MakeRoom
-        };
-        match future::or(future::or(answer, moved), future::or(leave, future::or(gone, tick))).await {
-            Woken::Answer(Some(answer)) => session.ready.push_back(answer),
-            Woken::Answer(None) | Woken::Moved | Woken::Tick => {}
-            Woken::MakeRoom if slot.is_idle() => break CloseReason::Idle,
-            Woken::MakeRoom => {}
-            Woken::End(reason) => break reason,
+        match next_wakeup(context, session, stream, slot, &mut answered).await {
+            Wakeup::Answer(Some(answer)) => session.ready.push_back(answer),
+            Wakeup::Answer(None) | Wakeup::Socket | Wakeup::Timer => {}
+            Wakeup::Evicted if slot.is_idle() => return CloseReason::Idle,
+            Wakeup::Evicted => {}
+            Wakeup::Closed(reason) => return reason,
+        }
+    }
+}
+
+fn activity(session: &Session, stream: &Connection) -> Activity {
+    let is_quiet = !session.target.busy()
+        && session.ready.is_empty()
+        && stream.output.is_empty()
+        && stream.input.is_empty();
+    match (is_quiet, stream.carried) {
+        (true, 0) => Activity::Silent,
+        (true, _) if session.name.is_some() => Activity::Idle,
+        _ => Activity::Busy,
+    }
+}
+
+async fn next_wakeup(
+    context: &Context,
+    session: &Session,
+    stream: &mut Connection,
+    slot: &ConnectionSlot,
+    answered: &mut Pin<Box<Receiver<(u64, Answer)>>>,
+) -> Wakeup {
+    let answer = async { Wakeup::Answer(answered.next().await) };
+    let socket = async {
+        match stream.next().await {
+            Some(Ok(SocketEvent::End)) => Wakeup::Closed(CloseReason::PeerClosed),
+            Some(Err(_)) => Wakeup::Closed(CloseReason::Reset),
+            _ => Wakeup::Socket,
         }
     };
-    session.end().await;
+    let replaced = async {
+        // The channel is only ever closed.
+        let _ = session.replaced.1.recv().await;
+        Wakeup::Closed(CloseReason::Replaced)
+    };
+    let timer = async {
+        let is_stopping = context.lifecycle.stopping.get().is_some();
+        Timer::after(if is_stopping { SHUTDOWN_CHECK_INTERVAL } else { CHECK_INTERVAL }).await;
+        Wakeup::Timer
+    };
+    let evicted = async {
+        // The slot holds the sender, so the channel is open.
+        let _ = slot.evictions.recv().await;
+        Wakeup::Evicted
+    };
+    future::or(future::or(answer, socket), future::or(evicted, future::or(replaced, timer))).await
 }
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -1,8 +1,8 @@
-//! A session of an initiator, without its connection: its reads and writes as requests of the core, and back.
+//! A session of an initiator, without its connection: its reads and writes as requests, and their answers as statuses.
 use crate::backend::value::Answer;
 use crate::iscsi::request::{outcome, request};
-use crate::iscsi::shared::{Front, Name};
-use crate::iscsi::write_record::{Key, Note};
+use crate::iscsi::shared::{LoggedIn, SessionName, TargetContext};
+use crate::iscsi::write_record::{RecordMessage, WriteKey};
 use crate::messages::{SchedulerMessage, Ticket};
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::Connection;
@@ -14,59 +14,78 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
-/// What one answer may take on the wire, with all its heads.
-pub const ANSWER: usize = iscsi::LONGEST + 16 * 1024;
+/// The space that one answer may take on the wire, with all its headers, in bytes.
+pub const MAX_ANSWER_BYTES: usize = iscsi::LONGEST + 16 * 1024;
 
-/// A read or write that is on its way.
+/// A read or write that is open.
 struct Task {
+    /// The initiator's task tag.
     tag: u32,
-    write: bool,
+    is_write: bool,
+    /// The request of a read.
     read: Option<RequestId>,
-    key: Option<Key>,
+    /// The key of a write in the record.
+    key: Option<WriteKey>,
 }
 
-/// A session's side toward the core, without its connection.
+/// When the session last made progress.
+pub struct Progress {
+    /// PDUs read by then.
+    pub carried: u64,
+    /// Bytes sent by then.
+    pub written: u64,
+    /// The time.
+    pub at: Micros,
+}
+
+/// The state of one session.
 pub struct Session {
-    front: Rc<Front>,
+    shared: Rc<TargetContext>,
+    /// The protocol's state machine.
     pub target: Target,
-    /// A number of its own among the sessions of one name.
-    own: u64,
-    pub name: Option<Name>,
+    /// Tells the sessions of one name apart.
+    number: u64,
+    /// The session's identity, once it is logged in.
+    pub name: Option<SessionName>,
     /// Closed once another session takes its place.
     pub replaced: (Sender<()>, Receiver<()>),
     answers: Sender<(u64, Answer)>,
     tasks: BTreeMap<u64, Task>,
-    next: u64,
+    next_task: u64,
+    /// Answers to be sent, with the numbers of their tasks.
     pub ready: VecDeque<(u64, Answer)>,
-    unacknowledged: VecDeque<(u32, Key)>,
+    /// Writes whose status the initiator has not acknowledged, by StatSN.
+    unacknowledged: VecDeque<(u32, WriteKey)>,
     closing: Option<CloseReason>,
 }
 
 impl Session {
-    pub fn new(front: Rc<Front>, answers: Sender<(u64, Answer)>) -> Session {
+    /// A session before its login. `answers` receives the final answers, each with the number of its task.
+    pub fn new(shared: Rc<TargetContext>, answers: Sender<(u64, Answer)>) -> Session {
         Session {
-            target: Target::new(front.shown.clone(), front.context.session()),
-            own: front.context.number().0,
+            target: Target::new(shared.shown.clone(), shared.context.session()),
+            number: shared.context.number().0,
             name: None,
             replaced: async_channel::bounded(1),
             answers,
             tasks: BTreeMap::new(),
-            next: 0,
+            next_task: 0,
             ready: VecDeque::new(),
             unacknowledged: VecDeque::new(),
             closing: None,
-            front,
+            shared,
         }
     }
 
-    /// Answers what is ready, as far as there is room.
-    pub fn answer(&mut self, stream: &mut Connection) {
+    /// Encodes the answers that are ready, as far as there is room.
+    pub fn send_answers(&mut self, stream: &mut Connection) {
         let mut out = Vec::new();
-        while stream.output.room() >= ANSWER {
-            let Some((slot, answer)) = self.ready.pop_front() else { break };
-            let Some(work) = self.tasks.remove(&slot) else { continue };
-            let status = self.target.answer(work.tag, outcome(&answer, work.write), &mut out);
-            if let (Some(status), Some(key)) = (status, work.key) {
+        while stream.output.room() >= MAX_ANSWER_BYTES {
+            let Some((number, answer)) = self.ready.pop_front() else { break };
+            // The task of a late answer may have been aborted.
+            let Some(task) = self.tasks.remove(&number) else { continue };
+            let status = self.target.answer(task.tag, outcome(&answer, task.is_write), &mut out);
+            if let (Some(status), Some(key)) = (status, task.key) {
                 self.unacknowledged.push_back((status, key));
             }
             stream.output.push(&out);
@@ -74,13 +93,13 @@
         }
     }
 
-    /// Takes in the PDUs that have come, as far as there is room for what they may have us say.
+    /// Handles the PDUs that have arrived, as far as there is room for what they may require to be answered.
     pub async fn read(&mut self, stream: &mut Connection) {
         let (mut out, mut events) = (Vec::new(), Vec::new());
-        while self.closing.is_none() && stream.output.room() >= ANSWER {
-            let full = stream.input.room() == 0;
+        while self.closing.is_none() && stream.output.room() >= MAX_ANSWER_BYTES {
+            let is_full = stream.input.room() == 0;
             match self.target.read(stream.input.contiguous(), &mut out, &mut events) {
-                Ok(0) if full => self.closing = Some(CloseReason::Protocol),
+                Ok(0) if is_full => self.closing = Some(CloseReason::Protocol),
                 Ok(0) => break,
                 Ok(used) => {
                     stream.input.consume(used);
@@ -89,142 +108,142 @@
                 Err(_) => self.closing = Some(CloseReason::Protocol),
             }
             for event in events.drain(..) {
-                self.act(event).await;
+                self.handle(event).await;
             }
             stream.output.push(&out);
             out.clear();
         }
     }
 
-    async fn act(&mut self, event: Event) {
+    async fn handle(&mut self, event: Event) {
         match event {
             Event::LoggedIn { initiator, isid } => {
-                // A login under the name of a session that is there takes its place.
-                let name: Name = (initiator.into(), isid);
-                let entry = (self.own, self.replaced.0.clone());
-                if let Some((_, old)) = self.front.sessions.borrow_mut().insert(name.clone(), entry) {
-                    old.close();
-                }
-                self.name = Some(name);
-            }
-            Event::Read { tag, lun, lba, blocks } => {
-                let id = self.front.context.number();
-                let request = request(&self.front.context, &self.front.iscsi, lun, lba, blocks, None);
-                let ticket = self.begin(Task { tag, write: false, read: Some(id), key: None }, &request);
-                self.hand_over(ticket, request, |front, request, ticket| {
-                    front.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)).is_ok()
-                });
-            }
-            Event::Write { tag, lun, lba, data } => {
-                let (initiator, isid) = self.name.clone().unwrap_or_default();
-                let mut digest = DefaultHasher::new();
-                (lun, lba, &data).hash(&mut digest);
-                let key = (initiator, isid, tag, digest.finish());
-                let blocks = (data.len() / iscsi::BLOCK) as u32;
-                let request = request(
-                    &self.front.context,
-                    &self.front.iscsi,
-                    lun,
-                    lba,
-                    blocks,
-                    Some(Bytes::from(data)),
-                );
-                let work = Task { tag, write: true, read: None, key: Some(key.clone()) };
-                let ticket = self.begin(work, &request);
-                self.hand_over(ticket, request, |front, request, ticket| {
-                    front.record.try_send(Note::Begin(key, request, ticket)).is_ok()
-                });
+                self.log_in(SessionName { initiator: initiator.into(), isid })
             }
+            Event::Read { tag, lun, lba, blocks } => self.begin_read(tag, lun, lba, blocks),
+            Event::Write { tag, lun, lba, data } => self.begin_write(tag, lun, lba, data),
             Event::Aborted(tag) => {
-                let slot = self.tasks.iter().find(|(_, w)| w.tag == tag).map(|(s, _)| *s);
-                if let Some(id) = slot.and_then(|s| self.tasks.remove(&s)).and_then(|w| w.read) {
-                    let _ = self.front.scheduler.send(SchedulerMessage::Left(id)).await;
-                }
-            }
-            Event::Acknowledged(upto) => {
-                // Numbers wrap round: a half of them counts as before.
-                let before = |n: u32| upto.wrapping_sub(n).wrapping_sub(1) < 1 << 31;
-                while self.unacknowledged.front().is_some_and(|(n, _)| before(*n)) {
-                    let Some((_, key)) = self.unacknowledged.pop_front() else { break };
-                    let _ = self.front.record.send(Note::Acknowledged(key)).await;
+                let number = self.tasks.iter().find(|(_, task)| task.tag == tag).map(|(number, _)| *number);
+                let task = number.and_then(|number| self.tasks.remove(&number));
+                if let Some(id) = task.and_then(|task| task.read) {
+                    // The mailbox is closed only at the end of the process.
+                    let _ = self.shared.scheduler.send(SchedulerMessage::Left(id)).await;
                 }
             }
+            Event::Acknowledged(end) => self.acknowledge(end).await,
             Event::Close => self.closing = Some(CloseReason::Done),
         }
     }
 
-    fn begin(&mut self, work: Task, request: &Option<Request>) -> Ticket {
-        let class = request.as_ref().map_or(0, |r| r.class);
-        let slot = self.next;
-        self.next += 1;
-        self.tasks.insert(slot, work);
-        Ticket { slot, to: self.answers.clone(), class }
+    /// Registers the session; one of the same name is replaced.
+    fn log_in(&mut self, name: SessionName) {
+        let entry = LoggedIn { number: self.number, replaced: self.replaced.0.clone() };
+        if let Some(earlier) = self.shared.sessions.borrow_mut().insert(name.clone(), entry) {
+            earlier.replaced.close();
+        }
+        self.name = Some(name);
+    }
+
+    fn begin_read(&mut self, tag: u32, lun: u8, lba: u64, blocks: u32) {
+        let id = self.shared.context.number();
+        let request = request(&self.shared.context, &self.shared.iscsi, lun, lba, blocks, None);
+        let task = Task { tag, is_write: false, read: Some(id), key: None };
+        self.submit(task, request, |shared, request, ticket| {
+            shared.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)).is_ok()
+        });
+    }
+
+    fn begin_write(&mut self, tag: u32, lun: u8, lba: u64, data: Vec<u8>) {
+        let mut digest = DefaultHasher::new();
+        (lun, lba, &data).hash(&mut digest);
+        let session = self.name.clone().unwrap_or_default();
+        let key = WriteKey { session, tag, digest: digest.finish() };
+        let blocks = (data.len() / iscsi::BLOCK) as u32;
+        let body = Some(Bytes::from(data));
+        let request = request(&self.shared.context, &self.shared.iscsi, lun, lba, blocks, body);
+        let task = Task { tag, is_write: true, read: None, key: Some(key.clone()) };
+        self.submit(task, request, |shared, request, ticket| {
+            shared.record.try_send(RecordMessage::Begin(key, request, ticket)).is_ok()
+        });
     }
 
-    /// Hands a request over; where that can't be done it did not run, and has its answer at once.
-    fn hand_over(
+    /// Forgets the writes whose status the initiator has, up to and without the StatSN `end`.
+    async fn acknowledge(&mut self, end: u32) {
+        // Serial number arithmetic: the half of the numbers that precede `end` are before it.
+        let is_before = |number: u32| end.wrapping_sub(number).wrapping_sub(1) < 1 << 31;
+        while self.unacknowledged.front().is_some_and(|(number, _)| is_before(*number)) {
+            let Some((_, key)) = self.unacknowledged.pop_front() else { break };
+            // The mailbox is closed only at the end of the process.
+            let _ = self.shared.record.send(RecordMessage::Acknowledged(key)).await;
+        }
+    }
+
+    /// Hands a task's request over by `hand_over`, which returns false where there is no room; then nothing ran, and the task is
+    /// answered at once.
+    fn submit(
         &mut self,
-        ticket: Ticket,
+        task: Task,
         request: Option<Request>,
-        over: impl FnOnce(&Front, Request, Ticket) -> bool,
+        hand_over: impl FnOnce(&TargetContext, Request, Ticket) -> bool,
     ) {
-        let slot = ticket.slot;
-        let answer = match request {
-            None => Answer::Failed("not in the configuration"),
-            Some(request) => {
-                if over(&self.front, request, ticket) {
-                    return;
-                }
-                Answer::Rejected(None)
-            }
+        let number = self.next_task;
+        self.next_task += 1;
+        self.tasks.insert(number, task);
+        let Some(request) = request else {
+            return self.ready.push_back((number, Answer::Failed("not in the configuration")));
         };
-        self.ready.push_back((slot, answer));
+        let ticket = Ticket { slot: number, to: self.answers.clone(), class: request.class };
+        if !hand_over(&self.shared, request, ticket) {
+            self.ready.push_back((number, Answer::Rejected(None)));
+        }
     }
 
-    /// Whether the session is to end now, and why.
-    pub fn ends(&self, stream: &Connection, begun: Micros) -> Option<CloseReason> {
-        let context = &self.front.context;
-        let (now, written) = (context.clock.now(), stream.output.is_empty());
-        if written && self.closing.is_some() {
+    /// Whether the connection is to be closed now, and why.
+    pub fn close_reason(&self, stream: &Connection, connected_at: Micros) -> Option<CloseReason> {
+        let context = &self.shared.context;
+        let (now, is_written) = (context.clock.now(), stream.output.is_empty());
+        if is_written && self.closing.is_some() {
             return self.closing;
         }
-        if written && self.ready.is_empty() && !self.target.busy() && context.lingered() {
+        let is_idle = is_written && self.ready.is_empty() && !self.target.busy();
+        if is_idle && context.closes_between_requests() {
             return Some(CloseReason::Stopped);
         }
-        // Guards sessions against connections that never log in.
-        let login = (context.config().clients.command_s * 1e6) as i64;
-        (self.name.is_none() && now.0 - begun.0 >= login).then_some(CloseReason::Idle)
+        // Connections that never log in would keep others from the session limit.
+        let login_timeout_us = (context.config().clients.command_s * 1e6) as i64;
+        (self.name.is_none() && now.0 - connected_at.0 >= login_timeout_us).then_some(CloseReason::Idle)
     }
 
-    /// Why the session is to end where neither a half PDU nor what waits to be read has gone on in time.
-    // Guards memory and descriptors, as it does on the other front.
-    pub fn stands_still(&self, stream: &Connection, went_on: &mut (u64, u64, Micros)) -> Option<CloseReason> {
-        let (now, clients) = (self.front.context.clock.now(), self.front.context.config().clients);
-        let nothing = stream.input.is_empty() && stream.output.is_empty();
-        if nothing || (went_on.0, went_on.1) != (stream.carried, stream.written) {
-            *went_on = (stream.carried, stream.written, now);
+    /// Why the connection is to be closed where an incomplete PDU, or unread answers, made no progress in time. `progress` is updated.
+    pub fn stall_reason(&self, stream: &Connection, progress: &mut Progress) -> Option<CloseReason> {
+        let (now, clients) = (self.shared.context.clock.now(), self.shared.context.config().clients);
+        let is_quiet = stream.input.is_empty() && stream.output.is_empty();
+        if is_quiet || (progress.carried, progress.written) != (stream.carried, stream.written) {
+            *progress = Progress { carried: stream.carried, written: stream.written, at: now };
         }
-        let (limit, reason) = match stream.output.is_empty() {
-            true => (clients.command_s, CloseReason::Protocol),
-            false => (clients.unread_s, CloseReason::Unread),
+        let (timeout_s, reason) = if stream.output.is_empty() {
+            (clients.command_s, CloseReason::Protocol)
+        } else {
+            (clients.unread_s, CloseReason::Unread)
         };
-        (now.0 - went_on.2 .0 >= (limit * 1e6) as i64).then_some(reason)
+        (now.0 - progress.at.0 >= (timeout_s * 1e6) as i64).then_some(reason)
     }
 
+    /// Ends the session: cancels its reads, and tells the record that it no longer waits for its writes.
     pub async fn end(self) {
         if let Some(name) = &self.name {
-            let mut sessions = self.front.sessions.borrow_mut();
-            if sessions.get(name).is_some_and(|s| s.0 == self.own) {
+            let mut sessions = self.shared.sessions.borrow_mut();
+            if sessions.get(name).is_some_and(|session| session.number == self.number) {
                 sessions.remove(name);
             }
         }
-        // The record tells by the closed mailbox that this session waits no more.
+        // The record sees by the closed mailbox that this session waits no more.
         self.answers.close();
-        for work in self.tasks.into_values() {
-            // A write that has begun goes on, and its result is on the record.
-            match (work.read, work.key) {
-                (Some(id), _) => drop(self.front.scheduler.send(SchedulerMessage::Left(id)).await),
-                (None, Some(key)) => drop(self.front.record.send(Note::Left(key)).await),
+        for task in self.tasks.into_values() {
+            // A write that has begun goes on, and its result is recorded. The mailboxes are closed only at the end of the process.
+            match (task.read, task.key) {
+                (Some(id), _) => drop(self.shared.scheduler.send(SchedulerMessage::Left(id)).await),
+                (None, Some(key)) => drop(self.shared.record.send(RecordMessage::Left(key)).await),
                 (None, None) => {}
             }
         }
--- a/crates/gateway/src/iscsi/shared.rs
+++ b/crates/gateway/src/iscsi/shared.rs
@@ -1,6 +1,6 @@
-//! What all sessions of the iSCSI front share.
+//! What all sessions of the iSCSI target share.
 use crate::context::Context;
-use crate::iscsi::write_record::Note;
+use crate::iscsi::write_record::RecordMessage;
 use crate::messages::SchedulerMailbox;
 use async_channel::Sender;
 use config::Iscsi;
@@ -9,24 +9,35 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Initiator and ISID.
-pub type Name = (Rc<str>, [u8; 6]);
+/// The identity of a session: the initiator's name and its ISID.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SessionName {
+    /// The initiator's name.
+    pub initiator: Rc<str>,
+    /// The initiator's session identifier.
+    pub isid: [u8; 6],
+}
 
-/// A number of its own for each session, and what is closed when another replaces it.
-type Names = RefCell<BTreeMap<Name, (u64, Sender<()>)>>;
+/// A session that is logged in.
+pub struct LoggedIn {
+    /// Tells the sessions of one name apart.
+    pub number: u64,
+    /// Closed when another session of the same name replaces it.
+    pub replaced: Sender<()>,
+}
 
 /// What all sessions share.
-pub struct Front {
-    /// What every actor stands on.
+pub struct TargetContext {
+    /// The gateway's shared state.
     pub context: Rc<Context>,
-    /// The module's mailbox.
+    /// The scheduler's mailbox.
     pub scheduler: SchedulerMailbox,
-    /// The front's section of the configuration.
+    /// The section `[iscsi]` of the configuration.
     pub iscsi: Iscsi,
     /// What initiators are shown.
     pub shown: Rc<Shown>,
-    /// The record of writes.
-    pub record: Sender<Note>,
-    /// The sessions that are there.
-    pub sessions: Names,
+    /// The mailbox of the record of writes.
+    pub record: Sender<RecordMessage>,
+    /// The sessions that are logged in.
+    pub sessions: RefCell<BTreeMap<SessionName, LoggedIn>>,
 }
--- a/crates/gateway/src/lifecycle/handover.rs
+++ b/crates/gateway/src/lifecycle/handover.rs
@@ -1,6 +1,6 @@
-//! Two processes of one front, the one that serves and the one that follows it. Each looks for the other's lock. While both
-//! live they share the machine, the limits of volumes and what servers in slow start bear: each counts on a half of these,
-//! and on the descriptors that the other does not hold. What operators have taken out goes over in a file too.
+//! The handover between two processes of one gateway: the predecessor, which serves, and its successor. Each watches the other's lock.
+//! While both are alive they share the machine, the limits of volumes and the slow-start budgets of backends: each uses half of these,
+//! and the descriptors that the other does not use. Operators' suspensions are passed on in files.
 use crate::admin::suspension_files;
 use crate::backend::pool::BackendPool;
 use crate::context::{Context, OtherProcess};
@@ -10,22 +10,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often it looks for the other. Until it has seen it, it sends what limits allow a whole front; the rule's slack
-/// is what they allow in 150 ms.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often the other process's lock is checked. Until it is seen, this process uses the full limits; the service's rule on limits
+/// allows for 150 ms of that.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Takes this process's lock, and looks for another process that lives. Without a folder, or in one that takes no file for
-/// now, the lock is tried again at each look.
+/// Takes the process lock and looks for another process; `None` without a folder. A lock that can't be taken now is tried again by
+/// [`run`].
 pub fn begin(context: &Context) -> Option<ProcessLock> {
     let mut lock = ProcessLock::new(context)?;
     if let Err(error) = lock.take() {
         crate::log::line(format_args!("handover error={error}"));
     }
-    context.lifecycle.other.set(lock.look());
+    context.lifecycle.other.set(lock.other_process());
     Some(lock)
 }
 
-/// Looks for the other process until this one ends, and puts in force what follows from it.
+/// Watches for the other process until this one ends, and applies what follows from its presence.
 pub async fn run(
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
@@ -33,28 +33,29 @@
     mut lock: ProcessLock,
 ) {
     loop {
-        let descriptors = context.held();
-        // A disk may take its time, and the one thread must not wait for it.
-        let looked = blocking::unblock(move || {
-            // An error was logged at the first try; what counts is that it is taken in the end.
+        let descriptors = context.used_descriptors();
+        // On a helper thread, since a disk may take its time.
+        let check = blocking::unblock(move || {
+            // An error was logged at the first attempt, and the lock is tried again at the next check.
             let _ = lock.take();
-            lock.tell(descriptors);
-            let found = lock.look();
-            let suspensions =
-                (found != OtherProcess::None).then(|| suspension_files::read(lock.front())).flatten();
-            (lock, found, suspensions)
+            lock.publish(descriptors);
+            let found = lock.other_process();
+            let persisted =
+                (found != OtherProcess::None).then(|| suspension_files::read(lock.prefix())).flatten();
+            (lock, found, persisted)
         });
-        let (back, found, suspensions) = looked.await;
-        lock = back;
+        let (checked_lock, found, persisted) = check.await;
+        lock = checked_lock;
         let before = context.lifecycle.other.replace(found);
         if std::mem::discriminant(&before) != std::mem::discriminant(&found) {
             crate::log::line(format_args!("handover other={found:?}"));
-            let _ = scheduler.send(SchedulerMessage::Share).await;
+            // The mailbox is closed only at the end of the process.
+            let _ = scheduler.send(SchedulerMessage::ShareChanged).await;
         }
-        // The calls of operators may reach either; what they take out must be out for both.
-        if pool.take_over(suspensions) {
-            pool.apply().await;
+        // Operators' calls may reach either process, and suspensions count for both.
+        if pool.take_over_suspensions(persisted) {
+            pool.apply_suspensions().await;
         }
-        Timer::after(LOOK).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -2,6 +2,7 @@
 pub mod handover;
 pub mod process_files;
 pub mod process_lock;
+pub mod reload;
 pub mod shutdown;
 pub mod shutdown_times;
 pub mod start;
--- a/crates/gateway/src/lifecycle/process_files.rs
+++ b/crates/gateway/src/lifecycle/process_files.rs
@@ -1,23 +1,35 @@
-//! Files under `TMPDIR` that one process of a front leaves to the next.
+//! The files under `TMPDIR` that one process of a gateway leaves to the next.
+//!
+//! Their names are `lichenrudder-NAME-ADDRESS.NUMBER.EXTENSION`.
 use crate::context::Context;
 use std::path::{Path, PathBuf};
 
-/// What the names of all files begin with that this front keeps for the process that follows; none without `TMPDIR`.
+/// The common prefix of the names of this gateway's files; `None` without `TMPDIR`.
 pub fn path(context: &Context) -> Option<PathBuf> {
-    let folder = std::env::var_os("TMPDIR").filter(|f| !f.is_empty())?;
+    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let config = context.config();
-    let at = config.listen.or(config.iscsi.as_ref().map(|i| i.listen)).map(|a| a.to_string());
-    let name = format!("{}-{}", config.name, at.unwrap_or_default());
+    let address = config.listen.or(config.iscsi.as_ref().map(|iscsi| iscsi.listen));
+    let name = format!("{}-{}", config.name, address.map(|address| address.to_string()).unwrap_or_default());
     let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
     Some(PathBuf::from(folder).join(format!("lichenrudder-{name}")))
 }
 
-/// The files of a front.
-pub fn beside(front: &Path) -> Vec<PathBuf> {
-    let own = |p: &PathBuf| {
-        let name = p.file_name().and_then(|n| n.to_str()).and_then(|n| n.split_once('.'));
-        name.is_some_and(|(n, _)| front.file_name().is_some_and(|own| own == n))
+/// The files with that prefix and extension and their numbers, the lowest number first. Empty where the folder can't be read.
+pub fn numbered(prefix: &Path, extension: &str) -> Vec<(PathBuf, i64)> {
+    let is_own = |path: &PathBuf| {
+        let name = path.file_name().and_then(|name| name.to_str()).and_then(|name| name.split_once('.'));
+        name.is_some_and(|(stem, _)| prefix.file_name().is_some_and(|own| own == stem))
     };
-    let files = front.parent().and_then(|folder| std::fs::read_dir(folder).ok());
-    files.into_iter().flatten().flatten().map(|e| e.path()).filter(own).collect()
+    let files = prefix.parent().and_then(|folder| std::fs::read_dir(folder).ok());
+    let paths = files.into_iter().flatten().flatten().map(|entry| entry.path()).filter(is_own);
+    let paths = paths.filter(|path| path.extension().is_some_and(|found| found == extension));
+    let mut numbered: Vec<(PathBuf, i64)> =
+        paths.filter_map(|path| number(&path).map(|number| (path, number))).collect();
+    numbered.sort_by_key(|(_, number)| *number);
+    numbered
+}
+
+/// The number in a file's name.
+fn number(path: &Path) -> Option<i64> {
+    path.file_stem()?.to_str()?.rsplit_once('.')?.1.parse().ok()
 }
--- a/crates/gateway/src/lifecycle/process_lock.rs
+++ b/crates/gateway/src/lifecycle/process_lock.rs
@@ -1,55 +1,59 @@
-//! The lock by which a process of a front shows that it lives: a locked file of its own under `TMPDIR`. A file whose lock can
-//! be had is one of a process that has ended.
+//! The process lock: a locked file under `TMPDIR` by which a process of a gateway shows that it is alive. A file whose lock can be
+//! taken belongs to a process that has ended.
+//!
+//! The file holds the number of descriptors that the process uses, in decimal, right-aligned in eight columns.
 use crate::context::{Context, OtherProcess};
 use crate::lifecycle::process_files;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind, Seek, Write};
 use std::path::{Path, PathBuf};
 
-/// What the names of locked files end with, and of those that are being made.
-const LIVE: &str = "live";
-const MADE: &str = "made";
+/// The extension of locked files.
+const LOCKED_EXTENSION: &str = "live";
+/// The extension of files that are being created.
+const PARTIAL_EXTENSION: &str = "made";
 
-/// The file that this process holds.
-struct Held {
+/// The lock file of this process.
+struct LockFile {
     file: File,
     number: i64,
     path: PathBuf,
-    /// What was written into it last.
-    told: Option<usize>,
+    /// The descriptors that were written last.
+    descriptors: Option<usize>,
 }
 
-/// This process's lock, once its folder takes one, and its look at the other's.
+/// The lock of this process, once its folder takes one, and its view of the other process's.
 pub struct ProcessLock {
-    front: PathBuf,
-    /// The number that it would have by the clock.
+    prefix: PathBuf,
+    /// The number that it gets if no other process has a higher one: the time of the start.
     number: i64,
-    held: Option<Held>,
+    held: Option<LockFile>,
 }
 
 impl ProcessLock {
-    /// The lock of this process, not taken yet; none without a folder.
+    /// The lock of this process, not taken yet; `None` without a folder.
     pub fn new(context: &Context) -> Option<ProcessLock> {
-        let (front, number) = (process_files::path(context)?, context.clock.now().0);
-        Some(ProcessLock { front, number, held: None })
+        let (prefix, number) = (process_files::path(context)?, context.clock.now().0);
+        Some(ProcessLock { prefix, number, held: None })
     }
 
-    /// Where the front's files are.
-    pub fn front(&self) -> &Path {
-        &self.front
+    /// The common prefix of the names of the gateway's files.
+    pub fn prefix(&self) -> &Path {
+        &self.prefix
     }
 
-    /// Takes the lock where it is not held; an error where the folder takes no file for now.
+    /// Takes the lock where it is not held. Its number is higher than that of every other process: a process that starts later comes
+    /// later in order, however the wall clock was stepped in between.
     ///
-    /// Its number is over that of every process that is there: a later process comes later in order, however the wall clock
-    /// was stepped between their starts.
+    /// # Errors
+    /// The system's error where the folder takes no file for now.
     pub fn take(&mut self) -> io::Result<()> {
         while self.held.is_none() {
-            let newest = self.others().into_iter().map(|(number, _)| number).max();
+            let newest = self.others().into_iter().map(|(_, number)| number).max();
             let number = newest.map_or(self.number, |newest| self.number.max(newest + 1));
-            match self.make(number) {
+            match self.create(number) {
                 Ok(held) => self.held = Some(held),
-                // Another process has taken the number in this moment.
+                // Another process has just taken the number.
                 Err(error) if error.kind() == ErrorKind::AlreadyExists => self.number = number + 1,
                 Err(error) => return Err(error),
             }
@@ -57,44 +61,44 @@
         Ok(())
     }
 
-    fn make(&self, number: i64) -> io::Result<Held> {
-        let path = self.front.with_extension(format!("{number:020}.{LIVE}"));
-        // Locked before it has its name: one that looks meanwhile would take it for what a dead process left.
-        let half = path.with_extension(MADE);
-        let file = OpenOptions::new().create_new(true).write(true).open(&half)?;
-        let named = file.try_lock().map_err(io::Error::from).and_then(|()| std::fs::rename(&half, &path));
-        if let Err(error) = named {
-            let _ = std::fs::remove_file(&half);
+    fn create(&self, number: i64) -> io::Result<LockFile> {
+        let path = self.prefix.with_extension(format!("{number:020}.{LOCKED_EXTENSION}"));
+        // Locked before it gets its name: otherwise another process could take it for one left by a dead process.
+        let partial = path.with_extension(PARTIAL_EXTENSION);
+        let file = OpenOptions::new().create_new(true).write(true).open(&partial)?;
+        let locked = file.try_lock().map_err(io::Error::from);
+        if let Err(error) = locked.and_then(|()| std::fs::rename(&partial, &path)) {
+            // A partial file that stays is ignored; its number is not used again.
+            let _ = std::fs::remove_file(&partial);
             return Err(error);
         }
-        Ok(Held { file, number, path, told: None })
+        Ok(LockFile { file, number, path, descriptors: None })
     }
 
-    /// Numbers and files of other processes, dead ones too.
-    fn others(&self) -> Vec<(i64, PathBuf)> {
-        let own = self.held.as_ref().map(|held| held.path.clone());
-        let number =
-            |path: &Path| -> Option<i64> { path.file_stem()?.to_str()?.rsplit_once('.')?.1.parse().ok() };
-        let named = process_files::beside(&self.front)
-            .into_iter()
-            .filter(|path| path.extension().is_some_and(|e| e == LIVE));
-        let others = named.filter(|path| Some(path) != own.as_ref());
-        others.filter_map(|path| number(&path).map(|n| (n, path))).collect()
+    /// The lock files of other processes and their numbers, of dead ones too.
+    fn others(&self) -> Vec<(PathBuf, i64)> {
+        let own = self.held.as_ref().map(|held| &held.path);
+        let mut files = process_files::numbered(&self.prefix, LOCKED_EXTENSION);
+        files.retain(|(path, _)| Some(path) != own);
+        files
     }
 
-    /// The other process, where one lives.
-    pub fn look(&self) -> OtherProcess {
+    /// The other process that is alive, if any. Removes lock files of dead ones.
+    pub fn other_process(&self) -> OtherProcess {
         let mut found = OtherProcess::None;
-        for (number, path) in self.others() {
+        for (path, number) in self.others() {
             match File::open(&path).map(|file| file.try_lock()) {
-                // What a killed process has left.
+                // Left by a process that was killed. One that can't be removed is tried again at the next look.
                 Ok(Ok(())) => drop(std::fs::remove_file(&path)),
                 Ok(Err(TryLockError::WouldBlock)) => {
-                    let held = std::fs::read_to_string(&path).ok().and_then(|t| t.trim().parse().ok());
-                    let held = held.unwrap_or(0);
-                    let after = self.held.as_ref().is_some_and(|own| number > own.number);
-                    found =
-                        if after { OtherProcess::Successor(held) } else { OtherProcess::Predecessor(held) };
+                    let text = std::fs::read_to_string(&path).ok();
+                    let descriptors = text.and_then(|text| text.trim().parse().ok()).unwrap_or(0);
+                    let is_successor = self.held.as_ref().is_some_and(|own| number > own.number);
+                    found = if is_successor {
+                        OtherProcess::Successor(descriptors)
+                    } else {
+                        OtherProcess::Predecessor(descriptors)
+                    };
                 }
                 _ => {}
             }
@@ -102,19 +106,21 @@
         found
     }
 
-    /// Tells the other how many descriptors this process holds.
-    pub fn tell(&mut self, descriptors: usize) {
-        let Some(held) = self.held.as_mut().filter(|held| held.told != Some(descriptors)) else { return };
+    /// Publishes how many descriptors this process uses.
+    pub fn publish(&mut self, descriptors: usize) {
+        let is_changed = |held: &&mut LockFile| held.descriptors != Some(descriptors);
+        let Some(held) = self.held.as_mut().filter(is_changed) else { return };
         let text = format!("{descriptors:8}\n");
         let written = held.file.rewind().and_then(|()| held.file.write_all(text.as_bytes()));
-        // What the folder did not take is told again at the next look.
-        held.told = written.is_ok().then_some(descriptors);
+        // A write that failed is repeated at the next call.
+        held.descriptors = written.is_ok().then_some(descriptors);
     }
 }
 
 impl Drop for ProcessLock {
     fn drop(&mut self) {
         if let Some(held) = &self.held {
+            // A file that stays is unlocked once this process has ended.
             let _ = std::fs::remove_file(&held.path);
         }
     }
--- /dev/null
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -0,0 +1,71 @@
+//! Reloading the configuration on SIGHUP.
+use crate::lifecycle::shutdown::SignalLoop;
+use crate::messages::{DiscoveryMessage, SchedulerMessage};
+use config::Config;
+use scheduler::interface::EndpointUpdate;
+
+impl SignalLoop {
+    /// Reads the configuration again. A valid one takes effect at once; a faulty one is logged and changes nothing. Requests and
+    /// connections go on either way.
+    pub(super) async fn reload(&self) {
+        let context = &self.context;
+        let old = context.config();
+        let overlay = self.config_overlay.as_ref().map(|overlay| overlay.settings()).unwrap_or_default();
+        let (new, unchanged_keys) = match old.reload_under(|key| std::env::var(key).ok(), &overlay) {
+            Ok(reloaded) => reloaded,
+            Err(error) => {
+                crate::log::line(format_args!("reload error={error}"));
+                context.counters.reload_errors.set(context.counters.reload_errors.get() + 1);
+                return self.tell_scheduler(SchedulerMessage::Reload(None)).await;
+            }
+        };
+        for key in unchanged_keys {
+            crate::log::line(format_args!("reload key={key} needs a restart, and stays as it was"));
+        }
+        crate::log::line(format_args!("reload discovery={:?}", new.discovery));
+        // The scheduler first: what sessions parse by the new configuration must mean the same to it.
+        self.tell_scheduler(SchedulerMessage::Reload(Some(Box::new(new.settings.clone())))).await;
+        self.replace_keys(&old, &new);
+        let (is_moved, is_fixed) = (new.discovery != old.discovery, new.discovery.is_none());
+        let known = new.known.clone();
+        context.configure(new);
+        context.counters.reloads.set(context.counters.reloads.get() + 1);
+        if is_fixed {
+            self.apply_list(&known, |update| update).await;
+            context.lifecycle.serving.set(context.lifecycle.serving.get() || !known.targets.is_empty());
+        }
+        if is_moved {
+            // The mailbox is closed only at the end of the process.
+            let _ = self.discovery.send(DiscoveryMessage::AddressChanged).await;
+        }
+    }
+
+    /// Hands changed keys to the hosts of `[accord]` and `[changes]`.
+    fn replace_keys(&self, old: &Config, new: &Config) {
+        let keys = |config: &Config| config.accord.as_ref().and_then(|accord| accord.keys().ok());
+        let (old_keys, new_keys) = (keys(old), keys(new));
+        if let (Some(coordination), Some(new_keys)) = (&self.coordination, new_keys) {
+            if Some(&new_keys) != old_keys.as_ref() {
+                coordination.rekey(new_keys);
+            }
+        }
+        if let Some(overlay) = &self.config_overlay {
+            overlay.rekey(old, new);
+        }
+    }
+
+    /// Applies a list that does not come from discovery just now; `adapt` says what kind of update it is.
+    pub(super) async fn apply_list(
+        &self,
+        known: &config::Targets,
+        adapt: impl Fn(EndpointUpdate) -> EndpointUpdate,
+    ) {
+        let update = adapt(self.pool.update_from_discovery(known));
+        self.tell_scheduler(SchedulerMessage::Endpoints(update)).await;
+    }
+
+    pub(super) async fn tell_scheduler(&self, message: SchedulerMessage) {
+        // The mailbox is closed only at the end of the process.
+        let _ = self.scheduler.send(message).await;
+    }
+}
