--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,4 +1,5 @@
-//! While the program serves, signals are followed; after SIGTERM it ends once all is answered.
+//! The signal loop: SIGHUP reloads, SIGUSR1 logs the counters, SIGTERM and SIGINT begin the graceful shutdown, which ends once
+//! everything is answered.
 use crate::backend::pool::BackendPool;
 use crate::config_overlay::actor::ConfigOverlay;
 use crate::context::Context;
@@ -8,143 +9,103 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::{future, StreamExt};
-use scheduler::interface::{EndpointUpdate, Micros};
+use scheduler::interface::Micros;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// After SIGTERM new connections come for 0.4 s at most; nothing ends before that is over.
-const ACCEPTING: i64 = 800_000;
-/// A request that crossed the closing of its connection is sent again on a new one, which comes in this time.
-const CROSSING: i64 = 300_000;
-/// After SIGTERM nothing that was asked in time is owed for longer than this.
-const LONGEST: i64 = 6_000_000;
-
-/// How long the word that this front leaves has to come into the log.
-const GOODBYE: Duration = Duration::from_millis(300);
+/// The shortest graceful shutdown, in microseconds: new connections keep coming for up to 0.4 s after SIGTERM.
+const MIN_SHUTDOWN_US: i64 = 800_000;
+/// How long the process stays after its last client connection, in microseconds: a request that crossed the closing of its connection
+/// is sent again on a new one within this time.
+const LAST_CLIENT_GRACE_US: i64 = 300_000;
+/// The longest graceful shutdown, in microseconds: no answer is due for longer.
+const MAX_SHUTDOWN_US: i64 = 6_000_000;
+/// How often the shutdown's progress is checked.
+const PROGRESS_CHECK: Duration = Duration::from_millis(20);
+/// How long the log has for the message that this member leaves.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long actors have to close their connections at the end.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// What signals act on.
 pub struct SignalLoop {
-    /// What every actor stands on.
+    /// The gateway's shared state.
     pub context: Rc<Context>,
-    /// The module's mailbox.
+    /// The scheduler's mailbox.
     pub scheduler: SchedulerMailbox,
-    /// The disk boxes.
+    /// The pool of backends.
     pub pool: Rc<BackendPool>,
-    /// The list's mailbox.
-    pub watch: Sender<DiscoveryMessage>,
-    /// The hosts of what fronts settle among themselves, where there are any.
+    /// The mailbox of discovery's actor.
+    pub discovery: Sender<DiscoveryMessage>,
+    /// The coordination host, where the configuration has `[accord]`.
     pub coordination: Option<coordination::Handle>,
-    /// What is in force of changes of configuration, where any come.
+    /// The distributed configuration, where the configuration has `[changes]`.
     pub config_overlay: Option<Rc<ConfigOverlay>>,
 }
 
 impl SignalLoop {
-    /// Reads the file again. A good one is put in force at once, a faulty one changes nothing; either way requests and
-    /// connections stay as they are.
-    async fn reload(&self) {
-        let context = &self.context;
-        let old = context.config();
-        let (accepted, invalid) = context.counters.reloads.get();
-        let over = self.config_overlay.as_ref().map(|c| c.settings()).unwrap_or_default();
-        let (new, kept) = match old.reload_under(|key| std::env::var(key).ok(), &over) {
-            Ok(read) => read,
-            Err(e) => {
-                crate::log::line(format_args!("reload error={e}"));
-                context.counters.reloads.set((accepted, invalid + 1));
-                return drop(self.scheduler.send(SchedulerMessage::Reload(None)).await);
-            }
-        };
-        for key in kept {
-            crate::log::line(format_args!("reload key={key} needs a restart, and stays as it was"));
-        }
-        crate::log::line(format_args!("reload discovery={:?}", new.discovery));
-        // The module first: whatever a front understands by the new file must mean the same to it.
-        let _ = self.scheduler.send(SchedulerMessage::Reload(Some(Box::new(new.settings.clone())))).await;
-        let (moved, fixed) = (new.discovery != old.discovery, new.discovery.is_none());
-        let known = new.known.clone();
-        let keys = |c: &config::Config| c.accord.as_ref().and_then(|a| a.keys().ok());
-        if let (Some(coordination), Some(keys)) =
-            (&self.coordination, keys(&new).filter(|k| Some(*k) != keys(&old)))
-        {
-            coordination.rekey(keys);
-        }
-        if let Some(config_overlay) = &self.config_overlay {
-            config_overlay.rekey(&old, &new);
-        }
-        context.configure(new);
-        context.counters.reloads.set((accepted + 1, invalid));
-        if fixed {
-            self.know(&known, |entries| entries).await;
-            context.lifecycle.serving.set(context.lifecycle.serving.get() || !known.targets.is_empty());
-        }
-        if moved {
-            let _ = self.watch.send(DiscoveryMessage::Moved).await;
-        }
-    }
-
-    /// Puts a list in force that discovery did not just tell.
-    pub async fn know(&self, known: &config::Targets, as_news: impl Fn(EndpointUpdate) -> EndpointUpdate) {
-        let news = as_news(self.pool.news(known));
-        let _ = self.scheduler.send(SchedulerMessage::News(news)).await;
-    }
-
-    /// Follows the signals until the program has ended all that it owed.
-    pub async fn follow(&self, mut signals: Signals) {
-        let context = &self.context;
+    /// Handles signals until the graceful shutdown is complete.
+    pub async fn run(&self, mut signals: Signals) {
         while let Some(signal) = signals.next().await {
             match signal {
-                Ok(Signal::Usr1) => drop(self.scheduler.send(SchedulerMessage::Print).await),
+                Ok(Signal::Usr1) => self.tell_scheduler(SchedulerMessage::LogCounters).await,
                 Ok(Signal::Hup) => self.reload().await,
                 Ok(_) => break,
-                // The system could not tell of a signal: none has come that ends the program.
+                // The system failed to report a signal: none that ends the process has arrived.
                 Err(error) => {
                     crate::log::line(format_args!("signals error={error}"));
                     Timer::after(RETRY_DELAY).await;
                 }
             }
         }
+        self.shut_down(&mut signals).await;
+    }
+
+    async fn shut_down(&self, signals: &mut Signals) {
+        let context = &self.context;
         context.begin_stopping();
         let since = context.clock.now();
         let (open, clients) = (context.counters.open.get(), context.gauges.clients.get());
         crate::log::line(format_args!("stop open={open} clients={clients}"));
-        let _ = self.scheduler.send(SchedulerMessage::Stopping).await;
-        self.wind_up(&mut signals, since).await;
-        let _ = self.scheduler.send(SchedulerMessage::Print).await;
-        // What is still open ends now, each with its line.
-        self.watch.close();
+        self.tell_scheduler(SchedulerMessage::Stopping).await;
+        self.wait_for_answers(signals, since).await;
+        self.tell_scheduler(SchedulerMessage::LogCounters).await;
+        // Remaining connections are closed now, each with its log line.
+        self.discovery.close();
         self.pool.stop();
         if let Some(coordination) = &self.coordination {
-            // Nothing is sent any more: those who wait for this front's word need not.
+            // Nothing is sent any more: members that wait for this one's reports need not.
             coordination.tell(coordination::ToAccord::Stopping);
-            Timer::after(GOODBYE).await;
+            Timer::after(LEAVE_TIMEOUT).await;
         }
-        Timer::after(Duration::from_millis(5)).await;
+        Timer::after(CLOSE_TIMEOUT).await;
         crate::log::line(format_args!("end"));
     }
 
-    /// Waits until nothing is owed any more.
-    async fn wind_up(&self, signals: &mut Signals, since: Micros) {
+    /// Waits until everything is answered and the clients have left, within the limits of a shutdown.
+    async fn wait_for_answers(&self, signals: &mut Signals, since: Micros) {
         let context = &self.context;
-        let mut last = since;
+        let mut last_client = since;
         loop {
-            // Guards the end of a planned restart: what comes meanwhile must not cut it short.
             let signal = async { signals.next().await.and_then(Result::ok) };
             let tick = async {
-                Timer::after(Duration::from_millis(20)).await;
+                Timer::after(PROGRESS_CHECK).await;
                 None
             };
+            // Signals are still handled: they must not cut the shutdown short.
             match future::or(signal, tick).await {
                 Some(Signal::Hup) => self.reload().await,
-                Some(Signal::Usr1) => drop(self.scheduler.send(SchedulerMessage::Print).await),
+                Some(Signal::Usr1) => self.tell_scheduler(SchedulerMessage::LogCounters).await,
                 _ => {}
             }
             let now = context.clock.now();
-            let passed = now.0 - since.0;
+            let elapsed = now.0 - since.0;
             if context.gauges.clients.get() > 0 {
-                last = now;
+                last_client = now;
             }
-            let accepting = if context.followed() { 0 } else { ACCEPTING };
-            if passed >= LONGEST || (passed >= accepting && now.0 - last.0 >= CROSSING) {
+            let min_shutdown = if context.has_successor() { 0 } else { MIN_SHUTDOWN_US };
+            let is_quiet = elapsed >= min_shutdown && now.0 - last_client.0 >= LAST_CLIENT_GRACE_US;
+            if elapsed >= MAX_SHUTDOWN_US || is_quiet {
                 return;
             }
         }
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -1,5 +1,5 @@
 //! The start: creates the shared state, spawns the actors and opens the listeners, in the order of their dependencies.
-use crate::admin::health_checks::{self, Form};
+use crate::admin::health_checks::{self, Service};
 use crate::admin::operators::Operators;
 use crate::admin::suspension_files;
 use crate::admin::suspensions::Suspensions;
@@ -14,7 +14,7 @@
 use crate::lifecycle::handover;
 use crate::lifecycle::process_files;
 use crate::lifecycle::shutdown::SignalLoop;
-use crate::messages::{SchedulerMessage, MAILBOX};
+use crate::messages::{SchedulerMessage, SCHEDULER_MAILBOX_CAPACITY};
 use crate::net::listeners::{self, bind, AddressSharing, ListenError};
 use crate::scatter_gather;
 use crate::scatter_gather::handle::Gathering;
@@ -58,7 +58,7 @@
 /// [`StartError`] where it can't start serving.
 pub fn start() -> Result<(), StartError> {
     let config = config::from_env(|key| std::env::var(key).ok())?;
-    let (scheduler, inbox) = async_channel::bounded(MAILBOX);
+    let (scheduler, inbox) = async_channel::bounded(SCHEDULER_MAILBOX_CAPACITY);
     let context = Context::new(config);
     let suspensions = Rc::new(Suspensions::default());
     let pool = BackendPool::new(context.clone(), scheduler.clone(), suspensions.clone());
@@ -80,7 +80,7 @@
     let sharing = begin_handover(&operators);
     let is_successor = context.lifecycle.other.get() != OtherProcess::None;
     let signals = listeners::signals().await.map_err(StartError::Signals)?;
-    let (watch, discovery_messages) = async_channel::bounded(4);
+    let (discovery, discovery_messages) = async_channel::bounded(4);
     // Suspensions of an earlier process take effect before anything is served.
     let persisted = process_files::path(&context).and_then(|path| suspension_files::read(&path));
     suspensions.take_over(persisted);
@@ -88,12 +88,12 @@
         context: context.clone(),
         scheduler: scheduler.clone(),
         pool: pool.clone(),
-        watch: watch.clone(),
+        discovery: discovery.clone(),
         coordination: None,
         config_overlay: None,
     };
-    signal_loop.know(&config.known, as_cached).await;
-    let scheduling = scheduler_actor::run(context.clone(), pool.clone(), inbox, watch);
+    signal_loop.apply_list(&config.known, as_cached).await;
+    let scheduling = scheduler_actor::run(context.clone(), pool.clone(), inbox, discovery);
     context.executor.spawn(scheduling).detach();
     let watching = endpoint_list::run(context.clone(), scheduler.clone(), pool.clone(), discovery_messages);
     context.executor.spawn(watching).detach();
@@ -103,8 +103,8 @@
     let gathering = operators.gathering.clone();
     if let Some(address) = config.admin {
         let listener = bind("admin", address, AddressSharing::Exclusive).await?;
-        let form = Form::Operators(operators.clone());
-        context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
+        let service = Service::Operators(operators.clone());
+        context.executor.spawn(health_checks::listen(context.clone(), listener, service)).detach();
     }
     if is_successor {
         wait_for_fresh_list(&context).await;
@@ -118,7 +118,7 @@
     crate::log::line(format_args!("start name={name} listen={address:?} other={other:?}"));
     serve_clients(&operators, resp_listener, gathering).await?;
     serve_load_balancers(&context).await?;
-    signal_loop.follow(signals).await;
+    signal_loop.run(signals).await;
     Ok(())
 }
 
@@ -180,7 +180,7 @@
 async fn wait_for_fresh_list(context: &Context) {
     let deadline = context.clock.now().0 + FRESH_LIST_TIMEOUT_US;
     while context.config().discovery.is_some()
-        && !context.lifecycle.heard.get()
+        && !context.lifecycle.has_heard_discovery.get()
         && context.clock.now().0 < deadline
     {
         Timer::after(FRESH_LIST_CHECK).await;
@@ -211,11 +211,11 @@
 /// Starts the agent check and the HTTP health checks.
 async fn serve_load_balancers(context: &Rc<Context>) -> Result<(), StartError> {
     let config = context.config();
-    let checks = [("agent", &config.agent, Form::Agent), ("health", &config.health, Form::Http)];
-    for (key, section, form) in checks {
+    let checks = [("agent", &config.agent, Service::Agent), ("health", &config.health, Service::Health)];
+    for (key, section, service) in checks {
         if let Some(section) = section {
             let listener = bind(&format!("{key}.listen"), section.listen, AddressSharing::Exclusive).await?;
-            context.executor.spawn(health_checks::listen(context.clone(), listener, form)).detach();
+            context.executor.spawn(health_checks::listen(context.clone(), listener, service)).detach();
         }
     }
     Ok(())
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,9 +1,9 @@
-//! Lines on standard error. One that can't be written is lost: unlike `eprintln!`, which would end the program
-//! because the reader of its log has gone.
+//! The log: lines on standard error. A line that can't be written is lost; `eprintln!` would panic when the reader of the log has gone.
 use std::fmt::Arguments;
 use std::io::{stderr, Write};
 
-/// Writes a line.
+/// Writes a line, `key=value` by convention.
 pub fn line(text: Arguments<'_>) {
+    // There is nowhere to report the error.
     let _ = stderr().write_all(format!("{text}\n").as_bytes());
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,57 +1,57 @@
-//! Letters between the actors. Types only: who sends and who takes them stands with the actors.
-use crate::backend::value::{Answer, Ended};
+//! Messages between the gateway's actors.
+use crate::backend::value::{Answer, AttemptEnd};
 use async_channel::Sender;
 use dispatch::Request;
 use scheduler::interface::{BackendId, EndpointUpdate, RequestId, Settings};
 use std::rc::Rc;
 
-/// Where an answer goes: a front's connection, and the place in it.
+/// Where the final answer to a request goes.
 #[derive(Clone, Debug)]
 pub struct Ticket {
-    /// The place.
+    /// The number of its slot in the session.
     pub slot: u64,
-    /// The connection's mailbox.
+    /// The session's mailbox, which has room for all answers that it awaits.
     pub to: Sender<(u64, Answer)>,
     /// The request's class.
     pub class: usize,
 }
 
-/// The module's mail.
+/// A message to the scheduler's actor.
 pub enum SchedulerMessage {
-    /// A front has taken a request.
+    /// A request to be scheduled.
     Take(RequestId, Request, Ticket),
-    /// Its client has gone.
+    /// The client of a request has disconnected.
     Left(RequestId),
-    /// Its client has gone, and another may still ask what has become of it.
+    /// The client of a request has disconnected, and another may still ask for its result.
     Abandoned(RequestId),
     /// An attempt has ended.
-    Ended(Ended),
-    /// Units served for a volume through other fronts, told after a long value.
-    Told(Rc<str>, f64),
-    /// News of the list.
-    News(EndpointUpdate),
-    /// The file was read again: its settings, or none where it was faulty.
+    Ended(AttemptEnd),
+    /// Units that were served for a volume through other gateways, reported after a streamed value.
+    RemoteUnits(Rc<str>, f64),
+    /// The endpoint list has changed.
+    Endpoints(EndpointUpdate),
+    /// The configuration was reloaded: its settings, or `None` where the file was faulty.
     Reload(Option<Box<Settings>>),
-    /// Another process of this front has come or gone.
-    Share,
-    /// The program is to end.
+    /// Another process of this gateway has started or ended, which changes this one's share of the limits.
+    ShareChanged,
+    /// The process is shutting down.
     Stopping,
-    /// Which disk boxes does the module keep from for now?
-    Avoided(Sender<Vec<BackendId>>),
-    /// Print the counters.
-    Print,
+    /// Asks which backends are ejected.
+    GetEjected(Sender<Vec<BackendId>>),
+    /// Logs the counters.
+    LogCounters,
 }
 
-/// The module's mailbox.
+/// The mailbox of the scheduler's actor.
 pub type SchedulerMailbox = Sender<SchedulerMessage>;
 
-/// The most mail that may wait for the module.
-pub const MAILBOX: usize = 8192;
+/// The capacity of the scheduler's mailbox.
+pub const SCHEDULER_MAILBOX_CAPACITY: usize = 8192;
 
-/// The list's mail.
+/// A message to discovery's actor.
 pub enum DiscoveryMessage {
-    /// The module asks for the watch, perhaps anew.
+    /// The scheduler asks for the watch, perhaps a new one.
     Watch,
-    /// Discovery has another address, or there is none any more.
-    Moved,
+    /// The address of discovery has changed, or was removed.
+    AddressChanged,
 }
--- a/crates/gateway/src/net/dial.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -1,5 +1,5 @@
 //! Outgoing connections to backends, within the descriptor limit.
-use crate::backend::actor::BackendContext;
+use crate::backend::endpoint::BackendContext;
 use crate::counts::Count;
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::Connection;
@@ -44,8 +44,8 @@
     }
     let Some(address) = endpoint.address.get() else { return Err(AttemptOutcome::ConnectFailed) };
     // The gateway's own limit says nothing about the backend, so the scheduler must not count it as a failure.
-    while context.gauges.upstream.get() >= context.upstream_bound() {
-        if !(work.make_room)() {
+    while context.gauges.upstream.get() >= context.upstream_limit() {
+        if !(work.evict_idle_connection)() {
             return Err(AttemptOutcome::NotSent);
         }
         future::yield_now().await;
--- a/crates/gateway/src/net/listeners.rs
+++ b/crates/gateway/src/net/listeners.rs
@@ -70,7 +70,7 @@
     loop {
         match call() {
             Err(error) if is_shortage(&error) && Instant::now() < end => {
-                drop(Timer::after(RETRY_DELAY).await)
+                Timer::after(RETRY_DELAY).await;
             }
             result => return result,
         }
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -3,6 +3,7 @@
 use crate::backend::value::Answer;
 use crate::client::response::{encode, EncodedResponse};
 use crate::context::Context;
+use crate::counters::AnswerKind;
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use crate::scatter_gather::handle::{Begin, Gathering, Letter};
 use crate::scatter_gather::response::reply;
@@ -20,7 +21,7 @@
 /// The most gathers that are held, those included that only wait for late parts.
 const GATHERS: usize = 1024;
 /// The most parts that may be out; as many requests as the module holds in all.
-const PARTS: usize = crate::scheduler_actor::REQUESTS;
+const PARTS: usize = crate::scheduler_actor::MAX_REQUESTS;
 /// A part whose answer has not come so long after its time is not awaited any more.
 const LOST: i64 = 5_000_000;
 /// What a client that is turned away at the bound is told.
@@ -146,7 +147,7 @@
                 self.open.insert(id, Open { begin, parts });
             }
             Err(scatter_gather::Full) => {
-                self.context.counters.answer(begin.request.class, 1);
+                self.context.counters.answer(begin.request.class, AnswerKind::Rejected);
                 put(&begin, encode(Answer::Rejected(Some(AGAIN))));
             }
         }
--- a/crates/gateway/src/scatter_gather/response.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -71,8 +71,8 @@
 
     fn bytes(reply: &EncodedResponse) -> String {
         let mut all = Vec::new();
-        while !reply.from(all.len()).is_empty() {
-            all.push(reply.from(all.len())[0]);
+        while !reply.remaining(all.len()).is_empty() {
+            all.push(reply.remaining(all.len())[0]);
         }
         String::from_utf8(all).unwrap()
     }
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -95,6 +95,6 @@
     pool.endpoints().iter().any(|endpoint| {
         let zone = endpoint.entry.borrow().zone as usize;
         let there = config.zones.get(zone).is_some_and(|hall| **hall == *part.hall.0);
-        there && endpoint.statistics.answered().is_some_and(|at| at >= part.asked)
+        there && endpoint.statistics.last_answered().is_some_and(|at| at >= part.asked)
     })
 }
--- a/crates/gateway/src/scheduler_actor.rs
+++ b/crates/gateway/src/scheduler_actor.rs
@@ -1,32 +1,35 @@
-//! The module's actor: takes mail from fronts, peers and the list, and carries out what the core says.
+//! The scheduler's actor: takes messages from sessions, backends and discovery, and carries out what the dispatcher decides.
 use crate::backend::pool::BackendPool;
 use crate::backend::value::{Answer, Value};
 use crate::context::{Context, OtherProcess};
+use crate::counters::AnswerKind;
 use crate::messages::{DiscoveryMessage, SchedulerMessage, Ticket};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use dispatch::{Capacity, Counters, Dispatcher, Effect};
+use dispatch::{Capacity, Counters, Dispatcher, Effect, Request};
 use futures_lite::{future, StreamExt};
-use scheduler::interface::{AttemptOutcome, Settings, SettingsError};
+use scheduler::interface::{AttemptOutcome, Micros, RequestId, Settings, SettingsError};
 use std::rc::Rc;
 
-/// The most requests that the core holds.
-pub const REQUESTS: usize = 4096;
+/// The most open requests.
+pub const MAX_REQUESTS: usize = 4096;
+/// How often the rejection rate is computed, in microseconds.
+const RATE_INTERVAL_US: i64 = 1_000_000;
 
-/// Runs until the program ends.
+/// Runs until the process ends, which closes the mailbox.
+///
+/// # Errors
+/// The settings' fault, where the scheduler does not accept them.
 pub async fn run(
     context: Rc<Context>,
     pool: Rc<BackendPool>,
-    mail: Receiver<SchedulerMessage>,
-    watch: Sender<DiscoveryMessage>,
+    inbox: Receiver<SchedulerMessage>,
+    discovery: Sender<DiscoveryMessage>,
 ) -> Result<(), SettingsError> {
-    let config = context.config();
-    let mut core: Dispatcher<Ticket, Value> =
-        Dispatcher::new(part(&context, &config.settings), config.seed, bound(&context))?;
-    let mut mail = Box::pin(mail);
-    let (mut second, mut before) = (context.clock.now(), Counters::default());
+    let mut actor = SchedulerActor::new(context, pool, discovery)?;
+    let mut inbox = Box::pin(inbox);
     loop {
-        let wake = core.next_timer().map(|at| context.clock.instant(at));
+        let wake = actor.dispatcher.next_timer().map(|at| actor.context.clock.instant(at));
         let timer = async {
             match wake {
                 Some(at) => drop(Timer::at(at).await),
@@ -34,110 +37,153 @@
             }
             None
         };
-        let mut next = future::or(async { Some(mail.next().await) }, timer).await;
+        let mut next = future::or(async { Some(inbox.next().await) }, timer).await;
         if matches!(next, Some(None)) {
             return Ok(());
         }
-        let now = context.clock.now();
-        core.fire_timers(now);
+        let now = actor.context.clock.now();
+        actor.dispatcher.fire_timers(now);
         while let Some(Some(message)) = next {
-            let now = context.clock.now();
-            match message {
-                SchedulerMessage::Take(id, mut request, ticket) => {
-                    // Guards against a kill that finds something unanswered.
-                    // One that is passed on while it comes may still be coming then: it is taken whole, in time.
-                    request.accepts_stream &= context.lifecycle.stopping.get().is_none();
-                    request.deadline =
-                        context.answer_by().map_or(request.deadline, |by| by.min(request.deadline));
-                    core.submit(now, id, request, ticket);
-                }
-                SchedulerMessage::Left(id) => core.client_left(now, id),
-                SchedulerMessage::Abandoned(id) => core.abandon(now, id),
-                SchedulerMessage::Ended(ended) => core.attempt_ended(now, ended),
-                SchedulerMessage::Told(volume, units) => core.add_remote_units(volume, units),
-                SchedulerMessage::News(news) => core.update_endpoints(now, news),
-                SchedulerMessage::Reload(None) => core.counters.reload_errors += 1,
-                SchedulerMessage::Avoided(to) => drop(to.try_send(core.ejected_backends(now))),
-                SchedulerMessage::Reload(Some(settings)) => {
-                    core.counters.reloads += 1;
-                    put_in_force(&context, &mut core, &settings);
-                }
-                SchedulerMessage::Stopping => {
-                    context.answer_by().into_iter().for_each(|by| core.respond_by(by))
-                }
-                SchedulerMessage::Share => put_in_force(&context, &mut core, &context.config().settings),
-                SchedulerMessage::Print => {
-                    let known = core.known();
-                    let (open, pool) = (core.open_requests(), pool.len());
-                    crate::log::line(format_args!(
-                        "counters {} open={open} boxes={pool} nodes={} volumes={}",
-                        core.counters, known.backends, known.volumes
-                    ))
-                }
-            }
-            carry_out(&context, &pool, &mut core, &watch);
-            next = mail.try_recv().ok().map(Some);
-        }
-        carry_out(&context, &pool, &mut core, &watch);
-        context.counters.open.set(core.open_requests());
-        context.counters.unanswered.set(core.unanswered());
-        if now.0 - second.0 >= 1_000_000 {
-            let taken = core.counters.received - before.received;
-            let refused =
-                core.counters.rejected + core.counters.over_capacity - before.rejected - before.over_capacity;
-            context.counters.refusing.set((100 * refused).checked_div(taken).unwrap_or(0));
-            (second, before) = (now, core.counters.clone());
+            actor.handle(message);
+            actor.carry_out_effects();
+            next = inbox.try_recv().ok().map(Some);
         }
+        actor.carry_out_effects();
+        actor.publish_counters(now);
     }
 }
 
-/// An eighth of the memory for what is held here; rings and answers that wait have theirs.
-fn bound(context: &Context) -> Capacity {
-    Capacity { requests: REQUESTS, bytes: context.memory() / 8 }
+struct SchedulerActor {
+    context: Rc<Context>,
+    pool: Rc<BackendPool>,
+    discovery: Sender<DiscoveryMessage>,
+    dispatcher: Dispatcher<Ticket, Value>,
+    /// When the rejection rate was last computed, and the counters then.
+    rate_base: (Micros, Counters),
 }
 
-/// Settings as they count for this process, and bounds.
-fn put_in_force(context: &Context, core: &mut Dispatcher<Ticket, Value>, settings: &Settings) {
-    if let Err(e) = core.reload(context.clock.now(), part(context, settings), bound(context)) {
-        crate::log::line(format_args!("reload error={e}"));
+impl SchedulerActor {
+    fn new(
+        context: Rc<Context>,
+        pool: Rc<BackendPool>,
+        discovery: Sender<DiscoveryMessage>,
+    ) -> Result<SchedulerActor, SettingsError> {
+        let config = context.config();
+        let settings = shared_settings(&context, &config.settings);
+        let dispatcher = Dispatcher::new(settings, config.seed, capacity(&context))?;
+        let rate_base = (context.clock.now(), Counters::default());
+        Ok(SchedulerActor { context, pool, discovery, dispatcher, rate_base })
     }
-}
 
-fn carry_out(
-    context: &Context,
-    pool: &BackendPool,
-    core: &mut Dispatcher<Ticket, Value>,
-    watch: &Sender<DiscoveryMessage>,
-) {
-    while let Some(effect) = core.effects.pop_front() {
-        match effect {
-            Effect::StartAttempt(attempt) => {
-                // Guards against an attempt that is lost at a full mailbox: it was not sent, and ends so. That says
-                // nothing about the box.
-                if !pool.start(attempt.clone()) {
-                    let now = context.clock.now();
-                    core.attempt_ended(now, attempt.ended(AttemptOutcome::NotSent));
+    fn handle(&mut self, message: SchedulerMessage) {
+        let now = self.context.clock.now();
+        match message {
+            SchedulerMessage::Take(id, request, ticket) => self.submit(now, id, request, ticket),
+            SchedulerMessage::Left(id) => self.dispatcher.client_left(now, id),
+            SchedulerMessage::Abandoned(id) => self.dispatcher.abandon(now, id),
+            SchedulerMessage::Ended(end) => self.dispatcher.attempt_ended(now, end),
+            SchedulerMessage::RemoteUnits(volume, units) => self.dispatcher.add_remote_units(volume, units),
+            SchedulerMessage::Endpoints(update) => self.dispatcher.update_endpoints(now, update),
+            SchedulerMessage::Reload(None) => self.dispatcher.counters.reload_errors += 1,
+            SchedulerMessage::Reload(Some(settings)) => {
+                self.dispatcher.counters.reloads += 1;
+                self.apply_settings(&settings);
+            }
+            SchedulerMessage::ShareChanged => self.apply_settings(&self.context.config().settings),
+            SchedulerMessage::Stopping => {
+                if let Some(deadline) = self.context.answer_by() {
+                    self.dispatcher.respond_by(deadline);
                 }
             }
-            // The connection's mailbox has room for every answer that it is owed; a closed one has gone.
-            Effect::Respond(ticket, answer) => {
-                let which = match answer {
-                    Answer::Served(_) => 0,
-                    Answer::Rejected(_) => 1,
-                    Answer::Failed(_) => 2,
-                };
-                context.counters.answer(ticket.class, which);
-                drop(ticket.to.try_send((ticket.slot, answer)));
+            // An operator's call that timed out has closed its channel.
+            SchedulerMessage::GetEjected(to) => drop(to.try_send(self.dispatcher.ejected_backends(now))),
+            SchedulerMessage::LogCounters => self.log_counters(),
+        }
+    }
+
+    fn submit(&mut self, now: Micros, id: RequestId, mut request: Request, ticket: Ticket) {
+        // During the shutdown everything has to be answered before SIGKILL. A streamed value may still be arriving then, so values are
+        // held until they are complete.
+        request.accepts_stream &= self.context.lifecycle.stopping.get().is_none();
+        if let Some(deadline) = self.context.answer_by() {
+            request.deadline = deadline.min(request.deadline);
+        }
+        self.dispatcher.submit(now, id, request, ticket);
+    }
+
+    fn apply_settings(&mut self, settings: &Settings) {
+        let context = &self.context;
+        let settings = shared_settings(context, settings);
+        if let Err(error) = self.dispatcher.reload(context.clock.now(), settings, capacity(context)) {
+            crate::log::line(format_args!("reload error={error}"));
+        }
+    }
+
+    fn log_counters(&self) {
+        let known = self.dispatcher.known();
+        crate::log::line(format_args!(
+            "counters {} open={} listed_backends={} known_backends={} volumes={}",
+            self.dispatcher.counters,
+            self.dispatcher.open_requests(),
+            self.pool.len(),
+            known.backends,
+            known.volumes
+        ));
+    }
+
+    fn carry_out_effects(&mut self) {
+        while let Some(effect) = self.dispatcher.effects.pop_front() {
+            match effect {
+                Effect::StartAttempt(attempt) => {
+                    // A full mailbox says nothing about the backend: the attempt was not sent.
+                    if !self.pool.start(attempt.clone()) {
+                        let now = self.context.clock.now();
+                        self.dispatcher.attempt_ended(now, attempt.ended(AttemptOutcome::NotSent));
+                    }
+                }
+                Effect::Respond(ticket, answer) => self.respond(ticket, answer),
+                // A full mailbox holds the same request already.
+                Effect::Watch => drop(self.discovery.try_send(DiscoveryMessage::Watch)),
             }
-            Effect::Watch => drop(watch.try_send(DiscoveryMessage::Watch)),
         }
     }
+
+    fn respond(&self, ticket: Ticket, answer: Answer) {
+        let kind = match answer {
+            Answer::Served(_) => AnswerKind::Served,
+            Answer::Rejected(_) => AnswerKind::Rejected,
+            Answer::Failed(_) => AnswerKind::Failed,
+        };
+        self.context.counters.answer(ticket.class, kind);
+        // The mailbox has room for every answer that its session awaits; a closed one belongs to a client that has left.
+        drop(ticket.to.try_send((ticket.slot, answer)));
+    }
+
+    fn publish_counters(&mut self, now: Micros) {
+        let published = &self.context.counters;
+        published.open.set(self.dispatcher.open_requests());
+        published.unanswered.set(self.dispatcher.unanswered());
+        let (since, before) = &self.rate_base;
+        if now.0 - since.0 >= RATE_INTERVAL_US {
+            let counters = &self.dispatcher.counters;
+            let received = counters.received - before.received;
+            let rejected =
+                counters.rejected + counters.over_capacity - before.rejected - before.over_capacity;
+            published.rejection_percent.set((100 * rejected).checked_div(received).unwrap_or(0));
+            self.rate_base = (now, counters.clone());
+        }
+    }
+}
+
+/// An eighth of the memory for open requests; ring buffers and unsent responses have an eighth each, too.
+fn capacity(context: &Context) -> Capacity {
+    Capacity { requests: MAX_REQUESTS, bytes: context.memory() / 8 }
 }
 
-/// The settings as they count for this process.
-pub fn part(context: &Context, settings: &Settings) -> Settings {
+/// The settings for this process: while another process of the gateway is alive each has half of the limits and of the slow-start
+/// budgets, which apply to both together.
+pub fn shared_settings(context: &Context, settings: &Settings) -> Settings {
     let mut settings = settings.clone();
-    // Guards the rules on limits and on cold boxes, which hold for both together.
     if context.lifecycle.other.get() != OtherProcess::None {
         settings.plans.iter_mut().for_each(|plan| plan.limit_rate /= 2.0);
         settings.slow_start.safe_units /= 2.0;
