--- a/crates/gateway/src/backend/resp_exchange.rs
+++ b/crates/gateway/src/backend/resp_exchange.rs
@@ -48,7 +48,7 @@
     loop {
         // All but the end goes as it comes.
         while passing.left > HELD_BACK && !stream.input.is_empty() {
-            let bytes = stream.input.front();
+            let bytes = stream.input.first_slice();
             let count = bytes.len().min(passing.left - HELD_BACK).min(value::PIECE);
             let went = passing.put(&bytes[..count]).await;
             stream.input.consume(count);
@@ -70,7 +70,7 @@
                 None => {}
             }
         }
-        stream.input.widen(value::PIECE);
+        stream.input.reserve(value::PIECE);
         if !more(stream, PAUSE).await {
             return false;
         }
@@ -80,7 +80,7 @@
     stream.input.consume(end + 2);
     drop(passing);
     loop {
-        let room = stream.input.room() > 0;
+        let room = stream.input.remaining() > 0;
         match resp::parts(stream.input.contiguous(), parts, resp::LONGEST) {
             Ok(Some((told, used))) => {
                 if let Some(resp::Reply::Bulk(Some(figures))) = told.first() {
@@ -145,10 +145,10 @@
         let moved = moved.await;
         // Guards bookings: only before the last byte was written is it sure that nothing runs.
         let unsent = !stream.output.is_empty();
-        weight.set(stream.input.memory());
+        weight.set(stream.input.allocated());
         // Guards memory: long values come only while there is room for all that are coming.
-        let room =
-            stream.input.room() > 0 && (stream.input.memory() <= resp::LONGEST || !context.arriving_full());
+        let room = stream.input.remaining() > 0
+            && (stream.input.allocated() <= resp::LONGEST || !context.arriving_full());
         // A long value goes on to its client while it comes, where that can take it so.
         let head = resp::long_head(stream.input.contiguous(), resp::LONGEST);
         let passed = |(_, length, _): &(usize, usize, usize)| {
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -138,7 +138,7 @@
 ) -> CloseReason {
     loop {
         // The end of a client that sent more than fits is behind bytes that can't be read yet.
-        if stream.input.room() == 0 && stream.hung_up() {
+        if stream.input.remaining() == 0 && stream.hung_up() {
             return CloseReason::PeerClosed;
         }
         let has_more = session.read_commands(stream);
--- a/crates/gateway/src/client/response_queue.rs
+++ b/crates/gateway/src/client/response_queue.rs
@@ -21,7 +21,7 @@
             }
             let piece = waiting.response.remaining(waiting.copied);
             if !piece.is_empty() {
-                let count = piece.len().min(stream.output.room());
+                let count = piece.len().min(stream.output.remaining());
                 if count == 0 {
                     break;
                 }
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -12,7 +12,7 @@
 use crate::scatter_gather::handle::{Begin, Owed};
 use async_channel::Sender;
 use dispatch::Request;
-use ring_buffer::Ring;
+use ring_buffer::RingBuffer;
 use scheduler::interface::{Micros, RequestId};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -90,7 +90,7 @@
     /// Parses the commands that have arrived, as many as may be unanswered and as one turn allows. Returns true where the turn's
     /// limit ended it.
     pub fn read_commands(&mut self, stream: &mut Connection) -> bool {
-        self.arrivals.record(stream.read, stream.input.room() > 0, self.context.clock.now());
+        self.arrivals.record(stream.read, stream.input.remaining() > 0, self.context.clock.now());
         let mut left = COMMANDS_PER_TURN;
         while self.closing.is_none() && self.slots.len() < PIPELINE {
             if left == 0 {
@@ -98,7 +98,7 @@
             }
             left -= 1;
             let now = self.context.clock.now();
-            let has_room = stream.input.room() > 0;
+            let has_room = stream.input.remaining() > 0;
             let error = match resp::command(stream.input.contiguous()) {
                 Ok(Some((words, used))) => {
                     let arrived = self.arrivals.of_next(used).unwrap_or(now);
@@ -136,7 +136,7 @@
             self.command_deadline = Some(Micros(now.0 + self.command_timeout_us()));
         }
         // Many large incomplete commands would fill the memory.
-        if stream.input.memory() > UNCOUNTED_RING_BYTES && self.context.rings_full() {
+        if stream.input.allocated() > UNCOUNTED_RING_BYTES && self.context.rings_full() {
             self.push(None, Some(EncodedResponse::bytes("-ERR too much is half there\r\n")));
             self.closing = Some(CloseReason::Bound);
             return None;
@@ -176,14 +176,14 @@
             (true, _) => Activity::Idle,
             _ => Activity::Busy,
         });
-        let counted = |ring: &Ring| ring.memory().saturating_sub(UNCOUNTED_RING_BYTES);
+        let counted = |ring: &RingBuffer| ring.allocated().saturating_sub(UNCOUNTED_RING_BYTES);
         self.rings.set(counted(&stream.input) + counted(&stream.output));
         if stream.output.is_empty() || stream.written != self.last_progress.written {
             self.last_progress = Progress { written: stream.written, at: now };
         }
         let unread_deadline =
             (!stream.output.is_empty()).then_some(Micros(self.last_progress.at.0 + self.unread_timeout_us()));
-        let is_frequent = self.context.lifecycle.stopping.get().is_some() || stream.input.room() == 0;
+        let is_frequent = self.context.lifecycle.stopping.get().is_some() || stream.input.remaining() == 0;
         let check_us = if is_frequent { FREQUENT_CHECK_US } else { RARE_CHECK_US };
         let deadlines = [self.command_deadline.filter(|_| self.closing.is_none()), unread_deadline];
         let next_deadline = deadlines.into_iter().flatten().min().unwrap_or(Micros(i64::MAX));
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -62,7 +62,7 @@
     /// Answers what is ready, as far as there is room.
     pub fn answer(&mut self, stream: &mut Connection) {
         let mut out = Vec::new();
-        while stream.output.room() >= ANSWER {
+        while stream.output.remaining() >= ANSWER {
             let Some((slot, answer)) = self.ready.pop_front() else { break };
             let Some(work) = self.tasks.remove(&slot) else { continue };
             let status = self.target.answer(work.tag, outcome(&answer, work.write), &mut out);
@@ -77,8 +77,8 @@
     /// Takes in the PDUs that have come, as far as there is room for what they may have us say.
     pub async fn read(&mut self, stream: &mut Connection) {
         let (mut out, mut events) = (Vec::new(), Vec::new());
-        while self.closing.is_none() && stream.output.room() >= ANSWER {
-            let full = stream.input.room() == 0;
+        while self.closing.is_none() && stream.output.remaining() >= ANSWER {
+            let full = stream.input.remaining() == 0;
             match self.target.read(stream.input.contiguous(), &mut out, &mut events) {
                 Ok(0) if full => self.closing = Some(CloseReason::Protocol),
                 Ok(0) => break,
--- a/crates/gateway/src/net/connection.rs
+++ b/crates/gateway/src/net/connection.rs
@@ -2,7 +2,7 @@
 use crate::net::close_reason::CloseReason;
 use crate::net::socket::Socket;
 use futures_lite::{Stream, StreamExt};
-use ring_buffer::Ring;
+use ring_buffer::RingBuffer;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -25,9 +25,9 @@
     kind: &'static str,
     address: SocketAddr,
     /// Bytes that were received and not consumed.
-    pub input: Ring,
+    pub input: RingBuffer,
     /// Bytes to be sent.
-    pub output: Ring,
+    pub output: RingBuffer,
     /// Bytes written to the socket.
     pub written: u64,
     /// Bytes read from the socket.
@@ -47,7 +47,7 @@
         address: SocketAddr,
         bounds: (usize, usize),
     ) -> Connection {
-        let (input, output) = (Ring::new(bounds.0), Ring::new(bounds.1));
+        let (input, output) = (RingBuffer::new(bounds.0), RingBuffer::new(bounds.1));
         Connection {
             socket,
             kind,
@@ -112,7 +112,7 @@
         let this = &mut *self;
         let mut wrote = false;
         while !this.output.is_empty() {
-            match this.socket.poll_write(cx, this.output.front()) {
+            match this.socket.poll_write(cx, this.output.first_slice()) {
                 Poll::Ready(Ok(0)) => return Poll::Ready(Some(Err(io::ErrorKind::WriteZero.into()))),
                 Poll::Ready(Ok(count)) => {
                     this.output.consume(count);
@@ -126,8 +126,8 @@
         if wrote && this.output.is_empty() {
             return Poll::Ready(Some(Ok(SocketEvent::Wrote)));
         }
-        if !this.ended && this.input.room() > 0 {
-            match this.socket.poll_read(cx, this.input.space()) {
+        if !this.ended && this.input.remaining() > 0 {
+            match this.socket.poll_read(cx, this.input.unfilled()) {
                 Poll::Ready(Ok(0)) => {
                     this.ended = true;
                     return Poll::Ready(Some(Ok(SocketEvent::End)));
--- a/crates/ring-buffer/src/lib.rs
+++ b/crates/ring-buffer/src/lib.rs
@@ -1,145 +1,121 @@
-//! A byte ring buffer of bounded size. It starts small, grows up to its bound and gives its memory back once
-//! it is empty, so that many idle connections cost little.
+//! A ring buffer of bytes with a bound. It starts without memory, grows up to the bound and releases its memory once it is
+//! empty, so that many idle connections cost little.
 
-const SMALL: usize = 4096;
+/// The least memory that a buffer takes, and the most that it keeps while it is empty, in bytes.
+const MIN_ALLOCATION: usize = 4096;
 
-/// The buffer.
+/// A queue of bytes in a circular allocation.
 #[derive(Debug)]
-pub struct Ring {
-    bytes: Vec<u8>,
+pub struct RingBuffer {
+    allocation: Vec<u8>,
+    /// The position of the first byte.
     head: usize,
     len: usize,
-    bound: usize,
+    max_len: usize,
 }
 
-impl Ring {
-    /// An empty buffer that never holds more than `bound` bytes.
-    pub fn new(bound: usize) -> Ring {
-        Ring { bytes: Vec::new(), head: 0, len: 0, bound }
+impl RingBuffer {
+    /// An empty buffer for at most `max_len` bytes.
+    pub fn new(max_len: usize) -> RingBuffer {
+        RingBuffer { allocation: Vec::new(), head: 0, len: 0, max_len }
     }
 
-    /// How many bytes it holds.
+    /// The number of bytes it holds.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds none.
+    /// Whether it holds no byte.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The memory that it takes.
-    pub fn memory(&self) -> usize {
-        self.bytes.len()
+    /// The memory that it takes, in bytes.
+    pub fn allocated(&self) -> usize {
+        self.allocation.len()
     }
 
-    /// How many more it may take.
-    pub fn room(&self) -> usize {
-        self.bound - self.len
+    /// The number of bytes that may be added.
+    pub fn remaining(&self) -> usize {
+        self.max_len - self.len
     }
 
-    fn grow(&mut self, need: usize) {
-        if need > self.bytes.len() {
+    fn grow(&mut self, needed: usize) {
+        if needed > self.allocation.len() {
             self.contiguous();
-            let size = need.next_power_of_two().max(SMALL).min(self.bound.max(need));
-            self.bytes.resize(size, 0);
+            let size = needed.next_power_of_two().max(MIN_ALLOCATION).min(self.max_len.max(needed));
+            self.allocation.resize(size, 0);
         }
     }
 
-    /// Takes memory for so many bytes at once, as far as its bound allows: for what comes fast.
-    pub fn widen(&mut self, size: usize) {
-        self.grow(size.min(self.bound));
+    /// Allocates memory for `len` bytes at once, as far as the bound allows, so that a fast sender needs fewer reads.
+    pub fn reserve(&mut self, len: usize) {
+        self.grow(len.min(self.max_len));
     }
 
-    /// The bytes up to the end of the memory: all of them, or the first part.
-    pub fn front(&self) -> &[u8] {
-        &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
+    /// The first bytes in one piece: all of them, unless they wrap around the end of the memory.
+    pub fn first_slice(&self) -> &[u8] {
+        let end = (self.head + self.len).min(self.allocation.len());
+        &self.allocation[self.head..end]
     }
 
-    /// All bytes in one piece; moves them where they wrap round.
+    /// All bytes in one piece; moves them if they wrap around the end of the memory.
     pub fn contiguous(&mut self) -> &[u8] {
-        if self.head + self.len > self.bytes.len() {
-            self.bytes.rotate_left(self.head);
+        if self.head + self.len > self.allocation.len() {
+            self.allocation.rotate_left(self.head);
             self.head = 0;
         }
-        &self.bytes[self.head..self.head + self.len]
+        &self.allocation[self.head..self.head + self.len]
     }
 
-    /// Drops the first bytes.
+    /// Removes up to `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
         if self.len == 0 {
             self.head = 0;
-            if self.bytes.len() > SMALL {
-                self.bytes = Vec::new();
+            if self.allocation.len() > MIN_ALLOCATION {
+                self.allocation = Vec::new();
             }
         } else {
-            self.head = (self.head + count) % self.bytes.len();
+            self.head = (self.head + count) % self.allocation.len();
         }
     }
 
-    /// Free memory to be filled, then `commit`ted; empty only when there is no room.
-    pub fn space(&mut self) -> &mut [u8] {
-        let room = self.room();
-        if self.len == self.bytes.len() && room > 0 {
+    /// Free memory to write into; the bytes written are added by [`RingBuffer::commit`]. It is empty only if the buffer is full.
+    pub fn unfilled(&mut self) -> &mut [u8] {
+        let remaining = self.remaining();
+        if self.len == self.allocation.len() && remaining > 0 {
             self.grow(self.len + 1);
         }
-        let size = self.bytes.len();
+        let size = self.allocation.len();
         if size == 0 {
             return &mut [];
         }
         let start = (self.head + self.len) % size;
         let end = if start >= self.head && self.len < size { size } else { self.head };
-        let end = end.max(start).min(start + room);
-        &mut self.bytes[start..end]
+        let end = end.max(start).min(start + remaining);
+        &mut self.allocation[start..end]
     }
 
-    /// Takes in so many of the bytes that were written into `space`.
+    /// Adds the first `count` bytes of [`RingBuffer::unfilled`].
     pub fn commit(&mut self, count: usize) {
-        self.len = (self.len + count).min(self.bytes.len());
+        self.len = (self.len + count).min(self.allocation.len());
     }
 
-    /// Appends all the bytes, or none of them and returns false where there is no room.
-    pub fn push(&mut self, mut data: &[u8]) -> bool {
-        if data.len() > self.room() {
+    /// Appends all bytes, or returns false and appends none if they don't fit.
+    pub fn push(&mut self, mut bytes: &[u8]) -> bool {
+        if bytes.len() > self.remaining() {
             return false;
         }
-        self.grow(self.len + data.len());
-        while !data.is_empty() {
-            let space = self.space();
-            let count = space.len().min(data.len());
-            space[..count].copy_from_slice(&data[..count]);
+        self.grow(self.len + bytes.len());
+        while !bytes.is_empty() {
+            let unfilled = self.unfilled();
+            let count = unfilled.len().min(bytes.len());
+            unfilled[..count].copy_from_slice(&bytes[..count]);
             self.commit(count);
-            data = &data[count..];
+            bytes = &bytes[count..];
         }
         true
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn keeps_order_across_the_wrap_and_its_bound() {
-        let (mut ring, mut next, mut seen) = (Ring::new(10_000), 0u32, 0u32);
-        for round in 0..2_000usize {
-            let data: Vec<u8> = (0..round * 7 % 900).map(|i| (next + i as u32) as u8).collect();
-            if ring.push(&data) {
-                next += data.len() as u32;
-            } else {
-                assert!(ring.room() < data.len());
-            }
-            assert!(ring.len() <= 10_000);
-            let take = round * 13 % 800;
-            let got = ring.contiguous();
-            assert_eq!(got.len() as u32, next - seen);
-            assert!(got.iter().enumerate().all(|(i, b)| *b == (seen + i as u32) as u8));
-            let take = take.min(got.len());
-            ring.consume(take);
-            seen += take as u32;
-        }
-        assert!(!ring.push(&[0; 10_001]));
-    }
-}
