--- a/crates/gateway/src/backend/streaming.rs
+++ b/crates/gateway/src/backend/streaming.rs
@@ -47,7 +47,7 @@
 async fn forward_all_but_end(stream: &mut Connection, writer: &mut ValueWriter) -> bool {
     loop {
         while writer.left > WITHHELD_BYTES && !stream.input.is_empty() {
-            let bytes = stream.input.front();
+            let bytes = stream.input.first_slice();
             let count = bytes.len().min(writer.left - WITHHELD_BYTES).min(PIECE);
             let is_delivered = writer.put(&bytes[..count]).await;
             stream.input.consume(count);
@@ -69,7 +69,7 @@
                 None => {}
             }
         }
-        stream.input.widen(PIECE);
+        stream.input.reserve(PIECE);
         if !wait_for_more(stream, VALUE_STALL_TIMEOUT).await {
             return false;
         }
@@ -84,7 +84,7 @@
     parts: usize,
 ) -> bool {
     loop {
-        let has_room = stream.input.room() > 0;
+        let has_room = stream.input.remaining() > 0;
         match resp::parts(stream.input.contiguous(), parts, resp::LONGEST) {
             Ok(Some((replies, used))) => {
                 if let Some(resp::Reply::Bulk(Some(figures))) = replies.first() {
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -80,7 +80,7 @@
     /// Encodes the answers that are ready, as far as there is room.
     pub fn send_answers(&mut self, stream: &mut Connection) {
         let mut out = Vec::new();
-        while stream.output.room() >= MAX_ANSWER_BYTES {
+        while stream.output.remaining() >= MAX_ANSWER_BYTES {
             let Some((number, answer)) = self.ready.pop_front() else { break };
             // The task of a late answer may have been aborted.
             let Some(task) = self.tasks.remove(&number) else { continue };
@@ -96,8 +96,8 @@
     /// Handles the PDUs that have arrived, as far as there is room for what they may require to be answered.
     pub async fn read(&mut self, stream: &mut Connection) {
         let (mut out, mut events) = (Vec::new(), Vec::new());
-        while self.closing.is_none() && stream.output.room() >= MAX_ANSWER_BYTES {
-            let is_full = stream.input.room() == 0;
+        while self.closing.is_none() && stream.output.remaining() >= MAX_ANSWER_BYTES {
+            let is_full = stream.input.remaining() == 0;
             match self.target.read(stream.input.contiguous(), &mut out, &mut events) {
                 Ok(0) if is_full => self.closing = Some(CloseReason::Protocol),
                 Ok(0) => break,
