--- /dev/null
+++ b/crates/resharding/src/block_set.rs
@@ -0,0 +1,142 @@
+//! A set of blocks, each with the newest log index at which it was touched. Bounded: when there are too many runs, near
+//! ones are joined, which only makes the set larger.
+use cluster_types::{BlockRange, Index};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// Runs that are held apart.
+pub const MAX_RUNS: usize = 512;
+
+/// The set, as runs of blocks that were touched at the same index. Stored.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct BlockSet {
+    /// By its first block, the end of each run and when it was touched.
+    runs: BTreeMap<u64, (u64, Index)>,
+}
+
+impl BlockSet {
+    /// A set of one run.
+    pub fn of(blocks: BlockRange, touched: Index) -> BlockSet {
+        let mut set = BlockSet::default();
+        set.add(blocks, touched);
+        set
+    }
+
+    /// Whether the set has no blocks.
+    pub fn is_empty(&self) -> bool {
+        self.runs.is_empty()
+    }
+
+    /// The number of blocks.
+    pub fn len(&self) -> u64 {
+        self.runs.iter().map(|(first, (end, _))| end.saturating_sub(*first)).sum()
+    }
+
+    /// All runs, each with when it was touched.
+    pub fn iter(&self) -> impl Iterator<Item = (BlockRange, Index)> + '_ {
+        self.runs.iter().map(|(&first, &(end, touched))| (BlockRange { first, end }, touched))
+    }
+
+    /// All runs.
+    pub fn ranges(&self) -> Vec<BlockRange> {
+        self.iter().map(|(blocks, _)| blocks).collect()
+    }
+
+    /// The runs within these blocks, cut to them.
+    pub fn within(&self, blocks: BlockRange) -> Vec<(BlockRange, Index)> {
+        let overlapping = self.iter().filter(|(run, _)| run.overlaps(&blocks));
+        let cut =
+            |run: BlockRange| BlockRange { first: run.first.max(blocks.first), end: run.end.min(blocks.end) };
+        overlapping.map(|(run, touched)| (cut(run), touched)).collect()
+    }
+
+    /// Splits the run that a block lies in, so that one begins there.
+    fn split_at(&mut self, block: u64) {
+        let Some((&first, &(end, touched))) = self.runs.range(..block).next_back() else { return };
+        if end > block {
+            self.runs.insert(first, (block, touched));
+            self.runs.insert(block, (end, touched));
+        }
+    }
+
+    /// Adds blocks that were touched at that index; blocks that are in the set keep the newer one.
+    pub fn add(&mut self, blocks: BlockRange, touched: Index) {
+        if blocks.is_empty() {
+            return;
+        }
+        self.split_at(blocks.first);
+        self.split_at(blocks.end);
+        let mut next = blocks.first;
+        let inside: Vec<_> =
+            self.runs.range(blocks.first..blocks.end).map(|(first, run)| (*first, *run)).collect();
+        for (first, (end, before)) in inside {
+            if next < first {
+                self.runs.insert(next, (first, touched));
+            }
+            self.runs.insert(first, (end, before.max(touched)));
+            next = end;
+        }
+        if next < blocks.end {
+            self.runs.insert(next, (blocks.end, touched));
+        }
+        self.join_near(blocks);
+    }
+
+    /// Removes those of these blocks that were last touched at that index or before.
+    pub fn remove(&mut self, blocks: BlockRange, upto: Index) {
+        if blocks.is_empty() {
+            return;
+        }
+        self.split_at(blocks.first);
+        self.split_at(blocks.end);
+        let inside = self.runs.range(blocks.first..blocks.end);
+        let old = inside.filter(|(_, (_, touched))| *touched <= upto);
+        let old: Vec<u64> = old.map(|(first, _)| *first).collect();
+        for first in old {
+            self.runs.remove(&first);
+        }
+        self.join_near(blocks);
+    }
+
+    /// Adds all blocks of another set.
+    pub fn merge(&mut self, other: &BlockSet) {
+        for (blocks, touched) in other.iter() {
+            self.add(blocks, touched);
+        }
+    }
+
+    /// Joins adjacent runs that were touched at the same index, near these blocks only.
+    fn join_near(&mut self, blocks: BlockRange) {
+        let start = self.runs.range(..blocks.first).next_back().map_or(blocks.first, |(first, _)| *first);
+        let near = self.runs.range(start..=blocks.end);
+        let near: Vec<_> = near.map(|(first, (end, touched))| (*first, *end, *touched)).collect();
+        let mut last: Option<(u64, u64, Index)> = None;
+        for (first, end, touched) in near {
+            match &mut last {
+                Some((joined, upto, index)) if *upto == first && *index == touched => {
+                    self.runs.remove(&first);
+                    self.runs.insert(*joined, (end, touched));
+                    *upto = end;
+                }
+                _ => last = Some((first, end, touched)),
+            }
+        }
+        if self.runs.len() > MAX_RUNS {
+            self.thin_out();
+        }
+    }
+
+    /// Joins the runs that are nearest to each other, until half as many are left as are allowed.
+    fn thin_out(&mut self) {
+        let ends = self.runs.values().map(|(end, _)| *end);
+        let pairs = ends.zip(self.runs.keys().skip(1));
+        let mut gaps: Vec<(u64, u64)> = pairs.map(|(end, first)| (first - end, *first)).collect();
+        gaps.sort_unstable();
+        for (_, second) in gaps.into_iter().take(self.runs.len() - MAX_RUNS / 2) {
+            let before = self.runs.range(..second).next_back().map(|(first, _)| *first);
+            if let (Some(first), Some((end, touched))) = (before, self.runs.remove(&second)) {
+                self.runs.entry(first).and_modify(|run| *run = (end, touched.max(run.1)));
+            }
+        }
+    }
+}
--- a/crates/resharding/src/command.rs
+++ b/crates/resharding/src/command.rs
@@ -1,31 +1,32 @@
-//! The commands of the log, and what they do.
-use crate::plan::Bounds;
-use crate::planner::Step;
+//! Commands of the replicated log.
+use crate::plan::{Bounds, Step};
 use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 use serde::{Deserialize, Serialize};
 
-/// A command of the log.
+/// A command of the log. A migration is identified by the log index of the command that began it.
+///
+/// Stored and sent: the variants and their fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A front has started and has to be asked. It is given no lease before.
-    Present {
-        /// Its life, which grows with each start.
-        life: u64,
+    /// A member has started and has to acknowledge migrations. It is given no lease before.
+    Join {
+        /// Its incarnation, which grows with each start.
+        incarnation: u64,
     },
-    /// A front left by its own word, with nothing out.
-    Left {
-        /// Its life.
-        life: u64,
+    /// A member left by its own report, with nothing in flight.
+    Leave {
+        /// Its incarnation.
+        incarnation: u64,
     },
-    /// Takes a volume under placement, where it is now. Only once a volume.
+    /// Takes a volume under placement, where it is now. Only once for a volume.
     Adopt {
         /// The volume.
         volume: Volume,
         /// Where its blocks are.
         ranges: Vec<(BlockRange, BackendId)>,
     },
-    /// A plan in its order. It replaces the one before.
-    Replace {
+    /// Replaces the plan and its ordered steps.
+    ReplacePlan {
         /// Its name.
         plan: String,
         /// Its steps.
@@ -33,160 +34,113 @@
         /// Its bounds.
         bounds: Bounds,
     },
-    /// Begins the move of a step.
+    /// Begins the migration of a step.
     Begin {
         /// The step.
         step: u32,
     },
-    /// The front knows the move and from now on uses the range under its lease only. `after`: the newest judgement about it that it
-    /// has applied.
-    Ready {
-        /// The move.
-        id: Index,
-        /// The front's life.
-        life: u64,
-        /// The newest judgement about it that it has applied.
-        after: Index,
-    },
-    /// A front is to copy; the command's position is its number.
-    Assign {
-        /// The move.
-        id: Index,
-        /// The front.
-        mover: MemberId,
-    },
-    /// Blocks that the front wrote, or may have written, behind the copy; its number orders its reports.
-    Dirty {
-        /// The move.
-        id: Index,
-        /// The front's life.
-        life: u64,
-        /// Which report of it; or which mover.
-        number: u64,
+    /// A member knows the migration and from now on uses the range under its lease only.
+    Acknowledge {
+        /// The migration.
+        migration: Index,
+        /// The member's incarnation.
+        incarnation: u64,
+        /// The newest [`Command::Revoke`] of the member that it has applied.
+        last_revocation: Index,
+    },
+    /// A member is to copy; the log index of the command identifies the assignment.
+    AssignMigrator {
+        /// The migration.
+        migration: Index,
+        /// The member.
+        migrator: MemberId,
+    },
+    /// Blocks that a member wrote, or may have written, behind the copy.
+    ReportWrites {
+        /// The migration.
+        migration: Index,
+        /// The member's incarnation.
+        incarnation: u64,
+        /// Orders the member's reports.
+        report: u64,
         /// The blocks.
-        marks: Vec<BlockRange>,
-    },
-    /// Blocks whose copy has ended, each with how far the mover had applied the log before it read them.
-    Copied {
-        /// The move.
-        id: Index,
-        /// Which report of it; or which mover.
-        number: Index,
+        blocks: Vec<BlockRange>,
+    },
+    /// Blocks that are copied, each with how far the migrator had applied the log before it read them.
+    ReportCopied {
+        /// The migration.
+        migration: Index,
+        /// The assignment.
+        assignment: Index,
         /// The chunks.
-        parts: Vec<(BlockRange, Index)>,
+        chunks: Vec<(BlockRange, Index)>,
     },
     /// Writes wait from now on.
     Freeze {
-        /// The move.
-        id: Index,
-    },
-    /// Nothing of the front is out there; its last marks.
-    Quiet {
-        /// The move.
-        id: Index,
-        /// The freeze.
+        /// The migration.
+        migration: Index,
+    },
+    /// Nothing of a member is in flight at the old place. Includes its last writes.
+    ReportQuiet {
+        /// The migration.
+        migration: Index,
+        /// The freeze, by its log index.
         freeze: Index,
-        /// The front's life.
-        life: u64,
-        /// Which report of it; or which mover.
-        number: u64,
-        /// The blocks.
-        marks: Vec<BlockRange>,
+        /// The member's incarnation.
+        incarnation: u64,
+        /// Orders the member's reports.
+        report: u64,
+        /// The blocks that it wrote.
+        blocks: Vec<BlockRange>,
     },
     /// The hand-over took too long: writes go on at the old place.
-    Thaw {
-        /// The move.
-        id: Index,
-        /// The freeze.
+    Unfreeze {
+        /// The migration.
+        migration: Index,
+        /// The freeze, by its log index.
         freeze: Index,
     },
-    /// The front knows the new place and has nothing out at the old one.
-    Moved {
-        /// The move.
-        id: Index,
-        /// The front's life.
-        life: u64,
+    /// A member knows the new place and has nothing in flight at the old one.
+    ConfirmSwitch {
+        /// The migration.
+        migration: Index,
+        /// The member's incarnation.
+        incarnation: u64,
     },
-    /// The leader's judgement that a front's lease is out and its commands are ended.
-    Away {
-        /// The front.
+    /// The leader finds that a member's lease has expired and its commands have ended.
+    Revoke {
+        /// The member.
         member: MemberId,
-        /// The front's life.
-        life: u64,
+        /// The member's incarnation.
+        incarnation: u64,
     },
-    /// An operator's word that a front does not run: nothing waits for it.
-    Excuse {
-        /// The front.
+    /// An operator confirms that a member does not run: nothing waits for it.
+    DeclareDead {
+        /// The member.
         member: MemberId,
     },
-    /// Goes back, before hand-over is committed. The step stays wanted.
-    Back {
-        /// The move.
-        id: Index,
-        /// Why, in plain words.
-        why: String,
+    /// Rolls back before the hand-over is committed. The step stays in the plan.
+    RollBack {
+        /// The migration.
+        migration: Index,
+        /// Why, for operators.
+        reason: String,
     },
-    /// An operator's word: goes back, and the step is dropped.
+    /// An operator rolls a migration back, and its step is dropped.
     Cancel {
-        /// The move.
-        id: Index,
-    },
-    /// The mover's word that no copy of that number is out, nor will be.
-    Stopped {
-        /// The move.
-        id: Index,
-        /// Which report of it; or which mover.
-        number: Index,
-    },
-    /// The longest deadline has passed: the place that was left is free.
-    Released {
-        /// The move.
-        id: Index,
-    },
-}
-
-/// What an applied command has done.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// A move is in another state.
-    Changed {
-        /// The move.
-        id: Index,
-        /// Its state.
-        phase: &'static str,
-    },
-    /// The placement has changed.
-    Placed {
-        /// The volume.
-        volume: Volume,
-        /// The blocks.
-        blocks: BlockRange,
-        /// The box.
-        on: BackendId,
-        /// The command that did it.
-        epoch: Index,
-    },
-    /// A place is free for others.
-    Freed {
-        /// The box.
-        on: BackendId,
-        /// The volume.
-        volume: Volume,
-        /// The blocks.
-        blocks: BlockRange,
-    },
-    /// A step can't begin any more, and why.
-    Dropped {
-        /// The step.
-        step: u32,
-        /// Why, in plain words.
-        why: String,
-    },
-    /// The copy begins anew, since what that front wrote is not known.
-    Anew {
-        /// The move.
-        id: Index,
-        /// The front.
-        member: MemberId,
+        /// The migration.
+        migration: Index,
+    },
+    /// The migrator has no copy of an assignment in flight, and will not have any.
+    ReportStopped {
+        /// The migration.
+        migration: Index,
+        /// The assignment.
+        assignment: Index,
+    },
+    /// The longest command time has passed: the place that was left is free.
+    Release {
+        /// The migration.
+        migration: Index,
     },
 }
--- a/crates/resharding/src/phase.rs
+++ b/crates/resharding/src/phase.rs
@@ -1,61 +1,73 @@
-//! Where a move is, and how fronts stand to it.
+//! The phases of a migration, and the standing of members in it.
 use cluster_types::{Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// How a front stands to a move.
+/// The standing of a member in a migration. Stored: the variants and their fields keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Standing {
-    /// It has not acknowledged: it may use the range freely.
-    Awaited,
-    /// It uses the range under its lease; its newest report.
-    Uses {
-        /// The front's life.
-        life: u64,
-        /// Its newest report.
-        heard: u64,
+pub enum MemberStanding {
+    /// It has not acknowledged the migration and may use the range freely.
+    Unacknowledged,
+    /// It uses the range under its lease.
+    Leased {
+        /// The member's incarnation.
+        incarnation: u64,
+        /// The newest of its reports in the log.
+        last_report: u64,
     },
     /// It has no right to the range until it acknowledges again.
-    Away,
+    Revoked,
 }
 
-/// Where a move is.
+impl MemberStanding {
+    /// Whether the member uses the range under its lease.
+    pub fn is_leased(&self) -> bool {
+        matches!(self, MemberStanding::Leased { .. })
+    }
+
+    /// Whether the member uses the range under its lease in this incarnation.
+    pub fn is_leased_in(&self, expected: u64) -> bool {
+        matches!(self, MemberStanding::Leased { incarnation, .. } if *incarnation == expected)
+    }
+}
+
+/// The phase of a migration. Stored: the variants and their fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// Fronts acknowledge.
+    /// Members acknowledge the migration.
     Prepare,
     /// The range is copied.
     Copy,
     /// All was copied once; what was written behind the copy follows.
     CatchUp,
-    /// Writes wait; the fronts that have nothing out there.
+    /// Writes wait.
     HandOver {
-        /// The freeze.
+        /// The freeze, by its log index.
         freeze: Index,
-        /// Who has nothing out.
+        /// The members that have nothing in flight.
         quiet: BTreeSet<MemberId>,
     },
-    /// Committed; writes wait until each front knows; those that do.
+    /// The new place is committed. Writes wait until each member knows it.
     Switch {
-        /// The command that did it.
+        /// The log index of the command that committed it.
         epoch: Index,
-        /// Who knows.
-        knows: BTreeSet<MemberId>,
+        /// The members that know it.
+        confirmed: BTreeSet<MemberId>,
     },
-    /// Everything goes on at the new place; the old one is given to nobody yet.
+    /// Everything goes on at the new place; the old one is not free for others yet.
     Release {
-        /// The command that did it.
+        /// The log index of the command that committed the new place.
         epoch: Index,
     },
-    /// Everything goes on at the old place; the new one is given to nobody yet.
-    Back {
-        /// Why, in plain words.
-        why: String,
+    /// Everything goes on at the old place; the new one is not free for others yet.
+    RolledBack {
+        /// Why, for operators.
+        reason: String,
     },
 }
 
 impl Phase {
-    /// Its name.
+    /// The name of the phase, as operators see it.
     pub fn name(&self) -> &'static str {
         match self {
             Phase::Prepare => "prepare",
@@ -64,17 +76,27 @@
             Phase::HandOver { .. } => "hand over",
             Phase::Switch { .. } => "switch",
             Phase::Release { .. } => "release",
-            Phase::Back { .. } => "back",
+            Phase::RolledBack { .. } => "back",
         }
     }
 
     /// Whether the range is used under leases only.
-    pub fn moves(&self) -> bool {
-        !matches!(self, Phase::Release { .. } | Phase::Back { .. })
+    pub fn needs_lease(&self) -> bool {
+        !matches!(self, Phase::Release { .. } | Phase::RolledBack { .. })
     }
 
-    /// Whether the way back is open.
-    pub fn may_go_back(&self) -> bool {
+    /// Whether the migration can still be rolled back.
+    pub fn is_reversible(&self) -> bool {
         matches!(self, Phase::Prepare | Phase::Copy | Phase::CatchUp | Phase::HandOver { .. })
     }
+
+    /// Whether blocks are copied.
+    pub fn is_copying(&self) -> bool {
+        matches!(self, Phase::Copy | Phase::CatchUp | Phase::HandOver { .. })
+    }
+
+    /// Whether writes wait.
+    pub fn holds_writes(&self) -> bool {
+        matches!(self, Phase::HandOver { .. } | Phase::Switch { .. })
+    }
 }
--- a/crates/resharding/tests/common/clients.rs
+++ b/crates/resharding/tests/common/clients.rs
@@ -1,135 +1,151 @@
-//! Clients that read and book, and never try again.
+//! Clients that read and write, and never retry.
 use super::*;
 
-pub struct Op {
+/// A client's request.
+pub struct ClientRequest {
     pub blocks: BlockRange,
+    /// What it writes; none for a read.
     pub value: Option<u64>,
-    pub began: u64,
-    pub ticket: Option<u64>,
-    pub sent: u64,
-    pub left: u64,
-    pub stray: bool,
-    pub sure: bool,
-    pub unknown: bool,
-    pub read: BTreeMap<u64, u64>,
+    started: u64,
+    ticket: Option<u64>,
+    sent: u64,
+    /// Parts that have not ended.
+    parts_left: u64,
+    /// Whether the member stalled right before it sent.
+    is_delayed: bool,
+    is_caught_up: bool,
+    is_unknown: bool,
+    read: BTreeMap<u64, u64>,
 }
 
-/// So long a client waits until its command is sent, and from then on.
-const WAITS: u64 = 600_000;
-const RUNS: u64 = 40_000;
+/// How long a client waits until its command is sent, and from then on.
+const MAX_WAIT: u64 = 600_000;
+const MAX_RUN: u64 = 40_000;
 
-impl Sim {
-    /// A front's clients: new ones, those that wait, and those that have waited too long.
-    pub fn clients(&mut self, i: usize) {
+impl Simulation {
+    /// The clients of a member: new ones, those that wait, and those that have waited too long.
+    pub fn serve_clients(&mut self, number: usize) {
         if self.rng.random_bool(self.load) {
-            let first = self.rng.random_range(0..30);
-            let blocks = BlockRange { first, end: first + self.rng.random_range(1..3) };
-            self.seq += 1;
-            let value = self.rng.random_bool(0.5).then_some(self.seq);
-            if let Some(value) = value {
-                (blocks.first..blocks.end).for_each(|b| self.history.begins(b, value, self.now));
-            }
-            let (began, read) = (self.now, BTreeMap::new());
-            let op = Op {
-                blocks,
-                value,
-                began,
-                ticket: None,
-                sent: 0,
-                left: 0,
-                stray: false,
-                sure: true,
-                unknown: false,
-                read,
-            };
-            self.nodes[i].ops.insert(self.seq, op);
+            self.new_client(number);
         }
-        for id in self.nodes[i].ops.keys().copied().collect::<Vec<_>>() {
-            let op = &self.nodes[i].ops[&id];
-            match op.ticket {
-                None => self.send(i, id),
-                Some(ticket) if !op.stray && self.now > op.sent + RUNS => {
-                    self.nodes[i].ops.remove(&id);
-                    let now = self.local(i);
-                    self.nodes[i].front.done(ticket, now, Ending::Unknown);
+        for id in self.members[number].clients.keys().copied().collect::<Vec<_>>() {
+            let request = &self.members[number].clients[&id];
+            match request.ticket {
+                None => self.try_send(number, id),
+                Some(ticket) if !request.is_delayed && self.now > request.sent + MAX_RUN => {
+                    self.members[number].clients.remove(&id);
+                    let now = self.local_time(number);
+                    self.members[number].agent.finish(ticket, now, CommandResult::Unknown);
                     self.count("too late");
                 }
                 Some(_) => {}
             }
-            if !self.able(i) {
+            if !self.is_active(number) {
                 return;
             }
         }
     }
 
-    fn send(&mut self, i: usize, id: u64) {
-        let now = self.local(i);
-        let op = &self.nodes[i].ops[&id];
-        let (blocks, value, began) = (op.blocks, op.value, op.began);
-        match self.nodes[i].front.may(now, &volume(), blocks, value.is_some()) {
-            May::Refuse(why) => {
-                self.nodes[i].ops.remove(&id);
-                self.count(match why {
-                    Why::Lease => "refused: lease",
-                    Why::Started => "refused: started",
-                    Why::Full => "refused: full",
+    fn new_client(&mut self, number: usize) {
+        let first = self.rng.random_range(0..30);
+        let blocks = BlockRange { first, end: first + self.rng.random_range(1..3) };
+        self.last_id += 1;
+        let value = self.rng.random_bool(0.5).then_some(self.last_id);
+        if let Some(value) = value {
+            (blocks.first..blocks.end).for_each(|block| self.history.begin_write(block, value, self.now));
+        }
+        let request = ClientRequest {
+            blocks,
+            value,
+            started: self.now,
+            ticket: None,
+            sent: 0,
+            parts_left: 0,
+            is_delayed: false,
+            is_caught_up: true,
+            is_unknown: false,
+            read: BTreeMap::new(),
+        };
+        self.members[number].clients.insert(self.last_id, request);
+    }
+
+    fn try_send(&mut self, number: usize, id: u64) {
+        let now = self.local_time(number);
+        let request = &self.members[number].clients[&id];
+        let (blocks, value, started) = (request.blocks, request.value, request.started);
+        match self.members[number].agent.permit(now, &volume(), blocks, value.is_some()) {
+            Permission::Denied(reason) => {
+                self.members[number].clients.remove(&id);
+                self.count(match reason {
+                    DenialReason::LeaseExpired => "refused: lease",
+                    DenialReason::NotCaughtUp => "refused: started",
+                    DenialReason::Overloaded => "refused: full",
                 });
             }
-            May::Wait => {
-                self.longest_wait = self.longest_wait.max(self.now - began);
+            Permission::Wait => {
+                self.longest_wait = self.longest_wait.max(self.now - started);
                 if value.is_none() {
                     self.count("reads that wait");
                 }
-                if self.now > began + WAITS {
-                    self.nodes[i].ops.remove(&id);
+                if self.now > started + MAX_WAIT {
+                    self.members[number].clients.remove(&id);
                     self.count("waited too long");
                 }
             }
-            May::Go { parts, ticket, sure } => {
-                let (due, stray) = self.sends(i);
-                let (life, sent) = (self.nodes[i].life, self.now);
-                let op = self.nodes[i].ops.get_mut(&id).unwrap();
-                (op.ticket, op.sent, op.left, op.stray, op.sure) =
-                    (Some(ticket), sent, parts.len() as u64, stray, sure);
-                for part in parts {
-                    let due = due + self.rng.random_range(0..3_000);
-                    let mail = match value {
-                        Some(value) => Mail::Write { from: i, life, op: id, part, value, stray },
-                        None => Mail::Read { from: i, life, op: id, part },
-                    };
-                    self.at(due, mail);
-                }
+            Permission::Granted { parts, ticket, is_caught_up } => {
+                self.send(number, id, parts, ticket, is_caught_up);
             }
         }
     }
 
-    /// A part of a command has ended at its box.
-    pub fn ran(&mut self, i: usize, id: u64, part: Part, values: Option<Vec<u64>>) {
-        let now = self.local(i);
-        let Some(op) = self.nodes[i].ops.get_mut(&id) else { return };
-        op.left -= 1;
-        op.unknown |= values.is_none();
-        op.read.extend((part.blocks.first..part.blocks.end).zip(values.unwrap_or_default()));
-        if op.left > 0 {
+    fn send(&mut self, number: usize, id: u64, parts: Vec<PlacedRange>, ticket: u64, is_caught_up: bool) {
+        let (due, is_delayed) = self.send_time(number);
+        let member = &mut self.members[number];
+        let sender = Sender { number, incarnation: member.incarnation };
+        let request = member.clients.get_mut(&id).unwrap();
+        request.ticket = Some(ticket);
+        request.sent = self.now;
+        request.parts_left = parts.len() as u64;
+        request.is_delayed = is_delayed;
+        request.is_caught_up = is_caught_up;
+        let value = request.value;
+        for part in parts {
+            let due = due + self.rng.random_range(0..3_000);
+            let message = match value {
+                Some(value) => Message::Write { sender, request: id, part, value, is_delayed },
+                None => Message::Read { sender, request: id, part },
+            };
+            self.send_at(due, message);
+        }
+    }
+
+    /// A part of a request has ended at its backend, with the blocks' values or an unknown result.
+    pub fn finish_part(&mut self, number: usize, id: u64, part: &PlacedRange, values: Option<Vec<u64>>) {
+        let now = self.local_time(number);
+        let Some(request) = self.members[number].clients.get_mut(&id) else { return };
+        request.parts_left -= 1;
+        request.is_unknown |= values.is_none();
+        request.read.extend((part.blocks.first..part.blocks.end).zip(values.unwrap_or_default()));
+        if request.parts_left > 0 {
             return;
         }
-        let op = self.nodes[i].ops.remove(&id).unwrap();
-        let ending = if op.unknown { Ending::Unknown } else { Ending::Ran };
-        let kept = self.nodes[i].front.done(op.ticket.unwrap(), now, ending);
-        match op.value {
-            Some(_) if kept == Kept::MayHaveRun => self.count("may have run"),
+        let request = self.members[number].clients.remove(&id).unwrap();
+        let result = if request.is_unknown { CommandResult::Unknown } else { CommandResult::Completed };
+        let reply = self.members[number].agent.finish(request.ticket.unwrap(), now, result);
+        match request.value {
+            Some(_) if reply == Reply::MayHaveRun => self.count("may have run"),
             Some(value) => {
-                for b in op.blocks.first..op.blocks.end {
-                    self.history.answered(b, value, self.now);
+                for block in request.blocks.first..request.blocks.end {
+                    self.history.answer_write(block, value, self.now);
                 }
-                self.count("bookings");
+                self.count("writes");
             }
-            None if op.unknown => {}
-            None if !op.sure => self.count("unsure reads"),
+            None if request.is_unknown => {}
+            None if !request.is_caught_up => self.count("unsure reads"),
             None => {
-                for (b, value) in op.read {
-                    let found = self.history.found(b, value, op.began.max(op.sent));
-                    self.bad.extend(found.err());
+                for (block, value) in request.read {
+                    let found = self.history.check_read(block, value, request.started.max(request.sent));
+                    self.violations.extend(found.err());
                 }
                 self.count("reads");
             }
--- a/crates/resharding/tests/common/history.rs
+++ b/crates/resharding/tests/common/history.rs
@@ -1,48 +1,59 @@
-//! What clients were told, and what that allows a read to find.
+//! What clients were answered, and what that allows a read to return.
 use std::collections::BTreeMap;
 
+/// A write of one block. Its value is unique.
+#[derive(Clone, Copy, Debug)]
+struct Write {
+    started: u64,
+    answered: Option<u64>,
+}
+
 #[derive(Default)]
 pub struct History {
-    /// Of each block: bookings by their value, with when they began and when they were answered.
-    blocks: BTreeMap<u64, BTreeMap<u64, (u64, Option<u64>)>>,
-    /// Which bookings ran, by value and block: the box.
-    pub ran: BTreeMap<(u64, u64), String>,
+    /// The writes of each block, by their values.
+    writes: BTreeMap<u64, BTreeMap<u64, Write>>,
+    /// The backend at which a value was written to a block.
+    ran_at: BTreeMap<(u64, u64), String>,
 }
 
 impl History {
-    pub fn begins(&mut self, block: u64, value: u64, now: u64) {
-        self.blocks.entry(block).or_default().insert(value, (now, None));
+    pub fn begin_write(&mut self, block: u64, value: u64, now: u64) {
+        self.writes.entry(block).or_default().insert(value, Write { started: now, answered: None });
     }
 
-    pub fn answered(&mut self, block: u64, value: u64, now: u64) {
-        self.blocks.get_mut(&block).unwrap().get_mut(&value).unwrap().1 = Some(now);
+    pub fn answer_write(&mut self, block: u64, value: u64, now: u64) {
+        self.writes.get_mut(&block).unwrap().get_mut(&value).unwrap().answered = Some(now);
     }
 
-    /// Guards against a read that finds less than what was answered before it began.
-    pub fn found(&self, block: u64, value: u64, began: u64) -> Result<(), String> {
-        let Some(all) = self.blocks.get(&block) else { return Ok(()) };
-        let end =
-            if value == 0 { Some(0) } else { all.get(&value).ok_or(format!("{value} was never written"))?.1 };
-        let newer = all
-            .iter()
-            .find(|(_, (start, e))| end.is_some_and(|x| x < *start) && e.is_some_and(|e| e < began));
-        match newer {
-            Some((w, at)) => {
-                Err(format!("block {block}: found {value} (ended {end:?}), older than {w} {at:?}"))
+    /// Checks that a read which started at that time returned no less than what was answered before.
+    pub fn check_read(&self, block: u64, value: u64, started: u64) -> Result<(), String> {
+        let Some(writes) = self.writes.get(&block) else { return Ok(()) };
+        let answered = match value {
+            0 => Some(0),
+            _ => writes.get(&value).ok_or(format!("{value} was never written"))?.answered,
+        };
+        let is_newer = |write: &Write| {
+            answered.is_some_and(|answered| answered < write.started)
+                && write.answered.is_some_and(|at| at < started)
+        };
+        match writes.iter().find(|(_, write)| is_newer(write)) {
+            Some((newer, write)) => {
+                Err(format!("block {block}: {value} (ended {answered:?}) is older than {newer} {write:?}"))
             }
             None => Ok(()),
         }
     }
 
-    /// Guards against a booking that runs twice, or on two sides.
-    pub fn runs(&mut self, block: u64, value: u64, on: &str) -> Result<(), String> {
-        match self.ran.insert((value, block), on.to_string()) {
-            Some(before) => Err(format!("booking {value} of block {block} ran on {before} and on {on}")),
+    /// Checks that a write runs once, and at one place.
+    pub fn run_write(&mut self, block: u64, value: u64, backend: &str) -> Result<(), String> {
+        match self.ran_at.insert((value, block), backend.to_string()) {
+            Some(before) => Err(format!("write {value} of block {block} ran on {before} and on {backend}")),
             None => Ok(()),
         }
     }
 
+    /// All blocks that were written.
     pub fn blocks(&self) -> Vec<u64> {
-        self.blocks.keys().copied().collect()
+        self.writes.keys().copied().collect()
     }
 }
--- a/crates/resharding/tests/check.rs
+++ b/crates/resharding/tests/plan_check.rs
@@ -1,30 +1,31 @@
-//! The check of a plan: each refusal has the right key.
+//! The check of a plan.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::{BackendId, BlockRange, Index, Volume};
+use resharding::plan::CapacityError;
 use resharding::*;
 use rstest::rstest;
 
 const V: &str = "0000000000000001";
 const W: &str = "0000000000000002";
 
-fn view() -> FleetView {
-    let mut view = FleetView::default();
-    for (id, hall, room, rate) in
+fn view() -> ClusterView {
+    let mut view = ClusterView::default();
+    for (id, zone, capacity_blocks, rate) in
         [("box-01", "h1", 200, 1000), ("box-02", "h1", 200, 1000), ("box-03", "h2", 100, 500)]
     {
         let names = [format!("10.0.0.{}", &id[5..]), "all-of-them".to_string()].into();
-        let b = BoxView { hall: hall.into(), names, room, rate, held: 100 };
-        view.boxes.insert(BackendId::from(id), b);
+        let backend = BackendView { zone: zone.into(), names, capacity_blocks, rate, reserved_rate: 100 };
+        view.backends.insert(BackendId::from(id), backend);
     }
-    view.volumes.insert(Volume::from(V), VolumeView { blocks: 100, reserve: 300 });
-    view.volumes.insert(Volume::from(W), VolumeView { blocks: 50, reserve: 10 });
-    view.placement.put(
+    view.volumes.insert(Volume::from(V), VolumeView { blocks: 100, reserved_rate: 300 });
+    view.volumes.insert(Volume::from(W), VolumeView { blocks: 50, reserved_rate: 10 });
+    view.placement.place(
         &Volume::from(V),
         BlockRange { first: 0, end: 100 },
         &BackendId::from("box-01"),
         Index(1),
     );
-    view.placement.put(
+    view.placement.place(
         &Volume::from(W),
         BlockRange { first: 0, end: 50 },
         &BackendId::from("box-02"),
@@ -37,7 +38,7 @@
     format!("[[place]]\nvolume = \"{volume}\"\nblocks = \"{blocks}\"\non = \"{on}\"\n")
 }
 
-fn fault(body: &str) -> Fault {
+fn check_error(body: &str) -> PlanError {
     let file = if body.contains("plan =") { body.to_string() } else { format!("plan = \"p\"\n{body}") };
     Plan::read(&file).and_then(|plan| plan.check(&view())).expect_err(body)
 }
@@ -52,7 +53,7 @@
 #[case::not_blocks(&place(V, "0-100", "box-01"), "place[0].blocks")]
 #[case::no_blocks(&place(V, "5..5", "box-01"), "place[0].blocks")]
 #[case::unknown_volume(&place("00000000000000ff", "0..100", "box-01"), "place[0].volume")]
-#[case::unknown_box(&place(V, "0..100", "box-09"), "place[0].on")]
+#[case::unknown_backend(&place(V, "0..100", "box-09"), "place[0].on")]
 #[case::name_of_many(&place(V, "0..100", "all-of-them"), "place[0].on")]
 #[case::overlap(&(place(V, "0..60", "box-01") + &place(V, "50..100", "box-02")), "place[1].blocks")]
 #[case::overlap_in_other_order(&(place(V, "50..100", "box-01") + &place(V, "0..60", "box-02")), "place[1].blocks")]
@@ -64,66 +65,71 @@
 #[case::two_names_in_two_sections(&(place(V, "0..100", "box-02") + "[[empty]]\nbox = \"10.0.0.02\""), "empty[0].box")]
 #[case::named_twice("[[empty]]\nbox = \"box-01\"\n[[empty]]\nbox = \"box-01\"", "empty[1].box")]
 #[case::emptied_and_filled(&(place(V, "0..100", "box-02") + "[[empty]]\nbox = \"box-02\""), "place[0].on")]
-#[case::no_moves("[bounds]\nmoves_at_once = 0", "bounds.moves_at_once")]
-#[case::no_moves_a_box("[bounds]\nper_box = -1", "bounds.per_box")]
+#[case::no_migrations("[bounds]\nmoves_at_once = 0", "bounds.moves_at_once")]
+#[case::no_migrations_of_a_backend("[bounds]\nper_box = -1", "bounds.per_box")]
 #[case::no_share("[bounds]\nshare_of_spare = 0.0", "bounds.share_of_spare")]
 #[case::too_large_a_share("[bounds]\nshare_of_spare = 1.5", "bounds.share_of_spare")]
 #[case::no_such_order("[bounds]\nacross_halls = \"imports\"", "bounds.across_halls")]
-#[case::may_not_leave_its_hall(&(place(W, "0..50", "box-03") + "[bounds]\nacross_halls = \"never\""), "bounds.across_halls")]
-#[case::reserves_do_not_fit(&(place(V, "0..100", "box-02") + &place(W, "0..50", "box-02") + "[[empty]]\nbox = \"box-03\""), "")]
-#[case::no_room_to_empty("[[empty]]\nbox = \"box-01\"\n[[empty]]\nbox = \"box-02\"", "empty[1].box")]
-fn is_refused_with_its_key(#[case] body: &str, #[case] key: &str) {
+#[case::may_not_leave_its_zone(&(place(W, "0..50", "box-03") + "[bounds]\nacross_halls = \"never\""), "bounds.across_halls")]
+#[case::reservations_fit(&(place(V, "0..100", "box-02") + &place(W, "0..50", "box-02") + "[[empty]]\nbox = \"box-03\""), "")]
+#[case::no_capacity_to_empty("[[empty]]\nbox = \"box-01\"\n[[empty]]\nbox = \"box-02\"", "empty[1].box")]
+fn rejects_plan_with_its_key(#[case] body: &str, #[case] key: &str) {
     if key.is_empty() {
         let plan = Plan::read(&format!("plan = \"p\"\n{body}")).unwrap();
         plan.check(&view()).unwrap();
         return;
     }
-    let fault = fault(body);
-    assert_eq!(fault.key, key, "{fault}");
-    assert!(fault.reason.len() > 8, "{fault}");
+    let error = check_error(body);
+    assert_eq!(error.key, key, "{error}");
+    assert!(error.problem.to_string().len() > 8, "{error}");
 }
 
-/// Guards against a move that ends where the reserves, or the blocks, do not fit.
+/// A range goes nowhere where its reservation, or its blocks, do not fit.
 #[test]
-fn reserves_and_room_are_kept() {
+fn keeps_reservations_and_capacity() {
     let plan = Plan::read(&format!("plan = \"p\"\n{}", place(V, "0..100", "box-03"))).unwrap();
     plan.check(&view()).unwrap();
     let mut tight = view();
-    tight.volumes.get_mut(&Volume::from(V)).unwrap().reserve = 450;
+    tight.volumes.get_mut(&Volume::from(V)).unwrap().reserved_rate = 450;
     assert_eq!(plan.check(&tight).unwrap_err().key, "place[0].on");
     let mut small = view();
-    small.boxes.get_mut(&BackendId::from("box-03")).unwrap().room = 99;
-    assert!(plan.check(&small).unwrap_err().reason.contains("room for 99"));
+    small.backends.get_mut(&BackendId::from("box-03")).unwrap().capacity_blocks = 99;
+    let error = plan.check(&small).unwrap_err();
+    assert!(matches!(error.problem, PlanProblem::Capacity(CapacityError::Blocks { capacity: 99, .. })));
+    assert!(error.problem.to_string().contains("room for 99"));
     let mut busy = view();
-    busy.boxes.get_mut(&BackendId::from("box-01")).unwrap().held = 700;
+    busy.backends.get_mut(&BackendId::from("box-01")).unwrap().reserved_rate = 700;
     assert_eq!(plan.check(&busy).unwrap_err().key, "bounds.share_of_spare");
 }
 
-/// Guards against the operators' own example being refused.
+/// The example of the operators' manual.
 #[test]
-fn the_example_is_read() {
+fn reads_example_plan() {
     let plan = Plan::read(
         "plan = \"before-the-holidays\"\n[[place]]\nvolume = \"0000000000000001\"\nblocks = \"0..65536\"\non = \"box-09\"\n\
          [[empty]]\nbox = \"box-04\"\n[bounds]\nmoves_at_once = 2\nper_box = 1\nshare_of_spare = 0.25\nacross_halls = \"exports-first\"\n",
     )
     .unwrap();
-    assert_eq!((plan.bounds.moves_at_once, plan.bounds.share_milli, plan.places.len()), (2, 250, 1));
+    assert_eq!(
+        (plan.bounds.max_migrations, plan.bounds.copy_share_permille, plan.targets.len()),
+        (2, 250, 1)
+    );
 }
 
-/// Guards against two pieces on the same blocks, and against a piece that is found where nothing maps it.
+/// No two pieces have the same blocks, and none is found that the file does not map.
 #[test]
-fn pieces_stand_for_blocks() {
+fn reads_disjoint_pieces() {
     let piece = |name: &str, blocks: &str| {
         format!("[[piece]]\nvolume = \"{V}\"\nname = \"{name}\"\nblocks = \"{blocks}\"\n")
     };
-    let pieces = Pieces::read(&(piece("a", "0..4") + &piece("b", "4..6"))).unwrap();
+    let pieces = PieceMap::read(&(piece("a", "0..4") + &piece("b", "4..6"))).unwrap();
     let volume = Volume::from(V);
     assert_eq!(pieces.find(&volume, "b"), Some(BlockRange { first: 4, end: 6 }));
     assert_eq!(pieces.find(&volume, "new"), None);
     let within: Vec<_> =
         pieces.within(&volume, BlockRange { first: 3, end: 4 }).map(|(name, _)| name).collect();
     assert_eq!(within, ["a"]);
-    let fault = Pieces::read(&(piece("a", "0..4") + &piece("b", "3..6"))).unwrap_err();
-    assert_eq!(fault.key, "piece[1].blocks");
-    assert_eq!(Pieces::read(&(piece("a", "0..4") + &piece("a", "5..6"))).unwrap_err().key, "piece[1].name");
+    let error = PieceMap::read(&(piece("a", "0..4") + &piece("b", "3..6"))).unwrap_err();
+    assert_eq!(error.key, "piece[1].blocks");
+    assert_eq!(PieceMap::read(&(piece("a", "0..4") + &piece("a", "5..6"))).unwrap_err().key, "piece[1].name");
 }
--- a/crates/resharding/tests/simulation.rs
+++ b/crates/resharding/tests/simulation.rs
@@ -1,137 +1,139 @@
-//! Five fronts, clients that read and book, and all that may fail, from seeds.
+//! Five members, clients that read and write, and everything that may fail, from seeds.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use cluster_types::{BackendId, BlockRange, MemberId};
 use common::*;
 use rand::Rng;
 use resharding::*;
+use std::collections::BTreeMap;
+
+const MEMBERS: usize = 5;
+const BLOCKS: u64 = 32;
+const MAX_TICKS: usize = 12_000;
 
 fn step(id: u32, first: u64, end: u64, from: &str, to: &str, after: Vec<u32>) -> Step {
-    let blocks = BlockRange { first, end };
     Step {
         id,
         volume: volume(),
-        blocks,
+        blocks: BlockRange { first, end },
         from: BackendId::from(from),
         to: BackendId::from(to),
         after,
-        why: "test".into(),
+        reason: "test".into(),
     }
 }
 
-fn start(sim: &mut Sim) {
+fn start_plan(sim: &mut Simulation) {
     let steps = vec![
         step(1, 0, 16, "a", "b", vec![]),
         step(2, 16, 32, "a", "c", vec![]),
         step(3, 0, 8, "b", "c", vec![1]),
     ];
-    let bounds = Bounds { moves_at_once: 2, per_box: 2, share_milli: 500, ..Bounds::default() };
-    sim.append(MemberId::from("f0"), Command::Replace { plan: "p".into(), steps, bounds });
+    let bounds =
+        Bounds { max_migrations: 2, max_per_backend: 2, copy_share_permille: 500, ..Bounds::default() };
+    sim.append(MemberId::from("f0"), Command::ReplacePlan { plan: "p".into(), steps, bounds });
 }
 
-/// Guards against an answered booking that is lost or not at its place, once all is quiet.
-fn settled(sim: &mut Sim, seed: u64) {
-    for _ in 0..100 {
+/// Ticks until the plan is done on all members. No answered write may be lost or be at another place than its own.
+fn finish_plan(sim: &mut Simulation, seed: u64) {
+    for _ in 0..MAX_TICKS {
         sim.tick();
-    }
-    let last = sim.nodes[0].moves.clone();
-    for block in sim.history.blocks() {
-        let at = last.placement.find(&volume(), BlockRange { first: block, end: block + 1 }).unwrap();
-        let value = sim.boxes[&at[0].on].get(&block).copied().unwrap_or(0);
-        let found = sim.history.found(block, value, sim.now);
-        sim.bad.extend(found.err());
-    }
-    assert!(sim.bad.is_empty(), "seed {seed}: {:?}\n{:?}", sim.bad, sim.stats);
-}
-
-fn finish(sim: &mut Sim, seed: u64) {
-    for _ in 0..12_000 {
-        sim.tick();
-        let all = sim.nodes.iter().all(|n| n.moves.active.is_empty() && n.moves.queue.is_empty());
-        if all && sim.nodes.iter().all(|n| n.moves.applied.0 as usize == sim.log.len()) {
+        let is_done = |member: &Member| {
+            let state = &member.state;
+            state.migrations.is_empty() && state.queue.is_empty() && state.applied.0 as usize == sim.log.len()
+        };
+        if sim.members.iter().all(is_done) {
             sim.load = 0.0;
-            return settled(sim, seed);
+            (0..100).for_each(|_| sim.tick());
+            sim.check_blocks(&sim.members[0].state.placement.clone());
+            assert!(sim.violations.is_empty(), "seed {seed}: {:?}\n{:?}", sim.violations, sim.stats);
+            return;
         }
     }
     let tail = &sim.log[sim.log.len().saturating_sub(40)..];
-    let told: Vec<_> =
-        sim.nodes[0].moves.tell().into_iter().map(|t| (t.step, t.state, t.waits, t.left)).collect();
-    panic!("seed {seed}: no end: {told:?}\n{tail:#?}\n{:?}", sim.stats);
+    let status = sim.members[0].state.status();
+    panic!("seed {seed}: no end: {status:?}\n{tail:#?}\n{:?}", sim.stats);
 }
 
-/// Guards against refusals, long waits and lost bookings where nothing fails.
+/// Where nothing fails there are no denials, no long waits and no lost writes.
 #[test]
-fn a_plan_runs_with_no_downtime() {
+fn plan_runs_without_downtime() {
     for seed in 0..3 {
-        let mut sim = Sim::new(seed, 5, 32, "a");
+        let mut sim = Simulation::new(seed, MEMBERS, BLOCKS, "a");
         (0..200).for_each(|_| sim.tick());
         sim.stats.clear();
-        start(&mut sim);
-        finish(&mut sim, seed);
-        assert!(
-            !sim.stats.keys().any(|k| k.starts_with("refused") || *k == "waited too long"),
-            "{:?}",
-            sim.stats
-        );
+        start_plan(&mut sim);
+        finish_plan(&mut sim, seed);
+        let is_failure = |name: &&&str| name.starts_with("refused") || **name == "waited too long";
+        assert_eq!(sim.stats.keys().find(is_failure), None, "{:?}", sim.stats);
         assert!(!sim.stats.contains_key("reads that wait"), "seed {seed}: {:?}", sim.stats);
-        let bound = rules().hand_over_bound().as_micros() as u64 + 50_000;
+        let bound = settings().max_hand_over_wait().as_micros() as u64 + 50_000;
         assert!(sim.longest_wait < bound, "seed {seed}: waited {}", sim.longest_wait);
-        assert!(sim.stats["bookings"] > 100, "{:?}", sim.stats);
-        let placed = sim.nodes[1].moves.placement.ranges(&volume());
-        let on: Vec<_> = placed.iter().map(|p| (p.blocks.first, p.on.to_string())).collect();
-        assert_eq!(on, vec![(0, "c".to_string()), (8, "b".to_string()), (16, "c".to_string())]);
+        assert!(sim.stats["writes"] > 100, "{:?}", sim.stats);
+        let placed = sim.members[1].state.placement.ranges(&volume());
+        let placed: Vec<_> =
+            placed.iter().map(|range| (range.blocks.first, range.backend.to_string())).collect();
+        assert_eq!(placed, vec![(0, "c".to_string()), (8, "b".to_string()), (16, "c".to_string())]);
     }
 }
 
-fn trouble(sim: &mut Sim) {
-    let i = sim.rng.random_range(0..sim.nodes.len());
+fn inject_fault(sim: &mut Simulation) {
+    let number = sim.rng.random_range(0..sim.members.len());
     match sim.rng.random_range(0..9) {
-        0 | 1 if sim.nodes[i].up => sim.kill(i),
-        2 => sim.nodes[i].cut = true,
-        3 => sim.stall(i, 900_000),
+        0 | 1 if sim.members[number].is_running => sim.kill(number),
+        2 => sim.members[number].is_cut_off = true,
+        3 => sim.stall(number, 900_000),
         4 => {
-            let on = BackendId::from(["a", "b", "c"][i % 3]);
-            sim.dead.insert(on);
+            sim.failed_backends.insert(BackendId::from(["a", "b", "c"][number % 3]));
         }
         5 | 6 => {
-            let down: Vec<usize> = (0..sim.nodes.len()).filter(|i| !sim.nodes[*i].up).collect();
-            let kept = sim.rng.random_bool(0.5);
-            down.into_iter().for_each(|i| sim.restart(i, kept));
+            let stopped: Vec<usize> =
+                (0..sim.members.len()).filter(|number| !sim.members[*number].is_running).collect();
+            let keeps_state = sim.rng.random_bool(0.5);
+            stopped.into_iter().for_each(|number| sim.restart(number, keeps_state));
         }
         _ => {
-            sim.nodes.iter_mut().for_each(|n| n.cut = false);
-            sim.dead.clear();
+            sim.members.iter_mut().for_each(|member| member.is_cut_off = false);
+            sim.failed_backends.clear();
         }
     }
 }
 
+fn number_from_environment(name: &str) -> Option<u64> {
+    std::env::var(name).ok().and_then(|value| value.parse().ok())
+}
+
+/// `SEED` and `SEEDS` choose the first seed and their number.
 #[test]
-fn bookings_survive_whatever_fails() {
-    let seeds = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(10);
-    let from = std::env::var("SEED").ok().and_then(|s| s.parse().ok()).unwrap_or(0);
-    let mut total = std::collections::BTreeMap::new();
-    for seed in from..from + seeds {
-        let mut sim = Sim::new(seed, 5, 32, "a");
-        (sim.lossy, sim.stalls) = (0.04, 0.004);
+fn writes_survive_failures() {
+    let count = number_from_environment("SEEDS").unwrap_or(10);
+    let first = number_from_environment("SEED").unwrap_or(0);
+    let mut total: BTreeMap<&str, u64> = BTreeMap::new();
+    for seed in first..first + count {
+        let mut sim = Simulation::new(seed, MEMBERS, BLOCKS, "a");
+        sim.loss = 0.04;
+        sim.stall_probability = 0.004;
         sim.load = 0.15;
         (0..150).for_each(|_| sim.tick());
-        start(&mut sim);
+        start_plan(&mut sim);
         for _ in 0..1500 {
             if sim.rng.random_bool(0.02) {
-                trouble(&mut sim);
+                inject_fault(&mut sim);
             }
             sim.tick();
         }
-        sim.dead.clear();
-        (sim.lossy, sim.stalls) = (0.0, 0.0);
-        for i in 0..sim.nodes.len() {
-            sim.nodes[i].cut = false;
-            if !sim.nodes[i].up {
-                sim.restart(i, true);
+        sim.failed_backends.clear();
+        (sim.loss, sim.stall_probability) = (0.0, 0.0);
+        for number in 0..sim.members.len() {
+            sim.members[number].is_cut_off = false;
+            if !sim.members[number].is_running {
+                sim.restart(number, true);
             }
         }
-        finish(&mut sim, seed);
-        sim.stats.iter().for_each(|(k, n)| *total.entry(*k).or_insert(0) += n);
+        finish_plan(&mut sim, seed);
+        for (name, count) in &sim.stats {
+            *total.entry(name).or_insert(0) += count;
+        }
     }
     println!("{total:?}");
 }
