--- a/crates/maintenance/src/admission/mod.rs
+++ b/crates/maintenance/src/admission/mod.rs
@@ -1,9 +1,7 @@
 //! Admission: whether a batch may be taken out of service now.
-mod bound;
 mod out_backends;
 mod queue_order;
 
-pub use bound::Bound;
 pub(crate) use out_backends::OutBackends;
 
 use crate::rejection::Rejection;
--- a/crates/maintenance/src/admission/out_backends.rs
+++ b/crates/maintenance/src/admission/out_backends.rs
@@ -1,5 +1,5 @@
 //! The backends that count as out of service, and whether more of them would exceed a bound.
-use super::bound::Bound;
+use crate::bound::Bound;
 use crate::request::Batch;
 use crate::state::{MaintenanceState, Placement};
 use cluster_types::{BackendId, Volume};
--- a/crates/maintenance/src/admission/queue_order.rs
+++ b/crates/maintenance/src/admission/queue_order.rs
@@ -1,6 +1,6 @@
 //! Which younger batches have to wait for an older one: only those that would delay it.
-use super::bound::Bound;
 use super::out_backends::OutBackends;
+use crate::bound::Bound;
 use crate::request::Batch;
 use cluster_types::BackendId;
 
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -17,6 +17,7 @@
 #![deny(missing_docs)]
 
 mod admission;
+mod bound;
 mod command;
 mod effect;
 mod facts;
@@ -37,7 +38,7 @@
 mod status;
 mod transitions;
 
-pub use admission::Bound;
+pub use bound::Bound;
 pub use command::{Command, CommandLabel, Presence};
 pub use effect::Effect;
 pub use facts::{BackendFacts, VolumeFacts};
--- a/crates/maintenance/src/member_agent/follow.rs
+++ b/crates/maintenance/src/member_agent/follow.rs
@@ -65,7 +65,7 @@
         let is_new = known.is_none_or(|tracked| tracked.order != order);
         if is_new {
             // The drain delay counts from now on.
-            actions.push(order.action(&backend));
+            actions.push(Action::to_follow(order, &backend));
             self.backends.insert(backend.clone(), TrackedBackend::new(order, now, next_serial));
         }
         if let Some(tracked) = self.backends.get_mut(&backend) {
@@ -81,7 +81,7 @@
         self.pending = None;
         for (backend, tracked) in &mut self.backends {
             if !tracked.order.is_drained() {
-                actions.push(FollowedOrder::Orphan.action(backend));
+                actions.push(Action::to_follow(FollowedOrder::Orphan, backend));
             }
             tracked.order = FollowedOrder::Orphan;
         }
--- a/crates/maintenance/src/member_agent/mod.rs
+++ b/crates/maintenance/src/member_agent/mod.rs
@@ -58,7 +58,7 @@
         let PersistedOrders { followed, orders } = persisted.unwrap_or_default();
         let mut backends = BTreeMap::new();
         for (backend, order) in orders {
-            actions.push(order.action(&backend));
+            actions.push(Action::to_follow(order, &backend));
             backends.insert(backend, TrackedBackend::new(order, now, 0));
         }
         MemberAgent {
--- a/crates/maintenance/src/member_agent/report.rs
+++ b/crates/maintenance/src/member_agent/report.rs
@@ -33,7 +33,7 @@
             // The scheduler has sent too late: it is notified again, and nothing is reported before it complies.
             self.late_sends += 1;
             tracked.ordered_at = now;
-            actions.push(tracked.order.action(backend));
+            actions.push(Action::to_follow(tracked.order, backend));
         }
         tracked.is_quiet = in_flight == 0 && measured_at >= tracked.ordered_at + self.drain_delay;
     }
--- a/crates/maintenance/src/member_agent/tracked.rs
+++ b/crates/maintenance/src/member_agent/tracked.rs
@@ -1,6 +1,4 @@
 //! What a member does with a backend, and the part of it that survives a restart.
-use super::action::Action;
-use crate::order::Quota;
 use cluster_types::{BackendId, Index, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -28,20 +26,6 @@
             FollowedOrder::Ramp(..) | FollowedOrder::Orphan => None,
         }
     }
-
-    /// What the scheduler has to do.
-    pub(super) fn action(self, backend: &BackendId) -> Action {
-        let backend = backend.clone();
-        match self {
-            FollowedOrder::Ramp(_, permille @ 1..) => {
-                Action::Undrain { backend, quota: Quota::Permille(permille) }
-            }
-            FollowedOrder::Drain(index) | FollowedOrder::Ramp(index, _) => {
-                Action::Drain { backend, order: Some(index) }
-            }
-            FollowedOrder::Orphan => Action::Drain { backend, order: None },
-        }
-    }
 }
 
 /// The orders of a member, as they survive a restart. Stored: the fields keep their order.
--- a/crates/maintenance/src/rejection.rs
+++ b/crates/maintenance/src/rejection.rs
@@ -1,5 +1,5 @@
 //! Why a command was rejected, or why a request waits.
-use crate::admission::Bound;
+use crate::bound::Bound;
 use crate::rules::RulesError;
 use cluster_types::BackendId;
 use thiserror::Error;
