--- a/crates/coordination/src/calls.rs
+++ b/crates/coordination/src/calls.rs
@@ -110,20 +110,19 @@
 
     /// How everything stands: one thing on a line.
     fn status(&self) -> String {
-        let (role, term, leader) = self.node.role();
         let view = self.view.lock();
         standing(&Standing {
             me: &self.settings.me,
-            role,
-            term,
-            leader,
-            commit: self.node.commit(),
+            role: self.node.role(),
+            term: self.node.term(),
+            leader: self.node.leader(),
+            commit: self.node.commit_index(),
             leased: self.front.has_lease(self.clock.now()),
             members: &view.members,
             figures: &view.figures,
             doubts: &view.doubts,
             frames: &self.counts,
-            refused: self.node.counts(),
+            refused: self.node.counters(),
             ledger: &self.ledger,
         })
     }
@@ -146,13 +145,13 @@
     /// All members as they are held.
     pub members: &'a [membership::Member],
     /// What membership did and refused.
-    pub figures: &'a membership::Figures,
+    pub figures: &'a membership::Counters,
     /// What is doubted.
     pub doubts: &'a [(membership::Subject, membership::Verdict)],
     /// What was bad on the links.
     pub frames: &'a crate::links::Counts,
     /// What the log refused.
-    pub refused: consensus::Counts,
+    pub refused: consensus::Counters,
     /// What the log comes to.
     pub ledger: &'a Ledger,
 }
@@ -164,19 +163,20 @@
     let (commit, applied) = (of.commit.0, of.ledger.applied.0);
     let _ = writeln!(out, "log commit={commit} applied={applied} lease={}", of.leased);
     for m in of.members {
-        let _ = writeln!(out, "member {} hall={} state={:?}", m.member, m.hall, m.state);
+        let _ = writeln!(out, "member {} hall={} state={:?}", m.member, m.zone, m.state);
     }
     let _ = writeln!(out, "membership {}", of.figures);
     let _ = writeln!(out, "frames {:?}", of.frames);
     let (refused, desk) = (&of.refused, &of.ledger.desk);
     let _ = writeln!(
         out,
-        "refused {refused:?} commands={} unread={}",
+        "refused {} commands={} unread={}",
+        refused_text(refused),
         desk.rejected_commands(),
         of.ledger.unread
     );
     for (subject, verdict) in of.doubts {
-        let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.doubt, verdict.sources);
+        let _ = writeln!(out, "doubt {subject} doubt={:.2} sources={}", verdict.score, verdict.sources);
     }
     for (name, _) in desk.open_requests() {
         if let Some(status) = desk.status(name) {
@@ -188,3 +188,18 @@
     }
     out
 }
+
+/// The counters of the log under the names that operators know.
+fn refused_text(counters: &consensus::Counters) -> String {
+    format!(
+        "Counts {{ foreign: {}, unadmitted: {}, stale: {}, malformed: {}, full: {}, leased: {}, disk: {}, unknown: {} }}",
+        counters.unknown_sender,
+        counters.unadmitted_incarnation,
+        counters.stale,
+        counters.malformed,
+        counters.over_capacity,
+        counters.lease_active,
+        counters.storage_failed,
+        counters.unknown_batch,
+    )
+}
