--- a/crates/gateway/src/backend/resp_exchange.rs
+++ b/crates/gateway/src/backend/resp_exchange.rs
@@ -39,7 +39,7 @@
             None
         };
         let event = future::or(async { stream.next().await }, timed_out).await;
-        weight.set(stream.input.memory());
+        weight.set(stream.input.allocated());
         if let Some(begun) = begin_stream(context, attempt, stream) {
             return (begun, false);
         }
@@ -90,8 +90,8 @@
 fn read_reply(context: &Context, attempt: &Attempt, stream: &mut Connection) -> Option<(AttemptEnd, bool)> {
     let is_sent = is_sent(stream);
     // Long values may arrive only while there is memory for all that are arriving.
-    let has_room =
-        stream.input.room() > 0 && (stream.input.memory() <= resp::LONGEST || !context.arriving_full());
+    let has_room = stream.input.remaining() > 0
+        && (stream.input.allocated() <= resp::LONGEST || !context.arriving_full());
     let (reply, used) = match resp::reply(stream.input.contiguous(), context.longest_value()) {
         Ok(None) if has_room => return None,
         Ok(Some(reply)) => reply,
