--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -1,9 +1,12 @@
-//! Operators' calls about changes of configuration.
+//! Operators' calls about the distributed configuration. The names in bodies and answers are those that operators know; they are
+//! mapped here.
 use crate::config_overlay::actor::ConfigOverlay;
-use crate::config_overlay::effective::bytes;
+use crate::config_overlay::effective::encode;
 use async_io::Timer;
 use cluster_types::Index;
-use config_distribution::{Class, GatewayRejection, Key, Put, Rejection, RolloutStatus, Topic, WriteBatch};
+use config_distribution::{
+    Class, GatewayRejection, Key, Lag, Put, Rejection, RolloutStatus, Topic, WriteBatch, WriteBatchError,
+};
 use coordination::distribution::{DistributionStatus, Query, QueryResponse};
 use coordination::{CoordinationMessage, OperatorCall, OperatorResponse};
 use futures_lite::future;
@@ -15,199 +18,203 @@
 pub const FOLDER: &str = "/v1/changes";
 /// A caller is answered within this time, whatever the hosts do.
 const TIMEOUT: Duration = Duration::from_millis(1_700);
+/// The answer where the voters did not settle a change in time.
+const UNSETTLED: &str =
+    "no majority of the voters could be reached: it may come yet; ordering it again does no harm\n";
 
+/// The body of a change.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct OrderIn {
-    class: ClassIn,
-    puts: Vec<PutIn>,
+struct BatchBody {
+    class: ClassName,
+    puts: Vec<PutBody>,
 }
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum ClassIn {
+enum ClassName {
     Configuration,
     Primary,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct PutIn {
+struct PutBody {
     topic: String,
     name: String,
     value: Value,
 }
 
+/// Why the body of a change is not valid; the text begins with the key at fault.
+#[derive(Debug, thiserror::Error)]
+pub enum BatchError {
+    /// It is not the JSON of a change.
+    #[error("{path}: {source}")]
+    Json {
+        /// The path of the key.
+        path: String,
+        /// The error of the parser.
+        source: serde_json::Error,
+    },
+    /// A topic is unknown.
+    #[error("puts[{0}].topic: must be fleet, region/R, zone/Z, shard/N or volume/V")]
+    Topic(usize),
+    /// A value is neither an object nor null.
+    #[error("puts[{0}].value: must be an object, or null to withdraw it")]
+    Value(usize),
+    /// The batch as a whole is not valid.
+    #[error(transparent)]
+    Batch(#[from] WriteBatchError),
+}
+
 fn topic(text: &str) -> Option<Topic> {
     match text.split_once('/') {
         None if text == "fleet" => Some(Topic::Fleet),
-        Some(("region", of)) => Some(Topic::Region(of.into())),
-        Some(("zone", of)) => Some(Topic::Zone(of.into())),
-        Some(("shard", of)) => of.parse().ok().map(Topic::Shard),
-        Some(("volume", of)) => Some(Topic::Volume(of.into())),
+        Some(("region", name)) => Some(Topic::Region(name.into())),
+        Some(("zone", name)) => Some(Topic::Zone(name.into())),
+        Some(("shard", number)) => number.parse().ok().map(Topic::Shard),
+        Some(("volume", name)) => Some(Topic::Volume(name.into())),
         _ => None,
     }
 }
 
-/// An order from a body; else the key at fault.
-fn read(body: &[u8]) -> Result<WriteBatch, String> {
+/// Parses the body of a change.
+///
+/// # Errors
+/// [`BatchError`], whose text begins with the key at fault.
+pub fn parse(body: &[u8]) -> Result<WriteBatch, BatchError> {
     let mut json = serde_json::Deserializer::from_slice(body);
-    let read: OrderIn =
-        serde_path_to_error::deserialize(&mut json).map_err(|e| format!("{}: {}", e.path(), e.inner()))?;
-    let class = match read.class {
-        ClassIn::Configuration => Class::Configuration,
-        ClassIn::Primary => Class::Primary,
+    let parsed: BatchBody = serde_path_to_error::deserialize(&mut json)
+        .map_err(|error| BatchError::Json { path: error.path().to_string(), source: error.into_inner() })?;
+    let class = match parsed.class {
+        ClassName::Configuration => Class::Configuration,
+        ClassName::Primary => Class::Primary,
     };
-    let mut order = WriteBatch::default();
-    for (i, put) in read.puts.into_iter().enumerate() {
-        let Some(topic) = topic(&put.topic) else {
-            return Err(format!("puts[{i}].topic: must be fleet, region/R, zone/Z, shard/N or volume/V"));
-        };
+    let mut batch = WriteBatch::default();
+    for (index, put) in parsed.puts.into_iter().enumerate() {
+        let topic = topic(&put.topic).ok_or(BatchError::Topic(index))?;
         if !put.value.is_object() && !put.value.is_null() {
-            return Err(format!("puts[{i}].value: must be an object, or null to withdraw it"));
+            return Err(BatchError::Value(index));
         }
-        let value = (!put.value.is_null()).then(|| bytes(&put.value));
-        order.puts.push(Put { class, key: Key::new(topic, &put.name), value });
+        let value = (!put.value.is_null()).then(|| encode(&put.value));
+        batch.puts.push(Put { class, key: Key::new(topic, &put.name), value });
     }
-    order.check().map_err(|fault| fault.to_string())?;
-    Ok(order)
+    batch.check()?;
+    Ok(batch)
 }
 
 /// The answer to a call under the folder.
 pub async fn answer(
-    config_overlay: Option<&ConfigOverlay>,
+    overlay: Option<&ConfigOverlay>,
     coordination: Option<&coordination::Handle>,
     method: &str,
     target: &str,
     body: &[u8],
 ) -> Vec<u8> {
-    let Some(config_overlay) = config_overlay else {
+    let Some(overlay) = overlay else {
         return http::answer(404, "Not Found", "changes: not in the configuration\n");
     };
     let rest = target.strip_prefix(FOLDER).unwrap_or_default();
-    match (method, rest.strip_prefix('/').filter(|n| !n.is_empty()), coordination) {
-        ("POST", None, Some(coordination)) if config_overlay.votes => order(coordination, body).await,
+    let version = rest.strip_prefix('/').filter(|version| !version.is_empty());
+    match (method, version, coordination) {
+        ("POST", None, Some(coordination)) if overlay.is_voter => change(coordination, body).await,
         ("POST", None, _) => {
-            let what = if config_overlay.handle.serves_subscribers() { "a relay" } else { "a front" };
-            let why =
-                format!("this is {what} and has no vote: order where [accord] and changes.listen are\n");
-            http::answer(409, "Conflict", &why)
+            let role = if overlay.handle.serves_subscribers() { "a relay" } else { "a front" };
+            let text =
+                format!("this is {role} and has no vote: order where [accord] and changes.listen are\n");
+            http::answer(409, "Conflict", &text)
         }
-        ("GET", None, _) => ask(config_overlay, Query::Status).await,
+        ("GET", None, _) => query(overlay, Query::Status).await,
         ("GET", Some(version), _) => match version.parse() {
-            Ok(version) => ask(config_overlay, Query::Rollout(Index(version))).await,
+            Ok(version) => query(overlay, Query::Rollout(Index(version))).await,
             Err(_) => http::answer(400, "Bad Request", "version: must be a number\n"),
         },
         _ => http::answer(405, "Method Not Allowed", "GET the state, POST what changes it\n"),
     }
 }
 
-async fn within<T>(answer: impl std::future::Future<Output = Option<T>>) -> Option<T> {
-    let late = async {
+async fn with_timeout<T>(answer: impl std::future::Future<Output = Option<T>>) -> Option<T> {
+    let timed_out = async {
         Timer::after(TIMEOUT).await;
         None
     };
-    future::or(answer, late).await
+    future::or(answer, timed_out).await
 }
 
-async fn order(coordination: &coordination::Handle, body: &[u8]) -> Vec<u8> {
-    let order = match read(body) {
-        Ok(order) => order,
-        Err(why) => return http::answer(400, "Bad Request", &format!("{why}\n")),
+/// Proposes a change to the voters, and answers with its version.
+async fn change(coordination: &coordination::Handle, body: &[u8]) -> Vec<u8> {
+    let batch = match parse(body) {
+        Ok(batch) => batch,
+        Err(error) => return http::answer(400, "Bad Request", &format!("{error}\n")),
     };
     let (to, from) = async_channel::bounded(1);
-    if !coordination.send(CoordinationMessage::Call(OperatorCall::ChangeConfig(order), to)) {
+    if !coordination.send(CoordinationMessage::Call(OperatorCall::ChangeConfig(batch), to)) {
         return http::answer(503, "Service Unavailable", "too many calls wait\n");
     }
-    match within(async { from.recv().await.ok() }).await {
+    match with_timeout(async { from.recv().await.ok() }).await {
         Some(OperatorResponse::Done(version)) => {
             http::answer(200, "OK", &format!("{{\"version\":{version}}}\n"))
         }
-        Some(OperatorResponse::NotFound(why)) => http::answer(400, "Bad Request", &why),
-        Some(OperatorResponse::Rejected(why)) => http::answer(409, "Conflict", &why),
-        Some(OperatorResponse::Unsettled(_)) | None => {
-            let why = "no majority of the voters could be reached: it may come yet; ordering it again does no harm\n";
-            http::answer(503, "Service Unavailable", why)
-        }
+        Some(OperatorResponse::NotFound(text)) => http::answer(400, "Bad Request", &text),
+        Some(OperatorResponse::Rejected(text)) => http::answer(409, "Conflict", &text),
+        Some(OperatorResponse::Unsettled(_)) | None => http::answer(503, "Service Unavailable", UNSETTLED),
     }
 }
 
-async fn ask(config_overlay: &ConfigOverlay, query: Query) -> Vec<u8> {
+async fn query(overlay: &ConfigOverlay, query: Query) -> Vec<u8> {
     let (to, from) = async_channel::bounded(1);
-    let asked = config_overlay.handle.ask(query, to);
-    match within(async { from.recv().await.ok().filter(|_| asked) }).await {
-        Some(QueryResponse::Rollout(told)) => http::answer(200, "OK", &format!("{}\n", not_yet(&told))),
-        Some(QueryResponse::Status(told)) => {
-            http::answer(200, "OK", &format!("{}\n", state(&told, config_overlay.passed_over())))
+    let is_sent = overlay.handle.ask(query, to);
+    match with_timeout(async { from.recv().await.ok().filter(|_| is_sent) }).await {
+        Some(QueryResponse::Rollout(rollout)) => {
+            http::answer(200, "OK", &format!("{}\n", rollout_json(&rollout)))
+        }
+        Some(QueryResponse::Status(status)) => {
+            http::answer(200, "OK", &format!("{}\n", status_json(&status, overlay.unknown_keys())))
         }
         Some(QueryResponse::AskRelays(relays)) => {
-            let why = format!("this is a front and knows of no others: ask {}\n", relays.join(" or "));
-            http::answer(409, "Conflict", &why)
+            let text = format!("this is a front and knows of no others: ask {}\n", relays.join(" or "));
+            http::answer(409, "Conflict", &text)
         }
         None => http::answer(503, "Service Unavailable", "no answer in time\n"),
     }
 }
 
-fn refusal(refusal: &Rejection) -> Value {
-    json!({ "key": refusal.key.to_string(), "version": refusal.version.0, "why": refusal.reason })
+fn rejection_json(rejection: &Rejection) -> Value {
+    json!({ "key": rejection.key.to_string(), "version": rejection.version.0, "why": rejection.reason })
 }
 
-fn not_yet(told: &RolloutStatus) -> Value {
-    let lag = |lag: &config_distribution::Lag| json!({ "front": lag.gateway, "owes": lag.first_pending.0, "why": lag.reason });
-    let refused = |GatewayRejection { gateway, rejection }: &GatewayRejection| {
-        let mut value = refusal(rejection);
+/// Where a version has not taken effect yet.
+fn rollout_json(rollout: &RolloutStatus) -> Value {
+    let lag = |lag: &Lag| json!({ "front": lag.gateway, "owes": lag.first_pending.0, "why": lag.reason });
+    let rejection = |GatewayRejection { gateway, rejection }: &GatewayRejection| {
+        let mut value = rejection_json(rejection);
         value["front"] = json!(gateway);
         value
     };
     json!({
-        "everywhere": told.is_everywhere,
-        "fronts": told.gateways,
-        "lags": told.lags.iter().map(lag).collect::<Vec<_>>(),
-        "more": told.unnamed_lagging,
-        "relays_behind": told.lagging_relays,
-        "relays_silent": told.silent_relays,
-        "refused": told.rejections.iter().map(refused).collect::<Vec<_>>(),
-        "refusing": told.rejecting,
+        "everywhere": rollout.is_everywhere,
+        "fronts": rollout.gateways,
+        "lags": rollout.lags.iter().map(lag).collect::<Vec<_>>(),
+        "more": rollout.unnamed_lagging,
+        "relays_behind": rollout.lagging_relays,
+        "relays_silent": rollout.silent_relays,
+        "refused": rollout.rejections.iter().map(rejection).collect::<Vec<_>>(),
+        "refusing": rollout.rejecting,
     })
 }
 
-fn state(told: &DistributionStatus, passed_over: u64) -> Value {
-    let counts: serde_json::Map<String, Value> =
-        told.counters.iter().map(|(what, count)| (what.to_string(), json!(count))).collect();
+/// The state of this machine.
+fn status_json(status: &DistributionStatus, unknown_keys: u64) -> Value {
+    let counters: serde_json::Map<String, Value> =
+        status.counters.iter().map(|(name, count)| (name.to_string(), json!(count))).collect();
     json!({
-        "role": told.role,
-        "lineage": told.log_id,
-        "upto": told.decided_up_to.0,
-        "follows": told.follows.as_ref().map(|relay| &*relay.0),
-        "heard_s": told.since_relay_message.map(|span| (span.as_secs_f64() * 1000.0).round() / 1000.0),
-        "refused": told.rejections.iter().map(refusal).collect::<Vec<_>>(),
-        "passed_over": passed_over,
-        "counts": counts,
+        "role": status.role,
+        "lineage": status.log_id,
+        "upto": status.decided_up_to.0,
+        "follows": status.follows.as_ref().map(|relay| &*relay.0),
+        "heard_s": status.since_relay_message.map(|span| (span.as_secs_f64() * 1000.0).round() / 1000.0),
+        "refused": status.rejections.iter().map(rejection_json).collect::<Vec<_>>(),
+        "passed_over": unknown_keys,
+        "counts": counters,
     })
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_order_is_understood_or_refused_with_its_key() {
-        let good = br#"{"class":"primary","puts":[{"topic":"shard/3","name":"box","value":{"a":1}},
-            {"topic":"zone/z","name":"settings","value":null}]}"#;
-        let order = read(good).unwrap();
-        assert_eq!(order.puts[0].key, Key::new(Topic::Shard(3), "box"));
-        assert_eq!((order.puts[0].class, order.puts[1].value.clone()), (Class::Primary, None));
-        for (body, key) in [
-            (r#"{"class":"fast","puts":[]}"#, "class"),
-            (r#"{"class":"primary","puts":[]}"#, "order"),
-            (r#"{"class":"primary","puts":[{"topic":"hall/x","name":"a","value":{}}]}"#, "puts[0].topic"),
-            (r#"{"class":"primary","puts":[{"topic":"fleet","name":"a","value":7}]}"#, "puts[0].value"),
-            (r#"{"class":"primary","puts":[{"topic":"fleet","name":"a"}]}"#, "puts[0]"),
-            (r#"{"class":"primary","puts":[{"topic":"fleet","name":"","value":null}]}"#, "fleet/"),
-            (r#"{"class":"primary","by":1}"#, "by"),
-        ] {
-            let why = read(body.as_bytes()).unwrap_err();
-            assert!(why.starts_with(key), "{body}: {why}");
-        }
-    }
-}
--- a/crates/gateway/src/admin/coordination_calls.rs
+++ b/crates/gateway/src/admin/coordination_calls.rs
@@ -1,4 +1,5 @@
-//! Operators' calls about what the fronts settle among themselves.
+//! Operators' calls to the coordination group: its status, and maintenance requests. The names in paths, queries and texts are those that
+//! operators know (`wish`, `box`, `front`); they are mapped here.
 use async_io::Timer;
 use cluster_types::{BackendId, MemberId};
 use coordination::{CoordinationMessage, Handle, OperatorCall, OperatorResponse};
@@ -8,34 +9,78 @@
 
 /// Where these calls are.
 pub const FOLDER: &str = "/v1/accord";
-/// A caller is answered within this time, whatever the hosts do.
+/// A caller is answered within this time, whatever the host does.
 const TIMEOUT: Duration = Duration::from_millis(1_700);
+/// The queries of a maintenance request.
+const QUERIES: [&str; 4] = ["boxes", "work_s", "by_s", "together"];
+/// The spans that a query may name, in seconds.
+const SPANS_S: std::ops::RangeInclusive<f64> = 0.001..=31_536_000.0;
+/// Deadlines are rounded up to this, in milliseconds: a request that is repeated under its name must be the same request.
+const DEADLINE_STEP_MS: u64 = 60_000;
+
+/// Why a call is not valid; the text goes to the operator.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CallError {
+    /// The path is unknown.
+    #[error("/v1/accord, /v1/accord/wishes/NAME with /withdraw, /done or /returned, /v1/accord/members/NAME/excuse\n")]
+    UnknownPath,
+    /// The path has another method.
+    #[error("GET the state, POST what changes it\n")]
+    Method,
+    /// A query is unknown.
+    #[error("{0}: unknown; a wish has boxes, work_s, by_s and together\n")]
+    UnknownQuery(String),
+    /// The query `boxes` is missing.
+    #[error("boxes: which ones? boxes=ID,ID\n")]
+    NoBackends,
+    /// The query `box` is missing.
+    #[error("box: which one is back?\n")]
+    NoBackend,
+    /// The query `work_s` is missing.
+    #[error("work_s: for how long may each be out?\n")]
+    NoWorkTime,
+    /// A span is out of range, or no number.
+    #[error("{0}: must be seconds, up to a year\n")]
+    Span(&'static str),
+    /// The query `together` is neither 0 nor 1.
+    #[error("together: must be 0 or 1\n")]
+    Together,
+}
+
+impl CallError {
+    /// The status of the answer.
+    pub fn status(&self) -> (u16, &'static str) {
+        match self {
+            CallError::UnknownPath => (404, "Not Found"),
+            CallError::Method => (405, "Method Not Allowed"),
+            _ => (400, "Bad Request"),
+        }
+    }
+}
 
 /// The answer to a call under the folder.
 pub async fn answer(handle: Option<&Handle>, method: &str, target: &str) -> Vec<u8> {
     let Some(handle) = handle else {
         return http::answer(404, "Not Found", "accord: not in the configuration\n");
     };
-    let call = match read(method, target) {
+    let call = match parse(method, target) {
         Ok(call) => call,
-        Err((405, why)) => return http::answer(405, "Method Not Allowed", &why),
-        Err((404, why)) => return http::answer(404, "Not Found", &why),
-        Err((_, why)) => return http::answer(400, "Bad Request", &why),
+        Err(error) => {
+            let (code, reason) = error.status();
+            return http::answer(code, reason, &error.to_string());
+        }
     };
     let (to, from) = async_channel::bounded(1);
     if !handle.send(CoordinationMessage::Call(call, to)) {
         return http::answer(503, "Service Unavailable", "too many calls wait\n");
     }
-    let late = async {
+    let timed_out = async {
         Timer::after(TIMEOUT).await;
         OperatorResponse::Unsettled("no answer in time: ask again under the same name\n".into())
     };
-    match future::or(
-        async { from.recv().await.unwrap_or(OperatorResponse::Unsettled("the front ends\n".into())) },
-        late,
-    )
-    .await
-    {
+    let response =
+        async { from.recv().await.unwrap_or(OperatorResponse::Unsettled("the front ends\n".into())) };
+    match future::or(response, timed_out).await {
         OperatorResponse::Done(text) => http::answer(200, "OK", &text),
         OperatorResponse::NotFound(text) => http::answer(404, "Not Found", &text),
         OperatorResponse::Rejected(text) => http::answer(409, "Conflict", &text),
@@ -43,112 +88,64 @@
     }
 }
 
-type Bad = (u16, String);
-
-fn bad<T>(why: impl Into<String>) -> Result<T, Bad> {
-    Err((400, format!("{}\n", why.into())))
-}
-
-/// What a call asks for: `/v1/accord`, `/v1/accord/wishes/NAME[/withdraw|/done|/returned]`, `/v1/accord/members/NAME/excuse`.
-fn read(method: &str, target: &str) -> Result<OperatorCall, Bad> {
+/// Parses a call: `/v1/accord`, `/v1/accord/wishes/NAME[/withdraw|/done|/returned]`, `/v1/accord/members/NAME/excuse`.
+///
+/// # Errors
+/// [`CallError`], whose text begins with the query at fault, if any.
+pub fn parse(method: &str, target: &str) -> Result<OperatorCall, CallError> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let words: Vec<String> = path.split('/').skip(3).map(http::unescape).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let query: BTreeMap<String, String> = form_urlencoded::parse(query.as_bytes()).into_owned().collect();
-    let get = method == "GET";
-    let call = match words.as_slice() {
-        [] | [""] if get => OperatorCall::Status,
-        ["wishes", name] if get => OperatorCall::RequestStatus { name: name.to_string() },
-        ["wishes", name] if method == "POST" => wish(name, &query)?,
-        ["wishes", name, "withdraw"] if method == "POST" => OperatorCall::Withdraw { name: name.to_string() },
-        ["wishes", name, "done"] if method == "POST" => OperatorCall::Done { name: name.to_string() },
-        ["wishes", name, "returned"] if method == "POST" => match query.get("box") {
-            Some(id) => {
-                OperatorCall::Returned { name: name.to_string(), backend: BackendId(id.as_str().into()) }
-            }
-            None => return bad("box: which one is back?"),
-        },
-        ["members", name, "excuse"] if method == "POST" => {
-            OperatorCall::DeclareDead { member: MemberId((*name).into()) }
+    match (method, words.as_slice()) {
+        ("GET", [] | [""]) => Ok(OperatorCall::Status),
+        ("GET", ["wishes", name]) => Ok(OperatorCall::RequestStatus { name: (*name).to_owned() }),
+        ("POST", ["wishes", name]) => maintenance_request(name, &query),
+        ("POST", ["wishes", name, "withdraw"]) => Ok(OperatorCall::Withdraw { name: (*name).to_owned() }),
+        ("POST", ["wishes", name, "done"]) => Ok(OperatorCall::Done { name: (*name).to_owned() }),
+        ("POST", ["wishes", name, "returned"]) => {
+            let backend = query.get("box").ok_or(CallError::NoBackend)?;
+            let (name, backend) = ((*name).to_owned(), BackendId(backend.as_str().into()));
+            Ok(OperatorCall::Returned { name, backend })
         }
-        []
-        | [""]
-        | ["wishes", _]
-        | ["wishes", _, "withdraw" | "done" | "returned"]
-        | ["members", _, "excuse"] => return Err((405, "GET the state, POST what changes it\n".into())),
-        _ => {
-            let what = "/v1/accord, /v1/accord/wishes/NAME with /withdraw, /done or /returned, /v1/accord/members/NAME/excuse\n";
-            return Err((404, what.into()));
+        ("POST", ["members", name, "excuse"]) => {
+            Ok(OperatorCall::DeclareDead { member: MemberId((*name).into()) })
         }
-    };
-    Ok(call)
+        (_, [] | [""] | ["wishes", _])
+        | (_, ["wishes", _, "withdraw" | "done" | "returned"] | ["members", _, "excuse"]) => {
+            Err(CallError::Method)
+        }
+        _ => Err(CallError::UnknownPath),
+    }
 }
 
-fn wish(name: &str, query: &BTreeMap<String, String>) -> Result<OperatorCall, Bad> {
-    const KEYS: [&str; 4] = ["boxes", "work_s", "by_s", "together"];
-    if let Some(key) = query.keys().find(|k| !KEYS.contains(&k.as_str())) {
-        return bad(format!("{key}: unknown; a wish has boxes, work_s, by_s and together"));
+fn maintenance_request(name: &str, query: &BTreeMap<String, String>) -> Result<OperatorCall, CallError> {
+    if let Some(unknown) = query.keys().find(|key| !QUERIES.contains(&key.as_str())) {
+        return Err(CallError::UnknownQuery(unknown.clone()));
     }
-    let boxes: BTreeSet<BackendId> = query
-        .get("boxes")
-        .map(|t| t.split(',').filter(|b| !b.is_empty()).map(BackendId::from).collect())
-        .unwrap_or_default();
-    if boxes.is_empty() {
-        return bad("boxes: which ones? boxes=ID,ID");
+    let ids = query.get("boxes").map(String::as_str).unwrap_or_default();
+    let backends: BTreeSet<BackendId> =
+        ids.split(',').filter(|id| !id.is_empty()).map(BackendId::from).collect();
+    if backends.is_empty() {
+        return Err(CallError::NoBackends);
     }
-    let seconds = |key: &str| -> Result<Option<u64>, Bad> {
-        match query.get(key).map(|t| t.parse::<f64>()) {
-            None => Ok(None),
-            Some(Ok(s)) if (0.001..=31_536_000.0).contains(&s) => Ok(Some((s * 1000.0) as u64)),
-            Some(_) => bad(format!("{key}: must be seconds, up to a year")),
-        }
-    };
-    let Some(work_ms) = seconds("work_s")? else { return bad("work_s: for how long may each be out?") };
+    let work_ms = span_ms(query, "work_s")?.ok_or(CallError::NoWorkTime)?;
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    // By the minute: a wish that is said again under its name must be the same wish.
-    let by_ms = seconds("by_s")?.map(|ms| (unix + ms).div_ceil(60_000) * 60_000);
-    let together = match query.get("together").map(String::as_str) {
+    let deadline_ms =
+        span_ms(query, "by_s")?.map(|span| (unix + span).div_ceil(DEADLINE_STEP_MS) * DEADLINE_STEP_MS);
+    let all_at_once = match query.get("together").map(String::as_str) {
         None | Some("0") => false,
         Some("1") => true,
-        Some(_) => return bad("together: must be 0 or 1"),
+        Some(_) => return Err(CallError::Together),
     };
-    Ok(OperatorCall::RequestMaintenance {
-        name: name.into(),
-        backends: boxes,
-        work_ms,
-        deadline_ms: by_ms,
-        all_at_once: together,
-    })
+    Ok(OperatorCall::RequestMaintenance { name: name.into(), backends, work_ms, deadline_ms, all_at_once })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn calls_are_understood_or_refused_in_plain_words() {
-        let wish = read("POST", "/v1/accord/wishes/shelf%204?boxes=box-04,box-05&work_s=90&together=1");
-        let boxes = ["box-04".into(), "box-05".into()].into();
-        let want = OperatorCall::RequestMaintenance {
-            name: "shelf 4".into(),
-            backends: boxes,
-            work_ms: 90_000,
-            deadline_ms: None,
-            all_at_once: true,
-        };
-        assert_eq!(wish, Ok(want));
-        assert_eq!(read("GET", "/v1/accord"), Ok(OperatorCall::Status));
-        assert_eq!(read("POST", "/v1/accord").unwrap_err().0, 405);
-        assert_eq!(read("GET", "/v1/accord/other").unwrap_err().0, 404);
-        for (query, key) in [
-            ("", "boxes"),
-            ("boxes=a", "work_s"),
-            ("boxes=a&work_s=x", "work_s"),
-            ("boxes=a&work_s=1&together=yes", "together"),
-            ("boxes=a&work_s=1&until=5", "until"),
-        ] {
-            let (code, why) = read("POST", &format!("/v1/accord/wishes/w?{query}")).unwrap_err();
-            assert!(code == 400 && why.starts_with(key), "{query}: {code} {why}");
-        }
+/// A query in seconds, as milliseconds.
+fn span_ms(query: &BTreeMap<String, String>, key: &'static str) -> Result<Option<u64>, CallError> {
+    match query.get(key).map(|text| text.parse::<f64>()) {
+        None => Ok(None),
+        Some(Ok(seconds)) if SPANS_S.contains(&seconds) => Ok(Some((seconds * 1000.0) as u64)),
+        Some(_) => Err(CallError::Span(key)),
     }
 }
--- a/crates/gateway/src/admin/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -110,7 +110,7 @@
         let _ = writeln!(text, "app.{name}={count}");
     }
     if let Some(gathering) = &operators.gathering {
-        gathering.figures(&mut text);
+        gathering.write_metrics(&mut text);
     }
     text
 }
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -13,7 +13,7 @@
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
-use crate::scatter_gather::handle::{Gathering, Owed};
+use crate::scatter_gather::handle::{GatherClient, Gathering};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use dispatch::Bytes;
@@ -107,7 +107,7 @@
             last_progress: Progress { written: 0, at: context.clock.now() },
             context: context.clone(),
             scheduler: scheduler.clone(),
-            gathers: gathering.clone().map(|gathering| Owed::new(gathering, PIPELINE)),
+            gathers: gathering.clone().map(|gathering| GatherClient::new(gathering, PIPELINE)),
         }
     }
 }
@@ -213,8 +213,8 @@
         }
     };
     let gathered = async {
-        let Some(owed) = &session.gathers else { return future::pending().await };
-        match owed.answers.1.recv().await {
+        let Some(gathers) = &session.gathers else { return future::pending().await };
+        match gathers.responses.1.recv().await {
             Ok((slot, response)) => Wakeup::Gathered(slot, response),
             Err(_) => future::pending().await,
         }
@@ -223,11 +223,11 @@
     future::or(future::or(answer, socket), future::or(gathered, others)).await
 }
 
-/// Tells whoever works on them that the client of the open requests has gone.
+/// Cancels the open requests: their client has left.
 async fn cancel_open_requests(session: &Session) {
     for slot in session.slots.iter().filter(|slot| slot.response.is_none()) {
         match (slot.id, session.gathers.as_ref().filter(|_| slot.is_gathered)) {
-            (Some(id), Some(owed)) => owed.gathering.left(id).await,
+            (Some(id), Some(gathers)) => gathers.gathering.left(id).await,
             // The mailbox is closed only at the end of the process.
             (Some(id), None) => drop(session.scheduler.send(SchedulerMessage::Left(id)).await),
             (None, _) => {}
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -10,7 +10,7 @@
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::Connection;
-use crate::scatter_gather::handle::{Begin, Owed};
+use crate::scatter_gather::handle::{Begin, GatherClient};
 use async_channel::Sender;
 use dispatch::Request;
 use ring_buffer::RingBuffer;
@@ -79,7 +79,7 @@
     /// When a response last made progress.
     pub last_progress: Progress,
     /// The session's side of the scatter-gather actor, where there is one.
-    pub gathers: Option<Owed>,
+    pub gathers: Option<GatherClient>,
 }
 
 impl Session {
@@ -220,12 +220,15 @@
 
     /// Hands a request that is gathered from shards to its actor; returns any other.
     fn gather(&mut self, request: Request) -> Option<Request> {
-        let policy = self.gathers.as_ref().and_then(|o| o.gathering.policy(&self.context.config(), &request));
-        let (Some(owed), Some(policy)) = (&self.gathers, policy) else { return Some(request) };
+        let policy = self
+            .gathers
+            .as_ref()
+            .and_then(|gathers| gathers.gathering.policy(&self.context.config(), &request));
+        let (Some(gathers), Some(policy)) = (&self.gathers, policy) else { return Some(request) };
         let (id, class) = (self.context.number(), request.class);
         let slot = self.next_slot();
-        let begin = Begin { id, policy, request, slot, to: owed.answers.0.clone() };
-        if owed.gathering.begin(begin) {
+        let begin = Begin { id, policy, request, slot, to: gathers.responses.0.clone() };
+        if gathers.gathering.begin(begin) {
             self.slots.push_back(Slot { id: Some(id), is_gathered: true, response: None });
         } else {
             self.reject(class);
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -1,32 +1,43 @@
-//! Changes of configuration at this front: what relays tell is put in force whole or not at all, over the file. An actor that
-//! meets the host (`coordination::distribution`) through mailboxes; without the section `[changes]` it is never started.
+//! The distributed configuration at this gateway: updates from relays are applied whole or not at all, over the file's configuration. An
+//! actor that meets its host (`coordination::distribution`) through mailboxes; without the section `[changes]` it is never started.
 use crate::admin::operators::Operators;
 use crate::backend::pool::BackendPool;
-use crate::config_overlay::effective::{EffectiveConfig, Next, Refused};
+use crate::config_overlay::effective::{EffectiveConfig, Next, Rejection};
+use crate::config_overlay::host_settings::host_settings;
 use crate::context::Context;
-use crate::coordination::member::chance;
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
-use cluster_types::MemberId;
-use config::{Changes, Config};
-use config_distribution::{RateLimit, Scope, Topic};
-use coordination::distribution::{ConfigUpdate, Handle, Mailbox, Role, Settings, Upstream};
+use config::Config;
+use config_distribution::Change;
+use coordination::distribution::{ConfigUpdate, Handle, Mailbox, Role};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
-use std::time::Duration;
 
-/// What is in force of changes.
+/// The distributed configuration as it is applied.
 pub struct ConfigOverlay {
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     pool: Rc<BackendPool>,
-    /// The front's end of the host's mailbox.
+    /// The gateway's end of the host's mailbox.
     pub handle: Handle,
-    /// Whether this machine has a vote in the log.
-    pub votes: bool,
+    /// Whether this member votes on the log.
+    pub is_voter: bool,
     values: RefCell<EffectiveConfig>,
-    passed_over: Cell<u64>,
+    unknown_keys: Cell<u64>,
+}
+
+/// Why the distributed configuration could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum OverlayError {
+    /// The configuration has no such section.
+    #[error("changes: not in the configuration")]
+    NotConfigured,
+    /// The section is faulty.
+    #[error(transparent)]
+    Config(#[from] config::Fault),
+    /// The host could not start.
+    #[error(transparent)]
+    Host(#[from] coordination::distribution::StartError),
 }
 
 /// The host's mailbox, where the configuration has the section.
@@ -34,170 +45,104 @@
     config.changes.as_ref().map(|_| Mailbox::new())
 }
 
-/// Relays in the order of preference; which of equals is the first hangs on the name, so that they share the fronts.
-fn in_order(name: &str, relays: &[config::Upstream]) -> Vec<Upstream> {
-    let mut hash = DefaultHasher::new();
-    name.hash(&mut hash);
-    let turn = hash.finish() as usize;
-    let upstream = |r: &config::Upstream| Upstream { name: MemberId(r.name.as_str().into()), address: r.at };
-    let rotated = relays.chunk_by(|_, next| next.equal).flat_map(|equals| {
-        let (after, first) = equals.split_at(turn % equals.len());
-        first.iter().chain(after).map(upstream)
-    });
-    rotated.collect()
-}
-
-fn settings(config: &Config, section: &Changes) -> Result<Settings, String> {
-    let topics = section.region.iter().map(|of| Topic::Region(of.as_str().into()));
-    let topics = topics.chain(section.zone.iter().map(|of| Topic::Zone(of.as_str().into())));
-    let topics = topics.chain(section.shards.iter().map(|of| Topic::Shard(*of)));
-    let topics = topics.chain(section.volumes.iter().map(|of| Topic::Volume(of.as_str().into())));
-    let role = match section.listen {
-        Some(at) if config.accord.is_some() => Role::Voter { listen: at },
-        Some(at) => Role::Relay { listen: at },
-        None => Role::Subscriber { scope: Scope::of(topics), state_dir: section.state.clone() },
-    };
-    let machine = config_distribution::Settings {
-        batch_interval: Duration::from_secs_f64(section.batch_s),
-        max_subscribers: section.most as usize,
-        subscription_rate: RateLimit {
-            bytes_per_second: section.admission_bytes_s,
-            burst_bytes: section.admission_bytes_s,
-        },
-        ..config_distribution::Settings::default()
-    };
-    let voters =
-        config.accord.iter().flat_map(|coordination| &coordination.members).map(|member| &member.name);
-    let expects = voters.chain(section.relays.iter().map(|relay| &relay.name));
-    Ok(Settings {
-        me: MemberId(config.name.as_str().into()),
-        role,
-        expected_reporters: expects.map(|name| MemberId(name.as_str().into())).collect(),
-        relays: in_order(&config.name, &section.relays),
-        keys: section.keys().map_err(|e| e.to_string())?,
-        limits: machine,
-        fleet_size: config.settings.gateways,
-        seed: chance(),
-    })
-}
-
-/// Starts the host; an error names the key. What was kept is in force when this returns.
-pub async fn start(on: &Operators, mailbox: Mailbox) -> Result<Rc<ConfigOverlay>, String> {
-    let Operators { context, scheduler, pool, coordination, .. } = on;
+/// Starts the host and the actor. A saved configuration is applied before this returns.
+///
+/// # Errors
+/// [`OverlayError`], whose text begins with the key.
+pub async fn start(operators: &Operators, mailbox: Mailbox) -> Result<Rc<ConfigOverlay>, OverlayError> {
+    let Operators { context, scheduler, pool, coordination, .. } = operators;
     let config = context.config();
-    let Some(section) = &config.changes else { return Err("changes: not in the configuration".into()) };
-    let settings = settings(&config, section)?;
-    let votes = matches!(settings.role, Role::Voter { .. });
+    let section = config.changes.as_ref().ok_or(OverlayError::NotConfigured)?;
+    let settings = host_settings(&config, section)?;
+    let is_voter = matches!(settings.role, Role::Voter { .. });
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let started = coordination::distribution::start(settings, mailbox, coordination.as_ref(), log)
-        .map_err(|e| e.to_string())?;
-    let config_overlay = Rc::new(ConfigOverlay {
+    let started = coordination::distribution::start(settings, mailbox, coordination.as_ref(), log)?;
+    let overlay = Rc::new(ConfigOverlay {
         context: context.clone(),
         scheduler: scheduler.clone(),
         pool: pool.clone(),
         handle: started.handle,
-        votes,
+        is_voter,
         values: RefCell::default(),
-        passed_over: Cell::new(0),
+        unknown_keys: Cell::new(0),
     });
+    let updates = started.updates;
     if started.has_saved_config {
-        if let Ok(first) = started.updates.recv().await {
-            config_overlay.decide(first).await;
+        if let Ok(saved) = updates.recv().await {
+            overlay.take_update(saved).await;
         }
     }
-    let (follows, decides) = (config_overlay.clone(), started.updates);
-    let follow = async move {
-        while let Ok(next) = decides.recv().await {
-            follows.decide(next).await;
+    let actor = overlay.clone();
+    let following = async move {
+        while let Ok(update) = updates.recv().await {
+            actor.take_update(update).await;
         }
     };
-    context.executor.spawn(follow).detach();
-    Ok(config_overlay)
+    context.executor.spawn(following).detach();
+    Ok(overlay)
 }
 
 impl ConfigOverlay {
-    /// What lies over the file's settings.
+    /// The settings that are laid over the file's, in order.
     pub fn settings(&self) -> Vec<Value> {
         self.values.borrow().settings()
     }
 
-    /// Keys that meant nothing here.
-    pub fn passed_over(&self) -> u64 {
-        self.passed_over.get()
+    /// How many keys meant nothing to this gateway.
+    pub fn unknown_keys(&self) -> u64 {
+        self.unknown_keys.get()
     }
 
-    /// Keys change in service.
-    pub fn rekey(&self, old: &Config, new: &Config) {
-        let keys = |c: &Config| c.changes.as_ref().and_then(|changes| changes.keys().ok());
-        if let Some(keys) = keys(new).filter(|k| Some(*k) != keys(old)) {
-            self.handle.set_keys(keys);
+    /// Hands changed keys to the host.
+    pub fn replace_keys(&self, old: &Config, new: &Config) {
+        let keys = |config: &Config| config.changes.as_ref().and_then(|changes| changes.keys().ok());
+        if let Some(new_keys) = keys(new).filter(|new_keys| Some(*new_keys) != keys(old)) {
+            self.handle.set_keys(new_keys);
         }
     }
 
-    /// Puts in force, and tells what could not be.
-    async fn decide(&self, decide: ConfigUpdate) {
-        let ConfigUpdate { is_complete: whole, changes } = &decide;
-        let refused = match self.next(*whole, changes) {
+    /// Applies an update, or rejects it, and reports which.
+    async fn take_update(&self, update: ConfigUpdate) {
+        let ConfigUpdate { is_complete, changes } = &update;
+        let rejections = match self.next(*is_complete, changes) {
             Ok(next) => {
-                self.put(next).await;
+                self.apply(next).await;
                 let newest = changes.iter().map(|change| change.version.0).max().unwrap_or(0);
                 let count = changes.len();
-                crate::log::line(format_args!("changes in_force={count} whole={whole} newest={newest}"));
+                crate::log::line(format_args!(
+                    "changes applied={count} complete={is_complete} newest={newest}"
+                ));
                 vec![]
             }
-            Err(refused) => {
-                for (key, why) in &refused {
-                    crate::log::line(format_args!("changes refused={key} why={why}"));
+            Err(rejections) => {
+                for Rejection { key, error } in &rejections {
+                    crate::log::line(format_args!("changes rejected={key} reason={error}"));
                 }
-                refused
+                rejections
             }
         };
-        self.handle.report_decided(refused).await;
+        let reported = rejections.into_iter().map(|rejection| (rejection.key, rejection.error.to_string()));
+        self.handle.report_decided(reported.collect()).await;
     }
 
-    fn next(&self, whole: bool, changes: &[config_distribution::Change]) -> Result<Next, Refused> {
+    fn next(&self, is_snapshot: bool, changes: &[Change]) -> Result<Next, Vec<Rejection>> {
         let config = self.context.config();
-        let put =
-            |over: &[Value]| config.put_under(|key| std::env::var(key).ok(), over).map_err(|e| e.to_string());
-        self.values.borrow().next((whole, changes), &config, put)
+        let configure = |overlay: &[Value]| config.put_under(|key| std::env::var(key).ok(), overlay);
+        self.values.borrow().next(is_snapshot, changes, &config, configure)
     }
 
-    async fn put(&self, next: Next) {
-        // The module first, as where a file is read again.
+    async fn apply(&self, next: Next) {
+        // The scheduler first, as at a reload.
         if let Some(config) = next.config {
-            let _ =
-                self.scheduler.send(SchedulerMessage::Reload(Some(Box::new(config.settings.clone())))).await;
+            let reload = SchedulerMessage::Reload(Some(Box::new(config.settings.clone())));
+            // The mailbox is closed only at the end of the process.
+            let _ = self.scheduler.send(reload).await;
             self.context.configure(config);
         }
         if !next.backends.is_empty() {
             self.pool.set_overlay(next.values.backends(), &next.backends).await;
         }
-        self.passed_over.set(self.passed_over.get() + next.passed_over);
+        self.unknown_keys.set(self.unknown_keys.get() + next.unknown_keys);
         self.values.replace(next.values);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn equals_share_the_fronts_and_the_order_of_others_stays() {
-        let relay = |n: u8, equal| {
-            let at = format!("127.0.0.{n}:7950").parse().unwrap();
-            config::Upstream { name: format!("relay-{n}"), at, equal }
-        };
-        let relays = [relay(1, false), relay(2, true), relay(3, true), relay(4, false)];
-        let mut firsts = [0; 5];
-        for n in 0..300 {
-            let order = in_order(&format!("front-{n}"), &relays);
-            let last = |at: usize| order[at].name.0.as_bytes()[6] - b'0';
-            let mut names: Vec<u8> = (0..4).map(last).collect();
-            firsts[usize::from(names[0])] += 1;
-            assert_eq!(names[3], 4);
-            names.sort();
-            assert_eq!(names, [1, 2, 3, 4]);
-        }
-        assert!(firsts[1..4].iter().all(|count| *count > 60), "{firsts:?}");
-    }
-}
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -1,179 +1,125 @@
-//! This front among those that it acts together with: what they have settled is done here, and what is measured here is
-//! told to them. An actor that meets the hosts (`accord`) through two mailboxes; without the section `[accord]` it is
-//! never started.
+//! This gateway as a member of the coordination group: it carries out what the group has agreed on. An actor that meets its host
+//! (`coordination`) through two mailboxes; without the section `[accord]` it is never started.
 use crate::backend::pool::BackendPool;
 use crate::context::Context;
-use crate::messages::{SchedulerMailbox, SchedulerMessage};
+use crate::coordination::measurements;
+use crate::messages::SchedulerMailbox;
 use async_channel::Receiver;
-use async_io::Timer;
-use cluster_types::{BackendId, MemberId, Volume, Zone};
-use coordination::{
-    BackendMeasurement, CoordinationMessage, GatewayMessage, Handle, Measurements, Peer, Settings,
-};
-use futures_lite::future;
-use maintenance::{Quota, Rules};
-use scheduler::interface::{BackendState, Micros};
-use std::collections::BTreeSet;
+use cluster_types::{MemberId, Zone};
+use coordination::{GatewayMessage, Handle, Peer, Settings};
+use maintenance::{Quota, Rules, RulesError};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often this front measures. A drain is reported by the first figures that show nothing out.
-const MEASURE: Duration = Duration::from_millis(100);
-/// Letters of the hosts that may wait.
+/// The capacity of the mailbox for the host's messages.
 const MAILBOX_CAPACITY: usize = 1024;
-/// The module is asked what it keeps away from; no answer in that time counts as nothing.
-const ASKED: Duration = Duration::from_millis(50);
-/// A box that the module keeps away from, and that has answered nothing for so long, is found dead here.
-const SILENT: i64 = 2_000_000;
+/// The stages in which a returning backend gets its slow-start budget, in thousandths; the last lasts until it is warm.
+const STAGES_PERMILLE: [u16; 3] = [250, 500, 1000];
 
-/// What the hosts are told, from the configuration in force.
-fn settings(context: &Context, section: &config::Accord) -> Result<Settings, String> {
-    let keys = section.keys().map_err(|e| e.to_string())?;
-    let fellow = |m: &config::Fellow| {
-        (MemberId(m.name.as_str().into()), Peer { address: m.at, zone: Zone(m.hall.as_str().into()) })
+/// Why coordination could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum MemberError {
+    /// The section is faulty.
+    #[error(transparent)]
+    Config(#[from] config::Fault),
+    /// The rules of maintenance are faulty.
+    #[error("accord.out.{0}")]
+    Rules(#[from] RulesError),
+    /// The host could not start.
+    #[error(transparent)]
+    Host(#[from] coordination::StartError),
+}
+
+/// The host's settings, from the section `[accord]`.
+fn host_settings(context: &Context, section: &config::Accord) -> Result<Settings, MemberError> {
+    let peer = |member: &config::Fellow| {
+        let peer = Peer { address: member.at, zone: Zone(member.hall.as_str().into()) };
+        (MemberId(member.name.as_str().into()), peer)
     };
-    let ms = |s: f64| (s * 1000.0) as u64;
-    let stage = ms(section.out.stage_s).max(1);
-    // Stages of a quarter, a half and all of the cold budget; the last lasts until the box is warm.
     let rules = Rules {
         max_out: section.out.most,
         max_out_per_zone: section.out.per_hall,
         max_out_per_volume: section.out.per_volume,
-        stages: vec![250, 500, 1000],
-        stage_ms: stage,
+        stages: STAGES_PERMILLE.to_vec(),
+        stage_ms: ((section.out.stage_s * 1000.0) as u64).max(1),
         ..Rules::default()
     };
-    rules.check().map_err(|e| format!("accord.out.{e}"))?;
+    let keys = section.keys()?;
+    rules.check()?;
     Ok(Settings {
         me: MemberId(context.config().name.as_str().into()),
         zone: Zone(section.hall.as_str().into()),
         listen: section.listen,
         state_dir: section.state.clone(),
         keys,
-        members: section.members.iter().map(fellow).collect(),
+        members: section.members.iter().map(peer).collect(),
         max_membership_bytes_per_s: section.bytes_s,
         lease: Duration::from_secs_f64(section.lease_s),
         max_clock_drift: section.drift,
         election_timeout: Duration::from_millis(section.election_ms),
         rules,
-        seed: chance(),
+        seed: random_seed(),
     })
 }
 
-/// A number drawn by chance: two stores must never have the same.
-pub fn chance() -> u64 {
+/// A random seed, not 0: two stores must never have the same.
+pub fn random_seed() -> u64 {
     use std::hash::{BuildHasher, Hasher, RandomState};
     RandomState::new().build_hasher().finish() | 1
 }
 
-/// Starts the hosts, where the configuration has them; an error names the key.
+/// Starts the host and the actors, where the configuration has the section.
+///
+/// # Errors
+/// [`MemberError`], whose text begins with the key.
 pub fn start(
     context: &Rc<Context>,
     scheduler: &SchedulerMailbox,
     pool: &Rc<BackendPool>,
-    serves: Option<coordination::distribution::Mailbox>,
-) -> Result<Option<Handle>, String> {
+    distribution: Option<coordination::distribution::Mailbox>,
+) -> Result<Option<Handle>, MemberError> {
     let config = context.config();
     let Some(section) = &config.accord else { return Ok(None) };
-    let (to_front, letters) = async_channel::bounded(MAILBOX_CAPACITY);
+    let (to_gateway, messages) = async_channel::bounded(MAILBOX_CAPACITY);
     let log = |line: &str| crate::log::line(format_args!("{line}"));
-    let handle =
-        coordination::start(settings(context, section)?, to_front, serves, log).map_err(|e| e.to_string())?;
-    context.executor.spawn(follow(context.clone(), pool.clone(), letters)).detach();
-    let measuring = measure(context.clone(), scheduler.clone(), pool.clone(), handle.clone());
+    let handle = coordination::start(host_settings(context, section)?, to_gateway, distribution, log)?;
+    context.executor.spawn(carry_out(context.clone(), pool.clone(), messages)).detach();
+    let measuring = measurements::run(context.clone(), scheduler.clone(), pool.clone(), handle.clone());
     context.executor.spawn(measuring).detach();
     Ok(Some(handle))
 }
 
-/// Does what the fronts have settled.
-async fn follow(context: Rc<Context>, pool: Rc<BackendPool>, letters: Receiver<GatewayMessage>) {
-    while let Ok(message) = letters.recv().await {
-        let leaves = matches!(message, GatewayMessage::Drain { .. });
-        let (id, out, why) = match message {
-            GatewayMessage::Drain { backend: id, order: grant } => {
-                (id, true, format!("grant={}", grant.map_or(0, |g| g.0)))
+/// Carries out what the group has agreed on.
+async fn carry_out(context: Rc<Context>, pool: Rc<BackendPool>, messages: Receiver<GatewayMessage>) {
+    while let Ok(message) = messages.recv().await {
+        let is_drain = matches!(message, GatewayMessage::Drain { .. });
+        let (backend, is_suspended, reason) = match message {
+            GatewayMessage::Drain { backend, order } => {
+                (backend, true, format!("order={}", order.map_or(0, |order| order.0)))
             }
-            // Without a part the box stays drained at this front; others begin.
-            GatewayMessage::Undrain { backend: id, quota: Quota::Permille(0) } => (id, true, "part=0".into()),
-            GatewayMessage::Undrain { backend: id, quota: Quota::Permille(part) } => {
-                (id, false, format!("part={part}"))
+            // With no quota here the backend stays suspended at this gateway, while others begin.
+            GatewayMessage::Undrain { backend, quota } => {
+                (backend, quota == Quota::Permille(0), format!("quota={}", quota_text(quota)))
             }
-            GatewayMessage::Undrain { backend: id, quota: Quota::Full } => (id, false, "part=whole".into()),
         };
-        crate::log::line(format_args!("settled box={id} out={out} {why}"));
-        pool.set_agreed_suspension(&id.0, out).await;
-        if let Some(endpoint) = pool.endpoints().into_iter().find(|p| p.entry.borrow().backend == id) {
-            match (out, leaves) {
-                (true, true) => endpoint.statistics.take_out_of_service(),
-                // However the list tells of its start: it may be cold.
-                (false, _) => endpoint.statistics.return_to_service(context.clock.now()),
-                (true, false) => {}
+        crate::log::line(format_args!("agreed backend={backend} suspended={is_suspended} {reason}"));
+        pool.set_agreed_suspension(&backend.0, is_suspended).await;
+        let endpoint =
+            pool.endpoints().into_iter().find(|endpoint| endpoint.entry.borrow().backend == backend);
+        if let Some(endpoint) = endpoint {
+            if !is_suspended {
+                // Whatever the list says of its start, it may be warming up.
+                endpoint.statistics.return_to_service(context.clock.now());
+            } else if is_drain {
+                endpoint.statistics.take_out_of_service();
             }
         }
     }
 }
 
-/// Measures until the program ends.
-async fn measure(context: Rc<Context>, scheduler: SchedulerMailbox, pool: Rc<BackendPool>, handle: Handle) {
-    loop {
-        Timer::after(MEASURE).await;
-        let (to, from) = async_channel::bounded(1);
-        let asked = scheduler.try_send(SchedulerMessage::GetEjected(to)).is_ok();
-        let late = async {
-            Timer::after(ASKED).await;
-            vec![]
-        };
-        let away = match asked {
-            true => future::or(async { from.recv().await.unwrap_or_default() }, late).await,
-            false => vec![],
-        };
-        handle.send(CoordinationMessage::Measured(measures(&context, &pool, &away.into_iter().collect())));
-    }
-}
-
-fn measures(context: &Context, pool: &BackendPool, away: &BTreeSet<BackendId>) -> Measurements {
-    let (config, now) = (context.config(), context.clock.now());
-    let ago = |at: Micros| u64::try_from(now.0 - at.0).unwrap_or(0);
-    let warm = config.accord.as_ref().map_or(0, |a| (a.out.warm_s * 1e6) as i64);
-    let mut measures =
-        Measurements { is_complete: context.lifecycle.serving.get(), ..Measurements::default() };
-    let endpoints = pool.endpoints();
-    for endpoint in &endpoints {
-        endpoint.statistics.is_enabled.set(true);
-        let entry = endpoint.entry.borrow();
-        let id = entry.backend.clone();
-        let (out, sent) = (endpoint.statistics.in_flight(), endpoint.statistics.last_sent());
-        let rates = endpoint.statistics.rates(now);
-        let silent = endpoint.statistics.last_answered().is_none_or(|at| now.0 - at.0 > SILENT);
-        let warm_up = config.settings.slow_start.duration.0;
-        let hall = config.zones.get(entry.zone as usize).map_or("", String::as_str);
-        let seen = BackendMeasurement {
-            zone: hall.into(),
-            is_listed: entry.state != BackendState::Gone,
-            is_dead: entry.state == BackendState::Ready && silent && away.contains(&entry.backend),
-            is_warming_up: endpoint.statistics.returned_at().is_some_and(|at| now.0 - at.0 < warm)
-                || entry.started_at.is_some_and(|at| now.0 - at.0 < warm_up),
-            in_flight: out,
-            since_last_send_us: sent.map(ago),
-            units: rates.values().sum(),
-            has_failed: endpoint.statistics.take_failed(),
-        };
-        for (volume, rate) in rates {
-            let all = measures.volumes.entry(Volume::from(&*volume)).or_default();
-            all.used += rate;
-            // Another box that holds the shard could serve it as well; without one its data is nowhere else.
-            let others = endpoints.iter().filter(|other| {
-                let other = other.entry.borrow();
-                other.shard == entry.shard
-                    && other.state == BackendState::Ready
-                    && other.backend != entry.backend
-            });
-            let ids = others.map(|other| other.entry.borrow().backend.clone());
-            ids.chain([id.clone()]).for_each(|id| *all.servable_by.entry(id).or_default() += rate);
-        }
-        measures.backends.insert(id, seen);
+fn quota_text(quota: Quota) -> String {
+    match quota {
+        Quota::Permille(permille) => permille.to_string(),
+        Quota::Full => "full".to_owned(),
     }
-    let reservations = config.settings.plans.iter().map(|p| (1000.0 * p.reservation) as u64);
-    measures.max_reservation = reservations.max().unwrap_or(0);
-    measures
 }
--- a/crates/gateway/src/coordination/mod.rs
+++ b/crates/gateway/src/coordination/mod.rs
@@ -1,2 +1,3 @@
 //! This gateway as a member of the coordination group.
+pub mod measurements;
 pub mod member;
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -50,7 +50,7 @@
             }
         }
         if let Some(overlay) = &self.config_overlay {
-            overlay.rekey(old, new);
+            overlay.replace_keys(old, new);
         }
     }
 
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -7,8 +7,9 @@
 use crate::client::connection_slots::ConnectionSlots;
 use crate::client::resp_server;
 use crate::config_overlay;
+use crate::config_overlay::actor::OverlayError;
 use crate::context::{Context, OtherProcess};
-use crate::coordination::member;
+use crate::coordination::member::{self, MemberError};
 use crate::discovery::endpoint_list;
 use crate::iscsi::server;
 use crate::lifecycle::handover;
@@ -45,11 +46,11 @@
     #[error(transparent)]
     Signals(io::Error),
     /// The section `[accord]` can't be put into effect.
-    #[error("{0}")]
-    Coordination(String),
+    #[error(transparent)]
+    Coordination(#[from] MemberError),
     /// The section `[changes]` can't be put into effect.
-    #[error("{0}")]
-    ConfigOverlay(String),
+    #[error(transparent)]
+    ConfigOverlay(#[from] OverlayError),
 }
 
 /// Runs the gateway that the environment configures, until it is told to end.
@@ -149,12 +150,10 @@
     let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
     let voter = voter.map(coordination::distribution::Mailbox::for_log_thread);
     let Operators { context, scheduler, pool, .. } = &*operators;
-    operators.coordination =
-        member::start(context, scheduler, pool, voter).map_err(StartError::Coordination)?;
+    operators.coordination = member::start(context, scheduler, pool, voter)?;
     signal_loop.coordination = operators.coordination.clone();
     if let Some(mailbox) = mailbox {
-        let overlay = config_overlay::actor::start(operators, mailbox).await;
-        operators.config_overlay = Some(overlay.map_err(StartError::ConfigOverlay)?);
+        operators.config_overlay = Some(config_overlay::actor::start(operators, mailbox).await?);
     }
     signal_loop.config_overlay = operators.config_overlay.clone();
     Ok(())
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -1,120 +1,103 @@
-//! The actor that gathers: each part is a request of its own in the module, with its own credits, limits and attempts.
+//! The scatter-gather actor: each shard request is a request of its own at the scheduler, with its own credits, limits and attempts.
 use crate::backend::pool::BackendPool;
 use crate::backend::value::Answer;
 use crate::client::response::{encode, EncodedResponse};
 use crate::context::Context;
 use crate::counters::AnswerKind;
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
-use crate::scatter_gather::handle::{Begin, Gathering, Letter};
-use crate::scatter_gather::response::reply;
-use crate::scatter_gather::shard_requests::{ended, part, Part};
+use crate::scatter_gather::handle::{Begin, GatherMessage, Gathering};
+use crate::scatter_gather::response::encode_answer;
+use crate::scatter_gather::shard_requests::{shard_request, shard_response, InFlight};
+use crate::scheduler_actor::MAX_REQUESTS;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use cluster_types::{Time, Zone};
 use dispatch::Bytes;
 use futures_lite::{future, StreamExt};
 use scatter_gather::{
-    GatherAction, GatherEvent, GatherId, Gathers, HealthRules, MemoryBudget, ShardResponse, ZoneTracker,
+    GatherAction, GatherEvent, GatherId, Gathers, HealthRules, MemoryBudget, ShardResponse, TooManyGathers,
+    ZoneTracker,
 };
 use scheduler::interface::{Micros, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// The most gathers that are held, those included that only wait for late parts.
-const GATHERS: usize = 1024;
-/// The most parts that may be out; as many requests as the module holds in all.
-const PARTS: usize = crate::scheduler_actor::MAX_REQUESTS;
-/// A part whose answer has not come so long after its time is not awaited any more.
-const LOST: i64 = 5_000_000;
-/// What a client that is turned away at the bound is told.
-const AGAIN: Micros = Micros(100_000);
-
-/// A gather that has no answer yet.
-struct Open {
+/// The most gathers, including those that only wait for late responses.
+const MAX_GATHERS: usize = 1024;
+/// The most shard requests in flight: as many as the scheduler holds requests.
+const MAX_SHARD_REQUESTS: usize = MAX_REQUESTS;
+/// How long after its deadline the response to a shard request is still awaited, in microseconds.
+const LATE_RESPONSE_US: i64 = 5_000_000;
+/// When a client that is rejected for lack of room may retry.
+const FULL_RETRY_AFTER: Micros = Micros(100_000);
+
+/// A gather that is not answered yet.
+struct OpenGather {
     begin: Begin,
-    /// For each part its request, once it was asked.
-    parts: Vec<Option<RequestId>>,
+    /// For each shard request its number, once it was submitted.
+    shard_requests: Vec<Option<RequestId>>,
 }
 
-struct Actor {
+struct GatherActor {
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     pool: Rc<BackendPool>,
     gathers: Gathers<Bytes>,
-    open: BTreeMap<GatherId, Open>,
+    open: BTreeMap<GatherId, OpenGather>,
     clients: BTreeMap<RequestId, GatherId>,
-    /// Parts that are out, by their requests.
-    out: BTreeMap<RequestId, Part>,
+    in_flight: BTreeMap<RequestId, InFlight>,
     answers: Sender<(u64, Answer)>,
-    /// Parts that nobody wants any more.
-    left: Vec<RequestId>,
+    /// Shard requests that are to be cancelled.
+    cancelled: Vec<RequestId>,
 }
 
-/// The hall in which this front stands, where that is known.
-fn own_hall(context: &Context) -> Option<Zone> {
-    context.config().accord.as_ref().map(|coordination| Zone(coordination.hall.as_str().into()))
+/// The zone of this gateway, where that is configured.
+fn own_zone(context: &Context) -> Option<Zone> {
+    context.config().accord.as_ref().map(|section| Zone(section.hall.as_str().into()))
 }
 
-enum Woken {
-    Part(Option<(u64, Answer)>),
-    Letter(Option<Letter>),
-    Tick,
+/// What ended the actor's wait.
+enum Wakeup {
+    Answer(Option<(u64, Answer)>),
+    Message(Option<GatherMessage>),
+    Timer,
 }
 
-/// Runs until the program ends.
+/// Runs until the process ends, which closes the mailbox.
 pub async fn run(
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     pool: Rc<BackendPool>,
     gathering: Gathering,
-    inbox: Receiver<Letter>,
+    inbox: Receiver<GatherMessage>,
 ) {
-    // Room for each answer that is owed, and for those that were under way when their parts were given up.
-    let (answers, parts) = async_channel::bounded(2 * PARTS);
-    let halls = ZoneTracker::new(own_hall(&context), HealthRules::default());
-    let mut actor = Actor {
-        gathers: Gathers::new(GATHERS, halls, MemoryBudget::new(0)),
-        context,
-        scheduler,
-        pool,
-        open: BTreeMap::new(),
-        clients: BTreeMap::new(),
-        out: BTreeMap::new(),
-        answers,
-        left: Vec::new(),
-    };
-    let (mut inbox, mut parts) = (Box::pin(inbox), Box::pin(parts));
+    // Room for every answer that is awaited, and for those that were under way when their requests were cancelled.
+    let (answers, answered) = async_channel::bounded(2 * MAX_SHARD_REQUESTS);
+    let mut actor = GatherActor::new(context, scheduler, pool, answers);
+    let (mut inbox, mut answered) = (Box::pin(inbox), Box::pin(answered));
     loop {
-        let wake = actor.gathers.next_wakeup().map(|at| actor.context.clock.instant(micros(at)));
+        let next_wakeup = actor.gathers.next_wakeup().map(|at| actor.context.clock.instant(micros(at)));
         let timer = async {
-            match wake {
+            match next_wakeup {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
-            Woken::Tick
+            Wakeup::Timer
         };
-        let part = async { Woken::Part(parts.next().await) };
-        let message = async { Woken::Letter(inbox.next().await) };
-        let woken = future::or(future::or(part, message), timer).await;
-        match woken {
-            Woken::Part(Some((id, answer))) => actor.ended(RequestId(id), answer),
-            Woken::Letter(Some(Letter::Begin(begin))) => actor.begin(begin),
-            Woken::Letter(Some(Letter::Left(id))) => actor.client_left(id),
-            Woken::Letter(Some(Letter::Heard(news))) => {
-                let mut out = Vec::new();
-                actor.gathers.receive_report(actor.now(), &news, &mut out);
-                actor.carry_out(out);
-            }
-            Woken::Part(None) | Woken::Letter(None) => return,
-            Woken::Tick => {}
+        let answer = async { Wakeup::Answer(answered.next().await) };
+        let message = async { Wakeup::Message(inbox.next().await) };
+        match future::or(future::or(answer, message), timer).await {
+            Wakeup::Answer(Some((number, answer))) => actor.take_answer(RequestId(number), answer),
+            Wakeup::Message(Some(GatherMessage::Begin(begin))) => actor.begin(begin),
+            Wakeup::Message(Some(GatherMessage::Left(id))) => actor.client_left(id),
+            Wakeup::Answer(None) | Wakeup::Message(None) => return,
+            Wakeup::Timer => {}
         }
-        // Whatever came, no gather is answered later than it is to be.
+        // After every event: no gather may be answered later than it is due.
         actor.tick();
-        gathering.counts.replace(actor.gathers.shared.counters.clone());
-        for id in std::mem::take(&mut actor.left) {
-            let _ = actor.scheduler.send(SchedulerMessage::Left(id)).await;
-        }
-        // Guards the others against a crowd of gathers.
+        gathering.counters.replace(actor.gathers.shared.counters.clone());
+        actor.cancel_requests().await;
+        // Every turn is short, so that the other tasks have theirs.
         future::yield_now().await;
     }
 }
@@ -127,128 +110,160 @@
     Time(u64::try_from(at.0).unwrap_or(0))
 }
 
-impl Actor {
+impl GatherActor {
+    fn new(
+        context: Rc<Context>,
+        scheduler: SchedulerMailbox,
+        pool: Rc<BackendPool>,
+        answers: Sender<(u64, Answer)>,
+    ) -> GatherActor {
+        let zones = ZoneTracker::new(own_zone(&context), HealthRules::default());
+        GatherActor {
+            gathers: Gathers::new(MAX_GATHERS, zones, MemoryBudget::new(0)),
+            context,
+            scheduler,
+            pool,
+            open: BTreeMap::new(),
+            clients: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            answers,
+            cancelled: Vec::new(),
+        }
+    }
+
     fn now(&self) -> Time {
         time(self.context.clock.now())
     }
 
     fn begin(&mut self, begin: Begin) {
-        // The bound follows the memory that counts, whenever nothing is held under the one before.
-        let most = self.context.memory() as u64 / config::MEMORY_SHARE;
-        let budget = &mut self.gathers.shared.budget;
-        if budget.capacity() != most && budget.reserved() == 0 {
-            *budget = MemoryBudget::new(most);
-        }
-        let until =
-            self.context.answer_by().map_or(begin.request.deadline, |by| by.min(begin.request.deadline));
-        let mut out = Vec::new();
-        match self.gathers.start(self.now(), begin.policy.clone(), time(until), &mut out) {
+        self.update_memory_budget();
+        let client_deadline = begin.request.deadline;
+        let deadline = self.context.answer_by().map_or(client_deadline, |by| by.min(client_deadline));
+        let mut actions = Vec::new();
+        match self.gathers.start(self.now(), begin.policy.clone(), time(deadline), &mut actions) {
             Ok(id) => {
                 self.clients.insert(begin.id, id);
-                let parts = vec![None; begin.policy.requests.len()];
-                self.open.insert(id, Open { begin, parts });
+                let shard_requests = vec![None; begin.policy.requests.len()];
+                self.open.insert(id, OpenGather { begin, shard_requests });
             }
-            Err(scatter_gather::TooManyGathers) => {
+            Err(TooManyGathers) => {
                 self.context.counters.answer(begin.request.class, AnswerKind::Rejected);
-                put(&begin, encode(Answer::Rejected(Some(AGAIN))));
+                respond(&begin, encode(Answer::Rejected(Some(FULL_RETRY_AFTER))));
             }
         }
-        self.carry_out(out);
+        self.carry_out(actions);
+    }
+
+    /// Adapts the budget to the memory limit, whenever nothing is reserved under the budget before.
+    fn update_memory_budget(&mut self) {
+        let limit = self.context.memory() as u64 / config::MEMORY_SHARE;
+        let budget = &mut self.gathers.shared.budget;
+        if budget.capacity() != limit && budget.reserved() == 0 {
+            *budget = MemoryBudget::new(limit);
+        }
     }
 
     fn client_left(&mut self, id: RequestId) {
-        // Its answer may have been on its way: then nothing is open any more.
+        // The response may have been sent already.
         let Some(id) = self.clients.remove(&id) else { return };
         self.handle(id, GatherEvent::ClientLeft);
         self.open.remove(&id);
     }
 
-    /// The module's answer to a part.
-    fn ended(&mut self, id: RequestId, answer: Answer) {
-        // One that was given up may have been answered already.
-        let Some(part) = self.out.remove(&id) else { return };
-        let result = ended(&self.context, &self.pool, &part, answer);
-        self.handle(part.gather, GatherEvent::Response { request: part.endpoint, response: result });
+    /// Takes the final answer to a shard request.
+    fn take_answer(&mut self, id: RequestId, answer: Answer) {
+        // One that was cancelled may have been answered already.
+        let Some(in_flight) = self.in_flight.remove(&id) else { return };
+        let response = shard_response(&self.context, &self.pool, &in_flight, answer);
+        self.handle(in_flight.gather, GatherEvent::Response { request: in_flight.index, response });
     }
 
     fn tick(&mut self) {
         let now = self.now();
         if self.gathers.next_wakeup().is_some_and(|at| at <= now) {
-            let mut out = Vec::new();
-            self.gathers.tick(now, &mut out);
-            self.carry_out(out);
+            let mut actions = Vec::new();
+            self.gathers.tick(now, &mut actions);
+            self.carry_out(actions);
         }
-        // Guards the memory and the bound on parts against answers that never come.
-        let lost = |p: &Part| p.until.0 + LOST < self.context.clock.now().0;
-        while self.out.first_key_value().is_some_and(|(_, part)| lost(part)) {
-            self.out.pop_first();
+        // Answers that never arrive must not use up the limit.
+        let oldest_deadline = self.context.clock.now().0 - LATE_RESPONSE_US;
+        while self.in_flight.first_key_value().is_some_and(|(_, oldest)| oldest.deadline.0 < oldest_deadline)
+        {
+            self.in_flight.pop_first();
         }
     }
 
     fn handle(&mut self, id: GatherId, event: GatherEvent<Bytes>) {
-        let mut out = Vec::new();
-        self.gathers.handle(self.now(), id, event, &mut out);
-        self.carry_out(out);
+        let mut actions = Vec::new();
+        self.gathers.handle(self.now(), id, event, &mut actions);
+        self.carry_out(actions);
     }
 
-    /// Does what the gathers say. A part that can't be asked ends at once, which may give more to do.
-    fn carry_out(&mut self, out: Vec<(GatherId, GatherAction<Bytes>)>) {
-        let mut todo = VecDeque::from(out);
-        while let Some((id, action)) = todo.pop_front() {
+    /// Carries out actions. A shard request that can't be submitted is rejected at once, which may lead to more actions.
+    fn carry_out(&mut self, actions: Vec<(GatherId, GatherAction<Bytes>)>) {
+        let mut pending = VecDeque::from(actions);
+        while let Some((id, action)) = pending.pop_front() {
             match action {
-                GatherAction::Send { request: part, deadline: until } => {
-                    if !self.ask(id, part, micros(until)) {
-                        let (mut out, result) = (Vec::new(), ShardResponse::Rejected(None));
-                        self.gathers.handle(
-                            self.now(),
-                            id,
-                            GatherEvent::Response { request: part, response: result },
-                            &mut out,
-                        );
-                        todo.extend(out);
+                GatherAction::Send { request, deadline } => {
+                    if !self.submit(id, request, micros(deadline)) {
+                        let rejected =
+                            GatherEvent::Response { request, response: ShardResponse::Rejected(None) };
+                        let mut actions = Vec::new();
+                        self.gathers.handle(self.now(), id, rejected, &mut actions);
+                        pending.extend(actions);
                     }
                 }
                 GatherAction::Answer(answer) => {
                     if let Some(open) = self.open.remove(&id) {
                         self.clients.remove(&open.begin.id);
-                        put(&open.begin, reply(answer));
-                    }
-                }
-                // After the answer a part runs on to its end, which tells of its hall; without a client it is given up.
-                GatherAction::Abandon { request: part } => {
-                    let asked = self.open.get_mut(&id).and_then(|open| open.parts.get_mut(part));
-                    if let Some(id) = asked.and_then(Option::take) {
-                        self.out.remove(&id);
-                        self.left.push(id);
+                        respond(&open.begin, encode_answer(answer));
                     }
                 }
+                GatherAction::Abandon { request } => self.abandon(id, request),
             }
         }
     }
 
-    /// Asks for a part; false where that can't be done, and nothing ran. One whose gather has its answer is left out.
-    fn ask(&mut self, id: GatherId, endpoint: usize, until: Micros) -> bool {
+    /// Cancels a shard request whose client has left. After an answer shard requests run to their end instead, which tells whether their
+    /// zones are healthy.
+    fn abandon(&mut self, id: GatherId, index: usize) {
+        let shard_request = self.open.get_mut(&id).and_then(|open| open.shard_requests.get_mut(index));
+        if let Some(number) = shard_request.and_then(Option::take) {
+            self.in_flight.remove(&number);
+            self.cancelled.push(number);
+        }
+    }
+
+    async fn cancel_requests(&mut self) {
+        for id in std::mem::take(&mut self.cancelled) {
+            // The mailbox is closed only at the end of the process.
+            let _ = self.scheduler.send(SchedulerMessage::Left(id)).await;
+        }
+    }
+
+    /// Submits a shard request. Returns false where that is not possible, and nothing ran.
+    fn submit(&mut self, id: GatherId, index: usize, deadline: Micros) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
-        let (number, asked) = (self.context.number(), self.context.clock.now());
-        let request = part(&self.context.config(), &open.begin, endpoint, number, until);
-        let hall = open.begin.policy.requests.get(endpoint).map(|p| p.zone.clone());
-        let (Some(request), Some(hall)) = (request, hall) else { return false };
+        let (number, submitted_at) = (self.context.number(), self.context.clock.now());
+        let request = shard_request(&self.context.config(), &open.begin, index, number, deadline);
+        let zone = open.begin.policy.requests.get(index).map(|request| request.zone.clone());
+        let (Some(request), Some(zone)) = (request, zone) else { return false };
         let ticket = Ticket { slot: number.0, to: self.answers.clone(), class: request.class };
-        // Guards answers: the mailbox has room for so many.
-        if self.out.len() >= PARTS
+        // The mailbox of answers has room for so many.
+        if self.in_flight.len() >= MAX_SHARD_REQUESTS
             || self.scheduler.try_send(SchedulerMessage::Take(number, request, ticket)).is_err()
         {
             return false;
         }
-        self.out.insert(number, Part { gather: id, endpoint, hall, asked, until });
-        if let Some(part) = open.parts.get_mut(endpoint) {
-            *part = Some(number);
+        self.in_flight.insert(number, InFlight { gather: id, index, zone, submitted_at, deadline });
+        if let Some(shard_request) = open.shard_requests.get_mut(index) {
+            *shard_request = Some(number);
         }
         true
     }
 }
 
-/// Puts the one answer in the client's mailbox, which has room for all that it is owed; a closed one has gone.
-fn put(begin: &Begin, response: EncodedResponse) {
+/// Puts the response into the session's mailbox, which has room for all that it awaits; a closed one belongs to a client that has left.
+fn respond(begin: &Begin, response: EncodedResponse) {
     let _ = begin.to.try_send((begin.slot, response));
 }
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -1,10 +1,10 @@
-//! Answers that are gathered from parts: what fronts hand over, and the actor's mailbox. Without a table `[[gather]]` in an
-//! operator's file there is no handle, and the actor is never started.
+//! The sessions' side of the scatter-gather actor. Without a table `[[gather]]` in an operator's file there is no handle, and the actor is
+//! never started.
 use crate::client::response::EncodedResponse;
 use async_channel::{Receiver, Sender};
 use config::Config;
 use dispatch::Request;
-use scatter_gather::{Counters, Policy, ZoneReport};
+use scatter_gather::{Counters, Policy};
 use scheduler::interface::RequestId;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,60 +12,58 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The most letters that may wait for the actor; a client whose request finds no room is turned away.
+/// The capacity of the actor's mailbox; a client whose request finds it full is rejected.
 const MAILBOX_CAPACITY: usize = 4096;
 
-/// A client's request that is to be gathered.
+/// A client's request whose response is gathered from shards.
 pub struct Begin {
     /// Its number.
     pub id: RequestId,
-    /// What it gathers.
+    /// What is gathered, and what counts as complete.
     pub policy: Arc<Policy>,
-    /// What the client asked for; parts take its class, plan, hosts and units.
+    /// The client's request; shard requests take its class, plan, hosts and units.
     pub request: Request,
-    /// Its place in the connection's order of answers.
+    /// The number of its slot in the session.
     pub slot: u64,
-    /// The connection's mailbox for gathered answers; it has room for all that it is owed.
-    pub to: Sender<Placed>,
+    /// The session's mailbox for gathered responses, which has room for all that it awaits.
+    pub to: Sender<GatheredResponse>,
 }
 
-/// The actor's mail.
-pub enum Letter {
-    /// A client asks.
+/// A message to the actor.
+pub enum GatherMessage {
+    /// A client's request.
     Begin(Begin),
-    /// That client has gone.
+    /// The client of that request has disconnected.
     Left(RequestId),
-    /// Others' word on a hall.
-    #[allow(dead_code, reason = "connected where fronts tell each other of halls")]
-    Heard(ZoneReport),
 }
 
 /// Policies by volume and piece.
-type Table = BTreeMap<Arc<str>, BTreeMap<u64, Arc<Policy>>>;
+type PolicyTable = BTreeMap<Arc<str>, BTreeMap<u64, Arc<Policy>>>;
 
-/// The actor, as others see it.
+/// A handle to the actor.
 #[derive(Clone)]
 pub struct Gathering {
-    policies: Rc<Table>,
-    letters: Sender<Letter>,
-    pub(crate) counts: Rc<RefCell<Counters>>,
+    policies: Rc<PolicyTable>,
+    mailbox: Sender<GatherMessage>,
+    /// The actor's counters, as it last published them.
+    pub(crate) counters: Rc<RefCell<Counters>>,
 }
 
 impl Gathering {
-    /// A handle with the inbox for its actor; none where nothing is to be gathered.
-    pub fn new(config: &Config) -> Option<(Gathering, Receiver<Letter>)> {
-        let mut policies = Table::new();
+    /// A handle, and the inbox for its actor; `None` where the configuration has no policies.
+    pub fn new(config: &Config) -> Option<(Gathering, Receiver<GatherMessage>)> {
+        let mut policies = PolicyTable::new();
         for policy in &config.gathers {
             if let Ok(piece) = u64::from_str_radix(&policy.piece, 16) {
                 policies.entry(policy.volume.0.clone()).or_default().insert(piece, policy.clone());
             }
         }
-        let (letters, inbox) = async_channel::bounded(MAILBOX_CAPACITY);
-        let handle = Gathering { policies: Rc::new(policies), letters, counts: Rc::default() };
+        let (mailbox, inbox) = async_channel::bounded(MAILBOX_CAPACITY);
+        let handle = Gathering { policies: Rc::new(policies), mailbox, counters: Rc::default() };
         (!config.gathers.is_empty()).then_some((handle, inbox))
     }
 
-    /// What a client's request gathers; none where it is one of the core's. Bookings never gather.
+    /// The policy of a client's request; `None` where it is an ordinary one, as writes always are.
     pub fn policy(&self, config: &Config, request: &Request) -> Option<Arc<Policy>> {
         let pieces = self.policies.get(&*request.volume)?;
         let policy = pieces.get(&u64::from_str_radix(&request.key, 16).ok()?)?;
@@ -73,52 +71,48 @@
         (!request.is_write && *class.name == *policy.class).then(|| policy.clone())
     }
 
-    /// Hands a request over; false where there is no room for it.
+    /// Hands a request to the actor. Returns false where its mailbox is full.
     pub fn begin(&self, begin: Begin) -> bool {
-        self.letters.try_send(Letter::Begin(begin)).is_ok()
+        self.mailbox.try_send(GatherMessage::Begin(begin)).is_ok()
     }
 
-    /// The client of a request has gone.
+    /// Tells the actor that the client of a request has disconnected.
     pub async fn left(&self, id: RequestId) {
-        let _ = self.letters.send(Letter::Left(id)).await;
+        // The mailbox is closed only at the end of the process.
+        let _ = self.mailbox.send(GatherMessage::Left(id)).await;
     }
 
-    /// Others' word on a hall. Lost where the mailbox is full: the next word replaces it in any case.
-    #[allow(dead_code, reason = "connected where fronts tell each other of halls")]
-    pub fn heard(&self, news: ZoneReport) {
-        let _ = self.letters.try_send(Letter::Heard(news));
-    }
-
-    /// The figures, one on a line.
-    pub fn figures(&self, out: &mut String) {
-        let counts = self.counts.borrow();
-        for (what, count) in [
-            ("whole", counts.complete),
-            ("in_part", counts.partial),
-            ("failed", counts.failed),
-            ("left", counts.client_left),
-            ("turned_away", counts.rejected),
-            ("late_parts", counts.late_responses),
+    /// Appends the metrics, one `NAME=VALUE` a line.
+    pub fn write_metrics(&self, text: &mut String) {
+        let counters = self.counters.borrow();
+        for (name, count) in [
+            ("whole", counters.complete),
+            ("in_part", counters.partial),
+            ("failed", counters.failed),
+            ("left", counters.client_left),
+            ("turned_away", counters.rejected),
+            ("late_parts", counters.late_responses),
         ] {
-            let _ = writeln!(out, "app.gathers.{what}={count}");
+            // Writing to a string can't fail.
+            let _ = writeln!(text, "app.gathers.{name}={count}");
         }
     }
 }
 
-/// A gathered answer, and its place in the connection's order of answers.
-pub type Placed = (u64, EncodedResponse);
+/// A gathered response, with the number of its slot.
+pub type GatheredResponse = (u64, EncodedResponse);
 
-/// A connection's side toward the actor.
-pub struct Owed {
+/// A session's side of the actor.
+pub struct GatherClient {
     /// The actor.
     pub gathering: Gathering,
-    /// Where gathered answers come.
-    pub answers: (Sender<Placed>, Receiver<Placed>),
+    /// Where gathered responses arrive.
+    pub responses: (Sender<GatheredResponse>, Receiver<GatheredResponse>),
 }
 
-impl Owed {
-    /// For a connection that is owed so many answers at most.
-    pub fn new(gathering: Gathering, most: usize) -> Owed {
-        Owed { gathering, answers: async_channel::bounded(most) }
+impl GatherClient {
+    /// For a session that awaits `max_pending` responses at most.
+    pub fn new(gathering: Gathering, max_pending: usize) -> GatherClient {
+        GatherClient { gathering, responses: async_channel::bounded(max_pending) }
     }
 }
--- a/crates/gateway/src/scatter_gather/response.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -1,105 +1,40 @@
-//! How gathered answers are worded to RESP2 clients: whole as one bulk string, in part as an array of what came and a text
-//! that names what is missing, and a failure as an error with its reason.
+//! Encoding gathered answers for RESP2 clients: a complete one as one bulk string, a partial one as an array of what arrived and a text that
+//! names what is missing, and a failure as an error with its reason.
 use crate::backend::value;
 use crate::client::response::{encode, EncodedResponse};
 use dispatch::Bytes;
 use scatter_gather::{Answer, Gathered, Reservation};
 use scheduler::interface::Micros;
+use std::time::Duration;
 
-/// The one answer's words. Values keep their place in the bound on memory until they are written.
-pub fn reply(answer: Answer<Bytes>) -> EncodedResponse {
+/// Encodes an answer. Values keep their memory reservations until they are sent.
+pub fn encode_answer(answer: Answer<Bytes>) -> EncodedResponse {
     match answer {
-        Answer::Gathered(gathered) => joined(gathered),
+        Answer::Gathered(gathered) => encode_gathered(gathered),
         Answer::Failed(failure) if failure.is_rejection() => {
-            let micros = |h: std::time::Duration| Micros(i64::try_from(h.as_micros()).unwrap_or(i64::MAX));
+            let micros = |wait: Duration| Micros(i64::try_from(wait.as_micros()).unwrap_or(i64::MAX));
             encode(value::Answer::Rejected(failure.retry_after.map(micros)))
         }
         failed => EncodedResponse::bytes(format!("-ERR {}\r\n", failed.status())),
     }
 }
 
-fn joined(gathered: Gathered<Bytes>) -> EncodedResponse {
-    let told = (!gathered.is_complete()).then(|| gathered.status().to_string());
-    let (values, held): (Vec<Bytes>, Vec<Reservation>) =
+fn encode_gathered(gathered: Gathered<Bytes>) -> EncodedResponse {
+    let status = (!gathered.is_complete()).then(|| gathered.status().to_string());
+    let (values, reservations): (Vec<Bytes>, Vec<Reservation>) =
         gathered.into_values().into_iter().flatten().map(|held| (held.value, held.reservation)).unzip();
-    let length: usize = values.iter().map(|v| v.len()).sum();
-    let head = match told {
+    let length: usize = values.iter().map(|value| value.len()).sum();
+    let head = match status {
         None => format!("${length}\r\n"),
         Some(_) => format!("*2\r\n${length}\r\n"),
     };
-    let tail = match told {
+    let tail = match status {
         None => "\r\n".to_string(),
-        Some(text) => format!("\r\n${}\r\n{text}\r\n", text.len()),
+        Some(status) => format!("\r\n${}\r\n{status}\r\n", status.len()),
     };
     let mut pieces = Vec::with_capacity(values.len() + 2);
     pieces.push(Bytes::from(head.as_bytes()));
     pieces.extend(values);
     pieces.push(Bytes::from(tail.as_bytes()));
-    EncodedResponse::Pieces(pieces, held)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use cluster_types::Time;
-    use scatter_gather::{GatherEvent, Gathers, HealthRules, MemoryBudget, ShardResponse, ZoneTracker};
-
-    /// What a client is sent where these two parts end so, and the budget.
-    fn told(ends: [ShardResponse<Bytes>; 2]) -> (EncodedResponse, MemoryBudget) {
-        let part = |n: u32| {
-            format!("[[gather.part]]\nname = \"p{n}\"\nhall = \"hall-a\"\npiece = \"{n:016x}\"\nshard = 0\n")
-        };
-        let table = "[[gather]]\nname = \"g\"\nvolume = \"0000000000000001\"\npiece = \"00000000000000ff\"\n\
-             class = \"stock-read\"\nsuffices = { at_least = 1 }\n";
-        let file = include_str!("../../tests/common/config.toml").replace("@IP@", "127.0.0.1");
-        let config = config::read("x.toml", &(file + table + &part(0) + &part(1))).unwrap();
-        let (now, mut out, budget) = (Time(1_000_000), Vec::new(), MemoryBudget::new(1 << 20));
-        let mut gathers = Gathers::new(4, ZoneTracker::new(None, HealthRules::default()), budget.clone());
-        let id = gathers.start(now, config.gathers[0].clone(), Time(2_000_000), &mut out).unwrap();
-        for (part, result) in ends.into_iter().enumerate() {
-            gathers.handle(now, id, GatherEvent::Response { request: part, response: result }, &mut out);
-        }
-        let answer = out.into_iter().find_map(|(_, action)| match action {
-            scatter_gather::GatherAction::Answer(answer) => Some(answer),
-            _ => None,
-        });
-        (reply(answer.unwrap()), budget)
-    }
-
-    fn served(text: &str) -> ShardResponse<Bytes> {
-        ShardResponse::Value(text.as_bytes().into())
-    }
-
-    fn bytes(reply: &EncodedResponse) -> String {
-        let mut all = Vec::new();
-        while !reply.remaining(all.len()).is_empty() {
-            all.push(reply.remaining(all.len())[0]);
-        }
-        String::from_utf8(all).unwrap()
-    }
-
-    #[test]
-    fn what_came_is_joined_and_holds_its_place_in_the_bound_until_it_is_written() {
-        let (whole, budget) = told([served("abc"), served("de")]);
-        assert_eq!((bytes(&whole).as_str(), budget.reserved()), ("$5\r\nabcde\r\n", 5));
-        drop(whole);
-        assert_eq!(budget.reserved(), 0);
-        let (nothing, _) = told([served(""), served("")]);
-        assert_eq!(bytes(&nothing), "$0\r\n\r\n");
-        let (in_part, budget) = told([ShardResponse::Rejected(None), served("de")]);
-        let text = "part missing=hall-a/p0:refused";
-        assert_eq!(bytes(&in_part), format!("*2\r\n$2\r\nde\r\n${}\r\n{text}\r\n", text.len()));
-        drop(in_part);
-        assert_eq!(budget.reserved(), 0);
-    }
-
-    #[test]
-    fn a_failure_says_why_and_one_that_was_only_turned_away_says_when_to_come_again() {
-        let hint = ShardResponse::Rejected(Some(std::time::Duration::from_micros(30_001)));
-        assert_eq!(bytes(&told([hint.clone(), hint.clone()]).0), "-BUSY 31\r\n");
-        let failed = ShardResponse::Failed { reason: "no answer in time".into(), is_zone_reachable: false };
-        let said = bytes(&told([hint, failed]).0);
-        let missing = "hall-a/p0:refused,hall-a/p1:failed(no%20answer%20in%20time)";
-        assert_eq!(said, format!("-ERR failed cause=too-few missing={missing}\r\n"));
-    }
+    EncodedResponse::Pieces(pieces, reservations)
 }
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -1,4 +1,4 @@
-//! Parts of a gather as requests of the module, and the module's answers as their ends.
+//! Shard requests as requests to the scheduler, and its answers as shard responses.
 use crate::backend::pool::BackendPool;
 use crate::backend::value::{Answer, Value};
 use crate::context::Context;
@@ -11,39 +11,39 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Disk boxes take names of 256 bytes; a part's has the client's in front.
-const NAME: usize = 200;
+/// The part of the client's request id that a shard request's id begins with, in bytes: backends accept ids of 256 bytes.
+const ID_PREFIX_BYTES: usize = 200;
 
-/// A part that is out.
-pub struct Part {
+/// A shard request in flight.
+pub struct InFlight {
     /// Its gather.
     pub gather: GatherId,
-    /// Its place in the tier.
-    pub endpoint: usize,
-    /// Its hall.
-    pub hall: Zone,
-    /// When it was asked.
-    pub asked: Micros,
-    /// Until when its request may run.
-    pub until: Micros,
+    /// Its index in the policy's list of requests.
+    pub index: usize,
+    /// The zone of its shard.
+    pub zone: Zone,
+    /// When it was submitted.
+    pub submitted_at: Micros,
+    /// Its deadline.
+    pub deadline: Micros,
 }
 
-/// A part's request; none where the configuration in force does not have what it names.
-pub fn part(
+/// A shard request; `None` where the effective configuration does not have what it names.
+pub fn shard_request(
     config: &Config,
     begin: &Begin,
-    endpoint: usize,
+    index: usize,
     number: RequestId,
-    until: Micros,
+    deadline: Micros,
 ) -> Option<Request> {
     let (policy, client) = (&begin.policy, &begin.request);
-    let part = policy.requests.get(endpoint)?;
+    let part = policy.requests.get(index)?;
     let volume = &policy.volume_of(part).0;
     let (piece, extent, units) = match (&part.piece, &part.blocks) {
         (Some(piece), _) => (Rc::from(&**piece), None, client.units),
         (None, Some(blocks)) => {
-            // As the iSCSI front asks for blocks.
-            let lun = config.iscsi.as_ref()?.luns.iter().find(|l| *l.volume == **volume)?;
+            // The same mapping as that of the iSCSI target.
+            let lun = config.iscsi.as_ref()?.luns.iter().find(|lun| *lun.volume == **volume)?;
             let count = u32::try_from(blocks.len()).ok()?;
             let most = (config.settings.max_request_units as u32).max(1);
             let piece = format!("{:016x}", blocks.first / u64::from(lun.piece_blocks.max(1)));
@@ -52,10 +52,10 @@
         }
         _ => return None,
     };
-    // The number makes it unique: the client may use its own name again while late parts still run.
-    let name = client.name.get(..NAME).unwrap_or(&client.name);
+    // The number makes the id unique: the client may reuse its own while late shard requests still run.
+    let name = client.name.get(..ID_PREFIX_BYTES).unwrap_or(&client.name);
     Some(Request {
-        name: format!("{name}~{:x}.{endpoint}", number.0).into(),
+        name: format!("{name}~{:x}.{index}", number.0).into(),
         class: client.class,
         plan: client.plan,
         is_write: false,
@@ -66,37 +66,42 @@
         volume_gateways: client.volume_gateways,
         extra: client.extra.clone(),
         body: None,
-        // Values come whole: a part that stops half-way must count as missing.
+        // A streamed value could break off, and the shard has to count as missing then.
         accepts_stream: false,
         extent,
-        deadline: until,
+        deadline,
     })
 }
 
-/// How a part ended.
-pub fn ended(context: &Context, pool: &BackendPool, part: &Part, answer: Answer) -> ShardResponse<Bytes> {
+/// The shard response by the scheduler's answer.
+pub fn shard_response(
+    context: &Context,
+    pool: &BackendPool,
+    in_flight: &InFlight,
+    answer: Answer,
+) -> ShardResponse<Bytes> {
     match answer {
         Answer::Served(Value::Complete(value)) => ShardResponse::Value(value),
         Answer::Served(Value::Streamed(_)) => {
             ShardResponse::Failed { reason: "too long".into(), is_zone_reachable: true }
         }
-        Answer::Rejected(hint) => {
-            ShardResponse::Rejected(hint.map(|h| Duration::from_micros(u64::try_from(h.0).unwrap_or(0))))
-        }
+        Answer::Rejected(retry_after) => ShardResponse::Rejected(
+            retry_after.map(|wait| Duration::from_micros(u64::try_from(wait.0).unwrap_or(0))),
+        ),
         Answer::Failed(reason) => {
-            let is_zone_reachable = answers(context, pool, part);
+            let is_zone_reachable = is_zone_reachable(context, pool, in_flight);
             ShardResponse::Failed { reason: reason.into(), is_zone_reachable }
         }
     }
 }
 
-/// Whether a box of the part's hall has answered anything since the part was asked: then the hall can be reached, and the
+/// Whether a backend of the shard request's zone has answered anything since that was submitted: then the zone is reachable, and the
 /// failure says nothing against it.
-fn answers(context: &Context, pool: &BackendPool, part: &Part) -> bool {
+fn is_zone_reachable(context: &Context, pool: &BackendPool, in_flight: &InFlight) -> bool {
     let config = context.config();
     pool.endpoints().iter().any(|endpoint| {
         let zone = endpoint.entry.borrow().zone as usize;
-        let there = config.zones.get(zone).is_some_and(|hall| **hall == *part.hall.0);
-        there && endpoint.statistics.last_answered().is_some_and(|at| at >= part.asked)
+        let is_same_zone = config.zones.get(zone).is_some_and(|name| **name == *in_flight.zone.0);
+        is_same_zone && endpoint.statistics.last_answered().is_some_and(|at| at >= in_flight.submitted_at)
     })
 }
