--- a/crates/backoff/src/caller.rs
+++ b/crates/backoff/src/caller.rs
@@ -1,101 +1,127 @@
 //! One caller: when it calls, and which of its calls it gives up.
-use crate::law::{Failure, Law, LEAST, LIVENESS};
+use crate::policy::{BackoffPolicy, Failure, PauseWindow, IDLE_TIMEOUT_US, MIN_PAUSE_US};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
 
-/// So many calls may be out at once; one more takes the place of the oldest.
-const CALLS: usize = 2;
+/// Maximum number of calls in flight; one more replaces the oldest.
+const MAX_CALLS: usize = 2;
 
-/// A call that is to be made.
+/// A call to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Its number, never used again.
+    /// Its number, never reused.
     pub number: u64,
-    /// The call that it takes the place of, which is to be given up.
-    pub instead_of: Option<u64>,
+    /// The call that it replaces, which is to be given up.
+    pub replaces: Option<u64>,
 }
 
-/// Calls until one is answered by a watch, and again when that has ended.
+/// A call in flight.
+#[derive(Clone, Copy, Debug)]
+struct CallInFlight {
+    number: u64,
+    started_at: i64,
+}
+
+/// Calls until a watch is established, and again when that has ended.
+///
+/// All times are in microseconds of one steady clock.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    law: Law,
+    policy: BackoffPolicy,
     random: SmallRng,
+    /// Failures in a row.
     failures: u32,
-    due: i64,
-    beside: i64,
-    out: VecDeque<(u64, i64)>,
-    next: u64,
-    up: Option<i64>,
+    next_call_at: i64,
+    hedge_delay_us: i64,
+    calls: VecDeque<CallInFlight>,
+    last_number: u64,
+    /// Since when a watch is established.
+    established_at: Option<i64>,
 }
 
 impl Caller {
-    /// One that is to make its first call at once. The seed spreads the calls, for a whole fleet may fail at once.
-    pub fn new(law: Law, seed: u64, now: i64) -> Caller {
-        let (random, beside) = (SmallRng::seed_from_u64(seed), law.beside(Failure::Ended));
-        Caller { law, random, failures: 0, due: now, beside, out: VecDeque::new(), next: 0, up: None }
+    /// A caller that makes its first call at once. The seed spreads the calls: a whole fleet may fail at once.
+    pub fn new(policy: BackoffPolicy, seed: u64, now: i64) -> Caller {
+        Caller {
+            policy,
+            random: SmallRng::seed_from_u64(seed),
+            failures: 0,
+            next_call_at: now,
+            hedge_delay_us: policy.hedge_delay_us(Failure::Ended),
+            calls: VecDeque::new(),
+            last_number: 0,
+            established_at: None,
+        }
     }
 
-    /// The law counts for another number of callers from now on.
-    pub fn obey(&mut self, law: Law) {
-        self.law = law;
+    /// Replaces the policy, when the number of callers has changed.
+    pub fn set_policy(&mut self, policy: BackoffPolicy) {
+        self.policy = policy;
     }
 
-    /// When the next call is to be made; none while a watch is up.
-    pub fn due(&self) -> Option<i64> {
-        self.up.is_none().then_some(self.due)
+    /// When the next call is to be made; none while a watch is established.
+    pub fn next_call_at(&self) -> Option<i64> {
+        self.established_at.is_none().then_some(self.next_call_at)
     }
 
-    /// Puts the first call off: the whole fleet may have started in this instant.
-    pub fn spread(&mut self, now: i64) {
-        self.due = now + self.pause(Failure::Ended);
+    /// Delays the first call: the whole fleet may have started at this moment.
+    pub fn delay_first_call(&mut self, now: i64) {
+        self.next_call_at = now + self.draw_pause_us(Failure::Ended);
     }
 
-    /// Calls now, because it is due or because something else asks for it.
-    pub fn call(&mut self, now: i64) -> Call {
-        let instead_of = if self.out.len() >= CALLS { self.out.pop_front().map(|(n, _)| n) } else { None };
-        self.next += 1;
-        self.out.push_back((self.next, now));
-        self.due = now + self.beside;
-        Call { number: self.next, instead_of }
+    /// Starts a call, because it is due or because something else asks for it.
+    pub fn start_call(&mut self, now: i64) -> Call {
+        let replaced = if self.calls.len() >= MAX_CALLS { self.calls.pop_front() } else { None };
+        self.last_number += 1;
+        self.calls.push_back(CallInFlight { number: self.last_number, started_at: now });
+        self.next_call_at = now + self.hedge_delay_us;
+        Call { number: self.last_number, replaces: replaced.map(|call| call.number) }
     }
 
     /// A call has failed; one that was given up changes nothing.
     ///
-    /// The pause counts from the call: what it waited for its turn is part of it, so that nothing but the law sets the pace.
-    pub fn failed(&mut self, now: i64, number: u64, failure: Failure) {
-        let Some(place) = self.out.iter().position(|(n, _)| *n == number) else { return };
-        let Some((_, called)) = self.out.remove(place) else { return };
-        self.due = (called + self.pause(failure)).max(now + LEAST);
+    /// The pause counts from the start of the call: the time for which it waited at the service is part of it.
+    pub fn call_failed(&mut self, now: i64, number: u64, failure: Failure) {
+        let Some(index) = self.calls.iter().position(|call| call.number == number) else { return };
+        let Some(call) = self.calls.remove(index) else { return };
+        let pause_us = self.draw_pause_us(failure);
+        self.next_call_at = (call.started_at + pause_us).max(now + MIN_PAUSE_US);
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// A call was answered: its watch is up, and all others are to be given up.
-    pub fn up(&mut self, now: i64) {
-        self.out.clear();
-        self.up = Some(now);
+    /// A call has established a watch; all other calls are to be given up.
+    pub fn watch_established(&mut self, now: i64) {
+        self.calls.clear();
+        self.established_at = Some(now);
     }
 
-    /// The watch that was up has ended.
+    /// The established watch has ended.
     ///
-    /// One that did not last as long as a healthy one may be quiet tells no more than a call that failed.
-    pub fn ended(&mut self, now: i64, failure: Failure) {
-        let lasted = self.up.take().is_some_and(|since| now - since >= LIVENESS);
-        self.failures = if lasted { 0 } else { self.failures };
-        self.due = now + self.pause(failure);
-        self.failures = self.failures.saturating_add(u32::from(!lasted));
+    /// One that ended before its idle timeout says no more than a call that failed.
+    pub fn watch_ended(&mut self, now: i64, failure: Failure) {
+        let established_at = self.established_at.take();
+        let was_healthy = established_at.is_some_and(|since| now - since >= IDLE_TIMEOUT_US);
+        if was_healthy {
+            self.failures = 0;
+        }
+        self.next_call_at = now + self.draw_pause_us(failure);
+        if !was_healthy {
+            self.failures = self.failures.saturating_add(1);
+        }
     }
 
-    /// All that was observed belongs to another service. The whole fleet may have been told in this instant.
-    pub fn moved(&mut self, now: i64) {
-        (self.failures, self.up) = (0, None);
-        self.out.clear();
-        self.spread(now);
+    /// The service was replaced by another one, of which nothing is known. The whole fleet may have been notified
+    /// at this moment.
+    pub fn service_replaced(&mut self, now: i64) {
+        (self.failures, self.established_at) = (0, None);
+        self.calls.clear();
+        self.delay_first_call(now);
     }
 
-    fn pause(&mut self, failure: Failure) -> i64 {
-        self.beside = self.law.beside(failure);
-        let (from, to) = self.law.window(failure, self.failures);
-        self.random.random_range(from..to.max(from + 1))
+    fn draw_pause_us(&mut self, failure: Failure) -> i64 {
+        self.hedge_delay_us = self.policy.hedge_delay_us(failure);
+        let PauseWindow { start_us, end_us } = self.policy.pause_window(failure, self.failures);
+        self.random.random_range(start_us..end_us.max(start_us + 1))
     }
 }
--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -1,16 +1,21 @@
-//! The pace of calls to one service that a whole fleet calls, such as discovery. Free of I/O: times are microseconds of one
-//! steady clock, handed in, and randomness comes from a seed.
+//! Backoff of calls to one service that a whole fleet calls, such as discovery.
 //!
-//! Two things have to hold at once, for any number of callers. The **clock**: what the service had to tell and could be
-//! asked for counts as told [`TOLD`] later, whatever calls failed before. The **sum**: the service handles calls in turn and
-//! turns away what would wait too long, which costs it work too. Callers that come again faster than it can turn them away
-//! keep it busy with nothing else, and none of them is ever answered.
+//! Free of I/O: times are microseconds of one steady clock that the caller hands in, and randomness comes from a
+//! seed.
 //!
-//! So what a failure tells decides the pause ([`Failure`]), and the clock alone decides how far pauses may grow ([`Law`]).
-#![deny(missing_docs)]
+//! Two bounds have to hold at once, for any number of callers. *Staleness*: a change that the service has
+//! published, and that could be requested, must be known [`MAX_STALENESS_US`] later, whatever calls failed before.
+//! *Load*: the service handles calls one after the other and rejects what would wait too long, which costs it work
+//! too. Callers that retry faster than it can reject them keep it busy with nothing else, and none of them is ever
+//! served.
+//!
+//! So the kind of failure decides the pause ([`Failure`]), and the staleness bound alone decides how long pauses
+//! may grow ([`BackoffPolicy`]). Calls without a response are hedged by a second one.
 
 mod caller;
-mod law;
+mod policy;
 
 pub use caller::{Call, Caller};
-pub use law::{Failure, Law, BESIDE, LIVENESS, TOLD, TURN};
+pub use policy::{
+    BackoffPolicy, Failure, PauseWindow, HEDGE_DELAY_US, IDLE_TIMEOUT_US, MAX_RESPONSE_US, MAX_STALENESS_US,
+};
--- a/crates/backoff/tests/sim/yesterday.rs
+++ b/crates/backoff/tests/sim/fixed_backoff.rs
@@ -1,10 +1,10 @@
-//! The pace before the law, to set it against: pauses that end at 0.8 s, and a call beside one that has waited for 1.7 s.
-use super::Pace;
-use backoff::{Call, Failure, Law};
+//! The backoff that the policy replaced, for comparison: pauses of at most 0.8 s, and a hedge after 1.7 s.
+use super::CallPacing;
+use backoff::{BackoffPolicy, Call, Failure};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-pub struct Yesterday {
+pub struct FixedBackoff {
     random: SmallRng,
     failures: u32,
     due: i64,
@@ -13,7 +13,7 @@
     next: u64,
 }
 
-impl Yesterday {
+impl FixedBackoff {
     fn pause(&mut self) -> i64 {
         let most = 200_000 << self.failures.min(2);
         self.failures += 1;
@@ -21,34 +21,34 @@
     }
 }
 
-impl Pace for Yesterday {
-    fn start(_: Law, seed: u64, now: i64) -> Yesterday {
+impl CallPacing for FixedBackoff {
+    fn start(_: BackoffPolicy, seed: u64, now: i64) -> FixedBackoff {
         let random = SmallRng::seed_from_u64(seed);
-        let mut pace = Yesterday { random, failures: 0, due: now, up: false, out: vec![], next: 0 };
+        let mut pace = FixedBackoff { random, failures: 0, due: now, up: false, out: vec![], next: 0 };
         pace.due = now + pace.pause();
         pace
     }
-    fn due(&self) -> Option<i64> {
+    fn next_call_at(&self) -> Option<i64> {
         (!self.up).then_some(self.due)
     }
-    fn call(&mut self, now: i64) -> Call {
-        let instead_of = (self.out.len() >= 2).then(|| self.out.remove(0));
+    fn start_call(&mut self, now: i64) -> Call {
+        let replaces = (self.out.len() >= 2).then(|| self.out.remove(0));
         self.next += 1;
         self.out.push(self.next);
         self.due = now + 1_700_000;
-        Call { number: self.next, instead_of }
+        Call { number: self.next, replaces }
     }
-    fn failed(&mut self, now: i64, number: u64, _: Failure) {
+    fn call_failed(&mut self, now: i64, number: u64, _: Failure) {
         if self.out.contains(&number) {
             self.out.retain(|n| *n != number);
             self.due = self.due.min(now + self.pause());
         }
     }
-    fn up(&mut self, _: i64) {
+    fn watch_established(&mut self, _: i64) {
         (self.up, self.failures) = (true, 0);
         self.out.clear();
     }
-    fn ended(&mut self, now: i64, _: Failure) {
+    fn watch_ended(&mut self, now: i64, _: Failure) {
         self.up = false;
         self.due = now + self.pause();
     }
--- a/crates/backoff/tests/sim/mod.rs
+++ b/crates/backoff/tests/sim/mod.rs
@@ -1,96 +1,96 @@
-//! A fleet of callers before one service that handles calls in turn, in simulated time.
+//! A fleet of callers and one service that handles calls one after the other, in simulated time.
 #![allow(dead_code)]
-pub mod yesterday;
+pub mod fixed_backoff;
 
-use backoff::{Call, Caller, Failure, Law};
+use backoff::{BackoffPolicy, Call, Caller, Failure};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 pub const SECOND: i64 = 1_000_000;
 
-/// What paces a caller: the law, or another to set it against.
-pub trait Pace {
-    fn start(law: Law, seed: u64, now: i64) -> Self;
-    fn due(&self) -> Option<i64>;
-    fn call(&mut self, now: i64) -> Call;
-    fn failed(&mut self, now: i64, number: u64, failure: Failure);
-    fn up(&mut self, now: i64);
-    fn ended(&mut self, now: i64, failure: Failure);
+/// Decides when a caller calls: the policy, or another one for comparison.
+pub trait CallPacing {
+    fn start(policy: BackoffPolicy, seed: u64, now: i64) -> Self;
+    fn next_call_at(&self) -> Option<i64>;
+    fn start_call(&mut self, now: i64) -> Call;
+    fn call_failed(&mut self, now: i64, number: u64, failure: Failure);
+    fn watch_established(&mut self, now: i64);
+    fn watch_ended(&mut self, now: i64, failure: Failure);
 }
 
-impl Pace for Caller {
-    fn start(law: Law, seed: u64, now: i64) -> Caller {
-        let mut caller = Caller::new(law, seed, now);
-        caller.spread(now);
+impl CallPacing for Caller {
+    fn start(policy: BackoffPolicy, seed: u64, now: i64) -> Caller {
+        let mut caller = Caller::new(policy, seed, now);
+        caller.delay_first_call(now);
         caller
     }
-    fn due(&self) -> Option<i64> {
-        Caller::due(self)
+    fn next_call_at(&self) -> Option<i64> {
+        Caller::next_call_at(self)
     }
-    fn call(&mut self, now: i64) -> Call {
-        Caller::call(self, now)
+    fn start_call(&mut self, now: i64) -> Call {
+        Caller::start_call(self, now)
     }
-    fn failed(&mut self, now: i64, number: u64, failure: Failure) {
-        Caller::failed(self, now, number, failure);
+    fn call_failed(&mut self, now: i64, number: u64, failure: Failure) {
+        Caller::call_failed(self, now, number, failure);
     }
-    fn up(&mut self, now: i64) {
-        Caller::up(self, now);
+    fn watch_established(&mut self, now: i64) {
+        Caller::watch_established(self, now);
     }
-    fn ended(&mut self, now: i64, failure: Failure) {
-        Caller::ended(self, now, failure);
+    fn watch_ended(&mut self, now: i64, failure: Failure) {
+        Caller::watch_ended(self, now, failure);
     }
 }
 
-/// How the service turns calls away.
+/// When the service rejects calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turns {
-    /// At once, where it foresees that a call would wait too long.
-    Away,
-    /// Once a call has waited that long.
+pub enum Rejections {
+    /// At once, if a call would wait too long.
+    Immediate,
+    /// After a call has waited too long.
     Late,
 }
 
-/// How it is while it does not serve.
+/// How the service fails during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// Nobody listens.
+    /// It accepts no connections.
     Down,
-    /// Calls are answered that it can't.
+    /// It rejects all calls.
     Unavailable,
 }
 
 /// The service.
 #[derive(Clone, Copy, Debug)]
 pub struct Service {
-    /// The work of one call that is answered, and of one that is turned away (µs).
+    /// Work for a call that is served, and for one that is rejected, in microseconds.
     pub serves: i64,
     pub refuses: i64,
-    /// The longest that a call waits for its turn (µs).
+    /// The longest time for which a call waits, in microseconds.
     pub waits: i64,
-    pub turns: Turns,
+    pub rejections: Rejections,
     pub outage: Outage,
 }
 
-enum What {
-    Due(usize, u32),
+enum SimEvent {
+    CallDue(usize, u32),
     Served(usize, u64),
     Failed(usize, u64, Failure),
     Start(usize),
 }
 
-/// What is seen of one run.
+/// What was observed in a run.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// When each caller had its list last (µs).
+pub struct Observations {
+    /// When each caller got its list last, in microseconds.
     pub listed: Vec<Option<i64>>,
-    /// Calls in each tenth of a second.
+    /// Number of calls, by tenth of a second.
     pub calls: Vec<u32>,
-    /// Calls that were answered and were not wanted any more.
-    pub wasted: u32,
+    /// Calls that were served after their caller had a watch.
+    pub unneeded: u32,
 }
 
-impl Seen {
-    /// When that share of all had their list, counted from a time (s); none where they never had.
+impl Observations {
+    /// When that share of all callers had their list, in seconds after `from`; none if they never had.
     pub fn by(&self, share: f64, from: i64) -> Option<f64> {
         let mut times: Vec<i64> = self.listed.iter().map(|t| t.unwrap_or(i64::MAX)).collect();
         times.sort_unstable();
@@ -99,7 +99,7 @@
         (at < i64::MAX).then(|| (at - from).max(0) as f64 / 1e6)
     }
 
-    /// The most calls in any second between two times.
+    /// The highest number of calls in any second between two times.
     pub fn most(&self, from: i64, to: i64) -> u32 {
         let tenth = |t: i64| (t / 100_000) as usize;
         let (from, to) = (tenth(from), tenth(to).min(self.calls.len()));
@@ -113,64 +113,64 @@
 pub struct Fleet<P> {
     pub service: Service,
     callers: Vec<P>,
-    /// Guards against what was planned for an earlier state of a caller.
+    /// Invalidates calls planned for an earlier state of a caller.
     epochs: Vec<u32>,
-    /// Calls given up, by caller.
+    /// Pending events: time, order and index of the payload.
     events: BinaryHeap<Reverse<(i64, u64, usize)>>,
-    whats: Vec<What>,
+    payloads: Vec<SimEvent>,
     free_at: i64,
     outage: (i64, i64),
-    pub seen: Seen,
+    pub observed: Observations,
 }
 
-impl<P: Pace> Fleet<P> {
-    /// A fleet of which each caller starts at a time.
+impl<P: CallPacing> Fleet<P> {
+    /// A fleet whose callers start at these times.
     pub fn new(service: Service, starts: &[i64], outage: (i64, i64), seed: u64) -> Fleet<P> {
-        let law = Law::fleet(starts.len() as u32);
+        let policy = BackoffPolicy::for_callers(starts.len() as u32);
         let callers = starts.iter().enumerate();
         let callers =
-            callers.map(|(n, at)| P::start(law, seed.wrapping_mul(1_000_003) + n as u64, *at)).collect();
-        let seen = Seen { listed: vec![None; starts.len()], ..Seen::default() };
+            callers.map(|(n, at)| P::start(policy, seed.wrapping_mul(1_000_003) + n as u64, *at)).collect();
+        let observed = Observations { listed: vec![None; starts.len()], ..Observations::default() };
         let epochs = vec![0; starts.len()];
         let mut fleet = Fleet {
             service,
             callers,
             epochs,
             events: BinaryHeap::new(),
-            whats: vec![],
+            payloads: vec![],
             free_at: 0,
             outage,
-            seen,
+            observed,
         };
         (0..starts.len()).for_each(|n| fleet.plan(n));
         fleet
     }
 
-    fn push(&mut self, at: i64, what: What) {
-        self.whats.push(what);
-        self.events.push(Reverse((at, self.whats.len() as u64, self.whats.len() - 1)));
+    fn push(&mut self, at: i64, event: SimEvent) {
+        self.payloads.push(event);
+        self.events.push(Reverse((at, self.payloads.len() as u64, self.payloads.len() - 1)));
     }
 
     fn plan(&mut self, n: usize) {
         self.epochs[n] += 1;
-        if let Some(due) = self.callers[n].due() {
-            self.push(due, What::Due(n, self.epochs[n]));
+        if let Some(due) = self.callers[n].next_call_at() {
+            self.push(due, SimEvent::CallDue(n, self.epochs[n]));
         }
     }
 
-    /// All watches end in that instant.
+    /// Ends these callers' watches.
     pub fn cut(&mut self, now: i64, which: impl Iterator<Item = usize>, failure: Failure) {
         for n in which {
-            self.seen.listed[n] = None;
-            self.callers[n].ended(now, failure);
+            self.observed.listed[n] = None;
+            self.callers[n].watch_ended(now, failure);
             self.plan(n);
         }
     }
 
-    /// Callers that are killed, and start again later with another seed.
+    /// Kills these callers; they restart at that time with other seeds.
     pub fn restart(&mut self, at: i64, which: impl Iterator<Item = usize>) {
         for n in which {
-            self.push(at, What::Start(n));
+            self.push(at, SimEvent::Start(n));
         }
     }
 
@@ -180,27 +180,30 @@
                 return;
             }
             self.events.pop();
-            match std::mem::replace(&mut self.whats[place], What::Due(0, 0)) {
-                What::Due(n, epoch) if epoch == self.epochs[n] && epoch > 0 => self.call(at, n),
-                What::Due(..) => {}
-                What::Start(n) => {
-                    self.seen.listed[n] = None;
-                    self.callers[n] =
-                        P::start(Law::fleet(self.callers.len() as u32), place as u64 ^ 0x5eed, at);
+            match std::mem::replace(&mut self.payloads[place], SimEvent::CallDue(0, 0)) {
+                SimEvent::CallDue(n, epoch) if epoch == self.epochs[n] && epoch > 0 => self.call(at, n),
+                SimEvent::CallDue(..) => {}
+                SimEvent::Start(n) => {
+                    self.observed.listed[n] = None;
+                    self.callers[n] = P::start(
+                        BackoffPolicy::for_callers(self.callers.len() as u32),
+                        place as u64 ^ 0x5eed,
+                        at,
+                    );
                     self.plan(n);
                 }
-                What::Served(n, _) => {
-                    if self.callers[n].due().is_some() {
-                        self.callers[n].up(at);
-                        self.seen.listed[n] = Some(at);
+                SimEvent::Served(n, _) => {
+                    if self.callers[n].next_call_at().is_some() {
+                        self.callers[n].watch_established(at);
+                        self.observed.listed[n] = Some(at);
                         self.epochs[n] += 1;
                     } else {
-                        self.seen.wasted += 1;
+                        self.observed.unneeded += 1;
                     }
                 }
-                What::Failed(n, number, failure) => {
-                    if self.callers[n].due().is_some() {
-                        self.callers[n].failed(at, number, failure);
+                SimEvent::Failed(n, number, failure) => {
+                    if self.callers[n].next_call_at().is_some() {
+                        self.callers[n].call_failed(at, number, failure);
                         self.plan(n);
                     }
                 }
@@ -209,24 +212,24 @@
     }
 
     fn call(&mut self, now: i64, n: usize) {
-        let number = self.callers[n].call(now).number;
+        let number = self.callers[n].start_call(now).number;
         let tenth = (now / 100_000) as usize;
-        let calls = &mut self.seen.calls;
+        let calls = &mut self.observed.calls;
         calls.resize(calls.len().max(tenth + 1), 0);
         calls[tenth] += 1;
         let s = self.service;
         if (self.outage.0..self.outage.1).contains(&now) {
-            let failure = if s.outage == Outage::Down { Failure::Down } else { Failure::Overbooked };
-            self.push(now + 300, What::Failed(n, number, failure));
+            let failure = if s.outage == Outage::Down { Failure::Down } else { Failure::Overloaded };
+            self.push(now + 300, SimEvent::Failed(n, number, failure));
         } else {
             let begins = self.free_at.max(now);
             if begins - now > s.waits {
                 self.free_at = begins + s.refuses;
-                let told = if s.turns == Turns::Away { now + 300 } else { now + s.waits };
-                self.push(told, What::Failed(n, number, Failure::Overbooked));
+                let told = if s.rejections == Rejections::Immediate { now + 300 } else { now + s.waits };
+                self.push(told, SimEvent::Failed(n, number, Failure::Overloaded));
             } else {
                 self.free_at = begins + s.serves;
-                self.push(begins + s.serves, What::Served(n, number));
+                self.push(begins + s.serves, SimEvent::Served(n, number));
             }
         }
         self.plan(n);
--- a/crates/config-distribution/src/subscriber.rs
+++ b/crates/config-distribution/src/subscriber.rs
@@ -11,7 +11,7 @@
 use crate::message::FromRelay;
 use crate::scope::Scope;
 use crate::stored::{decode, StoredFault};
-use backoff::{Caller, Law};
+use backoff::{BackoffPolicy, Caller};
 use cluster_types::{Index, Time};
 use decide::Deciding;
 use follow::Staging;
@@ -70,8 +70,8 @@
             Some(Err(fault)) => (Held::default(), Some(fault)),
             None => (Held::default(), None),
         };
-        let mut caller = Caller::new(Law::fleet(fleet), seed, now.0 as i64);
-        caller.spread(now.0 as i64);
+        let mut caller = Caller::new(BackoffPolicy::for_callers(fleet), seed, now.0 as i64);
+        caller.delay_first_call(now.0 as i64);
         let keeps = !matches!(scope, Scope::Everything);
         let subscriber = Subscriber {
             scope,
@@ -101,8 +101,8 @@
     /// When it wants to be told of the time.
     pub fn wake(&self) -> Option<Time> {
         let next = match self.follows {
-            Some(_) => Some(Time(self.heard.0.saturating_add(backoff::LIVENESS as u64))),
-            None => self.caller.due().map(|due| Time(due.max(0) as u64)),
+            Some(_) => Some(Time(self.heard.0.saturating_add(backoff::IDLE_TIMEOUT_US as u64))),
+            None => self.caller.next_call_at().map(|due| Time(due.max(0) as u64)),
         };
         let keep = self.unkept.then(|| self.kept.map_or(self.heard, |kept| kept + KEEP));
         [next, keep].into_iter().flatten().min()
--- a/crates/config-distribution/src/subscriber/follow.rs
+++ b/crates/config-distribution/src/subscriber/follow.rs
@@ -31,7 +31,7 @@
         }
         match message {
             FromRelay::Subscribed { lineage } => return self.subscribed(now, call, lineage, out),
-            FromRelay::Later => return self.leave(now, call, Failure::Overbooked, out),
+            FromRelay::Later => return self.leave(now, call, Failure::Overloaded, out),
             _ => {}
         }
         if self.follows != Some(call) {
@@ -84,7 +84,7 @@
         // The upper bits of a lineage are the time of its founding: the later one is the fleet's.
         if self.follows.is_some() || lineage < self.held.lineage() || lineage == 0 {
             self.figures.foreign += u64::from(self.follows.is_none());
-            return self.leave(now, call, Failure::Overbooked, out);
+            return self.leave(now, call, Failure::Overloaded, out);
         }
         self.heard = now;
         self.follow(now, call, out);
@@ -157,7 +157,7 @@
         // Nothing older than what was held may come back through a snapshot: a relay that is behind is left.
         if self.lineage == self.held.lineage() && base < self.held.highest() {
             self.staging = None;
-            return self.leave(now, call, Failure::Overbooked, out);
+            return self.leave(now, call, Failure::Overloaded, out);
         }
         let Some(staging) =
             staging.filter(|s| proper && s.entries.len() + entries.len() <= KEYS && s.bytes <= BYTES)
--- a/crates/config-distribution/tests/calls.rs
+++ b/crates/config-distribution/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Which relay a subscriber calls, when it leaves one, and what it knows of its age.
 mod common;
-use backoff::{Failure, LIVENESS};
+use backoff::{Failure, IDLE_TIMEOUT_US};
 use cluster_types::Index;
 use common::{change, Front};
 use config_distribution::{Action, Event, FromRelay};
@@ -9,7 +9,7 @@
 fn a_relay_that_says_nothing_is_left_for_the_next_and_the_age_of_what_is_held_can_be_seen() {
     let mut front = Front::following(&[("a", 1, "one")], 1);
     let heard = front.now;
-    front.now.0 += LIVENESS as u64;
+    front.now.0 += IDLE_TIMEOUT_US as u64;
     front.event(Event::Tick);
     assert_eq!(front.subscriber.alone(), Some(heard));
     assert_eq!(front.value("a"), Some((1, "one".into())), "what was last known stays");
--- a/crates/coordination/src/changes/subscriber.rs
+++ b/crates/coordination/src/changes/subscriber.rs
@@ -43,7 +43,7 @@
         gone.task.detach();
         let failure = match carried {
             None => Failure::Down,
-            Some(0) => Failure::Overbooked,
+            Some(0) => Failure::Overloaded,
             Some(_) => Failure::Ended,
         };
         self.follow(Event::Down { call, failure });
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -6,7 +6,7 @@
 use crate::net::close_reason::CloseReason;
 use async_channel::Receiver;
 use async_io::Timer;
-use backoff::{Caller, Failure, Law, LIVENESS};
+use backoff::{BackoffPolicy, Caller, Failure, IDLE_TIMEOUT_US};
 use config::Config;
 use futures_lite::{future, StreamExt};
 use scheduler::interface::{DiscoveryMode, EndpointUpdate, Micros};
@@ -22,8 +22,8 @@
 type Call = Pin<Box<dyn Future<Output = Result<Box<Watch>, CloseReason>>>>;
 
 /// The law for one of all fronts.
-fn law(config: &Config) -> Law {
-    Law::fleet(config.settings.gateways)
+fn law(config: &Config) -> BackoffPolicy {
+    BackoffPolicy::for_callers(config.settings.gateways)
 }
 
 /// Runs until the program ends, which closes the mailbox.
@@ -40,13 +40,13 @@
     // Where lists are pushed, what the agent has counts from the first moment on. Else all fronts may start at once, and
     // discovery is one service for all.
     if config.settings.discovery_mode == DiscoveryMode::Subscribe {
-        caller.spread(now);
+        caller.delay_first_call(now);
     }
     let mut list = List { context, scheduler, pool, version: config.known.generation, caller };
     loop {
         // Read each time: a reload may have given another address, which is asked from the version that is held.
         let config = list.context.config();
-        list.caller.obey(law(&config));
+        list.caller.set_policy(law(&config));
         let reason = match config.discovery {
             Some(discovery) => list.watch(discovery, &mut asked).await,
             None => asked.next().await.map_or(CloseReason::Stopped, |_| CloseReason::Replaced),
@@ -54,9 +54,9 @@
         let now = list.context.clock.now().0;
         match reason {
             CloseReason::Stopped => return,
-            CloseReason::Replaced => list.caller.moved(now),
-            CloseReason::Timeout => list.caller.ended(now, Failure::Silent),
-            _ => list.caller.ended(now, Failure::Ended),
+            CloseReason::Replaced => list.caller.service_replaced(now),
+            CloseReason::Timeout => list.caller.watch_ended(now, Failure::Silent),
+            _ => list.caller.watch_ended(now, Failure::Ended),
         }
         // What leaves from now on is not heard of: the module is to take care.
         let _ = list.scheduler.send(SchedulerMessage::News(EndpointUpdate::Failed)).await;
@@ -96,7 +96,7 @@
 fn failure(reason: CloseReason) -> Failure {
     match reason {
         CloseReason::ConnectFailed => Failure::Down,
-        _ => Failure::Overbooked,
+        _ => Failure::Overloaded,
     }
 }
 
@@ -120,7 +120,7 @@
         match self.call(discovery, asked).await {
             Err(reason) => reason,
             Ok(mut watch) => {
-                self.caller.up(self.context.clock.now().0);
+                self.caller.watch_established(self.context.clock.now().0);
                 self.context.lifecycle.watching.set(true);
                 watch.stream.reason = self.follow(&mut watch, asked).await;
                 self.context.lifecycle.watching.set(false);
@@ -133,7 +133,7 @@
         let context = self.context.clone();
         let mut calls: Vec<(u64, Call)> = Vec::new();
         loop {
-            let due = self.caller.due().map(Micros);
+            let due = self.caller.next_call_at().map(Micros);
             let next = async {
                 match due {
                     Some(due) => drop(Timer::at(context.clock.instant(due)).await),
@@ -148,14 +148,14 @@
             match future::or(future::or(message(asked), answer), next).await {
                 Woken::Answered(_, Ok(watch)) => return Ok(watch),
                 Woken::Answered(number, Err(reason)) => {
-                    self.caller.failed(context.clock.now().0, number, failure(reason));
+                    self.caller.call_failed(context.clock.now().0, number, failure(reason));
                 }
                 // Guards against a watch at an old address, which tells nothing any more.
                 Woken::Asked(message) => return Err(ends(message)),
                 Woken::Moved(_) => {}
                 Woken::Due => {
-                    let call = self.caller.call(context.clock.now().0);
-                    calls.retain(|(number, _)| Some(*number) != call.instead_of);
+                    let call = self.caller.start_call(context.clock.now().0);
+                    calls.retain(|(number, _)| Some(*number) != call.replaces);
                     calls.push((call.number, Box::pin(Watch::call(discovery, self.version))));
                 }
             }
@@ -185,7 +185,7 @@
             }
             let moved = async { Woken::Moved(watch.more().await) };
             let silent = async {
-                Timer::at(context.clock.instant(Micros(heard.0 + LIVENESS))).await;
+                Timer::at(context.clock.instant(Micros(heard.0 + IDLE_TIMEOUT_US))).await;
                 Woken::Due
             };
             match future::or(future::or(message(asked), moved), silent).await {
--- a/crates/gateway/tests/callers.rs
+++ b/crates/gateway/tests/callers.rs
@@ -20,7 +20,7 @@
 const AGAIN: f64 = 0.7;
 /// Nobody calls from so long on after all have their list: what was under way by then is given up (s).
 const UNDER_WAY: f64 = 0.1;
-/// A watch that is to count as healthy lasts longer than `backoff::LIVENESS` (s).
+/// A watch that is to count as healthy lasts longer than `backoff::IDLE_TIMEOUT_US` (s).
 const SETTLED: f64 = 3.0;
 /// Processes start, and sockets and threads take their time, on a machine with other work (s).
 const SLACK: f64 = 0.3;
--- a/crates/test-cluster/src/hollow/mod.rs
+++ b/crates/test-cluster/src/hollow/mod.rs
@@ -5,7 +5,7 @@
 use crate::engine::{lock, within, Clock, Spawner};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use backoff::{Caller, Failure, Law, LIVENESS};
+use backoff::{BackoffPolicy, Caller, Failure, IDLE_TIMEOUT_US};
 use futures_lite::future;
 use rustix::process::{getrlimit, Resource};
 use std::future::Future;
@@ -35,7 +35,7 @@
 struct One {
     number: u64,
     discovery: SocketAddr,
-    law: Law,
+    law: BackoffPolicy,
     seed: u64,
     clock: Clock,
     seen: Mutex<Seen>,
@@ -55,7 +55,7 @@
     pub fn new(
         count: u64,
         discovery: SocketAddr,
-        law: Law,
+        law: BackoffPolicy,
         seed: u64,
         clock: Clock,
         spawner: Spawner,
@@ -133,15 +133,17 @@
     async fn run(&self, lives: u64, life: &Receiver<()>) {
         let seed = (self.seed ^ lives << 32 ^ self.number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let mut caller = Caller::new(self.law, seed, self.now());
-        caller.spread(self.now());
+        caller.delay_first_call(self.now());
         let mut generation = 0;
         loop {
             let mut watch;
             (watch, generation) = self.call(&mut caller, generation).await;
-            caller.up(self.now());
+            caller.watch_established(self.now());
             self.set_listed(life, Some(self.clock.now()));
             let failure = loop {
-                match within(Duration::from_micros(LIVENESS.unsigned_abs()), watch.next(generation)).await {
+                match within(Duration::from_micros(IDLE_TIMEOUT_US.unsigned_abs()), watch.next(generation))
+                    .await
+                {
                     Some(Some(next)) => generation = next,
                     Some(None) => break Failure::Ended,
                     None => break Failure::Silent,
@@ -149,7 +151,7 @@
             };
             drop(watch);
             self.set_listed(life, None);
-            caller.ended(self.now(), failure);
+            caller.watch_ended(self.now(), failure);
         }
     }
 
@@ -157,7 +159,8 @@
     async fn call(&self, caller: &mut Caller, generation: i64) -> (Watch, i64) {
         let mut out: Vec<(u64, Out)> = Vec::new();
         loop {
-            let due = caller.due().and_then(|due| u64::try_from(due).ok()).map(Duration::from_micros);
+            let due =
+                caller.next_call_at().and_then(|due| u64::try_from(due).ok()).map(Duration::from_micros);
             let due = async {
                 match due {
                     Some(due) => drop(Timer::at(self.clock.instant(due)).await),
@@ -167,11 +170,11 @@
             };
             match future::or(answered(&mut out), due).await {
                 Woken::Answered(_, Ok(up)) => return up,
-                Woken::Answered(number, Err(failure)) => caller.failed(self.now(), number, failure),
+                Woken::Answered(number, Err(failure)) => caller.call_failed(self.now(), number, failure),
                 Woken::Due => {
-                    let call = caller.call(self.now());
+                    let call = caller.start_call(self.now());
                     lock(&self.calls).push(self.clock.now());
-                    out.retain(|(number, _)| Some(*number) != call.instead_of);
+                    out.retain(|(number, _)| Some(*number) != call.replaces);
                     out.push((call.number, Box::pin(Watch::call(self.discovery, generation))));
                 }
             }
--- a/crates/test-cluster/src/hollow/watch.rs
+++ b/crates/test-cluster/src/hollow/watch.rs
@@ -20,12 +20,12 @@
         let _ = stream.get_ref().set_nodelay(true);
         let mut watch = Watch { stream, came: vec![], body: vec![], chunks: Chunks::default() };
         let ask = format!("GET /api/targets?watch=1&from={from} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
-        watch.stream.write_all(ask.as_bytes()).await.map_err(|_| Failure::Overbooked)?;
+        watch.stream.write_all(ask.as_bytes()).await.map_err(|_| Failure::Overloaded)?;
         while !watch.head()? {
-            watch.more().await.ok_or(Failure::Overbooked)?;
+            watch.more().await.ok_or(Failure::Overloaded)?;
         }
-        let line = watch.line().await.ok_or(Failure::Overbooked)?;
-        let generation = generation(&line, from).ok_or(Failure::Overbooked)?;
+        let line = watch.line().await.ok_or(Failure::Overloaded)?;
+        let generation = generation(&line, from).ok_or(Failure::Overloaded)?;
         Ok((watch, generation))
     }
 
@@ -41,7 +41,7 @@
                 self.came.drain(..used);
                 Ok(true)
             }
-            _ => Err(Failure::Overbooked),
+            _ => Err(Failure::Overloaded),
         }
     }
 
--- a/crates/test-cluster/src/rig.rs
+++ b/crates/test-cluster/src/rig.rs
@@ -13,7 +13,7 @@
 use crate::setup::{discovery_door, door, own_address, view, Setup, BOXES, TCP, UDP};
 use crate::story::Story;
 use crate::verdict::Evidence;
-use backoff::Law;
+use backoff::BackoffPolicy;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -122,7 +122,7 @@
         let door = discovery_door(&self.site, self.setup.fronts);
         self.discovery.door("hollow", door)?;
         let (clock, spawner) = (self.clock.clone(), self.engine.spawner());
-        Hollow::new(count, door, Law::fleet(fleet), self.setup.seed, clock, spawner)
+        Hollow::new(count, door, BackoffPolicy::for_callers(fleet), self.setup.seed, clock, spawner)
     }
 
     /// Discovery is gone, for fronts too: nobody listens, and what is open is reset; or it is back.
--- a/crates/test-cluster/tests/callers.rs
+++ b/crates/test-cluster/tests/callers.rs
@@ -1,6 +1,6 @@
 //! Discovery that takes calls in turn, and hollow callers before it.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use backoff::Law;
+use backoff::BackoffPolicy;
 use rustix::process::{getrlimit, Resource};
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -63,7 +63,7 @@
 
     fn hollow(&self, count: u64) -> Hollow {
         let (clock, spawner) = (self.engine.clock(), self.engine.spawner());
-        Hollow::new(count, self.site.at(1, 8500), Law::fleet(30), 7, clock, spawner).unwrap()
+        Hollow::new(count, self.site.at(1, 8500), BackoffPolicy::for_callers(30), 7, clock, spawner).unwrap()
     }
 }
 
@@ -203,6 +203,8 @@
     let bench = bench(None);
     let (clock, spawner) = (bench.engine.clock(), bench.engine.spawner());
     let Some(limit) = getrlimit(Resource::Nofile).current else { return };
-    let error = Hollow::new(limit, bench.site.at(1, 8500), Law::fleet(30), 7, clock, spawner).err().unwrap();
+    let error = Hollow::new(limit, bench.site.at(1, 8500), BackoffPolicy::for_callers(30), 7, clock, spawner)
+        .err()
+        .unwrap();
     assert!(error.to_string().contains("RLIMIT_NOFILE"), "{error}");
 }
