--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -30,6 +30,7 @@
 //!   disk. A disk that hangs is to be reported as failed.
 mod action;
 mod bootstrap;
+mod bootstrap_hello;
 mod compaction;
 mod config;
 mod counters;
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,6 +1,6 @@
 //! A member of the group: its state, and where events are handled.
 use crate::action::{Action, Rejection};
-use crate::bootstrap::BootstrapHello;
+use crate::bootstrap_hello::BootstrapHello;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::entry::{Incarnations, Payload, TERM_AND_INDEX_BOUND};
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -46,7 +46,7 @@
         let (old_keys, new_keys) = (keys(old), keys(new));
         if let (Some(coordination), Some(new_keys)) = (&self.coordination, new_keys) {
             if Some(&new_keys) != old_keys.as_ref() {
-                coordination.rekey(new_keys);
+                coordination.set_keys(new_keys);
             }
         }
         if let Some(overlay) = &self.config_overlay {
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -147,7 +147,7 @@
     let config = operators.context.config();
     let mailbox = config_overlay::actor::mailbox(&config);
     let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
-    let voter = voter.map(coordination::changes::Mailbox::for_the_log);
+    let voter = voter.map(coordination::distribution::Mailbox::for_log_thread);
     let Operators { context, scheduler, pool, .. } = &*operators;
     operators.coordination =
         member::start(context, scheduler, pool, voter).map_err(StartError::Coordination)?;
--- a/crates/gateway/tests/gather.rs
+++ b/crates/gateway/tests/gather.rs
@@ -1,10 +1,10 @@
-//! Answers that are gathered from parts, with the real program, boxes in two halls, and links that are cut.
+//! Answers that are gathered from parts, with the real program, backends in two zones, and links that are cut.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 #[path = "gather/client.rs"]
 mod client;
 
-use client::{joined, value, Answer, Client, ALL, ANY, NAMED, PATIENCE, VOLUME, WAIT};
-use scatter_gather::{parse, Cause, Told};
+use client::{joined, value, Answer, Client, ALL, ANY, NAMED, TIMEOUT, VOLUME, WAIT};
+use scatter_gather::{parse_status, AnswerStatus, Cause};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::Command;
@@ -33,7 +33,7 @@
     text
 }
 
-/// One front and four boxes, each with a shard of its own; the boxes stand in two halls in turn.
+/// One gateway and four backends, each with a shard of its own; the backends stand in two zones in turn.
 fn rig(gathers: &str) -> Rig {
     let mut setup = Setup::usual(Path::new(env!("CARGO_BIN_EXE_gateway")), 7).with(gathers);
     (setup.fronts, setup.boxes, setup.cells) = (1, 4, 4);
@@ -43,7 +43,7 @@
         let shelf = rig.shelf_of(n as i64).unwrap();
         shelf.lock().unwrap().write((VOLUME.into(), n), value(n as usize).as_bytes().into());
     }
-    rig.start(PATIENCE).unwrap();
+    rig.start(TIMEOUT).unwrap();
     rig
 }
 
@@ -58,18 +58,18 @@
 
 /// What a failure names: its cause, and the parts that won't come.
 fn failed(text: &str) -> (Cause, BTreeSet<usize>) {
-    match text.strip_prefix("ERR ").and_then(parse) {
-        Some(Told::Failed(cause, missing)) => (cause, places(&missing)),
+    match text.strip_prefix("ERR ").and_then(parse_status) {
+        Some(AnswerStatus::Failed(cause, missing)) => (cause, places(&missing)),
         _ => panic!("{text}"),
     }
 }
 
-fn places(missing: &[scatter_gather::Missing]) -> BTreeSet<usize> {
-    missing.iter().map(|m| m.part[1..].parse().unwrap()).collect()
+fn places(missing: &[scatter_gather::MissingResponse]) -> BTreeSet<usize> {
+    missing.iter().map(|m| m.request[1..].parse().unwrap()).collect()
 }
 
 #[test]
-fn a_hall_that_is_cut_off_is_named_in_time_and_is_never_told_as_whole() {
+fn partitioned_zone_is_named_in_time_and_never_reported_complete() {
     let rig = rig(&gathers());
     let mut client = Client::new(rig.fronts[0].listen);
     client.whole(ANY);
@@ -88,10 +88,10 @@
         let stood: Duration = evidence(&rig).hiccups.iter().map(|h| h.1 - h.0).sum();
         assert!(took < WAIT + stood, "{took:?}");
         match answer {
-            Answer::InPart(value, Told::Part(missing)) => {
+            Answer::InPart(value, AnswerStatus::Partial(missing)) => {
                 let gone = places(&missing);
                 assert!(gone.is_superset(&south), "{missing:?}");
-                assert!(missing.iter().all(|m| m.part.as_ref() != "n1" || &*m.hall.0 == "hall-b"));
+                assert!(missing.iter().all(|m| m.request.as_ref() != "n1" || &*m.zone.0 == "hall-b"));
                 assert_eq!(value, joined(&gone), "{missing:?}");
                 in_part += u32::from(gone == south);
             }
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_part_that_comes_late_is_counted_and_never_answered() {
-    // Other halls are waited for for a tenth of a second, and answer in two.
+    // Other zones are waited for for a tenth of a second, and answer in two.
     let short = gathers().replace("suffices =", "remote_share = 0.04\nsuffices =");
     let rig = rig(&short);
     let mut client = Client::new(rig.fronts[0].listen);
@@ -129,26 +129,26 @@
         let place = rig.place(&format!("box-{n}")).unwrap();
         place.set(test_cluster::boxes::Manner { service: Duration::from_millis(200), ..place.manner() });
     }
-    until(PATIENCE, || {
+    until(TIMEOUT, || {
         client.ask(ANY);
         (figure(&rig, "late_parts")? > 0).then_some(())
     })
     .expect("a late part");
     assert!(client.counts.contains_key("in_part"), "{:?}", client.counts);
     // Without the part that is needed there is no answer, and the failure names it.
-    until(PATIENCE, || match client.ask(NAMED).0 {
+    until(TIMEOUT, || match client.ask(NAMED).0 {
         Answer::Error(text) if text.starts_with("BUSY") => None,
         Answer::Error(text) => {
             let (cause, missing) = failed(&text);
             assert!(!missing.is_empty(), "{text}");
-            (cause == Cause::Named("n1".into()) && missing.contains(&1)).then_some(())
+            (cause == Cause::RequiredMissing("n1".into()) && missing.contains(&1)).then_some(())
         }
         Answer::Whole(_) => None,
         other => panic!("{other:?}"),
     })
     .expect("a failure that names the part");
     // A client that goes before its answer is forgotten, with its parts.
-    until(PATIENCE, || {
+    until(TIMEOUT, || {
         Client::new(rig.fronts[0].listen).send(ALL);
         (figure(&rig, "left")? > 0).then_some(())
     })
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_front_that_only_speaks_iscsi_is_refused_what_it_cannot_say() {
+fn iscsi_only_gateway_rejects_scatter_gather_policies() {
     let file = std::env::temp_dir().join(format!("gather-iscsi-{}.toml", std::process::id()));
     let program = env!("CARGO_BIN_EXE_gateway");
     let written = Command::new(program).args(["config", "write", "x"]).output().unwrap().stdout;
