--- a/crates/config-distribution/tests/connections.rs
+++ b/crates/config-distribution/tests/connections.rs
@@ -1,6 +1,6 @@
 //! Which relay a subscriber connects to, when it leaves one, and how old its values are.
 mod common;
-use backoff::{Failure, LIVENESS};
+use backoff::{Failure, IDLE_TIMEOUT_US};
 use cluster_types::Index;
 use common::{change, Host};
 use config_distribution::{RelayMessage, SubscriberAction, SubscriberEvent};
@@ -10,7 +10,7 @@
 fn leaves_silent_relay_for_the_next_and_reports_age_of_values() {
     let mut host = Host::following(&[("a", 1, "one")], 1);
     let heard_at = host.now;
-    host.now.0 += LIVENESS as u64;
+    host.now.0 += IDLE_TIMEOUT_US as u64;
     host.handle(SubscriberEvent::Tick);
     assert_eq!(host.subscriber.isolated_since(), Some(heard_at));
     assert_eq!(host.value("a"), Some((1, "one".into())), "the last known value stays");
--- a/crates/coordination/src/distribution/subscriber_host.rs
+++ b/crates/coordination/src/distribution/subscriber_host.rs
@@ -51,7 +51,7 @@
         ended.task.detach();
         let failure = match frames {
             None => Failure::Down,
-            Some(0) => Failure::Overbooked,
+            Some(0) => Failure::Overloaded,
             Some(_) => Failure::Ended,
         };
         self.handle_subscriber_event(SubscriberEvent::Disconnected { connection: call, failure });
