--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -8,9 +8,9 @@
 use async_io::Timer;
 use dispatch::{Attempt, Bytes, Extent};
 use futures_lite::{future, StreamExt};
-use iscsi::initiator::{Initiator, Told};
+use iscsi::initiator::{Initiator, Response};
 use iscsi::scsi::{self, status};
-use iscsi::BLOCK;
+use iscsi::BLOCK_BYTES;
 use scheduler::interface::AttemptOutcome;
 
 /// The LUN and the blocks that a request is about; none where its volume has no LUN.
@@ -24,10 +24,10 @@
         let pieces = u64::from(lun.blocks / lun.piece_blocks).max(1);
         let piece = u64::from_str_radix(&request.key, 16).unwrap_or(0) % pieces;
         let blocks = match &request.body {
-            Some(body) => body.len().div_ceil(BLOCK) as u32,
+            Some(body) => body.len().div_ceil(BLOCK_BYTES) as u32,
             None => request.units.saturating_mul(lun.unit_blocks),
         };
-        let most = (iscsi::LONGEST / BLOCK) as u32;
+        let most = (iscsi::MAX_DATA_BYTES / BLOCK_BYTES) as u32;
         Extent { first: piece * u64::from(lun.piece_blocks), blocks: blocks.clamp(1, most.min(lun.blocks)) }
     });
     Some((lun.lun, extent))
@@ -49,11 +49,11 @@
     };
     let body = attempt.request.body.as_ref().filter(|_| attempt.request.is_write).map(|body| {
         let mut padded = body.to_vec();
-        padded.resize(extent.blocks as usize * BLOCK, 0);
+        padded.resize(extent.blocks as usize * BLOCK_BYTES, 0);
         padded
     });
-    let cdb = scsi::transfer(attempt.request.is_write, extent.first, extent.blocks);
-    let expected = extent.blocks as usize * BLOCK;
+    let cdb = scsi::transfer_cdb(attempt.request.is_write, extent.first, extent.blocks);
+    let expected = extent.blocks as usize * BLOCK_BYTES;
     let mut out = Vec::new();
     let mut begun = session.is_some();
     let session = session.get_or_insert_with(Initiator::default);
@@ -97,16 +97,16 @@
                         stream.input.consume(used);
                         match told {
                             // Guards against what has become known while the session came up.
-                            Told::LoggedIn if !begun && !work.may_begin(attempt) => {
+                            Response::LoggedIn if !begun && !work.may_begin(attempt) => {
                                 let keep = !work.endpoint.closed.get() && stream.input.is_empty();
                                 stream.reason = CloseReason::Drained;
                                 return ended(attempt.ended(AttemptOutcome::NotSent), keep);
                             }
-                            Told::LoggedIn if !begun => {
+                            Response::LoggedIn if !begun => {
                                 begun = true;
                                 session.command(lun, &cdb, body.as_deref(), expected, &mut out);
                             }
-                            Told::Done { status: code, data, .. } => {
+                            Response::Completed { status: code, data, .. } => {
                                 let ending = match code {
                                     status::GOOD => AttemptOutcome::Ok,
                                     status::BUSY | status::TASK_SET_FULL => AttemptOutcome::Rejected,
@@ -121,11 +121,11 @@
                                 }
                                 return ended(Ended { value, ..attempt.ended(ending) }, keep);
                             }
-                            Told::Rejected(_) => {
+                            Response::Rejected(_) => {
                                 stream.reason = CloseReason::Protocol;
                                 break Some(maybe(AttemptOutcome::Error));
                             }
-                            Told::LoggedOut => {
+                            Response::LoggedOut => {
                                 stream.reason = CloseReason::PeerClosed;
                                 break Some(maybe(AttemptOutcome::Reset));
                             }
--- a/crates/gateway/src/iscsi/server.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -15,14 +15,14 @@
 use config::{Iscsi, Lun};
 use futures_lite::{future, StreamExt};
 use iscsi::scsi::Disk;
-use iscsi::target::Shown;
+use iscsi::target::TargetDescription;
 use scheduler::interface::Micros;
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
 
-const BOUNDS: (usize, usize) = (iscsi::LONGEST + 4096, 2 * ANSWER);
+const BOUNDS: (usize, usize) = (iscsi::MAX_DATA_BYTES + 4096, 2 * ANSWER);
 /// Initiators at once.
 const SESSIONS: usize = 24;
 /// Answers that may wait for a session: those of its tasks, and late ones of reads that were aborted.
@@ -40,7 +40,7 @@
     listener: Async<TcpListener>,
 ) {
     let disk = |l: &Lun| Disk { lun: l.lun, blocks: u64::from(l.blocks), serial: l.volume.clone() };
-    let shown = Shown {
+    let shown = TargetDescription {
         name: iscsi.target.clone(),
         address: iscsi.listen.to_string(),
         disks: iscsi.luns.iter().map(disk).collect(),
@@ -95,7 +95,7 @@
         if let Some(reason) = session.stands_still(&stream, &mut went_on) {
             break reason;
         }
-        let nothing = !session.target.busy() && session.ready.is_empty() && stream.output.is_empty();
+        let nothing = !session.target.is_busy() && session.ready.is_empty() && stream.output.is_empty();
         slot.set_activity(match (nothing && stream.input.is_empty(), stream.carried) {
             (true, 0) => Activity::Silent,
             (true, _) if session.name.is_some() => Activity::Idle,
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// What one answer may take on the wire, with all its heads.
-pub const ANSWER: usize = iscsi::LONGEST + 16 * 1024;
+pub const ANSWER: usize = iscsi::MAX_DATA_BYTES + 16 * 1024;
 
 /// A read or write that is on its way.
 struct Task {
@@ -65,7 +65,7 @@
         while stream.output.remaining() >= ANSWER {
             let Some((slot, answer)) = self.ready.pop_front() else { break };
             let Some(work) = self.tasks.remove(&slot) else { continue };
-            let status = self.target.answer(work.tag, outcome(&answer, work.write), &mut out);
+            let status = self.target.complete(work.tag, outcome(&answer, work.write), &mut out);
             if let (Some(status), Some(key)) = (status, work.key) {
                 self.unacknowledged.push_back((status, key));
             }
@@ -120,7 +120,7 @@
                 let mut digest = DefaultHasher::new();
                 (lun, lba, &data).hash(&mut digest);
                 let key = (initiator, isid, tag, digest.finish());
-                let blocks = (data.len() / iscsi::BLOCK) as u32;
+                let blocks = (data.len() / iscsi::BLOCK_BYTES) as u32;
                 let request = request(
                     &self.front.context,
                     &self.front.iscsi,
@@ -188,7 +188,7 @@
         if written && self.closing.is_some() {
             return self.closing;
         }
-        if written && self.ready.is_empty() && !self.target.busy() && context.lingered() {
+        if written && self.ready.is_empty() && !self.target.is_busy() && context.lingered() {
             return Some(CloseReason::Stopped);
         }
         // Guards sessions against connections that never log in.
--- a/crates/gateway/src/iscsi/shared.rs
+++ b/crates/gateway/src/iscsi/shared.rs
@@ -4,7 +4,7 @@
 use crate::messages::SchedulerMailbox;
 use async_channel::Sender;
 use config::Iscsi;
-use iscsi::target::Shown;
+use iscsi::target::TargetDescription;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
     /// The front's section of the configuration.
     pub iscsi: Iscsi,
     /// What initiators are shown.
-    pub shown: Rc<Shown>,
+    pub shown: Rc<TargetDescription>,
     /// The record of writes.
     pub record: Sender<Note>,
     /// The sessions that are there.
--- a/crates/gateway/tests/drops.rs
+++ b/crates/gateway/tests/drops.rs
@@ -4,9 +4,9 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
-use iscsi::initiator::{Initiator, Told};
+use iscsi::initiator::{Initiator, Response};
 use iscsi::scsi::{self, status, Disk};
-use iscsi::target::{Event, Outcome, Shown, Target};
+use iscsi::target::{Event, Outcome, Target, TargetDescription};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -31,7 +31,7 @@
 fn serve_box(mut stream: TcpStream, ledger: Ledger, mut rng: SmallRng) {
     let disks = vec![Disk { lun: 1, blocks: 2048, serial: "x".into() }];
     let name = "iqn.2026-12.lichenrudder:box-1".into();
-    let mut target = Target::new(Rc::new(Shown { name, address: String::new(), disks }), 1);
+    let mut target = Target::new(Rc::new(TargetDescription { name, address: String::new(), disks }), 1);
     let (mut input, mut out, mut events) = (vec![], vec![], vec![]);
     // Some of the connections break after so many bytes either way, wherever that may be.
     let broken = rng.random_bool(0.5);
@@ -56,7 +56,7 @@
                         // Executed, and nobody hears of it.
                         return;
                     }
-                    target.answer(tag, Outcome::Good(&[]), &mut out);
+                    target.complete(tag, Outcome::Good(&[]), &mut out);
                 }
             }
         }
@@ -100,13 +100,13 @@
             let (used, told) = session.read(&input, &mut out).expect("sense from the front");
             input.drain(..used);
             match told {
-                Told::LoggedIn => {
-                    let cdb = scsi::transfer(true, lba, (data.len() / iscsi::BLOCK) as u32);
+                Response::LoggedIn => {
+                    let cdb = scsi::transfer_cdb(true, lba, (data.len() / iscsi::BLOCK_BYTES) as u32);
                     assert_eq!(session.command(1, &cdb, Some(data), 0, &mut out), tag);
                 }
-                Told::Done { status, qualifier, .. } => return Some((status, qualifier)),
-                Told::Nothing if used > 0 => {}
-                Told::Nothing => break,
+                Response::Completed { status, qualifier, .. } => return Some((status, qualifier)),
+                Response::Pending if used > 0 => {}
+                Response::Pending => break,
                 other => panic!("{other:?}"),
             }
         }
@@ -139,7 +139,7 @@
             let (mut good, mut failed, mut reissued) = (0, 0, 0);
             for n in 0..BOOKINGS {
                 let booking = client << 32 | n;
-                let mut data = vec![0; iscsi::BLOCK * rng.random_range(1..=12)];
+                let mut data = vec![0; iscsi::BLOCK_BYTES * rng.random_range(1..=12)];
                 data[..8].copy_from_slice(&booking.to_be_bytes());
                 let code = loop {
                     assert!(Instant::now() < end, "seed {seed}: booking {booking:x} has no final answer");
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -1,79 +1,87 @@
-//! Protocol data units: a head of 48 bytes, then data padded to four bytes. Digests are never agreed to.
-use crate::LONGEST;
+//! Protocol data units: a basic header segment of 48 bytes, then data padded to four bytes. Digests are never agreed to.
+use crate::{opcode, ProtocolError, MAX_DATA_BYTES};
 
-/// Why bytes can't be understood; its text names the fault.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
-
-/// Bytes of a head.
-pub const HEAD: usize = 48;
+/// Bytes of a basic header segment.
+pub const HEADER_BYTES: usize = 48;
 /// A tag that stands for none.
-pub const NO_TAG: u32 = 0xffff_ffff;
-/// The bit that marks the last PDU of a sequence.
+pub const RESERVED_TAG: u32 = 0xffff_ffff;
+/// The flag of the last PDU of a sequence; in login PDUs the transit to the next stage.
 pub const FINAL: u8 = 0x80;
-
-/// Opcodes.
-pub mod op {
-    #![allow(missing_docs)]
-    pub const NOP_OUT: u8 = 0x00;
-    pub const COMMAND: u8 = 0x01;
-    pub const TASK: u8 = 0x02;
-    pub const LOGIN: u8 = 0x03;
-    pub const TEXT: u8 = 0x04;
-    pub const DATA_OUT: u8 = 0x05;
-    pub const LOGOUT: u8 = 0x06;
-    pub const NOP_IN: u8 = 0x20;
-    pub const RESPONSE: u8 = 0x21;
-    pub const TASK_DONE: u8 = 0x22;
-    pub const LOGIN_DONE: u8 = 0x23;
-    pub const TEXT_DONE: u8 = 0x24;
-    pub const DATA_IN: u8 = 0x25;
-    pub const LOGOUT_DONE: u8 = 0x26;
-    pub const R2T: u8 = 0x31;
-    pub const REJECT: u8 = 0x3f;
+/// Data segments are padded to a multiple of so many bytes.
+const PADDING_BYTES: usize = 4;
+
+/// Byte offsets of the 32-bit header fields (RFC 7143, section 11). Which of them a PDU has depends on its opcode.
+pub mod field {
+    /// Initiator Task Tag.
+    pub const TASK_TAG: usize = 16;
+    /// Expected Data Transfer Length of a SCSI command, in bytes.
+    pub const EXPECTED_LENGTH: usize = 20;
+    /// Target Transfer Tag.
+    pub const TRANSFER_TAG: usize = 20;
+    /// Referenced Task Tag of a task management request.
+    pub const REFERENCED_TAG: usize = 20;
+    /// CmdSN of a request.
+    pub const COMMAND_NUMBER: usize = 24;
+    /// StatSN of a response.
+    pub const STATUS_NUMBER: usize = 24;
+    /// ExpStatSN of a request.
+    pub const EXPECTED_STATUS_NUMBER: usize = 28;
+    /// ExpCmdSN of a response.
+    pub const EXPECTED_COMMAND_NUMBER: usize = 28;
+    /// MaxCmdSN of a response.
+    pub const MAX_COMMAND_NUMBER: usize = 32;
+    /// DataSN of a data PDU, R2TSN of an R2T, ExpDataSN of a SCSI response.
+    pub const DATA_NUMBER: usize = 36;
+    /// Buffer Offset, in bytes.
+    pub const BUFFER_OFFSET: usize = 40;
+    /// Desired Data Transfer Length of an R2T, in bytes.
+    pub const DESIRED_LENGTH: usize = 44;
+    /// Residual Count of a SCSI response, in bytes.
+    pub const RESIDUAL_COUNT: usize = 44;
 }
 
-/// A head, as it stands on the wire.
+/// A basic header segment, as it is on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head(pub [u8; HEAD]);
-
-impl Head {
-    /// A head of that opcode with those flags, and the task's tag.
-    pub fn new(opcode: u8, flags: u8, tag: u32) -> Head {
-        let mut head = Head([0; HEAD]);
-        (head.0[0], head.0[1]) = (opcode, flags);
-        head.put(16, tag);
-        head
+pub struct Header(pub [u8; HEADER_BYTES]);
+
+impl Header {
+    /// A header of that opcode with those flags and the initiator's task tag; all other bytes are 0.
+    pub fn new(opcode: u8, flags: u8, tag: u32) -> Header {
+        let mut header = Header([0; HEADER_BYTES]);
+        header.0[0] = opcode;
+        header.0[1] = flags;
+        header.set_word(field::TASK_TAG, tag);
+        header
     }
 
-    /// The opcode.
+    /// The opcode, without the immediate bit.
     pub fn opcode(&self) -> u8 {
         self.0[0] & 0x3f
     }
 
-    /// Whether it is to be taken outside the order of commands.
-    pub fn immediate(&self) -> bool {
-        self.0[0] & 0x40 != 0
+    /// Whether the request is taken outside the order of commands.
+    pub fn is_immediate(&self) -> bool {
+        self.0[0] & opcode::IMMEDIATE != 0
     }
 
-    /// The flags.
+    /// The flags byte.
     pub fn flags(&self) -> u8 {
         self.0[1]
     }
 
     /// The initiator's task tag.
     pub fn tag(&self) -> u32 {
-        self.word(16)
+        self.word(field::TASK_TAG)
     }
 
-    /// The number that starts at that byte.
-    pub fn word(&self, at: usize) -> u32 {
-        u32::from_be_bytes([self.0[at], self.0[at + 1], self.0[at + 2], self.0[at + 3]])
+    /// The big-endian number at that byte offset (see [`field`]).
+    pub fn word(&self, offset: usize) -> u32 {
+        u32::from_be_bytes([self.0[offset], self.0[offset + 1], self.0[offset + 2], self.0[offset + 3]])
     }
 
-    /// Sets the number that starts at that byte.
-    pub fn put(&mut self, at: usize, value: u32) {
-        self.0[at..at + 4].copy_from_slice(&value.to_be_bytes());
+    /// Sets the big-endian number at that byte offset (see [`field`]).
+    pub fn set_word(&mut self, offset: usize, value: u32) {
+        self.0[offset..offset + 4].copy_from_slice(&value.to_be_bytes());
     }
 
     /// The LUN, where it is one of the first 256 in flat or peripheral addressing.
@@ -84,52 +92,40 @@
         }
     }
 
-    /// Appends the PDU with its data.
+    /// Appends the PDU with its data, whose length it sets, and the padding.
     pub fn write(mut self, data: &[u8], out: &mut Vec<u8>) {
         let length = (data.len() as u32).to_be_bytes();
         self.0[5..8].copy_from_slice(&length[1..]);
         out.extend_from_slice(&self.0);
         out.extend_from_slice(data);
-        out.resize(out.len() + data.len().next_multiple_of(4) - data.len(), 0);
+        out.resize(out.len() + data.len().next_multiple_of(PADDING_BYTES) - data.len(), 0);
     }
 }
 
-/// A head, its data and the length of both; none while it is not whole.
-pub type Whole<'a> = Option<(Head, &'a [u8], usize)>;
-
-/// The first PDU: its head, its data, and its length in bytes; none while it is not whole.
-pub fn pdu(bytes: &[u8]) -> Result<Whole<'_>, Malformed> {
-    let Some(head) = bytes.get(..HEAD) else { return Ok(None) };
-    let mut copy = [0; HEAD];
-    copy.copy_from_slice(head);
-    let extra = usize::from(head[4]) * 4;
-    let length = u32::from_be_bytes([0, head[5], head[6], head[7]]) as usize;
-    if length > LONGEST {
-        return Err(Malformed("a data segment is longer than 64 KiB"));
-    }
-    let start = HEAD + extra;
-    let end = start + length.next_multiple_of(4);
-    match bytes.get(start..end) {
-        Some(data) => Ok(Some((Head(copy), &data[..length], end))),
-        None => Ok(None),
-    }
+/// A complete PDU in a receive buffer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Pdu<'a> {
+    /// Its basic header segment.
+    pub header: Header,
+    /// Its data segment, without padding.
+    pub data: &'a [u8],
+    /// Its length on the wire, in bytes.
+    pub length: usize,
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_pdu_comes_back_whole_and_no_part_of_it_does() {
-        let mut out = vec![];
-        Head::new(op::NOP_OUT, FINAL, 7).write(b"hello", &mut out);
-        assert_eq!(out.len(), HEAD + 8);
-        for part in 0..out.len() {
-            assert_eq!(pdu(&out[..part]), Ok(None));
-        }
-        let (head, data, used) = pdu(&out).unwrap().unwrap();
-        assert_eq!((head.opcode(), head.tag(), data, used), (op::NOP_OUT, 7, &b"hello"[..], out.len()));
-        out[5] = 2;
-        assert!(pdu(&out).is_err(), "guards against a length that would have us hold megabytes");
+/// Decodes the first PDU of the buffer; `None` while it is incomplete.
+///
+/// # Errors
+/// [`ProtocolError::DataSegmentTooLong`], as soon as the header is there.
+pub fn decode(bytes: &[u8]) -> Result<Option<Pdu<'_>>, ProtocolError> {
+    let Some((header, _)) = bytes.split_first_chunk::<HEADER_BYTES>() else { return Ok(None) };
+    let additional_headers_length = usize::from(header[4]) * 4;
+    let data_length = u32::from_be_bytes([0, header[5], header[6], header[7]]) as usize;
+    if data_length > MAX_DATA_BYTES {
+        return Err(ProtocolError::DataSegmentTooLong);
     }
+    let start = HEADER_BYTES + additional_headers_length;
+    let end = start + data_length.next_multiple_of(PADDING_BYTES);
+    let Some(padded) = bytes.get(start..end) else { return Ok(None) };
+    Ok(Some(Pdu { header: Header(*header), data: &padded[..data_length], length: end }))
 }
--- a/crates/test-cluster/src/boxes/blocks.rs
+++ b/crates/test-cluster/src/boxes/blocks.rs
@@ -6,8 +6,8 @@
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt};
 use iscsi::scsi::{Disk, Sense};
-use iscsi::target::{Event, Outcome, Shown, Target};
-use iscsi::BLOCK;
+use iscsi::target::{Event, Outcome, Target, TargetDescription};
+use iscsi::BLOCK_BYTES;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -39,13 +39,13 @@
     drop(std::thread::Builder::new().name("session".into()).spawn(session));
 }
 
-fn shown(inner: &Inner) -> Rc<Shown> {
+fn shown(inner: &Inner) -> Rc<TargetDescription> {
     let disk = |(lun, volume, blocks): &(u8, String, u64)| Disk {
         lun: *lun,
         blocks: *blocks,
         serial: volume.clone(),
     };
-    Rc::new(Shown {
+    Rc::new(TargetDescription {
         name: target_name(&inner.make.name),
         address: inner.make.doors.values().next().map(ToString::to_string).unwrap_or_default(),
         disks: inner.make.units.iter().map(disk).collect(),
@@ -74,7 +74,7 @@
                 Err(Answer::Busy) => Outcome::Busy(None),
                 Err(_) => Outcome::Failed(Sense::READ_FAILED),
             };
-            session.answer(tag, outcome, &mut out);
+            session.complete(tag, outcome, &mut out);
         }
         if !out.is_empty() && inner.write(stream, &std::mem::take(&mut out)).await.is_err() || closing {
             return;
@@ -95,10 +95,11 @@
 
 /// Blocks as they go over the wire.
 fn blocks(values: &[Arc<[u8]>]) -> Vec<u8> {
-    let mut all = Vec::with_capacity(values.len() * BLOCK);
+    let mut all = Vec::with_capacity(values.len() * BLOCK_BYTES);
     for value in values {
-        all.extend_from_slice(&value[..value.len().min(BLOCK)]);
-        let end = (all.len() / BLOCK + usize::from(all.len() % BLOCK > 0 || value.is_empty())) * BLOCK;
+        all.extend_from_slice(&value[..value.len().min(BLOCK_BYTES)]);
+        let end = (all.len() / BLOCK_BYTES + usize::from(all.len() % BLOCK_BYTES > 0 || value.is_empty()))
+            * BLOCK_BYTES;
         all.resize(end, 0);
     }
     all
@@ -121,7 +122,9 @@
 fn order(inner: &Inner, front: &str, first: Duration, event: Event) -> Option<(u32, Order)> {
     let (tag, lun, number, count, body) = match event {
         Event::Read { tag, lun, lba, blocks } => (tag, lun, lba, u64::from(blocks), None),
-        Event::Write { tag, lun, lba, data } => (tag, lun, lba, (data.len() / BLOCK) as u64, Some(data)),
+        Event::Write { tag, lun, lba, data } => {
+            (tag, lun, lba, (data.len() / BLOCK_BYTES) as u64, Some(data))
+        }
         _ => return None,
     };
     let id = body.as_deref().and_then(booking).unwrap_or_else(|| format!("task-{tag}"));
@@ -136,7 +139,7 @@
             shard: inner.make.cell,
             units: u32::try_from(count).unwrap_or(u32::MAX),
             wait_ms: WAIT_MS,
-            body: body.map(|data| data.chunks(BLOCK).map(|b| trimmed(b).into()).collect()).ok_or(count),
+            body: body.map(|data| data.chunks(BLOCK_BYTES).map(|b| trimmed(b).into()).collect()).ok_or(count),
         },
     ))
 }
--- a/crates/test-cluster/src/clients/blocks.rs
+++ b/crates/test-cluster/src/clients/blocks.rs
@@ -1,9 +1,9 @@
 //! A client that speaks iSCSI: an initiator with a session at each front.
 use super::{fresh, Client, End, Request, Volume};
 use crate::boxes::trimmed;
-use iscsi::initiator::{Initiator, Told};
+use iscsi::initiator::{Initiator, Response};
 use iscsi::scsi::{self, status};
-use iscsi::BLOCK;
+use iscsi::BLOCK_BYTES;
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -58,23 +58,23 @@
         session.initiator.login(&name, target, [0x80, 0, 0, a, b, 0], &mut out);
         session.stream.write_all(&out).ok()?;
         let until = Instant::now() + CONNECT * 2;
-        (session.next(until).ok()? == Told::LoggedIn).then_some(session)
+        (session.next(until).ok()? == Response::LoggedIn).then_some(session)
     }
 
     /// What the target tells next.
-    fn next(&mut self, until: Instant) -> Result<Told, End> {
+    fn next(&mut self, until: Instant) -> Result<Response, End> {
         let mut piece = [0; 16 * 1024];
         loop {
             let mut out = Vec::new();
             let (used, told) = match self.initiator.read(&self.came, &mut out) {
                 Ok(read) => read,
-                Err(e) => return Err(End::Failed(format!("bytes that make no sense: {}", e.0))),
+                Err(e) => return Err(End::Failed(format!("bytes that make no sense: {}", e))),
             };
             self.came.drain(..used);
             if !out.is_empty() && self.stream.write_all(&out).is_err() {
                 return Err(End::Closed);
             }
-            if used > 0 && told != Told::Nothing {
+            if used > 0 && told != Response::Pending {
                 return Ok(told);
             }
             if used > 0 {
@@ -100,27 +100,27 @@
     fn exchange(&mut self, client: &Client, request: &Request, volume: &Volume) -> End {
         let body = request.booked.as_ref().map(|value| {
             let mut block = value.clone();
-            block.resize(BLOCK, 0);
+            block.resize(BLOCK_BYTES, 0);
             block
         });
-        let cdb = scsi::transfer(body.is_some(), request.key.1, 1);
+        let cdb = scsi::transfer_cdb(body.is_some(), request.key.1, 1);
         let mut out = Vec::new();
-        let own = self.initiator.command(volume.lun, &cdb, body.as_deref(), BLOCK, &mut out);
+        let own = self.initiator.command(volume.lun, &cdb, body.as_deref(), BLOCK_BYTES, &mut out);
         if self.stream.write_all(&out).is_err() {
             return End::Closed;
         }
         let until = Instant::now() + client.patience(request);
         loop {
             match self.next(until) {
-                Ok(Told::Done { tag, status: code, data, sense, .. }) if tag == own => {
+                Ok(Response::Completed { tag, status: code, data, sense, .. }) if tag == own => {
                     return match code {
                         status::GOOD => End::Served(trimmed(&data).to_vec()),
                         status::BUSY | status::TASK_SET_FULL => End::Busy(None),
                         _ => End::Failed(format!("status {code:#x} sense {sense:x?}")),
                     }
                 }
-                Ok(Told::Rejected(reason)) => return End::Failed(format!("rejected {reason:#x}")),
-                Ok(Told::LoggedOut) => return End::Closed,
+                Ok(Response::Rejected(reason)) => return End::Failed(format!("rejected {reason:#x}")),
+                Ok(Response::LoggedOut) => return End::Closed,
                 Ok(_) => {}
                 Err(end) => return end,
             }
