--- a/crates/test-cluster/src/clients/blocks.rs
+++ b/crates/test-cluster/src/clients/blocks.rs
@@ -68,7 +68,7 @@
             let mut out = Vec::new();
             let (used, told) = match self.initiator.read(&self.came, &mut out) {
                 Ok(read) => read,
-                Err(e) => return Err(End::Failed(format!("bytes that make no sense: {}", e))),
+                Err(e) => return Err(End::Failed(format!("bytes that make no sense: {e}"))),
             };
             self.came.drain(..used);
             if !out.is_empty() && self.stream.write_all(&out).is_err() {
