--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -82,7 +82,7 @@
     body: &[u8],
 ) -> Vec<u8> {
     let Some(config_overlay) = config_overlay else {
-        return http::answer(404, "Not Found", "changes: not in the configuration\n");
+        return http::response(404, "Not Found", "changes: not in the configuration\n");
     };
     let rest = target.strip_prefix(FOLDER).unwrap_or_default();
     match (method, rest.strip_prefix('/').filter(|n| !n.is_empty()), coordination) {
@@ -91,14 +91,14 @@
             let what = if config_overlay.handle.control() { "a relay" } else { "a front" };
             let why =
                 format!("this is {what} and has no vote: order where [accord] and changes.listen are\n");
-            http::answer(409, "Conflict", &why)
+            http::response(409, "Conflict", &why)
         }
         ("GET", None, _) => ask(config_overlay, Query::State).await,
         ("GET", Some(version), _) => match version.parse() {
             Ok(version) => ask(config_overlay, Query::Where(Index(version))).await,
-            Err(_) => http::answer(400, "Bad Request", "version: must be a number\n"),
+            Err(_) => http::response(400, "Bad Request", "version: must be a number\n"),
         },
-        _ => http::answer(405, "Method Not Allowed", "GET the state, POST what changes it\n"),
+        _ => http::response(405, "Method Not Allowed", "GET the state, POST what changes it\n"),
     }
 }
 
@@ -113,21 +113,21 @@
 async fn order(coordination: &coordination::Handle, body: &[u8]) -> Vec<u8> {
     let order = match read(body) {
         Ok(order) => order,
-        Err(why) => return http::answer(400, "Bad Request", &format!("{why}\n")),
+        Err(why) => return http::response(400, "Bad Request", &format!("{why}\n")),
     };
     let (to, from) = async_channel::bounded(1);
     if !coordination.tell(ToAccord::Call(Call::Change(order), to)) {
-        return http::answer(503, "Service Unavailable", "too many calls wait\n");
+        return http::response(503, "Service Unavailable", "too many calls wait\n");
     }
     match within(async { from.recv().await.ok() }).await {
         Some(coordination::Told::Yes(version)) => {
-            http::answer(200, "OK", &format!("{{\"version\":{version}}}\n"))
+            http::response(200, "OK", &format!("{{\"version\":{version}}}\n"))
         }
-        Some(coordination::Told::Unknown(why)) => http::answer(400, "Bad Request", &why),
-        Some(coordination::Told::No(why)) => http::answer(409, "Conflict", &why),
+        Some(coordination::Told::Unknown(why)) => http::response(400, "Bad Request", &why),
+        Some(coordination::Told::No(why)) => http::response(409, "Conflict", &why),
         Some(coordination::Told::Late(_)) | None => {
             let why = "no majority of the voters could be reached: it may come yet; ordering it again does no harm\n";
-            http::answer(503, "Service Unavailable", why)
+            http::response(503, "Service Unavailable", why)
         }
     }
 }
@@ -136,15 +136,15 @@
     let (to, from) = async_channel::bounded(1);
     let asked = config_overlay.handle.ask(query, to);
     match within(async { from.recv().await.ok().filter(|_| asked) }).await {
-        Some(Told::Where(told)) => http::answer(200, "OK", &format!("{}\n", not_yet(&told))),
+        Some(Told::Where(told)) => http::response(200, "OK", &format!("{}\n", not_yet(&told))),
         Some(Told::State(told)) => {
-            http::answer(200, "OK", &format!("{}\n", state(&told, config_overlay.passed_over())))
+            http::response(200, "OK", &format!("{}\n", state(&told, config_overlay.passed_over())))
         }
         Some(Told::Elsewhere(relays)) => {
             let why = format!("this is a front and knows of no others: ask {}\n", relays.join(" or "));
-            http::answer(409, "Conflict", &why)
+            http::response(409, "Conflict", &why)
         }
-        None => http::answer(503, "Service Unavailable", "no answer in time\n"),
+        None => http::response(503, "Service Unavailable", "no answer in time\n"),
     }
 }
 
--- a/crates/gateway/src/admin/coordination_calls.rs
+++ b/crates/gateway/src/admin/coordination_calls.rs
@@ -14,17 +14,17 @@
 /// The answer to a call under the folder.
 pub async fn answer(handle: Option<&Handle>, method: &str, target: &str) -> Vec<u8> {
     let Some(handle) = handle else {
-        return http::answer(404, "Not Found", "accord: not in the configuration\n");
+        return http::response(404, "Not Found", "accord: not in the configuration\n");
     };
     let call = match read(method, target) {
         Ok(call) => call,
-        Err((405, why)) => return http::answer(405, "Method Not Allowed", &why),
-        Err((404, why)) => return http::answer(404, "Not Found", &why),
-        Err((_, why)) => return http::answer(400, "Bad Request", &why),
+        Err((405, why)) => return http::response(405, "Method Not Allowed", &why),
+        Err((404, why)) => return http::response(404, "Not Found", &why),
+        Err((_, why)) => return http::response(400, "Bad Request", &why),
     };
     let (to, from) = async_channel::bounded(1);
     if !handle.tell(ToAccord::Call(call, to)) {
-        return http::answer(503, "Service Unavailable", "too many calls wait\n");
+        return http::response(503, "Service Unavailable", "too many calls wait\n");
     }
     let late = async {
         Timer::after(TIMEOUT).await;
@@ -32,10 +32,10 @@
     };
     match future::or(async { from.recv().await.unwrap_or(Told::Late("the front ends\n".into())) }, late).await
     {
-        Told::Yes(text) => http::answer(200, "OK", &text),
-        Told::Unknown(text) => http::answer(404, "Not Found", &text),
-        Told::No(text) => http::answer(409, "Conflict", &text),
-        Told::Late(text) => http::answer(503, "Service Unavailable", &text),
+        Told::Yes(text) => http::response(200, "OK", &text),
+        Told::Unknown(text) => http::response(404, "Not Found", &text),
+        Told::No(text) => http::response(409, "Conflict", &text),
+        Told::Late(text) => http::response(503, "Service Unavailable", &text),
     }
 }
 
@@ -48,7 +48,7 @@
 /// What a call asks for: `/v1/accord`, `/v1/accord/wishes/NAME[/withdraw|/done|/returned]`, `/v1/accord/members/NAME/excuse`.
 fn read(method: &str, target: &str) -> Result<Call, Bad> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let words: Vec<String> = path.split('/').skip(3).map(http::unescape).collect();
+    let words: Vec<String> = path.split('/').skip(3).map(http::percent_decode).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let query: BTreeMap<String, String> = form_urlencoded::parse(query.as_bytes()).into_owned().collect();
     let get = method == "GET";
--- a/crates/gateway/src/admin/health_checks.rs
+++ b/crates/gateway/src/admin/health_checks.rs
@@ -32,7 +32,7 @@
 /// Capacities of a check's input and output buffer, in bytes.
 const CHECK_BUFFER_BYTES: (usize, usize) = (16 * 1024, 4096);
 /// The same for operators' calls, which may have bodies and long answers.
-const CALL_BUFFER_BYTES: (usize, usize) = (16 * 1024 + http::BODY, 256 * 1024);
+const CALL_BUFFER_BYTES: (usize, usize) = (16 * 1024 + http::MAX_BODY_BYTES, 256 * 1024);
 
 /// Serves checks or calls until the process ends.
 pub async fn listen(context: Rc<Context>, listener: Async<TcpListener>, service: Service) {
@@ -58,7 +58,7 @@
 }
 
 /// The body of a call that has one; `None` while it is incomplete.
-fn body<'a>(target: &str, bytes: &'a [u8]) -> Result<Option<&'a [u8]>, http::Malformed> {
+fn body<'a>(target: &str, bytes: &'a [u8]) -> Result<Option<&'a [u8]>, http::ParseError> {
     if target.starts_with(config_calls::FOLDER) {
         http::request_body(bytes)
     } else {
@@ -70,27 +70,27 @@
 async fn answer(context: &Rc<Context>, bytes: &[u8], service: &Service) -> Option<Vec<u8>> {
     let (method, target) = match http::request_head(bytes) {
         Ok(None) => return None,
-        Err(error) => return Some(http::answer(400, "Bad Request", error.0)),
-        Ok(Some((method, target, _))) => (method, target),
+        Err(error) => return Some(http::response(400, "Bad Request", &error.to_string())),
+        Ok(Some(head)) => (head.method, head.target),
     };
     let Service::Operators(operators) = service else { return Some(health_answer(context, method, target)) };
     match body(target, bytes) {
         Ok(None) => None,
         Ok(Some(body)) => Some(operators::answer(operators, method, target, body).await),
-        Err(error) => Some(http::answer(400, "Bad Request", &format!("{}\n", error.0))),
+        Err(error) => Some(http::response(400, "Bad Request", &format!("{error}\n"))),
     }
 }
 
 fn health_answer(context: &Context, method: &str, target: &str) -> Vec<u8> {
     if method != "GET" && method != "HEAD" {
-        return http::answer(405, "Method Not Allowed", "GET or HEAD\n");
+        return http::response(405, "Method Not Allowed", "GET or HEAD\n");
     }
     let is_ready = context.lifecycle.serving.get() && context.lifecycle.stopping.get().is_none();
     let mut answer = match target {
-        "/healthz" => http::answer(200, "OK", "ok\n"),
-        "/readyz" if is_ready => http::answer(200, "OK", "ready\n"),
-        "/readyz" => http::answer(503, "Service Unavailable", "not ready\n"),
-        _ => http::answer(404, "Not Found", "/healthz or /readyz\n"),
+        "/healthz" => http::response(200, "OK", "ok\n"),
+        "/readyz" if is_ready => http::response(200, "OK", "ready\n"),
+        "/readyz" => http::response(503, "Service Unavailable", "not ready\n"),
+        _ => http::response(404, "Not Found", "/healthz or /readyz\n"),
     };
     if method == "HEAD" {
         let head_end = answer.windows(4).position(|window| window == b"\r\n\r\n");
--- a/crates/gateway/src/admin/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -53,22 +53,22 @@
     let target = target.split('?').next().unwrap_or_default();
     let backend_call = target.strip_prefix(BACKENDS_PATH).and_then(|rest| rest.rsplit_once('/'));
     match (method, target, backend_call) {
-        ("GET", "/v1/readyz", _) if is_ready(&operators.context) => http::answer(200, "OK", "ready\n"),
-        ("GET", "/v1/readyz", _) => http::answer(503, "Service Unavailable", "not ready\n"),
-        ("GET", "/v1/metrics", _) => http::answer(200, "OK", &metrics(operators).await),
+        ("GET", "/v1/readyz", _) if is_ready(&operators.context) => http::response(200, "OK", "ready\n"),
+        ("GET", "/v1/readyz", _) => http::response(503, "Service Unavailable", "not ready\n"),
+        ("GET", "/v1/metrics", _) => http::response(200, "OK", &metrics(operators).await),
         ("POST", _, Some((id, action @ ("suspend" | "resume")))) => {
-            match operators.pool.set_suspension(&http::unescape(id), action == "suspend").await {
-                Persistence::Done => http::answer(200, "OK", "done\n"),
-                Persistence::Pending => http::answer(503, "Service Unavailable", NOT_PERSISTED),
+            match operators.pool.set_suspension(&http::percent_decode(id), action == "suspend").await {
+                Persistence::Done => http::response(200, "OK", "done\n"),
+                Persistence::Pending => http::response(503, "Service Unavailable", NOT_PERSISTED),
                 Persistence::UnknownBackend => {
-                    http::answer(404, "Not Found", "no such chunk server was listed\n")
+                    http::response(404, "Not Found", "no such chunk server was listed\n")
                 }
             }
         }
         (_, "/v1/readyz" | "/v1/metrics", _) | (_, _, Some((_, "suspend" | "resume"))) => {
-            http::answer(405, "Method Not Allowed", "GET the state, POST what changes it\n")
+            http::response(405, "Method Not Allowed", "GET the state, POST what changes it\n")
         }
-        _ => http::answer(
+        _ => http::response(
             404,
             "Not Found",
             "/v1/readyz, /v1/metrics, or /v1/chunk-servers/ID/suspend and /resume\n",
--- a/crates/gateway/src/backend/resp_exchange.rs
+++ b/crates/gateway/src/backend/resp_exchange.rs
@@ -77,13 +77,13 @@
 
 /// Consumes the head of a long value that can be streamed to its client, where one has arrived.
 fn begin_stream(context: &Context, attempt: &Attempt, stream: &mut Connection) -> Option<Exchanged> {
-    let (parts, length, used) = resp::long_head(stream.input.contiguous(), resp::LONGEST)?;
-    let is_streamable = attempt.request.accepts_stream && length <= value::LONGEST;
+    let head = resp::long_value_head(stream.input.contiguous(), resp::MAX_VALUE_BYTES)?;
+    let is_streamable = attempt.request.accepts_stream && head.value_bytes <= value::LONGEST;
     if !is_streamable || !is_sent(stream) || context.arriving_full() {
         return None;
     }
-    stream.input.consume(used);
-    Some(Exchanged::StreamBegun { parts: parts - 1, length })
+    stream.input.consume(head.length);
+    Some(Exchanged::StreamBegun { parts: head.elements - 1, length: head.value_bytes })
 }
 
 /// The attempt's end by the reply in the input buffer, and whether the connection can be reused; `None` while the reply is incomplete.
@@ -91,7 +91,7 @@
     let is_sent = is_sent(stream);
     // Long values may arrive only while there is memory for all that are arriving.
     let has_room = stream.input.remaining() > 0
-        && (stream.input.allocated() <= resp::LONGEST || !context.arriving_full());
+        && (stream.input.allocated() <= resp::MAX_VALUE_BYTES || !context.arriving_full());
     let (reply, used) = match resp::reply(stream.input.contiguous(), context.longest_value()) {
         Ok(None) if has_room => return None,
         Ok(Some(reply)) => reply,
--- a/crates/gateway/src/backend/streaming.rs
+++ b/crates/gateway/src/backend/streaming.rs
@@ -85,7 +85,7 @@
 ) -> bool {
     loop {
         let has_room = stream.input.remaining() > 0;
-        match resp::parts(stream.input.contiguous(), parts, resp::LONGEST) {
+        match resp::replies(stream.input.contiguous(), parts, resp::MAX_VALUE_BYTES) {
             Ok(Some((replies, used))) => {
                 if let Some(resp::Reply::Bulk(Some(figures))) = replies.first() {
                     let (volume, units) = (attempt.request.volume.clone(), remote_units(figures));
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -26,7 +26,7 @@
 use std::time::Duration;
 
 /// Capacities of a client's input and output buffer, in bytes: one value and its arguments.
-const BUFFER_BYTES: (usize, usize) = (resp::LONGEST + 4096, resp::LONGEST + 4096);
+const BUFFER_BYTES: (usize, usize) = (resp::MAX_VALUE_BYTES + 4096, resp::MAX_VALUE_BYTES + 4096);
 /// How often a process that shuts down checks whether a successor has started.
 const SUCCESSOR_CHECK: Duration = Duration::from_millis(20);
 /// How long a client may take to close a connection that was shut down.
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -117,11 +117,11 @@
                     return false;
                 }
                 Ok(None) if has_room => match self.check_incomplete_command(stream, now) {
-                    Some(error) => error,
+                    Some(error) => error.to_string(),
                     None => return false,
                 },
-                Ok(None) => "too long",
-                Err(error) => error.0,
+                Ok(None) => "too long".to_string(),
+                Err(error) => error.to_string(),
             };
             self.push(None, Some(EncodedResponse::bytes(format!("-ERR Protocol error: {error}\r\n"))));
             self.closing = Some(CloseReason::Protocol);
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
 use futures_lite::StreamExt;
-use http::{Chunks, Length};
+use http::{BodyLength, ChunkDecoder, ResponseHead};
 use std::net::SocketAddr;
 use std::ops::Range;
 
@@ -22,8 +22,8 @@
     pub first: Option<Range<usize>>,
     /// Whether its answer has ended regularly.
     pub is_done: bool,
-    length: Option<Length>,
-    chunks: Chunks,
+    length: Option<BodyLength>,
+    chunks: ChunkDecoder,
 }
 
 /// Logs why a message of discovery is not valid.
@@ -49,7 +49,7 @@
         stream.output.push(request.as_bytes());
         // The reason where this future is dropped: another call has taken its place.
         stream.reason = CloseReason::Replaced;
-        let (objects, chunks) = (JsonStream::default(), Chunks::default());
+        let (objects, chunks) = (JsonStream::default(), ChunkDecoder::default());
         let mut watch =
             Box::new(Watch { stream, objects, first: None, is_done: false, length: None, chunks });
         loop {
@@ -91,9 +91,9 @@
         }
         let input = &mut self.stream.input;
         if self.length.is_none() {
-            match http::answer_head(input.contiguous()) {
+            match http::response_head(input.contiguous()) {
                 Ok(None) => return Ok(()),
-                Ok(Some((STATUS_OK, length, used))) => {
+                Ok(Some(ResponseHead { status: STATUS_OK, body: length, length: used })) => {
                     input.consume(used);
                     self.length = Some(length);
                 }
@@ -103,7 +103,7 @@
             }
         }
         let bytes = input.contiguous();
-        let used = if self.length == Some(Length::Chunked) {
+        let used = if self.length == Some(BodyLength::Chunked) {
             let read = self.chunks.read(bytes, self.objects.buffer());
             read.or(Err(CloseReason::Protocol))?
         } else {
@@ -111,7 +111,7 @@
             bytes.len()
         };
         input.consume(used);
-        self.is_done = self.chunks == Chunks::Done;
+        self.is_done = self.chunks == ChunkDecoder::Done;
         Ok(())
     }
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -69,7 +69,7 @@
 
     /// The longest value that is held whole, in bytes: a thirty-second of the memory, and 64 KiB at least.
     pub fn longest_value(&self) -> usize {
-        (self.unsent_limit() / 4).max(resp::LONGEST)
+        (self.unsent_limit() / 4).max(resp::MAX_VALUE_BYTES)
     }
 
     /// Whether arriving replies use all that they may: a quarter of the memory.
--- a/crates/gateway/src/net/dial.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -15,7 +15,7 @@
 /// Space in a reply beside its value, in bytes: the usage figures and the load report.
 const REPLY_OVERHEAD_BYTES: usize = 4096;
 /// The largest command in bytes: one value and its arguments.
-const COMMAND_BYTES: usize = resp::LONGEST + 16 * 1024;
+const COMMAND_BYTES: usize = resp::MAX_VALUE_BYTES + 16 * 1024;
 /// How often a pending dial checks whether its attempt may still begin, in microseconds.
 const CHECK_INTERVAL_US: i64 = 50_000;
 
--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -123,7 +123,7 @@
 fn answers_that_are_not_read_end_their_connection() {
     let ip = address();
     let listener = TcpListener::bind((ip.as_str(), 6390)).unwrap();
-    std::thread::spawn(move || generous(listener, resp::LONGEST));
+    std::thread::spawn(move || generous(listener, resp::MAX_VALUE_BYTES));
     let text = config(&ip).replace("seed =", "clients = { unread_s = 0.3 }\nseed =");
     let mut program = spawn(&text.replace("Guaranteed = 500.0", "Guaranteed = 5000.0"), &ip, Stdio::piped());
     let mut client = program.connect(6379);
@@ -168,7 +168,9 @@
 
 /// Values that are held whole, and long ones, which are passed on and make their box wait.
 #[rstest]
-fn clients_that_ask_and_do_not_read_cost_bounded_memory(#[values(resp::LONGEST, 512 * 1024)] long: usize) {
+fn clients_that_ask_and_do_not_read_cost_bounded_memory(
+    #[values(resp::MAX_VALUE_BYTES, 512 * 1024)] long: usize,
+) {
     let ip = address();
     let listener = TcpListener::bind((ip.as_str(), 6390)).unwrap();
     std::thread::spawn(move || generous(listener, long));
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -44,7 +44,11 @@
     let mut client = program.connect(6379);
     // More than a connection's room, less than what the system takes beside it: the end comes right behind.
     let flood: Vec<u8> = (0..FLOOD).flat_map(|n| ask(n, 8000)).collect();
-    assert!(flood.len() > resp::LONGEST + 35_000 && flood.len() < resp::LONGEST + 70_000, "{}", flood.len());
+    assert!(
+        flood.len() > resp::MAX_VALUE_BYTES + 35_000 && flood.len() < resp::MAX_VALUE_BYTES + 70_000,
+        "{}",
+        flood.len()
+    );
     client.write_all(&flood).unwrap();
     std::thread::sleep(Duration::from_millis(300));
     // Whatever was begun while it was there hangs; nothing is answered, so nothing tells the front but the end itself.
--- a/crates/gateway/tests/responses.rs
+++ b/crates/gateway/tests/responses.rs
@@ -10,7 +10,7 @@
     let file = include_str!("common/config.toml").replace("@IP@", "127.0.0.1");
     let config = config::read("x.toml", &format!("limits = {{ memory_mb = 8 }}\n{file}")).unwrap();
     let context = Context::new(config);
-    let value = || encode(Answer::Served(Value::Complete(Bytes::from(vec![0; resp::LONGEST]))));
+    let value = || encode(Answer::Served(Value::Complete(Bytes::from(vec![0; resp::MAX_VALUE_BYTES]))));
     let mut pending: Vec<PendingResponse> =
         (0..20).map(|_| PendingResponse::new(&context, value())).collect();
     let is_value = |pending: &PendingResponse| matches!(pending.response, EncodedResponse::Value(..));
--- /dev/null
+++ b/crates/resp/src/reply.rs
@@ -0,0 +1,114 @@
+//! Replies, as the client's end parses them.
+use crate::item::{bulk, line, number, Parsed};
+use crate::{ParseError, MAX_ELEMENTS};
+
+/// How deep arrays may be nested.
+const MAX_DEPTH: usize = 4;
+
+/// A reply.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Reply<'a> {
+    /// A bulk string, or null.
+    Bulk(Option<&'a [u8]>),
+    /// An array; a null one is empty.
+    Array(Vec<Reply<'a>>),
+    /// A simple string.
+    Simple(&'a [u8]),
+    /// An error line.
+    Error(&'a [u8]),
+    /// An integer.
+    Integer(i64),
+}
+
+/// Where the parser is in a buffer.
+#[derive(Clone, Copy)]
+struct Position {
+    offset: usize,
+    /// How many arrays the position is within.
+    depth: usize,
+}
+
+/// Parses the first reply, whose values may have so many bytes, and its length in bytes. `None` while it is incomplete.
+///
+/// # Errors
+/// The bytes are no reply, or one of its lines, values or arrays is too large.
+pub fn reply(bytes: &[u8], max_value_bytes: usize) -> Parsed<(Reply<'_>, usize)> {
+    reply_at(bytes, Position { offset: 0, depth: 0 }, max_value_bytes)
+}
+
+/// Parses so many replies, which are the rest of an array, and their length in bytes. `None` while they are incomplete.
+///
+/// # Errors
+/// As for [`reply`].
+pub fn replies(bytes: &[u8], count: usize, max_value_bytes: usize) -> Parsed<(Vec<Reply<'_>>, usize)> {
+    replies_at(bytes, Position { offset: 0, depth: 1 }, count, max_value_bytes)
+}
+
+fn replies_at(
+    bytes: &[u8],
+    mut position: Position,
+    count: usize,
+    max_value_bytes: usize,
+) -> Parsed<(Vec<Reply<'_>>, usize)> {
+    let mut replies = Vec::with_capacity(count);
+    for _ in 0..count {
+        let Some((reply, end)) = reply_at(bytes, position, max_value_bytes)? else { return Ok(None) };
+        replies.push(reply);
+        position.offset = end;
+    }
+    Ok(Some((replies, position.offset)))
+}
+
+fn reply_at(bytes: &[u8], position: Position, max_value_bytes: usize) -> Parsed<(Reply<'_>, usize)> {
+    let Some(kind) = bytes.get(position.offset) else { return Ok(None) };
+    if !b"+-:$*".contains(kind) {
+        return Err(ParseError::UnknownReplyType);
+    }
+    let Some((head, end)) = line(bytes, position.offset + 1)? else { return Ok(None) };
+    Ok(match kind {
+        b'+' => Some((Reply::Simple(head), end)),
+        b'-' => Some((Reply::Error(head), end)),
+        b':' => Some((Reply::Integer(number(head)?), end)),
+        b'$' => {
+            let value = bulk(bytes, number(head)?, end, max_value_bytes)?;
+            value.map(|(value, end)| (Reply::Bulk(value), end))
+        }
+        _ => {
+            // A null array has the count -1.
+            let count = number(head)?.max(0) as usize;
+            if count > MAX_ELEMENTS || position.depth >= MAX_DEPTH {
+                return Err(ParseError::ArrayTooLarge);
+            }
+            let first = Position { offset: end, depth: position.depth + 1 };
+            let elements = replies_at(bytes, first, count, max_value_bytes)?;
+            elements.map(|(elements, end)| (Reply::Array(elements), end))
+        }
+    })
+}
+
+/// The head of an array whose first element is a long value.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LongValueHead {
+    /// How many elements the array has.
+    pub elements: usize,
+    /// The length of the value, in bytes.
+    pub value_bytes: usize,
+    /// The length of the head itself, in bytes: the value begins after it.
+    pub length: usize,
+}
+
+/// Parses the head of an array that begins with a value longer than this. `None` where the reply is another one,
+/// is invalid, or its head is incomplete: [`reply`] tells these apart.
+pub fn long_value_head(bytes: &[u8], longer_than_bytes: usize) -> Option<LongValueHead> {
+    if bytes.first() != Some(&b'*') {
+        return None;
+    }
+    let (elements, offset) = line(bytes, 1).ok()??;
+    let elements = usize::try_from(number(elements).ok()?).ok()?;
+    if !(1..=MAX_ELEMENTS).contains(&elements) || bytes.get(offset) != Some(&b'$') {
+        return None;
+    }
+    let (value_bytes, length) = line(bytes, offset + 1).ok()??;
+    let value_bytes = usize::try_from(number(value_bytes).ok()?).ok()?;
+    (value_bytes > longer_than_bytes).then_some(LongValueHead { elements, value_bytes, length })
+}
--- a/crates/resp/tests/parts.rs
+++ b/crates/resp/tests/parsing.rs
@@ -1,9 +1,9 @@
-//! Whatever part of a message is there, it is read as whole, partial or malformed, and never otherwise.
+//! Any prefix of a message is parsed as complete, incomplete or invalid, as it is.
 #![allow(clippy::unwrap_used)]
-use resp::{command, reply, Malformed, Reply};
+use resp::{command, reply, ParseError, Reply};
 
 #[test]
-fn a_command_in_parts() {
+fn parses_command_only_once_complete() {
     let mut bytes = vec![];
     resp::write_command(&mut bytes, &[b"PWRITE", b"", b"a\r\nb"]);
     for part in 0..bytes.len() {
@@ -15,18 +15,18 @@
 }
 
 #[test]
-fn a_reply_in_parts() {
+fn parses_reply_only_once_complete() {
     let bytes = b"*3\r\n$2\r\nok\r\n$-1\r\n*2\r\n:-7\r\n-ERR x\r\n";
     for part in 0..bytes.len() {
         assert_eq!(reply(&bytes[..part], 100), Ok(None), "{part}");
     }
-    let inner = Reply::Array(vec![Reply::Number(-7), Reply::Error(b"ERR x")]);
+    let inner = Reply::Array(vec![Reply::Integer(-7), Reply::Error(b"ERR x")]);
     let whole = Reply::Array(vec![Reply::Bulk(Some(b"ok")), Reply::Bulk(None), inner]);
     assert_eq!(reply(bytes, 100), Ok(Some((whole, bytes.len()))));
 }
 
 #[test]
-fn what_no_reader_should_wait_for() {
+fn rejects_invalid_or_unbounded_input() {
     let long = [b"*".as_slice(), &[b'1'; 2000]].concat();
     for bytes in [
         &b"GET /"[..],
@@ -40,9 +40,9 @@
     ] {
         assert!(command(bytes).is_err(), "{}", bytes.escape_ascii());
     }
-    // Guards the stack: arrays in arrays, without end.
-    assert_eq!(reply(&b"*1\r\n".repeat(100_000), 100), Err(Malformed("an array is too large")));
+    // Arrays nested without end must not exhaust the stack.
+    assert_eq!(reply(&b"*1\r\n".repeat(100_000), 100), Err(ParseError::ArrayTooLarge));
     assert!(reply(b"*1000000\r\n", 100).is_err());
     assert!(reply(b"?\r\n", 100).is_err());
-    assert_eq!(reply(b"$101\r\n", 100), Err(Malformed("a value is too long")));
+    assert_eq!(reply(b"$101\r\n", 100), Err(ParseError::ValueTooLong));
 }
--- a/crates/scale-bench/src/path/clients.rs
+++ b/crates/scale-bench/src/path/clients.rs
@@ -121,7 +121,7 @@
 fn answer(stream: &mut TcpStream, came: &mut Vec<u8>) -> io::Result<Option<String>> {
     let mut bytes = [0; 4096];
     loop {
-        let whole = resp::reply(came, resp::LONGEST).map_err(|e| io::Error::other(e.0))?;
+        let whole = resp::reply(came, resp::MAX_VALUE_BYTES).map_err(io::Error::other)?;
         if let Some((reply, used)) = whole {
             let error = match reply {
                 resp::Reply::Error(line) => Some(String::from_utf8_lossy(line).into_owned()),
--- a/crates/test-cluster/src/boxes/commands.rs
+++ b/crates/test-cluster/src/boxes/commands.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// What may come before a command is whole.
-const LONGEST: usize = resp::LONGEST + 64 * 1024;
+const LONGEST: usize = resp::MAX_VALUE_BYTES + 64 * 1024;
 
 /// Serves one connection until it ends.
 pub(super) async fn serve(inner: &Inner, front: &str, mut stream: &Async<TcpStream>) {
--- a/crates/test-cluster/src/clients/commands.rs
+++ b/crates/test-cluster/src/clients/commands.rs
@@ -81,7 +81,7 @@
                     came.drain(..used);
                     break end;
                 }
-                Err(e) => break End::Failed(format!("bytes that are no reply: {}", e.0)),
+                Err(e) => break End::Failed(format!("bytes that are no reply: {e}")),
                 Ok(None) => {}
             }
             let left = until.saturating_duration_since(Instant::now());
--- a/crates/test-cluster/src/discovery/serve.rs
+++ b/crates/test-cluster/src/discovery/serve.rs
@@ -26,12 +26,12 @@
     let mut bytes = [0; 4096];
     let target = loop {
         match http::request_head(&came) {
-            Ok(Some((_, target, _))) => break target.to_string(),
+            Ok(Some(head)) => break head.target.to_string(),
             Ok(None) => match stream.read(&mut bytes).await? {
                 0 => return Ok(()),
                 count => came.extend_from_slice(&bytes[..count]),
             },
-            Err(_) => return stream.write_all(&http::answer(400, "Bad Request", "")).await,
+            Err(_) => return stream.write_all(&http::response(400, "Bad Request", "")).await,
         }
     };
     let call = inner.came(front);
@@ -49,7 +49,7 @@
     let unavailable = inner.manner() == Manner::Unavailable;
     if unavailable || !answered {
         call.end(if unavailable { Outcome::Unavailable } else { Outcome::TurnedAway });
-        return stream.write_all(&http::answer(503, "Service Unavailable", "")).await;
+        return stream.write_all(&http::response(503, "Service Unavailable", "")).await;
     }
     call.end(Outcome::Answered);
     let (path, query) = target.split_once('?').unwrap_or((&target, ""));
@@ -61,12 +61,12 @@
         }
         ("/api/targets", _) => {
             if let Some((line, told)) = inner.news(front, None) {
-                stream.write_all(&http::answer(200, "OK", &line)).await?;
+                stream.write_all(&http::response(200, "OK", &line)).await?;
                 inner.record(told);
             }
             Ok(())
         }
-        _ => stream.write_all(&http::answer(404, "Not Found", "")).await,
+        _ => stream.write_all(&http::response(404, "Not Found", "")).await,
     }
 }
 
--- a/crates/test-cluster/src/hollow/watch.rs
+++ b/crates/test-cluster/src/hollow/watch.rs
@@ -2,7 +2,7 @@
 use async_io::Async;
 use backoff::Failure;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use http::{Chunks, Length};
+use http::{BodyLength, ChunkDecoder, ResponseHead};
 use std::net::{SocketAddr, TcpStream};
 
 /// A watch that is up: its first line has come.
@@ -10,7 +10,7 @@
     stream: Async<TcpStream>,
     came: Vec<u8>,
     body: Vec<u8>,
-    chunks: Chunks,
+    chunks: ChunkDecoder,
 }
 
 impl Watch {
@@ -18,7 +18,7 @@
     pub(super) async fn call(discovery: SocketAddr, from: i64) -> Result<(Watch, i64), Failure> {
         let stream = Async::<TcpStream>::connect(discovery).await.map_err(|_| Failure::Down)?;
         let _ = stream.get_ref().set_nodelay(true);
-        let mut watch = Watch { stream, came: vec![], body: vec![], chunks: Chunks::default() };
+        let mut watch = Watch { stream, came: vec![], body: vec![], chunks: ChunkDecoder::default() };
         let ask = format!("GET /api/targets?watch=1&from={from} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
         watch.stream.write_all(ask.as_bytes()).await.map_err(|_| Failure::Overbooked)?;
         while !watch.head()? {
@@ -35,9 +35,9 @@
     }
 
     fn head(&mut self) -> Result<bool, Failure> {
-        match http::answer_head(&self.came) {
+        match http::response_head(&self.came) {
             Ok(None) => Ok(false),
-            Ok(Some((200, Length::Chunked, used))) => {
+            Ok(Some(ResponseHead { status: 200, body: BodyLength::Chunked, length: used })) => {
                 self.came.drain(..used);
                 Ok(true)
             }
--- a/crates/test-cluster/src/operator.rs
+++ b/crates/test-cluster/src/operator.rs
@@ -19,8 +19,8 @@
     );
     stream.write_all((head + body).as_bytes())?;
     let mut bytes = Vec::new();
-    let (status, form, used) = loop {
-        if let Some(head) = http::answer_head(&bytes).map_err(|e| faulty(e.0))? {
+    let http::ResponseHead { status, body: form, length: used } = loop {
+        if let Some(head) = http::response_head(&bytes).map_err(|e| faulty(&e.to_string()))? {
             break head;
         }
         let mut piece = [0; 4096];
@@ -32,7 +32,7 @@
     let rest = bytes.split_off(used);
     let mut body = rest;
     match form {
-        http::Length::Known(length) => {
+        http::BodyLength::Known(length) => {
             let more = length.min(LONGEST).saturating_sub(body.len() as u64);
             if stream.take(more).read_to_end(&mut body)? as u64 != more {
                 return Err(io::ErrorKind::UnexpectedEof.into());
@@ -40,9 +40,9 @@
         }
         form => {
             stream.take(LONGEST).read_to_end(&mut body)?;
-            if form == http::Length::Chunked {
+            if form == http::BodyLength::Chunked {
                 let raw = std::mem::take(&mut body);
-                http::Chunks::default().read(&raw, &mut body).map_err(|e| faulty(e.0))?;
+                http::ChunkDecoder::default().read(&raw, &mut body).map_err(|e| faulty(&e.to_string()))?;
             }
         }
     }
--- a/crates/test-cluster/tests/discovery.rs
+++ b/crates/test-cluster/tests/discovery.rs
@@ -1,6 +1,6 @@
 //! Stand-in discovery tells what it should, over HTTP.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use http::{Chunks, Length};
+use http::{BodyLength, ChunkDecoder, ResponseHead};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -38,7 +38,7 @@
     stream: TcpStream,
     came: Vec<u8>,
     body: Vec<u8>,
-    chunks: Chunks,
+    chunks: ChunkDecoder,
 }
 
 impl Watch {
@@ -46,10 +46,12 @@
         let mut stream = TcpStream::connect(bench.site.at(1, port)).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         write!(stream, "GET /api/targets?watch=1&from={from} HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
-        let mut watch = Watch { stream, came: vec![], body: vec![], chunks: Chunks::default() };
+        let mut watch = Watch { stream, came: vec![], body: vec![], chunks: ChunkDecoder::default() };
         loop {
-            if let Some((status, form, used)) = http::answer_head(&watch.came).unwrap() {
-                assert_eq!((status, form), (200, Length::Chunked));
+            if let Some(ResponseHead { status, body: form, length: used }) =
+                http::response_head(&watch.came).unwrap()
+            {
+                assert_eq!((status, form), (200, BodyLength::Chunked));
                 watch.came.drain(..used);
                 return watch;
             }
