--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -112,7 +112,7 @@
     body: &[u8],
 ) -> Vec<u8> {
     let Some(overlay) = overlay else {
-        return http::answer(404, "Not Found", "changes: not in the configuration\n");
+        return http::response(404, "Not Found", "changes: not in the configuration\n");
     };
     let rest = target.strip_prefix(FOLDER).unwrap_or_default();
     let version = rest.strip_prefix('/').filter(|version| !version.is_empty());
@@ -122,14 +122,14 @@
             let role = if overlay.handle.serves_subscribers() { "a relay" } else { "a front" };
             let text =
                 format!("this is {role} and has no vote: order where [accord] and changes.listen are\n");
-            http::answer(409, "Conflict", &text)
+            http::response(409, "Conflict", &text)
         }
         ("GET", None, _) => query(overlay, Query::Status).await,
         ("GET", Some(version), _) => match version.parse() {
             Ok(version) => query(overlay, Query::Rollout(Index(version))).await,
-            Err(_) => http::answer(400, "Bad Request", "version: must be a number\n"),
+            Err(_) => http::response(400, "Bad Request", "version: must be a number\n"),
         },
-        _ => http::answer(405, "Method Not Allowed", "GET the state, POST what changes it\n"),
+        _ => http::response(405, "Method Not Allowed", "GET the state, POST what changes it\n"),
     }
 }
 
@@ -145,19 +145,19 @@
 async fn change(coordination: &coordination::Handle, body: &[u8]) -> Vec<u8> {
     let batch = match parse(body) {
         Ok(batch) => batch,
-        Err(error) => return http::answer(400, "Bad Request", &format!("{error}\n")),
+        Err(error) => return http::response(400, "Bad Request", &format!("{error}\n")),
     };
     let (to, from) = async_channel::bounded(1);
     if !coordination.send(CoordinationMessage::Call(OperatorCall::ChangeConfig(batch), to)) {
-        return http::answer(503, "Service Unavailable", "too many calls wait\n");
+        return http::response(503, "Service Unavailable", "too many calls wait\n");
     }
     match with_timeout(async { from.recv().await.ok() }).await {
         Some(OperatorResponse::Done(version)) => {
-            http::answer(200, "OK", &format!("{{\"version\":{version}}}\n"))
+            http::response(200, "OK", &format!("{{\"version\":{version}}}\n"))
         }
-        Some(OperatorResponse::NotFound(text)) => http::answer(400, "Bad Request", &text),
-        Some(OperatorResponse::Rejected(text)) => http::answer(409, "Conflict", &text),
-        Some(OperatorResponse::Unsettled(_)) | None => http::answer(503, "Service Unavailable", UNSETTLED),
+        Some(OperatorResponse::NotFound(text)) => http::response(400, "Bad Request", &text),
+        Some(OperatorResponse::Rejected(text)) => http::response(409, "Conflict", &text),
+        Some(OperatorResponse::Unsettled(_)) | None => http::response(503, "Service Unavailable", UNSETTLED),
     }
 }
 
@@ -166,16 +166,16 @@
     let is_sent = overlay.handle.ask(query, to);
     match with_timeout(async { from.recv().await.ok().filter(|_| is_sent) }).await {
         Some(QueryResponse::Rollout(rollout)) => {
-            http::answer(200, "OK", &format!("{}\n", rollout_json(&rollout)))
+            http::response(200, "OK", &format!("{}\n", rollout_json(&rollout)))
         }
         Some(QueryResponse::Status(status)) => {
-            http::answer(200, "OK", &format!("{}\n", status_json(&status, overlay.unknown_keys())))
+            http::response(200, "OK", &format!("{}\n", status_json(&status, overlay.unknown_keys())))
         }
         Some(QueryResponse::AskRelays(relays)) => {
             let text = format!("this is a front and knows of no others: ask {}\n", relays.join(" or "));
-            http::answer(409, "Conflict", &text)
+            http::response(409, "Conflict", &text)
         }
-        None => http::answer(503, "Service Unavailable", "no answer in time\n"),
+        None => http::response(503, "Service Unavailable", "no answer in time\n"),
     }
 }
 
--- a/crates/gateway/src/admin/coordination_calls.rs
+++ b/crates/gateway/src/admin/coordination_calls.rs
@@ -61,18 +61,18 @@
 /// The answer to a call under the folder.
 pub async fn answer(handle: Option<&Handle>, method: &str, target: &str) -> Vec<u8> {
     let Some(handle) = handle else {
-        return http::answer(404, "Not Found", "accord: not in the configuration\n");
+        return http::response(404, "Not Found", "accord: not in the configuration\n");
     };
     let call = match parse(method, target) {
         Ok(call) => call,
         Err(error) => {
             let (code, reason) = error.status();
-            return http::answer(code, reason, &error.to_string());
+            return http::response(code, reason, &error.to_string());
         }
     };
     let (to, from) = async_channel::bounded(1);
     if !handle.send(CoordinationMessage::Call(call, to)) {
-        return http::answer(503, "Service Unavailable", "too many calls wait\n");
+        return http::response(503, "Service Unavailable", "too many calls wait\n");
     }
     let timed_out = async {
         Timer::after(TIMEOUT).await;
@@ -81,10 +81,10 @@
     let response =
         async { from.recv().await.unwrap_or(OperatorResponse::Unsettled("the front ends\n".into())) };
     match future::or(response, timed_out).await {
-        OperatorResponse::Done(text) => http::answer(200, "OK", &text),
-        OperatorResponse::NotFound(text) => http::answer(404, "Not Found", &text),
-        OperatorResponse::Rejected(text) => http::answer(409, "Conflict", &text),
-        OperatorResponse::Unsettled(text) => http::answer(503, "Service Unavailable", &text),
+        OperatorResponse::Done(text) => http::response(200, "OK", &text),
+        OperatorResponse::NotFound(text) => http::response(404, "Not Found", &text),
+        OperatorResponse::Rejected(text) => http::response(409, "Conflict", &text),
+        OperatorResponse::Unsettled(text) => http::response(503, "Service Unavailable", &text),
     }
 }
 
@@ -94,7 +94,7 @@
 /// [`CallError`], whose text begins with the query at fault, if any.
 pub fn parse(method: &str, target: &str) -> Result<OperatorCall, CallError> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let words: Vec<String> = path.split('/').skip(3).map(http::unescape).collect();
+    let words: Vec<String> = path.split('/').skip(3).map(http::percent_decode).collect();
     let words: Vec<&str> = words.iter().map(String::as_str).collect();
     let query: BTreeMap<String, String> = form_urlencoded::parse(query.as_bytes()).into_owned().collect();
     match (method, words.as_slice()) {
--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -8,9 +8,9 @@
 use async_io::Timer;
 use dispatch::{Attempt, Bytes, Extent};
 use futures_lite::{future, StreamExt};
-use iscsi::initiator::{Initiator, Told};
+use iscsi::initiator::{Initiator, Response};
 use iscsi::scsi::{self, status};
-use iscsi::BLOCK;
+use iscsi::BLOCK_BYTES;
 use scheduler::interface::AttemptOutcome;
 
 /// The LUN and the blocks of a request; `None` where its volume has no LUN.
@@ -24,10 +24,10 @@
         let pieces = u64::from(lun.blocks / lun.piece_blocks).max(1);
         let piece = u64::from_str_radix(&request.key, 16).unwrap_or(0) % pieces;
         let blocks = match &request.body {
-            Some(body) => body.len().div_ceil(BLOCK) as u32,
+            Some(body) => body.len().div_ceil(BLOCK_BYTES) as u32,
             None => request.units.saturating_mul(lun.unit_blocks),
         };
-        let most = (iscsi::LONGEST / BLOCK) as u32;
+        let most = (iscsi::MAX_DATA_BYTES / BLOCK_BYTES) as u32;
         Extent { first: piece * u64::from(lun.piece_blocks), blocks: blocks.clamp(1, most.min(lun.blocks)) }
     });
     Some((lun.lun, extent))
@@ -47,14 +47,14 @@
     /// `None` where the attempt's volume has no LUN.
     fn new(context: &Context, attempt: &Attempt) -> Option<Command> {
         let (lun, extent) = extent(context, attempt)?;
-        let expected = extent.blocks as usize * BLOCK;
+        let expected = extent.blocks as usize * BLOCK_BYTES;
         let body = attempt.request.body.as_ref().filter(|_| attempt.request.is_write);
         let data = body.map(|body| {
             let mut padded = body.to_vec();
             padded.resize(expected, 0);
             padded
         });
-        let cdb = scsi::transfer(attempt.request.is_write, extent.first, extent.blocks);
+        let cdb = scsi::transfer_cdb(attempt.request.is_write, extent.first, extent.blocks);
         Some(Command { lun, cdb, data, expected })
     }
 
@@ -174,25 +174,25 @@
         }
     }
 
-    fn handle(&mut self, told: Told) -> Option<(AttemptEnd, bool)> {
+    fn handle(&mut self, told: Response) -> Option<(AttemptEnd, bool)> {
         match told {
             // While the session was established the backend began to drain, or the client left.
-            Told::LoggedIn if !self.is_logged_in && !self.backend.may_begin(self.attempt) => {
+            Response::LoggedIn if !self.is_logged_in && !self.backend.may_begin(self.attempt) => {
                 let is_reusable = !self.backend.endpoint.is_closed.get() && self.stream.input.is_empty();
                 self.stream.reason = CloseReason::Drained;
                 Some((self.attempt.ended(AttemptOutcome::NotSent), is_reusable))
             }
-            Told::LoggedIn if !self.is_logged_in => {
+            Response::LoggedIn if !self.is_logged_in => {
                 self.is_logged_in = true;
                 self.command.encode(self.session, &mut self.out);
                 None
             }
-            Told::Done { status, data, .. } => Some(self.done(status, data)),
-            Told::Rejected(_) => {
+            Response::Completed { status, data, .. } => Some(self.done(status, data)),
+            Response::Rejected(_) => {
                 self.stream.reason = CloseReason::Protocol;
                 Some(self.broken(AttemptOutcome::Error))
             }
-            Told::LoggedOut => {
+            Response::LoggedOut => {
                 self.stream.reason = CloseReason::PeerClosed;
                 Some(self.broken(AttemptOutcome::Reset))
             }
--- a/crates/gateway/src/iscsi/server.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -16,7 +16,7 @@
 use config::{Iscsi, Lun};
 use futures_lite::{future, StreamExt};
 use iscsi::scsi::Disk;
-use iscsi::target::Shown;
+use iscsi::target::TargetDescription;
 use scheduler::interface::Micros;
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// Capacities of a session's input and output buffer, in bytes.
-const BUFFER_BYTES: (usize, usize) = (iscsi::LONGEST + 4096, 2 * MAX_ANSWER_BYTES);
+const BUFFER_BYTES: (usize, usize) = (iscsi::MAX_DATA_BYTES + 4096, 2 * MAX_ANSWER_BYTES);
 /// Sessions at once.
 const MAX_SESSIONS: usize = 24;
 /// Answers that may wait for a session: those of its tasks, and late ones of reads that were aborted.
@@ -46,7 +46,7 @@
     listener: Async<TcpListener>,
 ) {
     let disk = |lun: &Lun| Disk { lun: lun.lun, blocks: u64::from(lun.blocks), serial: lun.volume.clone() };
-    let shown = Shown {
+    let shown = TargetDescription {
         name: iscsi.target.clone(),
         address: iscsi.listen.to_string(),
         disks: iscsi.luns.iter().map(disk).collect(),
@@ -137,7 +137,7 @@
 }
 
 fn activity(session: &Session, stream: &Connection) -> Activity {
-    let is_quiet = !session.target.busy()
+    let is_quiet = !session.target.is_busy()
         && session.ready.is_empty()
         && stream.output.is_empty()
         && stream.input.is_empty();
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// The space that one answer may take on the wire, with all its headers, in bytes.
-pub const MAX_ANSWER_BYTES: usize = iscsi::LONGEST + 16 * 1024;
+pub const MAX_ANSWER_BYTES: usize = iscsi::MAX_DATA_BYTES + 16 * 1024;
 
 /// A read or write that is open.
 struct Task {
@@ -84,7 +84,7 @@
             let Some((number, answer)) = self.ready.pop_front() else { break };
             // The task of a late answer may have been aborted.
             let Some(task) = self.tasks.remove(&number) else { continue };
-            let status = self.target.answer(task.tag, outcome(&answer, task.is_write), &mut out);
+            let status = self.target.complete(task.tag, outcome(&answer, task.is_write), &mut out);
             if let (Some(status), Some(key)) = (status, task.key) {
                 self.unacknowledged.push_back((status, key));
             }
@@ -158,7 +158,7 @@
         (lun, lba, &data).hash(&mut digest);
         let session = self.name.clone().unwrap_or_default();
         let key = WriteKey { session, tag, digest: digest.finish() };
-        let blocks = (data.len() / iscsi::BLOCK) as u32;
+        let blocks = (data.len() / iscsi::BLOCK_BYTES) as u32;
         let body = Some(Bytes::from(data));
         let request = request(&self.shared.context, &self.shared.iscsi, lun, lba, blocks, body);
         let task = Task { tag, is_write: true, read: None, key: Some(key.clone()) };
@@ -205,7 +205,7 @@
         if is_written && self.closing.is_some() {
             return self.closing;
         }
-        let is_idle = is_written && self.ready.is_empty() && !self.target.busy();
+        let is_idle = is_written && self.ready.is_empty() && !self.target.is_busy();
         if is_idle && context.closes_between_requests() {
             return Some(CloseReason::Stopped);
         }
--- a/crates/gateway/src/iscsi/shared.rs
+++ b/crates/gateway/src/iscsi/shared.rs
@@ -4,7 +4,7 @@
 use crate::messages::SchedulerMailbox;
 use async_channel::Sender;
 use config::Iscsi;
-use iscsi::target::Shown;
+use iscsi::target::TargetDescription;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
     /// The section `[iscsi]` of the configuration.
     pub iscsi: Iscsi,
     /// What initiators are shown.
-    pub shown: Rc<Shown>,
+    pub shown: Rc<TargetDescription>,
     /// The mailbox of the record of writes.
     pub record: Sender<RecordMessage>,
     /// The sessions that are logged in.
