--- a/crates/gateway/src/admin/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -119,7 +119,7 @@
 async fn out_of_rotation(operators: &Operators) -> usize {
     let (to, from) = async_channel::bounded(1);
     // The mailbox is closed only at the end of the process.
-    let _ = operators.scheduler.send(SchedulerMessage::GetEjected(to)).await;
+    drop(operators.scheduler.send(SchedulerMessage::GetEjected(to)).await);
     let timed_out = async {
         Timer::after(SCHEDULER_TIMEOUT).await;
         vec![]
--- a/crates/gateway/src/admin/suspension_files.rs
+++ b/crates/gateway/src/admin/suspension_files.rs
@@ -45,7 +45,7 @@
     for (path, number) in process_files::numbered(prefix, COMPLETE_EXTENSION) {
         if number < snapshot.number {
             // One that can't be removed is older and is ignored when read.
-            let _ = fs::remove_file(path);
+            drop(fs::remove_file(path));
         }
     }
     Ok(())
--- a/crates/gateway/src/backend/attempt.rs
+++ b/crates/gateway/src/backend/attempt.rs
@@ -145,5 +145,5 @@
     let (volume, units) = (&attempt.request.volume, attempt.request.units);
     backend.endpoint.statistics.ended(backend.context.clock.now(), end.outcome, volume, units);
     // The mailbox is closed only at the end of the process.
-    let _ = backend.scheduler.send(SchedulerMessage::Ended(end)).await;
+    drop(backend.scheduler.send(SchedulerMessage::Ended(end)).await);
 }
--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -95,8 +95,8 @@
 fn log_in(context: &Context, session: &mut Initiator, target: &str, out: &mut Vec<u8>) {
     let name = format!("iqn.2026-12.lichenrudder:front-{}", context.config().name);
     // Each connection is a session of its own, with an ISID that this process never uses again.
-    let [.., a, b, c, d] = context.number().0.to_be_bytes();
-    session.login(&name, Some(target), [0x80, a, b, c, d, 0], out);
+    let [.., high, upper, lower, low] = context.number().0.to_be_bytes();
+    session.login(&name, Some(target), [0x80, high, upper, lower, low, 0], out);
 }
 
 struct Exchange<'a> {
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -79,7 +79,7 @@
     pub fn stop(&self) {
         for handle in self.handles.borrow().values() {
             // An actor that has ended has no connections.
-            let _ = handle.mailbox.try_send(BackendMessage::Stop);
+            drop(handle.mailbox.try_send(BackendMessage::Stop));
         }
     }
 
@@ -135,7 +135,7 @@
 
     async fn update_scheduler(&self, update: EndpointUpdate) {
         // The mailbox is closed only at the end of the process.
-        let _ = self.scheduler.send(SchedulerMessage::Endpoints(update)).await;
+        drop(self.scheduler.send(SchedulerMessage::Endpoints(update)).await);
     }
 
     /// Applies the suspensions as they are now, first to attempts that wait for a connection, then to the scheduler.
--- a/crates/gateway/src/backend/statistics.rs
+++ b/crates/gateway/src/backend/statistics.rs
@@ -115,8 +115,10 @@
         self.decay(now);
         // A steady rate adds up to rate x half-life / ln 2.
         let second = HALF_LIFE_US / std::f64::consts::LN_2 / 1e6;
-        let all = self.units.borrow();
-        all.iter().map(|(v, u)| (v.clone(), (1000.0 * u / second).round() as u64)).collect()
+        let units = self.units.borrow();
+        let rate =
+            |(volume, units): (&Rc<str>, &f64)| (volume.clone(), (1000.0 * units / second).round() as u64);
+        units.iter().map(rate).collect()
     }
 }
 
--- a/crates/gateway/src/backend/streaming.rs
+++ b/crates/gateway/src/backend/streaming.rs
@@ -90,7 +90,7 @@
                 if let Some(resp::Reply::Bulk(Some(figures))) = replies.first() {
                     let (volume, units) = (attempt.request.volume.clone(), remote_units(figures));
                     // The mailbox is closed only at the end of the process.
-                    let _ = scheduler.send(SchedulerMessage::RemoteUnits(volume, units)).await;
+                    drop(scheduler.send(SchedulerMessage::RemoteUnits(volume, units)).await);
                 }
                 stream.input.consume(used);
                 let is_clean = stream.input.is_empty();
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -4,8 +4,8 @@
 use crate::client::connection_slots::{
     ConnectionSlot, ConnectionSlots, IdleTimeouts, EXHAUSTED_IDLE_TIMEOUT,
 };
-use crate::client::response::EncodedResponse;
-use crate::client::session::{Progress, Session, PIPELINE};
+use crate::client::response::{EncodedResponse, Progress};
+use crate::client::session::{Session, PIPELINE};
 use crate::context::Context;
 use crate::counts::{Count, Weight};
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -3,6 +3,7 @@
 use crate::context::Context;
 use crate::counts::Gauges;
 use dispatch::Bytes;
+use scheduler::interface::{Micros, RequestId};
 use std::rc::Rc;
 
 /// An encoded response.
@@ -32,6 +33,24 @@
     gauges: Rc<Gauges>,
 }
 
+/// The place of one command in the order of responses.
+pub struct Slot {
+    /// Its request, where it has one.
+    pub id: Option<RequestId>,
+    /// Whether its response is gathered from shards.
+    pub is_gathered: bool,
+    /// Its response, once there is one.
+    pub response: Option<PendingResponse>,
+}
+
+/// When the connection last took bytes of a response.
+pub struct Progress {
+    /// Bytes written to the socket by then.
+    pub written: u64,
+    /// The time.
+    pub at: Micros,
+}
+
 impl PendingResponse {
     /// Counts a response; one beyond the limit is replaced by an error.
     pub fn new(context: &Rc<Context>, response: EncodedResponse) -> PendingResponse {
--- a/crates/gateway/src/client/response_queue.rs
+++ b/crates/gateway/src/client/response_queue.rs
@@ -1,7 +1,7 @@
 //! Sending a client's responses in the order of its commands.
 use crate::backend::value::Answer;
-use crate::client::response::{encode, EncodedResponse, PendingResponse};
-use crate::client::session::{Progress, Session};
+use crate::client::response::{encode, EncodedResponse, PendingResponse, Progress};
+use crate::client::session::Session;
 use crate::net::connection::Connection;
 use async_channel::Receiver;
 use dispatch::Bytes;
@@ -14,7 +14,7 @@
             self.last_progress = Progress { written: stream.written, at: self.context.clock.now() };
         }
         let before = self.first;
-        while let Some(waiting) = self.slots.front_mut().and_then(|s| s.response.as_mut()) {
+        while let Some(waiting) = self.slots.front_mut().and_then(|slot| slot.response.as_mut()) {
             // What clients don't read waits here, where it is counted, rather than in many buffers.
             if !stream.output.is_empty() && self.context.rings_full() {
                 break;
@@ -59,7 +59,7 @@
 
     /// Takes the next piece of the value that is being sent. Returns false where the value can't be completed.
     pub fn take_piece(&mut self, piece: Option<Bytes>) -> bool {
-        let waiting = self.slots.front_mut().and_then(|s| s.response.as_mut());
+        let waiting = self.slots.front_mut().and_then(|slot| slot.response.as_mut());
         let (Some(waiting), Some(piece)) = (waiting, piece) else { return false };
         if let EncodedResponse::Streamed(bytes, value) = &mut waiting.response {
             value.length -= piece.len().min(value.length);
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -3,7 +3,7 @@
 use crate::client::arrival_times::ArrivalTimes;
 use crate::client::command::{parse, Command};
 use crate::client::connection_slots::{Activity, ConnectionSlot};
-use crate::client::response::{encode, EncodedResponse, PendingResponse};
+use crate::client::response::{encode, EncodedResponse, PendingResponse, Progress, Slot};
 use crate::context::Context;
 use crate::counters::AnswerKind;
 use crate::counts::Weight;
@@ -32,24 +32,6 @@
 /// How often it is checked otherwise, in microseconds.
 const RARE_CHECK_US: i64 = 20_000_000;
 
-/// The place of one command in the order of responses.
-pub struct Slot {
-    /// Its request, where it has one.
-    pub id: Option<RequestId>,
-    /// Whether its response is gathered from shards.
-    pub is_gathered: bool,
-    /// Its response, once there is one.
-    pub response: Option<PendingResponse>,
-}
-
-/// When the connection last took bytes of a response.
-pub struct Progress {
-    /// Bytes written to the socket by then.
-    pub written: u64,
-    /// The time.
-    pub at: Micros,
-}
-
 /// The state of one client's session.
 pub struct Session {
     /// The gateway's shared state.
--- a/crates/gateway/src/command_line.rs
+++ b/crates/gateway/src/command_line.rs
@@ -52,7 +52,7 @@
 
 /// Writes to standard output. An error means that the reader has gone, which is no failure of the command.
 fn print(text: &str) {
-    let _ = io::stdout().write_all(text.as_bytes());
+    drop(io::stdout().write_all(text.as_bytes()));
 }
 
 fn check(file: &str) -> Result<(), CommandError> {
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -136,7 +136,7 @@
         if let Some(config) = next.config {
             let reload = SchedulerMessage::Reload(Some(Box::new(config.settings.clone())));
             // The mailbox is closed only at the end of the process.
-            let _ = self.scheduler.send(reload).await;
+            drop(self.scheduler.send(reload).await);
             self.context.configure(config);
         }
         if !next.backends.is_empty() {
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -59,7 +59,7 @@
             _ => list.caller.watch_ended(now, Failure::Ended),
         }
         // Backends that leave from now on go unnoticed until the next watch: the scheduler has to be careful.
-        let _ = list.scheduler.send(SchedulerMessage::Endpoints(EndpointUpdate::Failed)).await;
+        drop(list.scheduler.send(SchedulerMessage::Endpoints(EndpointUpdate::Failed)).await);
     }
 }
 
@@ -177,10 +177,11 @@
                 Ok(count) => {
                     // A watch without changes is established all the same: the scheduler must not ask for another.
                     if !std::mem::replace(&mut has_reported, true) && count == 0 {
-                        let _ = self
-                            .scheduler
-                            .send(SchedulerMessage::Endpoints(EndpointUpdate::Delta(vec![])))
-                            .await;
+                        drop(
+                            self.scheduler
+                                .send(SchedulerMessage::Endpoints(EndpointUpdate::Delta(vec![])))
+                                .await,
+                        );
                     }
                     watch.stream.carried += count;
                 }
@@ -221,10 +222,11 @@
                 .map_err(|error| protocol_error(&error))?;
             count += 1;
             self.version = targets.generation;
-            let _ = self
-                .scheduler
-                .send(SchedulerMessage::Endpoints(self.pool.update_from_discovery(&targets)))
-                .await;
+            drop(
+                self.scheduler
+                    .send(SchedulerMessage::Endpoints(self.pool.update_from_discovery(&targets)))
+                    .await,
+            );
             self.context.lifecycle.serving.set(true);
         }
     }
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -1,7 +1,7 @@
 //! A session of an initiator, without its connection: its reads and writes as requests, and their answers as statuses.
 use crate::backend::value::Answer;
 use crate::iscsi::request::{outcome, request};
-use crate::iscsi::shared::{LoggedIn, SessionName, TargetContext};
+use crate::iscsi::shared::{LoggedIn, Progress, SessionName, TargetContext};
 use crate::iscsi::write_record::{RecordMessage, WriteKey};
 use crate::messages::{SchedulerMessage, Ticket};
 use crate::net::close_reason::CloseReason;
@@ -28,16 +28,6 @@
     key: Option<WriteKey>,
 }
 
-/// When the session last made progress.
-pub struct Progress {
-    /// PDUs read by then.
-    pub carried: u64,
-    /// Bytes sent by then.
-    pub written: u64,
-    /// The time.
-    pub at: Micros,
-}
-
 /// The state of one session.
 pub struct Session {
     shared: Rc<TargetContext>,
@@ -127,7 +117,7 @@
                 let task = number.and_then(|number| self.tasks.remove(&number));
                 if let Some(id) = task.and_then(|task| task.read) {
                     // The mailbox is closed only at the end of the process.
-                    let _ = self.shared.scheduler.send(SchedulerMessage::Left(id)).await;
+                    drop(self.shared.scheduler.send(SchedulerMessage::Left(id)).await);
                 }
             }
             Event::Acknowledged(end) => self.acknowledge(end).await,
@@ -174,7 +164,7 @@
         while self.unacknowledged.front().is_some_and(|(number, _)| is_before(*number)) {
             let Some((_, key)) = self.unacknowledged.pop_front() else { break };
             // The mailbox is closed only at the end of the process.
-            let _ = self.shared.record.send(RecordMessage::Acknowledged(key)).await;
+            drop(self.shared.record.send(RecordMessage::Acknowledged(key)).await);
         }
     }
 
@@ -201,7 +191,7 @@
     /// Whether the connection is to be closed now, and why.
     pub fn close_reason(&self, stream: &Connection, connected_at: Micros) -> Option<CloseReason> {
         let context = &self.shared.context;
-        let (now, is_written) = (context.clock.now(), stream.output.is_empty());
+        let is_written = stream.output.is_empty();
         if is_written && self.closing.is_some() {
             return self.closing;
         }
@@ -209,6 +199,7 @@
         if is_idle && context.closes_between_requests() {
             return Some(CloseReason::Stopped);
         }
+        let now = context.clock.now();
         // Connections that never log in would keep others from the session limit.
         let login_timeout_us = (context.config().clients.command_s * 1e6) as i64;
         (self.name.is_none() && now.0 - connected_at.0 >= login_timeout_us).then_some(CloseReason::Idle)
--- a/crates/gateway/src/iscsi/shared.rs
+++ b/crates/gateway/src/iscsi/shared.rs
@@ -5,6 +5,7 @@
 use async_channel::Sender;
 use config::Iscsi;
 use iscsi::target::TargetDescription;
+use scheduler::interface::Micros;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -41,3 +42,13 @@
     /// The sessions that are logged in.
     pub sessions: RefCell<BTreeMap<SessionName, LoggedIn>>,
 }
+
+/// When the session last made progress.
+pub struct Progress {
+    /// PDUs read by then.
+    pub carried: u64,
+    /// Bytes sent by then.
+    pub written: u64,
+    /// The time.
+    pub at: Micros,
+}
--- a/crates/gateway/src/iscsi/write_record.rs
+++ b/crates/gateway/src/iscsi/write_record.rs
@@ -167,7 +167,7 @@
 
 fn respond(ticket: &Ticket, answer: Answer) {
     // A closed mailbox belongs to a session that has ended.
-    let _ = ticket.to.try_send((ticket.slot, answer));
+    drop(ticket.to.try_send((ticket.slot, answer)));
 }
 
 /// What ended the actor's wait.
@@ -209,7 +209,7 @@
             Wakeup::Message(Some(RecordMessage::Left(key))) => {
                 if let Some(id) = record.left(&key) {
                     // The mailbox is closed only at the end of the process.
-                    let _ = scheduler.send(SchedulerMessage::Abandoned(id)).await;
+                    drop(scheduler.send(SchedulerMessage::Abandoned(id)).await);
                 }
             }
             Wakeup::Answer(Some((number, answer))) => {
--- a/crates/gateway/src/lifecycle/handover.rs
+++ b/crates/gateway/src/lifecycle/handover.rs
@@ -37,7 +37,7 @@
         // On a helper thread, since a disk may take its time.
         let check = blocking::unblock(move || {
             // An error was logged at the first attempt, and the lock is tried again at the next check.
-            let _ = lock.take();
+            drop(lock.take());
             lock.publish(descriptors);
             let found = lock.other_process();
             let persisted =
@@ -50,7 +50,7 @@
         if std::mem::discriminant(&before) != std::mem::discriminant(&found) {
             crate::log::line(format_args!("handover other={found:?}"));
             // The mailbox is closed only at the end of the process.
-            let _ = scheduler.send(SchedulerMessage::ShareChanged).await;
+            drop(scheduler.send(SchedulerMessage::ShareChanged).await);
         }
         // Operators' calls may reach either process, and suspensions count for both.
         if pool.take_over_suspensions(persisted) {
--- a/crates/gateway/src/lifecycle/process_lock.rs
+++ b/crates/gateway/src/lifecycle/process_lock.rs
@@ -69,7 +69,7 @@
         let locked = file.try_lock().map_err(io::Error::from);
         if let Err(error) = locked.and_then(|()| std::fs::rename(&partial, &path)) {
             // A partial file that stays is ignored; its number is not used again.
-            let _ = std::fs::remove_file(&partial);
+            drop(std::fs::remove_file(&partial));
             return Err(error);
         }
         Ok(LockFile { file, number, path, descriptors: None })
@@ -121,7 +121,7 @@
     fn drop(&mut self) {
         if let Some(held) = &self.held {
             // A file that stays is unlocked once this process has ended.
-            let _ = std::fs::remove_file(&held.path);
+            drop(std::fs::remove_file(&held.path));
         }
     }
 }
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -36,7 +36,7 @@
         }
         if is_moved {
             // The mailbox is closed only at the end of the process.
-            let _ = self.discovery.send(DiscoveryMessage::AddressChanged).await;
+            drop(self.discovery.send(DiscoveryMessage::AddressChanged).await);
         }
     }
 
@@ -66,6 +66,6 @@
 
     pub(super) async fn tell_scheduler(&self, message: SchedulerMessage) {
         // The mailbox is closed only at the end of the process.
-        let _ = self.scheduler.send(message).await;
+        drop(self.scheduler.send(message).await);
     }
 }
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -5,5 +5,5 @@
 /// Writes a line, `key=value` by convention.
 pub fn line(text: Arguments<'_>) {
     // There is nowhere to report the error.
-    let _ = stderr().write_all(format!("{text}\n").as_bytes());
+    drop(stderr().write_all(format!("{text}\n").as_bytes()));
 }
--- a/crates/gateway/src/net/dial.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -58,7 +58,7 @@
         connect_timeout => attempt.deadline.min(Micros(now.0 + connect_timeout)),
     };
     let bounds = (context.longest_value() + REPLY_OVERHEAD_BYTES, COMMAND_BYTES);
-    let dialled = async { dial(address, bounds).await.map_err(|_| DialError::Failed) };
+    let dialled = async { dial(address, bounds).await.or(Err(DialError::Failed)) };
     let given_up = async { Err(give_up(work, attempt, incarnation, connect_deadline).await) };
     match future::or(dialled, given_up).await {
         Ok(stream) => Ok(BackendConnection {
--- a/crates/gateway/src/net/socket.rs
+++ b/crates/gateway/src/net/socket.rs
@@ -36,8 +36,8 @@
         let stream = Arc::new(stream);
         // Both can only fail on a socket that is broken already, which the first read reports.
         // Without TCP_NODELAY the last bytes of a command may be delayed until an acknowledgement arrives.
-        let _ = stream.set_nodelay(true);
-        let _ = stream.set_nonblocking(true);
+        drop(stream.set_nodelay(true));
+        drop(stream.set_nonblocking(true));
         let registered = Async::new_nonblocking(stream.clone()).ok();
         Socket { stream, registered, retry: Timer::after(REGISTRATION_RETRY_DELAY) }
     }
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -1,17 +1,18 @@
 //! The scatter-gather actor: each shard request is a request of its own at the scheduler, with its own credits, limits and attempts.
 use crate::backend::pool::BackendPool;
 use crate::backend::value::Answer;
-use crate::client::response::{encode, EncodedResponse};
+use crate::client::response::encode;
 use crate::context::Context;
 use crate::counters::AnswerKind;
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use crate::scatter_gather::handle::{Begin, GatherMessage, Gathering};
-use crate::scatter_gather::response::encode_answer;
-use crate::scatter_gather::shard_requests::{shard_request, shard_response, InFlight};
+use crate::scatter_gather::response::{encode_answer, respond};
+use crate::scatter_gather::shard_requests::{own_zone, shard_request, shard_response, InFlight, OpenGather};
+use crate::scatter_gather::time::{micros, time};
 use crate::scheduler_actor::MAX_REQUESTS;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
-use cluster_types::{Time, Zone};
+use cluster_types::Time;
 use dispatch::Bytes;
 use futures_lite::{future, StreamExt};
 use scatter_gather::{
@@ -31,13 +32,6 @@
 /// When a client that is rejected for lack of room may retry.
 const FULL_RETRY_AFTER: Micros = Micros(100_000);
 
-/// A gather that is not answered yet.
-struct OpenGather {
-    begin: Begin,
-    /// For each shard request its number, once it was submitted.
-    shard_requests: Vec<Option<RequestId>>,
-}
-
 struct GatherActor {
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
@@ -51,11 +45,6 @@
     cancelled: Vec<RequestId>,
 }
 
-/// The zone of this gateway, where that is configured.
-fn own_zone(context: &Context) -> Option<Zone> {
-    context.config().accord.as_ref().map(|section| Zone(section.hall.as_str().into()))
-}
-
 /// What ended the actor's wait.
 enum Wakeup {
     Answer(Option<(u64, Answer)>),
@@ -102,14 +91,6 @@
     }
 }
 
-fn micros(at: Time) -> Micros {
-    Micros(i64::try_from(at.0).unwrap_or(i64::MAX))
-}
-
-fn time(at: Micros) -> Time {
-    Time(u64::try_from(at.0).unwrap_or(0))
-}
-
 impl GatherActor {
     fn new(
         context: Rc<Context>,
@@ -237,7 +218,7 @@
     async fn cancel_requests(&mut self) {
         for id in std::mem::take(&mut self.cancelled) {
             // The mailbox is closed only at the end of the process.
-            let _ = self.scheduler.send(SchedulerMessage::Left(id)).await;
+            drop(self.scheduler.send(SchedulerMessage::Left(id)).await);
         }
     }
 
@@ -262,8 +243,3 @@
         true
     }
 }
-
-/// Puts the response into the session's mailbox, which has room for all that it awaits; a closed one belongs to a client that has left.
-fn respond(begin: &Begin, response: EncodedResponse) {
-    let _ = begin.to.try_send((begin.slot, response));
-}
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -79,7 +79,7 @@
     /// Tells the actor that the client of a request has disconnected.
     pub async fn left(&self, id: RequestId) {
         // The mailbox is closed only at the end of the process.
-        let _ = self.mailbox.send(GatherMessage::Left(id)).await;
+        drop(self.mailbox.send(GatherMessage::Left(id)).await);
     }
 
     /// Appends the metrics, one `NAME=VALUE` a line.
--- a/crates/gateway/src/scatter_gather/mod.rs
+++ b/crates/gateway/src/scatter_gather/mod.rs
@@ -3,3 +3,4 @@
 pub mod handle;
 pub mod response;
 pub mod shard_requests;
+pub mod time;
--- a/crates/gateway/src/scatter_gather/response.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -2,6 +2,7 @@
 //! names what is missing, and a failure as an error with its reason.
 use crate::backend::value;
 use crate::client::response::{encode, EncodedResponse};
+use crate::scatter_gather::handle::Begin;
 use dispatch::Bytes;
 use scatter_gather::{Answer, Gathered, Reservation};
 use scheduler::interface::Micros;
@@ -38,3 +39,8 @@
     pieces.push(Bytes::from(tail.as_bytes()));
     EncodedResponse::Pieces(pieces, reservations)
 }
+
+/// Puts the response into the session's mailbox, which has room for all that it awaits; a closed one belongs to a client that has left.
+pub fn respond(begin: &Begin, response: EncodedResponse) {
+    drop(begin.to.try_send((begin.slot, response)));
+}
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -14,6 +14,14 @@
 /// The part of the client's request id that a shard request's id begins with, in bytes: backends accept ids of 256 bytes.
 const ID_PREFIX_BYTES: usize = 200;
 
+/// A gather that is not answered yet.
+pub struct OpenGather {
+    /// The client's request.
+    pub begin: Begin,
+    /// For each shard request its number, once it was submitted.
+    pub shard_requests: Vec<Option<RequestId>>,
+}
+
 /// A shard request in flight.
 pub struct InFlight {
     /// Its gather.
@@ -105,3 +113,8 @@
         is_same_zone && endpoint.statistics.last_answered().is_some_and(|at| at >= in_flight.submitted_at)
     })
 }
+
+/// The zone of this gateway, where that is configured.
+pub fn own_zone(context: &Context) -> Option<Zone> {
+    context.config().accord.as_ref().map(|section| Zone(section.hall.as_str().into()))
+}
