--- a/crates/config-distribution/src/settings.rs
+++ b/crates/config-distribution/src/settings.rs
@@ -15,7 +15,7 @@
 pub struct Settings {
     /// How long changes of [`crate::Class::Configuration`] are batched.
     pub batch_interval: Duration,
-    /// The longest pause between two messages to a subscriber. Must be below `backoff::LIVENESS`, after which a subscriber
+    /// The longest pause between two messages to a subscriber. Must be below `backoff::IDLE_TIMEOUT_US`, after which a subscriber
     /// takes its relay for dead.
     pub heartbeat_interval: Duration,
     /// How long a subscriber may take to answer before its connection is closed.
--- a/crates/config-distribution/src/subscriber.rs
+++ b/crates/config-distribution/src/subscriber.rs
@@ -15,7 +15,7 @@
 use crate::persisted::{decode, PersistedStateError};
 use crate::scope::Scope;
 use apply::PendingApply;
-use backoff::{Caller, Law};
+use backoff::{BackoffPolicy, Caller};
 use cluster_types::{Index, Time};
 use connections::Attempt;
 use staging::Staging;
@@ -88,8 +88,8 @@
             Some(Err(error)) => (SubscriberState::default(), Some(error)),
             None => (SubscriberState::default(), None),
         };
-        let mut caller = Caller::new(Law::fleet(fleet_size), seed, caller_time(now));
-        caller.spread(caller_time(now));
+        let mut caller = Caller::new(BackoffPolicy::for_callers(fleet_size), seed, caller_time(now));
+        caller.delay_first_call(caller_time(now));
         let subscriber = Subscriber {
             is_persistent: scope != Scope::Everything,
             scope,
@@ -144,8 +144,8 @@
     /// When a [`SubscriberEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Time> {
         let connections = match self.followed {
-            Some(_) => Some(Time(self.last_message_at.0.saturating_add(backoff::LIVENESS as u64))),
-            None => self.caller.due().map(|due| Time(due.max(0) as u64)),
+            Some(_) => Some(Time(self.last_message_at.0.saturating_add(backoff::IDLE_TIMEOUT_US as u64))),
+            None => self.caller.next_call_at().map(|due| Time(due.max(0) as u64)),
         };
         let persist =
             self.is_dirty.then(|| self.persisted_at.map_or(self.last_message_at, |at| at + PERSIST_INTERVAL));
--- a/crates/config-distribution/src/subscriber/connections.rs
+++ b/crates/config-distribution/src/subscriber/connections.rs
@@ -1,7 +1,7 @@
 //! Connections to relays, at the rate that `backoff` gives.
 use super::{caller_time, Subscriber, SubscriberAction};
 use crate::message::SubscriberMessage;
-use backoff::{Failure, LIVENESS};
+use backoff::{Failure, IDLE_TIMEOUT_US};
 use cluster_types::Time;
 use std::time::Duration;
 
@@ -15,20 +15,20 @@
 impl Subscriber {
     /// Leaves a relay that is silent for too long, and opens the next connection when it is due.
     pub(super) fn connect_if_due(&mut self, now: Time, out: &mut Vec<SubscriberAction>) {
-        let silence_limit = Duration::from_micros(LIVENESS as u64);
+        let silence_limit = Duration::from_micros(IDLE_TIMEOUT_US as u64);
         let silent = self.followed.filter(|_| now.since(self.last_message_at) >= silence_limit);
         if let Some(connection) = silent {
             self.leave(now, connection, Failure::Silent, out);
         }
-        let is_due = self.caller.due().is_some_and(|due| due <= caller_time(now));
+        let is_due = self.caller.next_call_at().is_some_and(|due| due <= caller_time(now));
         if is_due && self.followed.is_none() {
             self.connect(now, out);
         }
     }
 
     fn connect(&mut self, now: Time, out: &mut Vec<SubscriberAction>) {
-        let call = self.caller.call(caller_time(now));
-        if let Some(replaced) = call.instead_of {
+        let call = self.caller.start_call(caller_time(now));
+        if let Some(replaced) = call.replaces {
             self.attempts.retain(|attempt| attempt.connection != replaced);
             out.push(SubscriberAction::Close { connection: replaced });
         }
@@ -67,10 +67,10 @@
             self.is_resubscribing = false;
             // Whatever the reason, the next attempt goes to another relay: there is no time for two pauses.
             self.failed_attempts = self.relay_of(connection).unwrap_or(0) + 1;
-            self.caller.ended(caller_time(now), failure);
+            self.caller.watch_ended(caller_time(now), failure);
         } else if self.relay_of(connection).is_some() {
             self.failed_attempts += 1;
-            self.caller.failed(caller_time(now), connection, failure);
+            self.caller.call_failed(caller_time(now), connection, failure);
         }
         self.attempts.retain(|attempt| attempt.connection != connection);
         self.queued.retain(|(queued, _)| *queued != connection);
@@ -90,7 +90,7 @@
 
     /// A relay has accepted the subscription: all other connections are given up.
     pub(super) fn follow(&mut self, now: Time, connection: u64, out: &mut Vec<SubscriberAction>) {
-        self.caller.up(caller_time(now));
+        self.caller.watch_established(caller_time(now));
         self.followed = Some(connection);
         self.staging = None;
         for attempt in self.attempts.iter().filter(|attempt| attempt.connection != connection) {
--- a/crates/config-distribution/src/subscriber/receive.rs
+++ b/crates/config-distribution/src/subscriber/receive.rs
@@ -24,7 +24,7 @@
         }
         match message {
             RelayMessage::Subscribed { log_id } => self.subscribed(now, connection, log_id, out),
-            RelayMessage::RetryLater => self.leave(now, connection, Failure::Overbooked, out),
+            RelayMessage::RetryLater => self.leave(now, connection, Failure::Overloaded, out),
             _ if self.followed != Some(connection) => self.protocol_error(now, connection, out),
             message => self.followed_relay_sent(now, connection, message, out),
         }
@@ -94,7 +94,7 @@
         // The upper bits of a log's id are the time of its bootstrap: the fleet follows the latest.
         if self.followed.is_some() || log_id < self.state.log_id() || log_id == 0 {
             self.stats.foreign_relays += u64::from(self.followed.is_none());
-            return self.leave(now, connection, Failure::Overbooked, out);
+            return self.leave(now, connection, Failure::Overloaded, out);
         }
         self.last_message_at = now;
         self.follow(now, connection, out);
--- a/crates/config-distribution/src/subscriber/snapshot.rs
+++ b/crates/config-distribution/src/subscriber/snapshot.rs
@@ -27,7 +27,7 @@
         let staging = if chunk.is_first { Some(Staging::new(chunk.base)) } else { staging };
         // Guards against older values coming back through a snapshot: a relay that is behind is left.
         if self.is_same_log() && chunk.base < self.state.highest() {
-            return self.leave(now, connection, Failure::Overbooked, out);
+            return self.leave(now, connection, Failure::Overloaded, out);
         }
         let is_valid_entry = |entry: &Change| self.scope.contains(&entry.key.topic) && entry.is_bounded();
         let is_valid = chunk.entries.iter().all(is_valid_entry);
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -7,7 +7,7 @@
 use crate::net::close_reason::CloseReason;
 use async_channel::Receiver;
 use async_io::Timer;
-use backoff::{Caller, Failure, Law, LIVENESS};
+use backoff::{BackoffPolicy, Caller, Failure, IDLE_TIMEOUT_US};
 use config::Config;
 use futures_lite::{future, StreamExt};
 use scheduler::interface::{DiscoveryMode, EndpointUpdate, Micros};
@@ -23,8 +23,8 @@
 type PendingCall = Pin<Box<dyn Future<Output = Result<Box<Watch>, CloseReason>>>>;
 
 /// The call rate for one of all gateways.
-fn law(config: &Config) -> Law {
-    Law::fleet(config.settings.gateways)
+fn backoff_policy(config: &Config) -> BackoffPolicy {
+    BackoffPolicy::for_callers(config.settings.gateways)
 }
 
 /// Runs until the process ends, which closes the mailbox.
@@ -37,16 +37,16 @@
     let mut inbox = Box::pin(inbox);
     let config = context.config();
     let now = context.clock.now().0;
-    let mut caller = Caller::new(law(&config), config.seed, now);
+    let mut caller = Caller::new(backoff_policy(&config), config.seed, now);
     // All gateways may start at once, and discovery is one service for all: spread the first calls, where lists are pushed anyway.
     if config.settings.discovery_mode == DiscoveryMode::Subscribe {
-        caller.spread(now);
+        caller.delay_first_call(now);
     }
     let mut list = EndpointList { context, scheduler, pool, version: config.known.generation, caller };
     loop {
         // Read each time: a reload may have changed the address, which is then asked for the changes after the known version.
         let config = list.context.config();
-        list.caller.obey(law(&config));
+        list.caller.set_policy(backoff_policy(&config));
         let reason = match config.discovery {
             Some(discovery) => list.watch(discovery, &mut inbox).await,
             None => inbox.next().await.map_or(CloseReason::Stopped, |_| CloseReason::Replaced),
@@ -54,9 +54,9 @@
         let now = list.context.clock.now().0;
         match reason {
             CloseReason::Stopped => return,
-            CloseReason::Replaced => list.caller.moved(now),
-            CloseReason::Timeout => list.caller.ended(now, Failure::Silent),
-            _ => list.caller.ended(now, Failure::Ended),
+            CloseReason::Replaced => list.caller.service_replaced(now),
+            CloseReason::Timeout => list.caller.watch_ended(now, Failure::Silent),
+            _ => list.caller.watch_ended(now, Failure::Ended),
         }
         // Backends that leave from now on go unnoticed until the next watch: the scheduler has to be careful.
         let _ = list.scheduler.send(SchedulerMessage::Endpoints(EndpointUpdate::Failed)).await;
@@ -101,7 +101,7 @@
 fn failure(reason: CloseReason) -> Failure {
     match reason {
         CloseReason::ConnectFailed => Failure::Down,
-        _ => Failure::Overbooked,
+        _ => Failure::Overloaded,
     }
 }
 
@@ -125,7 +125,7 @@
         match self.call(discovery, inbox).await {
             Err(reason) => reason,
             Ok(mut watch) => {
-                self.caller.up(self.context.clock.now().0);
+                self.caller.watch_established(self.context.clock.now().0);
                 self.context.lifecycle.watching.set(true);
                 watch.stream.reason = self.follow(&mut watch, inbox).await;
                 self.context.lifecycle.watching.set(false);
@@ -139,7 +139,7 @@
         let context = self.context.clone();
         let mut calls: Vec<(u64, PendingCall)> = Vec::new();
         loop {
-            let due = self.caller.due().map(Micros);
+            let due = self.caller.next_call_at().map(Micros);
             let call_due = async {
                 match due {
                     Some(due) => drop(Timer::at(context.clock.instant(due)).await),
@@ -154,14 +154,14 @@
             match future::or(future::or(next_message(inbox), called), call_due).await {
                 Wakeup::Called(_, Ok(watch)) => return Ok(watch),
                 Wakeup::Called(number, Err(reason)) => {
-                    self.caller.failed(context.clock.now().0, number, failure(reason));
+                    self.caller.call_failed(context.clock.now().0, number, failure(reason));
                 }
                 // The address may have changed: a watch at the old one is of no use.
                 Wakeup::Message(message) => return Err(close_reason(message)),
                 Wakeup::Received(_) => {}
                 Wakeup::Due => {
-                    let call = self.caller.call(context.clock.now().0);
-                    calls.retain(|(number, _)| Some(*number) != call.instead_of);
+                    let call = self.caller.start_call(context.clock.now().0);
+                    calls.retain(|(number, _)| Some(*number) != call.replaces);
                     calls.push((call.number, Box::pin(Watch::call(discovery, self.version))));
                 }
             }
@@ -194,7 +194,7 @@
             }
             let received = async { Wakeup::Received(watch.receive().await) };
             let timed_out = async {
-                Timer::at(context.clock.instant(Micros(last_alive.0 + LIVENESS))).await;
+                Timer::at(context.clock.instant(Micros(last_alive.0 + IDLE_TIMEOUT_US))).await;
                 Wakeup::Due
             };
             match future::or(future::or(next_message(inbox), received), timed_out).await {
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -75,7 +75,7 @@
         self.pool.stop();
         if let Some(coordination) = &self.coordination {
             // Nothing is sent any more: members that wait for this one's reports need not.
-            coordination.tell(coordination::ToAccord::Stopping);
+            coordination.send(coordination::CoordinationMessage::Stopping);
             Timer::after(LEAVE_TIMEOUT).await;
         }
         Timer::after(CLOSE_TIMEOUT).await;
