--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,5 @@
 //! The gateway: actors on real sockets around the `scheduler`. `docs/ARCHITECTURE.md` has the overview.
+#![warn(clippy::map_err_ignore, clippy::match_bool, clippy::missing_errors_doc, clippy::too_many_lines)]
 pub mod admin;
 pub mod backend;
 pub mod client;
