--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,62 +1,92 @@
-//! Bounds and what must go together, over all sections of a file.
+//! Bounds of a file's values, and what must go together over all its sections.
+use crate::error::invalid;
 use crate::file::FileIn;
-use crate::file::DEFAULT_NAME;
-use crate::{fault, iscsi, Class, Fault, Speaks, Targets};
+use crate::source::is_operators_file;
+use crate::{iscsi, BackendProtocol, Class, ConfigError, Targets};
 
-/// Names the first key that cannot work. `name` is the file's own: a sidecar has no environment to add to its file.
-pub(crate) fn check(
-    name: &str,
-    file: &FileIn,
-    classes: &[Class],
-    plans: &[String],
-    known: &Targets,
-    zones: &[String],
-    fleet: u32,
-) -> Result<(), Fault> {
-    if file.limits.sockets < 16 {
-        return fault("limits.sockets", "must be at least 16");
-    }
-    if file.limits.memory_mb < 8 {
-        return fault("limits.memory_mb", "must be at least 8");
+/// The fewest descriptors with which a gateway can serve.
+const MIN_SOCKETS: usize = 16;
+/// The least memory with which a gateway can serve, in MB.
+const MIN_MEMORY_MB: u64 = 8;
+
+/// What is checked: a file's sections, and what was derived from them.
+pub(crate) struct Checked<'a> {
+    /// The file's own name. Only the platform's file is completed by the environment.
+    pub file_name: &'a str,
+    pub file: &'a FileIn,
+    pub classes: &'a [Class],
+    pub plans: &'a [String],
+    pub known: &'a Targets,
+    pub zones: &'a [String],
+    /// How many gateways the settings state.
+    pub gateways: u32,
+}
+
+/// Names the first key that can't work.
+pub(crate) fn check(checked: &Checked<'_>) -> Result<(), ConfigError> {
+    check_limits(checked.file)?;
+    if let Some(iscsi) = &checked.file.iscsi {
+        iscsi::check(iscsi, checked.classes, checked.plans)?;
+    }
+    check_coordination(checked)?;
+    check_distribution(checked.file)?;
+    check_endpoints(checked)
+}
+
+fn check_limits(file: &FileIn) -> Result<(), ConfigError> {
+    if file.limits.sockets < MIN_SOCKETS {
+        return invalid("limits.sockets", format!("must be at least {MIN_SOCKETS}"));
+    }
+    if file.limits.memory_mb < MIN_MEMORY_MB {
+        return invalid("limits.memory_mb", format!("must be at least {MIN_MEMORY_MB}"));
     }
     let times = [
         ("clients.idle_s", file.clients.idle_s),
         ("clients.command_s", file.clients.command_s),
         ("clients.unread_s", file.clients.unread_s),
     ];
-    if let Some((key, _)) = times.into_iter().find(|(_, s)| !(0.1..=3600.0).contains(s)) {
-        return fault(key, "must be 0.1 to 3600");
-    }
-    if let Some(iscsi) = &file.iscsi {
-        iscsi::check(iscsi, classes, plans)?;
-    }
-    if let Some(accord) = &file.accord {
-        accord.check(file.name.as_deref().unwrap_or(DEFAULT_NAME), zones)?;
-        // Guards limits and cold budgets: the module counts on an even part for each front.
-        if accord.members.len() > fleet as usize {
-            let members = accord.members.len();
-            return fault(
-                "settings.FleetSize",
-                format!("is {fleet}, and accord.member has {members} fronts"),
-            );
-        }
-    }
-    if let Some(changes) = &file.changes {
-        changes.check(file.name.as_deref().unwrap_or(DEFAULT_NAME), file.accord.is_some())?;
-        // Guards descriptors: those of subscribers come beside all others.
-        if changes.listen.is_some() && changes.most as usize > file.limits.sockets / 2 {
-            return fault("changes.most", "is more than half of limits.sockets");
-        }
-    }
-    let boxes = known.targets.iter().position(|t| t.speaks == Speaks::Iscsi);
-    if let (Some(i), None) = (boxes, &file.iscsi) {
-        return fault(format!("known.instances[{i}].speaks"), "iscsi needs LUNs under iscsi.lun");
-    }
-    if known.targets.is_empty() && file.discovery.is_none() && name.ends_with(".toml") {
-        return fault("known.instances", "no disk box, and no discovery to tell of one");
-    }
-    if file.listen.is_none() && file.iscsi.is_none() && name.ends_with(".toml") {
-        return fault("listen", "neither this nor iscsi.listen is there");
+    match times.into_iter().find(|(_, seconds)| !(0.1..=3600.0).contains(seconds)) {
+        Some((key, _)) => invalid(key, "must be 0.1 to 3600"),
+        None => Ok(()),
+    }
+}
+
+fn check_coordination(checked: &Checked<'_>) -> Result<(), ConfigError> {
+    let Some(coordination) = &checked.file.coordination else { return Ok(()) };
+    coordination.check(checked.file.name(), checked.zones)?;
+    // The scheduler divides limits and slow start budgets evenly by the number of gateways.
+    let (members, gateways) = (coordination.members.len(), checked.gateways);
+    if members > gateways as usize {
+        let reason = format!("is {gateways}, and accord.member has {members} fronts");
+        return invalid("settings.FleetSize", reason);
+    }
+    Ok(())
+}
+
+fn check_distribution(file: &FileIn) -> Result<(), ConfigError> {
+    let Some(distribution) = &file.distribution else { return Ok(()) };
+    distribution.check(file.name(), file.coordination.is_some())?;
+    // Subscribers' descriptors are needed besides all others.
+    if distribution.listen.is_some() && distribution.max_subscribers as usize > file.limits.sockets / 2 {
+        return invalid("changes.most", "is more than half of limits.sockets");
+    }
+    Ok(())
+}
+
+fn check_endpoints(checked: &Checked<'_>) -> Result<(), ConfigError> {
+    let (file, targets) = (checked.file, &checked.known.targets);
+    let iscsi_backend = targets.iter().position(|target| target.protocol == BackendProtocol::Iscsi);
+    if let (Some(index), None) = (iscsi_backend, &file.iscsi) {
+        return invalid(format!("known.instances[{index}].speaks"), "iscsi needs LUNs under iscsi.lun");
+    }
+    if !is_operators_file(checked.file_name) {
+        return Ok(());
+    }
+    if targets.is_empty() && file.discovery.is_none() {
+        return invalid("known.instances", "no disk box, and no discovery to tell of one");
+    }
+    if file.listen.is_none() && file.iscsi.is_none() {
+        return invalid("listen", "neither this nor iscsi.listen is there");
     }
     Ok(())
 }
--- a/crates/config/src/environment.rs
+++ b/crates/config/src/environment.rs
@@ -1,34 +1,42 @@
-//! What the environment names, over what the file says.
-use crate::file::read_under;
-use crate::{fault, Config, Fault};
+//! The environment of the platform (`GW_*`), which takes precedence over the file.
+use crate::build::read_with_overlay;
+use crate::error::invalid;
+use crate::source::FileText;
+use crate::{Config, ConfigError};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Reads the configuration that the environment names.
-pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
-    let (path, text) = file(&var)?;
-    Ok(under(var, (&path, &text), &[])?.begun())
+/// Reads the configuration that the environment names; `var` returns the value of a variable.
+///
+/// # Errors
+/// The file can't be read, or the first key or variable that is wrong.
+pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
+    let file = read_file(&var)?;
+    Ok(read_in_environment(var, file, &[])?.for_start())
 }
 
-/// The name and the text of the file.
-pub(crate) fn file(var: impl Fn(&str) -> Option<String>) -> Result<(String, String), Fault> {
-    let Some(path) = var("GW_CONFIG") else { return fault("GW_CONFIG", "is not set") };
-    let text = std::fs::read_to_string(&path)
-        .map_err(|e| Fault { key: "GW_CONFIG".into(), reason: format!("{path}: {e}") })?;
-    Ok((path, text))
+/// The file that the environment names.
+pub(crate) fn read_file(var: impl Fn(&str) -> Option<String>) -> Result<FileText, ConfigError> {
+    let Some(name) = var("GW_CONFIG") else { return invalid("GW_CONFIG", "is not set") };
+    let text = std::fs::read_to_string(&name)
+        .map_err(|error| ConfigError::new("GW_CONFIG", format!("{name}: {error}")))?;
+    Ok(FileText { name, text })
 }
 
-/// The configuration of that file, with settings laid over its own.
-pub(crate) fn under(
+/// The configuration of that file, with settings merged over its own, in this environment.
+pub(crate) fn read_in_environment(
     var: impl Fn(&str) -> Option<String>,
-    (path, text): (&str, &str),
-    over: &[Value],
-) -> Result<Config, Fault> {
-    named(var, read_under(path, text, over)?)
+    file: FileText,
+    overlay: &[Value],
+) -> Result<Config, ConfigError> {
+    apply_environment(var, read_with_overlay(file, overlay)?)
 }
 
-/// The configuration, with what the environment names in the place of what the file does.
-pub(crate) fn named(var: impl Fn(&str) -> Option<String>, mut config: Config) -> Result<Config, Fault> {
+/// Replaces what the environment states too.
+pub(crate) fn apply_environment(
+    var: impl Fn(&str) -> Option<String>,
+    mut config: Config,
+) -> Result<Config, ConfigError> {
     if let Some(name) = var("GW_NAME") {
         config.name = name;
     }
@@ -36,14 +44,14 @@
         None => Ok(None),
         Some(text) => match text.parse::<SocketAddr>() {
             Ok(address) => Ok(Some(address)),
-            Err(_) => fault(key, format!("{text:?} is not an address and port")),
+            Err(_) => invalid(key, format!("{text:?} is not an address and port")),
         },
     };
     config.listen = address("GW_LISTEN")?.or(config.listen);
     config.discovery = address("GW_DISCOVERY")?.or(config.discovery);
     config.admin = address("GW_ADMIN")?.or(config.admin);
     if config.listen.is_none() && config.iscsi.is_none() {
-        return fault("GW_LISTEN", "is not set");
+        return invalid("GW_LISTEN", "is not set");
     }
     Ok(config)
 }
--- /dev/null
+++ b/crates/config/src/error.rs
@@ -0,0 +1,24 @@
+//! Configuration errors.
+
+/// A key of the configuration, and why its value can't work.
+///
+/// Its text begins with the key, for operators search their file for it.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{key}: {reason}")]
+pub struct ConfigError {
+    /// The key as a path, such as `accord.member[1].at`; the file's name where it can't be parsed at all.
+    pub key: String,
+    /// What is wrong with its value.
+    pub reason: String,
+}
+
+impl ConfigError {
+    pub(crate) fn new(key: impl Into<String>, reason: impl Into<String>) -> ConfigError {
+        ConfigError { key: key.into(), reason: reason.into() }
+    }
+}
+
+/// The result of a check that finds this key wrong.
+pub(crate) fn invalid<T>(key: impl Into<String>, reason: impl Into<String>) -> Result<T, ConfigError> {
+    Err(ConfigError::new(key, reason))
+}
--- /dev/null
+++ b/crates/config/src/gather_policies.rs
@@ -0,0 +1,117 @@
+//! The tables `[[gather]]` of an operator's file: scatter-gather policies. The package `scatter-gather` checks each by itself;
+//! here they are checked against the rest of the file.
+use crate::error::invalid;
+use crate::file::FileIn;
+use crate::{Class, ConfigError, Iscsi};
+use cluster_types::{BlockRange, Volume};
+use scatter_gather::{Part, Policy};
+use std::time::Duration;
+
+/// The divisor of the memory whose quotient shard responses may hold.
+pub const MEMORY_DIVISOR: u64 = 8;
+
+/// Memory beyond which a gateway makes no further use of it, in MB.
+const MAX_MEMORY_MB: u64 = 192;
+
+/// What the policies depend on in the rest of a file.
+pub(crate) struct PolicyContext<'a> {
+    /// Whether clients can receive partial results: RESP2 clients can.
+    pub supports_partial_results: bool,
+    /// The classes of the settings.
+    pub classes: &'a [Class],
+    /// Zones; empty where they are not listed.
+    pub zones: &'a [String],
+    /// How many shards there are, where that is known.
+    pub shards: Option<u32>,
+    /// LUNs, which say what blocks of a volume are.
+    pub iscsi: Option<&'a Iscsi>,
+    /// Memory, in MB.
+    pub memory_mb: u64,
+}
+
+impl<'a> PolicyContext<'a> {
+    pub(crate) fn of(
+        file: &'a FileIn,
+        classes: &'a [Class],
+        zones: &'a [String],
+        shards: Option<u32>,
+    ) -> Self {
+        PolicyContext {
+            supports_partial_results: file.listen.is_some(),
+            classes,
+            zones,
+            shards,
+            iscsi: file.iscsi.as_ref(),
+            memory_mb: file.limits.memory_mb,
+        }
+    }
+}
+
+/// Names the first key of a `[[gather]]` table that can't work.
+pub(crate) fn check<'a>(
+    policies: impl IntoIterator<Item = &'a Policy>,
+    context: &PolicyContext<'_>,
+) -> Result<(), ConfigError> {
+    let policies: Vec<Policy> = policies.into_iter().cloned().collect();
+    let class = |class: &Class| scatter_gather::Class {
+        name: class.name.clone(),
+        write: class.write,
+        deadline: Duration::from_micros(u64::try_from(class.deadline.0).unwrap_or(0)),
+    };
+    let classes: Vec<scatter_gather::Class> = context.classes.iter().map(class).collect();
+    scatter_gather::check_all(&policies, context.supports_partial_results, &classes)
+        .map_err(|error| ConfigError { key: error.key, reason: error.reason })?;
+    for (index, policy) in policies.iter().enumerate() {
+        let memory_limit = context.memory_mb.min(MAX_MEMORY_MB) * 1024 * 1024 / MEMORY_DIVISOR;
+        if policy.most_bytes > memory_limit {
+            let reason =
+                format!("is more than the {memory_limit} bytes that limits.memory_mb leaves to all gathers");
+            return invalid(format!("gather[{index}].most_bytes"), reason);
+        }
+        for (part_index, part) in policy.parts.iter().enumerate() {
+            check_part(&format!("gather[{index}].part[{part_index}]"), policy, part, context)?;
+        }
+    }
+    Ok(())
+}
+
+fn check_part(
+    path: &str,
+    policy: &Policy,
+    part: &Part,
+    context: &PolicyContext<'_>,
+) -> Result<(), ConfigError> {
+    let key = |field: &str| format!("{path}.{field}");
+    if part.at.is_some() {
+        return invalid(key("box"), "requests go by shards here: say shard instead");
+    }
+    if let (Some(shard), Some(count)) = (part.shard, context.shards) {
+        if shard >= count {
+            return invalid(key("shard"), format!("is not below {count}, the number of shards"));
+        }
+    }
+    if !context.zones.is_empty() && !context.zones.iter().any(|zone| **zone == *part.hall.0) {
+        return invalid(key("hall"), format!("{:?} is none of settings.Zones", part.hall.0));
+    }
+    match &part.blocks {
+        Some(blocks) => check_blocks(key("blocks"), context.iscsi, policy.volume_of(part), blocks),
+        None => Ok(()),
+    }
+}
+
+/// Checks a range of blocks against the LUN of its volume: only a LUN says how blocks are placed on a volume.
+fn check_blocks(
+    key: String,
+    iscsi: Option<&Iscsi>,
+    volume: &Volume,
+    blocks: &BlockRange,
+) -> Result<(), ConfigError> {
+    let lun = iscsi.and_then(|iscsi| iscsi.luns.iter().find(|lun| *lun.volume == *volume.0));
+    match lun {
+        None => invalid(key, "the volume has no LUN under iscsi.lun: say piece instead"),
+        Some(lun) if blocks.end > u64::from(lun.blocks) => {
+            invalid(key, format!("end beyond the LUN's {} blocks", lun.blocks))
+        }
+        Some(_) => Ok(()),
+    }
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,58 +1,72 @@
-//! The one place where configuration is read, checked and given defaults: GW_* and GW_CONFIG (JSON) on the
-//! platform, an operator's TOML in a sidecar. Both have the same keys. A fault names its key.
-mod accord;
-mod changes;
+//! Reads, checks and completes the configuration: `GW_*` and the JSON file of `GW_CONFIG` on the platform, an operator's TOML file
+//! in a sidecar. Both have the same keys. An error names its key.
+mod build;
 mod check;
+mod coordination;
+mod distribution;
 mod environment;
-mod fault;
+mod error;
 mod file;
-mod gathers;
+mod gather_policies;
 mod iscsi;
+mod keys;
+mod placement;
+mod range;
 mod reload;
+mod section_names;
 mod sections;
 mod shape;
+mod source;
 mod targets;
-mod write;
+mod template;
 
-pub use accord::{Accord, Evidence, Fellow, Out};
-pub use changes::{Changes, Upstream};
+pub use build::read;
+pub use coordination::{Coordination, Evidence, MaintenanceLimits, Member};
+pub use distribution::{Distribution, Upstream};
 pub use environment::from_env;
-pub use fault::Fault;
-pub use file::read;
-pub use gathers::MEMORY_SHARE;
+pub use error::ConfigError;
+pub use gather_policies::MEMORY_DIVISOR;
 pub use iscsi::{Iscsi, Lun};
+pub use keys::KeyBytes;
+pub use reload::Reloaded;
 pub use sections::{Class, Clients, Limits, Listen};
-pub use targets::{targets, Speaks, Target, Targets};
-pub use write::application;
+pub use targets::{parse_targets, BackendProtocol, Target, Targets};
+pub use template::application;
 
-use fault::fault;
-use file::Source;
 use scheduler::interface::{Micros, Settings};
 use shape::Shape;
+use source::Source;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Everything that the program is told at its start.
+/// Classes and plans that a later file has removed, by index: open requests may have them, new ones not.
+#[derive(Clone, Debug, Default)]
+struct Retired {
+    classes: BTreeSet<usize>,
+    plans: BTreeSet<usize>,
+}
+
+/// The configuration of a gateway.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Where clients connect; none where only other fronts are on.
+    /// Where RESP2 clients connect; `None` where there is no such listener.
     pub listen: Option<SocketAddr>,
-    /// Discovery; none where the list is fixed.
+    /// The address of discovery; `None` where the list of backends is fixed.
     pub discovery: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of random numbers.
     pub seed: u64,
     /// The machine's limits.
     pub limits: Limits,
     /// How many shards there are, where the settings say so.
     pub shards: Option<u32>,
-    /// How long clients' connections are waited for.
+    /// Timeouts of clients' connections.
     pub clients: Clients,
-    /// The list as this front last had it, or the fixed one.
+    /// The list of backends as the platform last had it, or the fixed one.
     pub known: Arc<Targets>,
-    /// What the module is told.
+    /// The settings of the scheduler.
     pub settings: Settings,
     /// Classes, in the order of the settings.
     pub classes: Vec<Class>,
@@ -60,45 +74,45 @@
     pub plans: Vec<String>,
     /// Zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// Classes and plans that a later file has left out: requests that are open may be of them, new ones not.
-    retired: (BTreeSet<usize>, BTreeSet<usize>),
-    /// Discovery as the file itself names it.
-    named: Option<SocketAddr>,
-    /// Disk boxes close connections that are idle for this long.
-    pub idle: Micros,
-    /// The agent check of balancers.
+    retired: Retired,
+    /// The address of discovery that the file itself names.
+    file_discovery: Option<SocketAddr>,
+    /// How long a connection may be idle before backends close it.
+    pub backend_idle: Micros,
+    /// The listener for agent checks of load balancers.
     pub agent: Option<Listen>,
-    /// HTTP health checks.
+    /// The listener for HTTP health checks.
     pub health: Option<Listen>,
-    /// Where operators call.
+    /// Where operators' HTTP calls arrive.
     pub admin: Option<SocketAddr>,
-    /// The iSCSI front.
+    /// The iSCSI target.
     pub iscsi: Option<Iscsi>,
-    /// The fronts that act together.
-    pub accord: Option<Accord>,
-    /// How changes of configuration come.
-    pub changes: Option<Changes>,
-    /// The file, where changes may be laid over it.
+    /// Coordination with other gateways.
+    pub coordination: Option<Coordination>,
+    /// The distribution of configuration changes.
+    pub distribution: Option<Distribution>,
+    /// The file, where overlays are possible.
     source: Option<Arc<Source>>,
-    /// Answers that are gathered from parts.
-    pub gathers: Vec<Arc<scatter_gather::Policy>>,
-    /// The keys that a file of the platform had; a later one must have them too.
+    /// Scatter-gather policies.
+    pub gather_policies: Vec<Arc<scatter_gather::Policy>>,
+    /// The keys of a platform's file; a later file must have them too.
     shape: Shape,
 }
 
 impl Config {
-    /// One to start with: what it was read from is kept only where changes may be laid over it.
-    fn begun(self) -> Config {
-        Config { source: self.source.filter(|_| self.changes.is_some()), ..self }
+    /// The configuration to start with: its source is retained only where overlays are possible.
+    fn for_start(self) -> Config {
+        Config { source: self.source.filter(|_| self.distribution.is_some()), ..self }
     }
 
-    /// The index of the class that a client may name so.
+    /// The index of the class that new requests may name so.
     pub fn class(&self, name: &str) -> Option<usize> {
-        (0..self.classes.len()).find(|i| self.classes[*i].name == name && !self.retired.0.contains(i))
+        (0..self.classes.len())
+            .find(|index| self.classes[*index].name == name && !self.retired.classes.contains(index))
     }
 
-    /// The index of the plan that a client may name so.
+    /// The index of the plan that new requests may name so.
     pub fn plan(&self, name: &str) -> Option<usize> {
-        (0..self.plans.len()).find(|i| self.plans[*i] == name && !self.retired.1.contains(i))
+        (0..self.plans.len()).find(|index| self.plans[*index] == name && !self.retired.plans.contains(index))
     }
 }
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -1,139 +1,153 @@
-//! A later file in the place of the one in force.
-use crate::file::{build, List};
-use crate::{environment, fault, gathers, iscsi, Accord, Changes, Class, Config, Fault};
+//! Reloads: a later file, or other settings over it, in place of the effective configuration.
+use crate::build::build;
+use crate::environment::{apply_environment, read_file, read_in_environment};
+use crate::error::invalid;
+use crate::gather_policies::{self, PolicyContext};
+use crate::placement::{merge_names, place, removed};
+use crate::source::TargetSource;
+use crate::{iscsi, Class, Config, ConfigError, Coordination, Distribution, Retired};
 use serde_json::Value;
-use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The most classes, plans or zones; a reload keeps those that are left out, so their number could grow.
-const MOST_NAMES: usize = 256;
-
-/// Lays new names over old ones: each old one keeps its place, whether it is still there or not, and what is new
-/// comes after. For each place the new one that stands there; none for an old one that was left out.
-fn lay_over<'a>(
-    key: &str,
-    old: impl Iterator<Item = &'a str>,
-    new: impl Iterator<Item = &'a str>,
-) -> Result<Vec<Option<usize>>, Fault> {
-    let (old, new): (Vec<&str>, Vec<&str>) = (old.collect(), new.collect());
-    let kept = old.iter().map(|name| new.iter().position(|n| n == name));
-    let added = (0..new.len()).filter(|i| !old.contains(&new[*i])).map(Some);
-    let places: Vec<_> = kept.chain(added).collect();
-    if places.len() > MOST_NAMES {
-        return fault(key, "too many, with those that earlier files named: this needs a restart");
-    }
-    Ok(places)
-}
-
-/// What stands in each place: the new one, or the old one where it was left out.
-fn placed<T: Clone>(places: &[Option<usize>], old: &[T], new: &[T]) -> Vec<T> {
-    let of = |(i, place): (usize, &Option<usize>)| place.map_or_else(|| &old[i], |n| &new[n]).clone();
-    places.iter().enumerate().map(of).collect()
+/// A configuration after a reload.
+#[derive(Clone, Debug)]
+pub struct Reloaded {
+    /// The configuration.
+    pub config: Config,
+    /// The keys that have changed, but need a restart and stay as they were.
+    pub needs_restart: Vec<&'static str>,
 }
 
-fn left_out(places: &[Option<usize>]) -> BTreeSet<usize> {
-    (0..places.len()).filter(|i| places[*i].is_none()).collect()
-}
-
-/// The environment, with no word on discovery: at a reload the file's counts.
-fn as_the_file_says(var: impl Fn(&str) -> Option<String>) -> impl Fn(&str) -> Option<String> {
+/// The environment without its address of discovery: at a reload that of the file counts.
+fn without_discovery(var: impl Fn(&str) -> Option<String>) -> impl Fn(&str) -> Option<String> {
     move |key| if key == "GW_DISCOVERY" { None } else { var(key) }
 }
 
 impl Config {
-    /// Sees to it that classes that were known before are of the kind that they had. Guards requests against a list of
-    /// kinds (`FamilyInfo.Writes`) that was not renewed when classes came or went: its places are then others'. It counts
-    /// for new classes only where it agrees with what is known of the others.
-    fn keep_kinds(&mut self, before: &[Class]) {
-        let known = |c: &Class| before.iter().find(|b| b.name == c.name).and_then(|b| b.write);
-        let agrees = |c: &Class| c.write.is_some() && known(c).is_none_or(|k| c.write == Some(k));
-        let renewed = self.classes.iter().all(agrees);
-        for class in &mut self.classes {
-            class.write = known(class).or(class.write.filter(|_| renewed));
-        }
-    }
-
-    /// Reads the file that the environment names again, to be put in force in this one's place, and tells which
-    /// keys have changed that need a restart and stay as they were. Indexes of classes, plans and zones that are in
-    /// use keep their meaning. Discovery is the one that the file names, where it names another than before.
-    pub fn reload(&self, var: impl Fn(&str) -> Option<String>) -> Result<(Config, Vec<&'static str>), Fault> {
-        self.reload_under(var, &[])
+    /// Reads the file that the environment names again, to replace this configuration. Indexes of classes, plans and zones that
+    /// are in use keep their meaning. The address of discovery is the file's, where the file names another than before.
+    ///
+    /// # Errors
+    /// Names the first key that is wrong; this configuration then stays effective.
+    pub fn reload(&self, var: impl Fn(&str) -> Option<String>) -> Result<Reloaded, ConfigError> {
+        self.reload_with_overlay(var, &[])
     }
 
-    /// The same, with settings laid over the file's own, one after the other.
-    pub fn reload_under(
+    /// The same, with settings merged over the file's own, one after the other.
+    ///
+    /// # Errors
+    /// As for [`Config::reload`].
+    pub fn reload_with_overlay(
         &self,
         var: impl Fn(&str) -> Option<String>,
-        over: &[Value],
-    ) -> Result<(Config, Vec<&'static str>), Fault> {
-        let (path, text) = environment::file(&var)?;
-        let new = environment::under(as_the_file_says(&var), (&path, &text), over)?;
-        self.replaced(var, new, true)
+        overlay: &[Value],
+    ) -> Result<Reloaded, ConfigError> {
+        let file = read_file(&var)?;
+        let new = read_in_environment(without_discovery(&var), file, overlay)?;
+        self.replace(var, new, true)
     }
 
-    /// The file in force, with other settings laid over its own: checked as another file would be. The list is not read
-    /// again, so the work is by what the settings hold, unless they name other zones.
-    pub fn put_under(&self, var: impl Fn(&str) -> Option<String>, over: &[Value]) -> Result<Config, Fault> {
-        let Some(source) = &self.source else { return fault("changes", "is not in the configuration") };
-        let new = build(source.clone(), over, List::Understood(self.known.clone()))?;
-        let new = environment::named(as_the_file_says(&var), new)?;
+    /// The file as it was last read, with other settings merged over its own, and checked as another file would be. The list of
+    /// backends isn't parsed again, so the cost depends on the settings alone, unless these name other zones.
+    ///
+    /// # Errors
+    /// The configuration has no section `[changes]`, or names the first key that is wrong.
+    pub fn apply_overlay(
+        &self,
+        var: impl Fn(&str) -> Option<String>,
+        overlay: &[Value],
+    ) -> Result<Config, ConfigError> {
+        let Some(source) = &self.source else { return invalid("changes", "is not in the configuration") };
+        let new = build(source.clone(), overlay, TargetSource::Parsed(self.known.clone()))?;
+        let new = apply_environment(without_discovery(&var), new)?;
         if new.zones.iter().all(|zone| self.zones.contains(zone)) {
-            return Ok(self.replaced(var, new, false)?.0);
+            return Ok(self.replace(var, new, false)?.config);
         }
-        let new = environment::under(as_the_file_says(&var), (&source.file.0, &source.file.1), over)?;
-        Ok(self.replaced(var, new, true)?.0)
+        let new = read_in_environment(without_discovery(&var), source.file.clone(), overlay)?;
+        Ok(self.replace(var, new, true)?.config)
     }
 
-    /// A configuration in this one's place; whether its list is of its own zones, rather than of these.
-    fn replaced(
+    /// Makes `new` the successor of this configuration; `is_list_parsed` says whether its list of backends refers to its own
+    /// zones, rather than to these.
+    fn replace(
         &self,
         var: impl Fn(&str) -> Option<String>,
         mut new: Config,
-        listed: bool,
-    ) -> Result<(Config, Vec<&'static str>), Fault> {
+        is_list_parsed: bool,
+    ) -> Result<Reloaded, ConfigError> {
         new.source = new.source.filter(|_| self.source.is_some());
-        // Guards the settings in force against a file that was cut or lost a section: what has a default elsewhere, such
-        // as the rule on cold boxes, would be off.
+        // What a truncated file lacks would silently get its default, for example no slow start.
         if let Some(key) = self.shape.missing_in(&new.shape) {
-            return fault(key, "is missing, and the file before had it");
+            return invalid(key, "is missing, and the file before had it");
         }
         new.keep_kinds(&self.classes);
-        if new.named == self.named || (new.named.is_none() && var("GW_DISCOVERY").is_some()) {
+        let is_discovery_unchanged = new.file_discovery == self.file_discovery;
+        if is_discovery_unchanged || (new.file_discovery.is_none() && var("GW_DISCOVERY").is_some()) {
             new.discovery = self.discovery;
         }
+        self.check_kept_sections(&new)?;
+        self.keep_indexes(&mut new, is_list_parsed)?;
+        let needs_restart = self.changed_keys(&new);
+        self.keep_until_restart(&mut new);
+        Ok(Reloaded { config: new, needs_restart })
+    }
+
+    /// Keeps classes that were known before of the kind that they had: the list of kinds (`FamilyInfo.Writes`) may not have been
+    /// updated when classes were added or removed, and then states other classes' kinds. For new classes it counts only where it
+    /// agrees with what is known of the others.
+    fn keep_kinds(&mut self, before: &[Class]) {
+        let known =
+            |class: &Class| before.iter().find(|old| old.name == class.name).and_then(|old| old.write);
+        let agrees = |class: &Class| {
+            class.write.is_some() && known(class).is_none_or(|kind| class.write == Some(kind))
+        };
+        let is_updated = self.classes.iter().all(agrees);
+        for class in &mut self.classes {
+            class.write = known(class).or(class.write.filter(|_| is_updated));
+        }
+    }
+
+    /// Sections that only a restart changes must still fit to the new ones.
+    fn check_kept_sections(&self, new: &Config) -> Result<(), ConfigError> {
         if let Some(iscsi) = &self.iscsi {
             iscsi::check(iscsi, &new.classes, &new.plans)?;
         }
-        // The old ones stay in force, so they must still fit.
-        let beside = gathers::Beside {
-            says_in_part: self.listen.is_some(),
+        let context = PolicyContext {
+            supports_partial_results: self.listen.is_some(),
             classes: &new.classes,
-            halls: &new.zones,
+            zones: &new.zones,
             shards: new.shards,
             iscsi: self.iscsi.as_ref(),
             memory_mb: new.limits.memory_mb,
         };
-        gathers::check(self.gathers.iter().map(|p| &**p), &beside)?;
-        let names = |c: &[Class]| c.iter().map(|c| c.name.clone()).collect::<Vec<_>>();
-        let (old_classes, new_classes) = (names(&self.classes), names(&new.classes));
-        let text = String::as_str;
-        let classes =
-            lay_over("settings.Classes", old_classes.iter().map(text), new_classes.iter().map(text))?;
-        let plans = lay_over("settings.Contracts", self.plans.iter().map(text), new.plans.iter().map(text))?;
-        let zones = lay_over("settings.Zones", self.zones.iter().map(text), new.zones.iter().map(text))?;
-        let (old, set) = (&self.settings, &mut new.settings);
-        set.classes = placed(&classes, &old.classes, &set.classes);
-        set.plans = placed(&plans, &old.plans, &set.plans);
-        new.classes = placed(&classes, &self.classes, &new.classes);
-        new.plans = placed(&plans, &self.plans, &new.plans);
-        new.retired = (left_out(&classes), left_out(&plans));
-        if listed {
+        gather_policies::check(self.gather_policies.iter().map(|policy| &**policy), &context)
+    }
+
+    /// Gives classes, plans and zones that this configuration has the same indexes in the new one.
+    fn keep_indexes(&self, new: &mut Config, is_list_parsed: bool) -> Result<(), ConfigError> {
+        let names = |classes: &[Class]| classes.iter().map(|class| class.name.clone()).collect::<Vec<_>>();
+        let classes = merge_names("settings.Classes", &names(&self.classes), &names(&new.classes))?;
+        let plans = merge_names("settings.Contracts", &self.plans, &new.plans)?;
+        let zones = merge_names("settings.Zones", &self.zones, &new.zones)?;
+        new.settings.classes = place(&classes, &self.settings.classes, &new.settings.classes);
+        new.settings.plans = place(&plans, &self.settings.plans, &new.settings.plans);
+        new.classes = place(&classes, &self.classes, &new.classes);
+        new.plans = place(&plans, &self.plans, &new.plans);
+        new.retired = Retired { classes: removed(&classes), plans: removed(&plans) };
+        if is_list_parsed {
             for target in &mut Arc::make_mut(&mut new.known).targets {
-                let place = zones.iter().position(|z| *z == Some(target.entry.zone as usize));
-                target.entry.zone = place.unwrap_or(zones.len()) as u32;
+                let index = zones.iter().position(|zone| *zone == Some(target.entry.zone as usize));
+                target.entry.zone = index.unwrap_or(zones.len()) as u32;
             }
         }
-        new.zones = placed(&zones, &self.zones, &new.zones);
+        new.zones = place(&zones, &self.zones, &new.zones);
+        Ok(())
+    }
+
+    /// The keys that differ and need a restart.
+    fn changed_keys(&self, new: &Config) -> Vec<&'static str> {
+        let (old_coordination, new_coordination) = (self.coordination.as_ref(), new.coordination.as_ref());
+        let (old_distribution, new_distribution) = (self.distribution.as_ref(), new.distribution.as_ref());
         let checks = [
             ("name", new.name == self.name),
             ("listen", new.listen == self.listen),
@@ -142,26 +156,33 @@
             ("health", new.health == self.health),
             ("admin", new.admin == self.admin),
             ("iscsi", new.iscsi == self.iscsi),
-            // Keys change in service; all else of it needs a restart.
-            ("accord", Accord::same_but_keys(new.accord.as_ref(), self.accord.as_ref())),
-            ("changes", Changes::same_but_keys(new.changes.as_ref(), self.changes.as_ref())),
-            ("gather", new.gathers == self.gathers),
+            // Message authentication keys change without a restart.
+            ("accord", Coordination::equal_except_keys(new_coordination, old_coordination)),
+            ("changes", Distribution::equal_except_keys(new_distribution, old_distribution)),
+            ("gather", new.gather_policies == self.gather_policies),
         ];
-        let kept = checks.into_iter().filter(|(_, same)| !same).map(|(key, _)| key).collect();
-        (new.name, new.listen, new.seed) = (self.name.clone(), self.listen, self.seed);
-        (new.agent, new.health, new.iscsi) = (self.agent.clone(), self.health.clone(), self.iscsi.clone());
+        checks.into_iter().filter(|(_, is_equal)| !is_equal).map(|(key, _)| key).collect()
+    }
+
+    /// Restores in `new` what only a restart changes.
+    fn keep_until_restart(&self, new: &mut Config) {
+        new.name = self.name.clone();
+        new.listen = self.listen;
+        new.seed = self.seed;
+        new.agent = self.agent.clone();
+        new.health = self.health.clone();
         new.admin = self.admin;
-        new.gathers = self.gathers.clone();
-        let keys = new.accord.take().map(|accord| accord.keys);
-        new.accord = self.accord.clone();
-        if let (Some(accord), Some(keys)) = (&mut new.accord, keys) {
-            accord.keys = keys;
+        new.iscsi = self.iscsi.clone();
+        new.gather_policies = self.gather_policies.clone();
+        let keys = new.coordination.take().map(|section| section.keys);
+        new.coordination = self.coordination.clone();
+        if let (Some(section), Some(keys)) = (&mut new.coordination, keys) {
+            section.keys = keys;
         }
-        let keys = new.changes.take().map(|changes| changes.keys);
-        new.changes = self.changes.clone();
-        if let (Some(changes), Some(keys)) = (&mut new.changes, keys) {
-            changes.keys = keys;
+        let keys = new.distribution.take().map(|section| section.keys);
+        new.distribution = self.distribution.clone();
+        if let (Some(section), Some(keys)) = (&mut new.distribution, keys) {
+            section.keys = keys;
         }
-        Ok((new, kept))
     }
 }
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -1,4 +1,4 @@
-//! Sections of a file that are read as they stand, and their defaults.
+//! Small sections of a file, and their defaults.
 use scheduler::interface::Micros;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -21,15 +21,15 @@
     }
 }
 
-/// How long clients' connections are waited for.
+/// Timeouts of clients' connections.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Seconds for which a connection may stand idle even where connections are scarce.
+    /// Seconds for which a connection may be idle even when connections are scarce.
     pub idle_s: f64,
-    /// Seconds in which a command must be whole, and the first one on a connection be there.
+    /// Seconds within which a command must be complete, and the first one on a connection must arrive.
     pub command_s: f64,
-    /// Seconds for which answers may wait that the client does not read.
+    /// Seconds for which responses may wait for a client that doesn't read them.
     pub unread_s: f64,
 }
 
@@ -44,9 +44,9 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// The time for which a client waits in all.
+    /// How long a client waits in total.
     pub deadline: Micros,
-    /// Whether it writes; none where the file does not tell, and the client's command does.
+    /// Whether it writes; `None` where the file doesn't say, and the client's command decides.
     pub write: Option<bool>,
 }
 
--- /dev/null
+++ b/crates/config/src/source.rs
@@ -0,0 +1,78 @@
+//! A file's text, parsed but not checked yet.
+use crate::shape::Shape;
+use crate::{ConfigError, Targets};
+use serde_json::Value;
+use std::sync::Arc;
+
+/// The keys that are read from a file of the platform, which may have others; an operator's may not.
+const PLATFORM_KEYS: [&str; 12] = [
+    "name",
+    "listen",
+    "discovery",
+    "seed",
+    "limits",
+    "known",
+    "settings",
+    "agent",
+    "health",
+    "admin",
+    "iscsi",
+    "clients",
+];
+
+/// A file's name and text.
+#[derive(Clone, Debug)]
+pub(crate) struct FileText {
+    pub name: String,
+    pub text: String,
+}
+
+/// A parsed file.
+#[derive(Debug)]
+pub(crate) struct Source {
+    /// Its name and text.
+    pub file: FileText,
+    /// Its content without the list of backends.
+    pub content: Value,
+    /// The keys that it has.
+    pub shape: Shape,
+}
+
+/// Where the list of backends comes from.
+pub(crate) enum TargetSource {
+    /// There is none.
+    None,
+    /// The file's content.
+    File(Value),
+    /// An earlier configuration with the same zones.
+    Parsed(Arc<Targets>),
+}
+
+impl Source {
+    /// Parses a file: TOML where its name ends so, else JSON.
+    pub fn parse(file: FileText) -> Result<(Source, TargetSource), ConfigError> {
+        let is_operators = is_operators_file(&file.name);
+        let parsed: Result<Value, String> = if is_operators {
+            toml::from_str(&file.text).map_err(|error| error.to_string())
+        } else {
+            serde_json::from_str(&file.text).map_err(|error| error.to_string())
+        };
+        let mut content = parsed.map_err(|reason| ConfigError::new(file.name.clone(), reason))?;
+        let mut shape = Shape::default();
+        // The platform's file may gain keys; in an operator's, unknown keys are errors.
+        if !is_operators {
+            shape = Shape::of(&content);
+            if let Some(object) = content.as_object_mut() {
+                object.retain(|key, _| PLATFORM_KEYS.contains(&key.as_str()));
+            }
+        }
+        let list = content.as_object_mut().and_then(|object| object.remove("known"));
+        let targets = list.map_or(TargetSource::None, TargetSource::File);
+        Ok((Source { file, content, shape }, targets))
+    }
+}
+
+/// Whether a file of that name is an operator's, rather than the platform's.
+pub(crate) fn is_operators_file(name: &str) -> bool {
+    name.ends_with(".toml")
+}
--- a/crates/config/src/targets.rs
+++ b/crates/config/src/targets.rs
@@ -1,40 +1,41 @@
-//! The list of disk boxes: discovery's messages, and the fixed list of a file.
-use crate::{fault, Fault};
+//! The list of backends: discovery's messages, and the fixed list of a file.
+use crate::error::invalid;
+use crate::ConfigError;
 use scheduler::interface::{BackendEntry, BackendId, BackendState, Micros, ShardId};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// How a disk box is spoken to.
+/// The protocol of a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Speaks {
+#[serde(rename_all = "lowercase", expecting = "enum Speaks")]
+pub enum BackendProtocol {
     /// RESP2.
     #[default]
     Resp,
-    /// iSCSI, with the front as the initiator.
+    /// iSCSI, with the gateway as the initiator.
     Iscsi,
 }
 
-/// A disk box on the list.
+/// A backend on the list.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What the module is told.
+    /// What the scheduler learns of it.
     pub entry: BackendEntry,
-    /// Where it listens; none where the list gives nothing usable.
+    /// Its endpoint; `None` where the list has no usable address.
     pub address: Option<SocketAddr>,
-    /// How it is spoken to.
-    pub speaks: Speaks,
-    /// Its target's name, where it speaks iSCSI.
+    /// Its protocol.
+    pub protocol: BackendProtocol,
+    /// Its target's name, where the protocol is iSCSI.
     pub target: String,
 }
 
-/// One message of discovery.
+/// A message of discovery, or the list of a file.
 #[derive(Clone, Debug)]
 pub struct Targets {
     /// The list's version.
     pub generation: i64,
-    /// Whether this is the whole list.
-    pub whole: bool,
+    /// Whether this is the complete list, rather than changes to it.
+    pub is_complete: bool,
     /// The entries.
     pub targets: Vec<Target>,
 }
@@ -51,8 +52,8 @@
     lifecycle: String,
     #[serde(default)]
     started_at_ms: i64,
-    #[serde(default)]
-    speaks: Speaks,
+    #[serde(default, rename = "speaks")]
+    protocol: BackendProtocol,
     #[serde(default)]
     target: Option<String>,
 }
@@ -67,34 +68,40 @@
     instances: Vec<TargetIn>,
 }
 
-/// Reads one message of discovery; times on it are Unix milliseconds, which are turned into the clock's
-/// microseconds here and nowhere else.
-pub fn targets(text: &[u8], zones: &[String]) -> Result<Targets, Fault> {
+/// Parses a message of discovery. Its times are Unix milliseconds; here alone they become the clock's microseconds.
+///
+/// # Errors
+/// Names the first key that is wrong.
+pub fn parse_targets(text: &[u8], zones: &[String]) -> Result<Targets, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let read: TargetsIn = serde_path_to_error::deserialize(&mut json)
-        .map_err(|e| Fault { key: e.path().to_string(), reason: e.inner().to_string() })?;
+        .map_err(|error| ConfigError::new(error.path().to_string(), error.inner().to_string()))?;
     let mut targets = Vec::with_capacity(read.instances.len());
-    for (i, t) in read.instances.into_iter().enumerate() {
-        let state = match t.lifecycle.as_str() {
+    for (index, instance) in read.instances.into_iter().enumerate() {
+        let state = match instance.lifecycle.as_str() {
             "active" => BackendState::Ready,
             "leaving" => BackendState::Draining,
             "left" => BackendState::Gone,
-            other => return fault(format!("instances[{i}].lifecycle"), format!("unknown value {other:?}")),
+            other => {
+                return invalid(format!("instances[{index}].lifecycle"), format!("unknown value {other:?}"))
+            }
         };
-        let zone = zones.iter().position(|z| *z == t.zone).unwrap_or(zones.len()) as u32;
-        let target = t.target.unwrap_or_else(|| format!("iqn.2026-12.lichenrudder:{}", t.instance_id));
+        let zone = zones.iter().position(|zone| *zone == instance.zone).unwrap_or(zones.len()) as u32;
+        let target =
+            instance.target.unwrap_or_else(|| format!("iqn.2026-12.lichenrudder:{}", instance.instance_id));
         targets.push(Target {
             entry: BackendEntry {
-                backend: BackendId(t.instance_id.into()),
+                backend: BackendId(instance.instance_id.into()),
                 state,
-                started_at: (t.started_at_ms > 0).then(|| Micros(t.started_at_ms.saturating_mul(1000))),
-                shard: ShardId(t.cell),
+                started_at: (instance.started_at_ms > 0)
+                    .then(|| Micros(instance.started_at_ms.saturating_mul(1000))),
+                shard: ShardId(instance.cell),
                 zone,
             },
-            address: t.host_port.parse().ok(),
-            speaks: t.speaks,
+            address: instance.host_port.parse().ok(),
+            protocol: instance.protocol,
             target,
         });
     }
-    Ok(Targets { generation: read.generation, whole: read.reset, targets })
+    Ok(Targets { generation: read.generation, is_complete: read.reset, targets })
 }
--- a/crates/config/tests/gather.rs
+++ b/crates/config/tests/gather_policies.rs
@@ -1,4 +1,4 @@
-//! The tables `[[gather]]`: a good file, and each fault with its key.
+//! The tables `[[gather]]`: a valid file, and the key of each error.
 #![allow(clippy::unwrap_used)]
 use config::Config;
 use rstest::rstest;
@@ -26,59 +26,59 @@
 shard = 3
 "#;
 
-/// A written file with two halls and four shards, and these tables.
+/// A generated file with two zones and four shards, and these tables.
 fn file(gathers: &str) -> String {
     let written = config::application("label-printer").unwrap();
     let halls = written.replace("Zones = [\"hall-a\"]", "Zones = [\"hall-a\", \"hall-b\"]");
     halls.replace("[settings.FamilyInfo]", "[settings.FamilyInfo]\nSlotsTotal = 4") + gathers
 }
 
-fn read(text: &str) -> Result<Config, config::Fault> {
+fn read(text: &str) -> Result<Config, config::ConfigError> {
     config::read("x.toml", text)
 }
 
 #[test]
-fn a_good_file_says_what_is_gathered_and_a_written_one_has_none() {
+fn reads_policies_and_a_generated_file_has_none() {
     let config = read(&file(GOOD)).unwrap();
-    assert_eq!((config.gathers.len(), config.gathers[0].parts.len()), (1, 2));
+    assert_eq!((config.gather_policies.len(), config.gather_policies[0].parts.len()), (1, 2));
     let written = config::application("label-printer").unwrap();
-    assert!(read(&written).unwrap().gathers.is_empty(), "off unless an operator sets it");
-    // What is written as a comment is good once it is no comment any more.
+    assert!(read(&written).unwrap().gather_policies.is_empty(), "off unless an operator sets it");
+    // The commented-out section is valid once uncommented.
     let (_, block) = written.split_once("# [[gather]]").unwrap();
     let (block, _) = block.split_once("# Fronts").unwrap();
     let lines: Vec<&str> =
         block.lines().map(|l| l.strip_prefix("# ").unwrap_or(l.trim_start_matches('#'))).collect();
     let set = format!("{written}\n[[gather]]{}", lines.join("\n"));
-    assert_eq!(read(&set).unwrap().gathers[0].parts.len(), 2);
+    assert_eq!(read(&set).unwrap().gather_policies[0].parts.len(), 2);
 }
 
 #[rstest]
-#[case::a_class_that_writes("class = \"stock-read\"", "class = \"booking-write\"", "gather[0].class")]
-#[case::an_unknown_class("class = \"stock-read\"", "class = \"x\"", "gather[0].class")]
+#[case::writing_class("class = \"stock-read\"", "class = \"booking-write\"", "gather[0].class")]
+#[case::unknown_class("class = \"stock-read\"", "class = \"x\"", "gather[0].class")]
 #[case::no_piece("piece = \"00000000000000ff\"", "piece = \"ff\"", "gather[0].piece")]
-#[case::itself("piece = \"0000000000000001\"", "piece = \"00000000000000FF\"", "gather[0].part[0].piece")]
-#[case::a_box("shard = 3", "box = \"box-3\"", "gather[0].part[1].box")]
-#[case::no_such_shard("shard = 3", "shard = 4", "gather[0].part[1].shard")]
-#[case::no_such_hall("hall = \"hall-b\"", "hall = \"hall-c\"", "gather[0].part[1].hall")]
+#[case::own_piece("piece = \"0000000000000001\"", "piece = \"00000000000000FF\"", "gather[0].part[0].piece")]
+#[case::backend_instead_of_shard("shard = 3", "box = \"box-3\"", "gather[0].part[1].box")]
+#[case::unknown_shard("shard = 3", "shard = 4", "gather[0].part[1].shard")]
+#[case::unknown_zone("hall = \"hall-b\"", "hall = \"hall-c\"", "gather[0].part[1].hall")]
 #[case::blocks_without_a_lun(
     "piece = \"0000000000000002\"",
     "blocks = { first = 0, end = 8 }",
     "gather[0].part[1].blocks"
 )]
 #[case::too_many("at_least = 1", "at_least = 3", "gather[0].suffices.at_least")]
-#[case::not_a_part("named = [\"north\"]", "named = [\"west\"]", "gather[0].suffices.named[0]")]
-#[case::twice("name = \"south\"", "name = \"north\"", "gather[0].part[1].name")]
-#[case::more_than_the_memory("otherwise = \"in-part\"", "most_bytes = 30000000", "gather[0].most_bytes")]
-#[case::a_way_back_too_long("otherwise = \"in-part\"", "way_back_ms = 1200", "gather[0].way_back_ms")]
+#[case::unknown_part("named = [\"north\"]", "named = [\"west\"]", "gather[0].suffices.named[0]")]
+#[case::duplicate_name("name = \"south\"", "name = \"north\"", "gather[0].part[1].name")]
+#[case::more_than_memory_limit("otherwise = \"in-part\"", "most_bytes = 30000000", "gather[0].most_bytes")]
+#[case::way_back_too_long("otherwise = \"in-part\"", "way_back_ms = 1200", "gather[0].way_back_ms")]
 #[case::unknown_key("otherwise", "else", "gather[0].else")]
-fn a_fault_is_told_with_its_key(#[case] good: &str, #[case] bad: &str, #[case] key: &str) {
+fn names_the_key_of_each_error(#[case] good: &str, #[case] bad: &str, #[case] key: &str) {
     assert!(GOOD.contains(good), "{good}");
     let found = read(&file(&GOOD.replacen(good, bad, 1))).map(|_| ()).unwrap_err();
     assert_eq!(found.key, key, "{found}");
 }
 
 #[test]
-fn blocks_are_taken_where_a_lun_says_what_they_are() {
+fn accepts_blocks_within_a_lun() {
     let blocks = |end: u64| {
         let of = format!("blocks = {{ first = 8, end = {end} }}");
         file(&GOOD.replacen("piece = \"0000000000000001\"", &of, 1))
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_front_that_cannot_say_in_part_takes_all_or_nothing() {
+fn iscsi_only_gateway_rejects_partial_results() {
     let only_iscsi = |gathers: &str| {
         let text = file(gathers);
         let listen = text.lines().find(|l| l.starts_with("listen = ")).unwrap().to_string();
@@ -101,21 +101,21 @@
 }
 
 #[test]
-fn the_platform_cannot_turn_it_on() {
+fn platform_cannot_enable_policies() {
     let value: toml::Value = toml::from_str(&file(GOOD)).unwrap();
     let json = serde_json::to_value(value).unwrap().to_string();
-    assert!(config::read("config.json", &json).unwrap().gathers.is_empty());
+    assert!(config::read("config.json", &json).unwrap().gather_policies.is_empty());
 }
 
 #[test]
-fn a_reload_keeps_what_was_and_says_so() {
+fn reload_keeps_policies_and_reports_the_key() {
     let path = std::env::temp_dir().join(format!("gather-{}.toml", std::process::id()));
     let vars = |key: &str| (key == "GW_CONFIG").then(|| path.to_str().unwrap().to_string());
     std::fs::write(&path, file(GOOD)).unwrap();
     let old = config::from_env(vars).unwrap();
     std::fs::write(&path, file(&GOOD.replacen("all-halls", "other", 1))).unwrap();
-    let (new, kept) = old.reload(vars).unwrap();
-    assert_eq!((kept, &new.gathers), (vec!["gather"], &old.gathers));
+    let config::Reloaded { config: new, needs_restart: kept } = old.reload(vars).unwrap();
+    assert_eq!((kept, &new.gather_policies), (vec!["gather"], &old.gather_policies));
     std::fs::write(&path, file("").replace("SlotsTotal = 4", "SlotsTotal = 2")).unwrap();
     let fault = old.reload(vars).map(|_| ()).unwrap_err();
     std::fs::remove_file(&path).unwrap();
--- a/crates/config/tests/platform.rs
+++ b/crates/config/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's JSON: keys that are not known are passed over, the environment has the last word, and times of
-//! discovery become the clock's.
+//! The platform's JSON: unknown keys are ignored, the environment takes precedence, and times of discovery become the
+//! clock's.
 #![allow(clippy::unwrap_used)]
 use scheduler::interface::{BackendState, Micros};
 
@@ -12,7 +12,7 @@
   "Contracts":[{"Name":"basis"}],"FamilyInfo":{"MostUnits":6,"UnitMean":2,"Writes":[false]},"Limits":{"MaxAttempts":3}}}"#;
 
 #[test]
-fn the_platforms_file_is_read() {
+fn reads_platform_file() {
     let path = std::env::temp_dir().join(format!("lichenrudder-platform-{}.json", std::process::id()));
     std::fs::write(&path, FILE).unwrap();
     let file = path.to_str().unwrap().to_string();
@@ -41,13 +41,13 @@
     );
     assert_eq!((first.entry.state, first.entry.zone, first.entry.shard.0), (BackendState::Draining, 1, 3));
     assert_eq!((second.entry.started_at, second.address, second.entry.zone), (None, None, 2));
-    assert_eq!(config.idle, Micros(15_000_000), "the default");
+    assert_eq!(config.backend_idle, Micros(15_000_000), "the default");
     assert_eq!(fault.key, "GW_LISTEN");
 }
 
-/// A file that has lost a key changes nothing, also where a key has a default: the platform writes whole files.
+/// A file that lacks an earlier key is rejected, also where the key has a default: the platform writes complete files.
 #[test]
-fn a_later_file_must_have_the_keys_of_the_one_before() {
+fn reload_rejects_file_without_earlier_keys() {
     let path = std::env::temp_dir().join(format!("lichenrudder-short-{}.json", std::process::id()));
     let file = path.to_str().unwrap().to_string();
     let env = move |key: &str| (key == "GW_CONFIG").then(|| file.clone());
@@ -76,9 +76,9 @@
     std::fs::remove_file(&path).unwrap();
 }
 
-/// Classes keep their kind over a reload, also where the list of kinds was not renewed with them.
+/// Classes keep their kind over a reload, also where the list of kinds was not updated with them.
 #[test]
-fn classes_keep_their_kind() {
+fn reload_keeps_kind_of_classes() {
     let path = std::env::temp_dir().join(format!("lichenrudder-kinds-{}.json", std::process::id()));
     let file = path.to_str().unwrap().to_string();
     let env = move |key: &str| (key == "GW_CONFIG").then(|| file.clone());
@@ -97,10 +97,10 @@
     };
     assert_eq!(kinds(&first, &["r", "w", "x"]), [Some(false), Some(true), Some(false)]);
     write(&["w", "x", "new", "v"], "[false,true,false]");
-    let (second, _) = first.reload(&env).unwrap();
+    let second = first.reload(&env).unwrap().config;
     assert_eq!(kinds(&second, &["w", "x", "new", "v"]), [Some(true), Some(false), None, None]);
     write(&["w", "x", "new", "v"], "[true,false,false,true]");
-    let (third, _) = second.reload(&env).unwrap();
+    let third = second.reload(&env).unwrap().config;
     assert_eq!(kinds(&third, &["w", "x", "new", "v"]), [Some(true), Some(false), Some(false), Some(true)]);
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/gateway/src/backend/actor.rs
+++ b/crates/gateway/src/backend/actor.rs
@@ -103,7 +103,7 @@
     fn close_unusable(&mut self) {
         let context = &self.backend.context;
         let now = context.clock.now();
-        let reuse_us = (context.config().idle.0 as f64 * REUSE_FRACTION) as i64;
+        let reuse_us = (context.config().backend_idle.0 as f64 * REUSE_FRACTION) as i64;
         let is_closed = self.backend.endpoint.is_closed.get();
         let connections = std::mem::take(&mut self.connections);
         for mut connection in connections {
--- a/crates/gateway/src/backend/attempt.rs
+++ b/crates/gateway/src/backend/attempt.rs
@@ -9,7 +9,7 @@
 use crate::net::dial::{connect, BackendConnection};
 use async_channel::Sender;
 use async_io::Timer;
-use config::Speaks;
+use config::BackendProtocol;
 use dispatch::Attempt;
 use futures_lite::{future, StreamExt};
 use scheduler::interface::{AttemptOutcome, Micros};
@@ -94,8 +94,8 @@
     let BackendContext { context, endpoint, .. } = backend;
     endpoint.statistics.sent(context.clock.now());
     let (exchanged, mut is_reusable) = match endpoint.speaks.get() {
-        Speaks::Resp => resp_exchange::exchange(context, attempt, &mut connection.stream).await,
-        Speaks::Iscsi => {
+        BackendProtocol::Resp => resp_exchange::exchange(context, attempt, &mut connection.stream).await,
+        BackendProtocol::Iscsi => {
             let target = endpoint.target.borrow().clone();
             let session = &mut connection.session;
             iscsi_exchange::exchange(backend, attempt, &mut connection.stream, session, &target).await
--- a/crates/gateway/src/backend/endpoint.rs
+++ b/crates/gateway/src/backend/endpoint.rs
@@ -3,7 +3,7 @@
 use crate::backend::statistics::BackendStatistics;
 use crate::context::Context;
 use crate::messages::SchedulerMailbox;
-use config::Speaks;
+use config::BackendProtocol;
 use dispatch::Attempt;
 use scheduler::interface::BackendEntry;
 use std::cell::{Cell, RefCell};
@@ -21,7 +21,7 @@
     /// Its last start, where the list tells one.
     pub start: Cell<Option<Start>>,
     /// The protocol it speaks.
-    pub speaks: Cell<Speaks>,
+    pub speaks: Cell<BackendProtocol>,
     /// The name of its target, for iSCSI.
     pub target: RefCell<String>,
     /// The number of its idle connections.
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -97,12 +97,12 @@
     /// The actors are updated first: attempts that the scheduler has started and that have not been sent must know of a drain.
     pub fn update_from_discovery(&self, targets: &Targets) -> EndpointUpdate {
         let targets = &*self.with_overlay(targets);
-        let entries = self.update(&targets.targets, targets.whole);
+        let entries = self.update(&targets.targets, targets.is_complete);
         let entries = entries.into_iter().map(|entry| {
             self.suspensions.remember(&entry.backend);
             self.suspensions.apply_to(entry)
         });
-        if targets.whole {
+        if targets.is_complete {
             EndpointUpdate::Full(entries.collect())
         } else {
             EndpointUpdate::Delta(entries.collect())
--- a/crates/gateway/src/backend/pool_update.rs
+++ b/crates/gateway/src/backend/pool_update.rs
@@ -58,7 +58,7 @@
         }
         entry.started_at = entry.started_at.and(endpoint.start.get()).map(|start| start.at);
         endpoint.entry.replace(entry.clone());
-        endpoint.speaks.set(target.speaks);
+        endpoint.speaks.set(target.protocol);
         endpoint.address.set(target.address);
         endpoint.is_closed.set(self.suspensions.apply_to(entry.clone()).state != BackendState::Ready);
         drop(handle.mailbox.try_send(BackendMessage::EndpointChanged));
@@ -83,7 +83,7 @@
             address: Cell::new(None),
             is_closed: Cell::new(false),
             start: Cell::new(None),
-            speaks: Cell::new(target.speaks),
+            speaks: Cell::new(target.protocol),
             target: RefCell::new(target.target.clone()),
             idle: Cell::new(0),
             statistics: Rc::default(),
--- a/crates/gateway/src/command_line.rs
+++ b/crates/gateway/src/command_line.rs
@@ -13,7 +13,7 @@
     Start(#[from] StartError),
     /// No configuration can be written for that application.
     #[error(transparent)]
-    Write(config::Fault),
+    Write(config::ConfigError),
     /// The configuration file can't be read.
     #[error("{file}: {source}")]
     Read {
@@ -28,7 +28,7 @@
         /// The file's path, as given.
         file: String,
         /// The faulty key, and the reason.
-        fault: config::Fault,
+        fault: config::ConfigError,
     },
 }
 
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -7,7 +7,7 @@
 use crate::coordination::member::chance;
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
 use cluster_types::MemberId;
-use config::{Changes, Config};
+use config::{Config, Distribution};
 use config_distribution::{RateLimit, Scope, Topic};
 use coordination::changes::{Decide, Handle, Mailbox, Role, Settings, Upstream};
 use serde_json::Value;
@@ -31,7 +31,7 @@
 
 /// The host's mailbox, where the configuration has the section.
 pub fn mailbox(config: &Config) -> Option<Mailbox> {
-    config.changes.as_ref().map(|_| Mailbox::new())
+    config.distribution.as_ref().map(|_| Mailbox::new())
 }
 
 /// Relays in the order of preference; which of equals is the first hangs on the name, so that they share the fronts.
@@ -47,19 +47,19 @@
     rotated.collect()
 }
 
-fn settings(config: &Config, section: &Changes) -> Result<Settings, String> {
+fn settings(config: &Config, section: &Distribution) -> Result<Settings, String> {
     let topics = section.region.iter().map(|of| Topic::Region(of.as_str().into()));
     let topics = topics.chain(section.zone.iter().map(|of| Topic::Zone(of.as_str().into())));
     let topics = topics.chain(section.shards.iter().map(|of| Topic::Shard(*of)));
     let topics = topics.chain(section.volumes.iter().map(|of| Topic::Volume(of.as_str().into())));
     let role = match section.listen {
-        Some(at) if config.accord.is_some() => Role::Voter(at),
+        Some(at) if config.coordination.is_some() => Role::Voter(at),
         Some(at) => Role::Relay(at),
         None => Role::Front(Scope::of(topics), section.state.clone()),
     };
     let machine = config_distribution::Settings {
         batch_interval: Duration::from_secs_f64(section.batch_s),
-        max_subscribers: section.most as usize,
+        max_subscribers: section.max_subscribers as usize,
         subscription_rate: RateLimit {
             bytes_per_second: section.admission_bytes_s,
             burst_bytes: section.admission_bytes_s,
@@ -67,7 +67,7 @@
         ..config_distribution::Settings::default()
     };
     let voters =
-        config.accord.iter().flat_map(|coordination| &coordination.members).map(|member| &member.name);
+        config.coordination.iter().flat_map(|coordination| &coordination.members).map(|member| &member.name);
     let expects = voters.chain(section.relays.iter().map(|relay| &relay.name));
     Ok(Settings {
         me: MemberId(config.name.as_str().into()),
@@ -85,7 +85,7 @@
 pub async fn start(on: &Operators, mailbox: Mailbox) -> Result<Rc<ConfigOverlay>, String> {
     let Operators { context, scheduler, pool, coordination, .. } = on;
     let config = context.config();
-    let Some(section) = &config.changes else { return Err("changes: not in the configuration".into()) };
+    let Some(section) = &config.distribution else { return Err("changes: not in the configuration".into()) };
     let settings = settings(&config, section)?;
     let votes = matches!(settings.role, Role::Voter(_));
     let log = |line: &str| crate::log::line(format_args!("{line}"));
@@ -127,7 +127,7 @@
 
     /// Keys change in service.
     pub fn rekey(&self, old: &Config, new: &Config) {
-        let keys = |c: &Config| c.changes.as_ref().and_then(|changes| changes.keys().ok());
+        let keys = |c: &Config| c.distribution.as_ref().and_then(|changes| changes.keys().ok());
         if let Some(keys) = keys(new).filter(|k| Some(*k) != keys(old)) {
             self.handle.rekey(keys);
         }
@@ -156,8 +156,9 @@
 
     fn next(&self, whole: bool, changes: &[config_distribution::Change]) -> Result<Next, Refused> {
         let config = self.context.config();
-        let put =
-            |over: &[Value]| config.put_under(|key| std::env::var(key).ok(), over).map_err(|e| e.to_string());
+        let put = |over: &[Value]| {
+            config.apply_overlay(|key| std::env::var(key).ok(), over).map_err(|e| e.to_string())
+        };
         self.values.borrow().next((whole, changes), &config, put)
     }
 
--- a/crates/gateway/src/config_overlay/effective.rs
+++ b/crates/gateway/src/config_overlay/effective.rs
@@ -57,7 +57,7 @@
 fn read_box(shard: u32, value: &[u8], zones: &[String]) -> Result<Target, String> {
     let entry: Value = serde_json::from_slice(value).map_err(|e| e.to_string())?;
     let list = json!({ "instances": [entry] }).to_string();
-    let read = config::targets(list.as_bytes(), zones).map_err(|e| e.to_string())?;
+    let read = config::parse_targets(list.as_bytes(), zones).map_err(|e| e.to_string())?;
     let target = read.targets.into_iter().next().ok_or("there is none")?;
     match target.entry.shard.0 == shard {
         true => Ok(target),
@@ -196,7 +196,7 @@
 
     fn next(on: &EffectiveConfig, whole: bool, changes: &[Change]) -> Result<Next, Refused> {
         let config = config::read("front.toml", FILE).unwrap();
-        let put = |over: &[Value]| config.put_under(|_| None, over).map_err(|e| e.to_string());
+        let put = |over: &[Value]| config.apply_overlay(|_| None, over).map_err(|e| e.to_string());
         on.next((whole, changes), &config, put)
     }
 
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -25,18 +25,18 @@
 const SILENT: i64 = 2_000_000;
 
 /// What the hosts are told, from the configuration in force.
-fn settings(context: &Context, section: &config::Accord) -> Result<Settings, String> {
+fn settings(context: &Context, section: &config::Coordination) -> Result<Settings, String> {
     let keys = section.keys().map_err(|e| e.to_string())?;
-    let fellow = |m: &config::Fellow| {
-        (MemberId(m.name.as_str().into()), Fellow { at: m.at, hall: Zone(m.hall.as_str().into()) })
+    let fellow = |m: &config::Member| {
+        (MemberId(m.name.as_str().into()), Fellow { at: m.at, hall: Zone(m.zone.as_str().into()) })
     };
     let ms = |s: f64| (s * 1000.0) as u64;
-    let stage = ms(section.out.stage_s).max(1);
+    let stage = ms(section.maintenance.stage_s).max(1);
     // Stages of a quarter, a half and all of the cold budget; the last lasts until the box is warm.
     let rules = Rules {
-        out: section.out.most,
-        out_hall: section.out.per_hall,
-        out_volume: section.out.per_volume,
+        out: section.maintenance.total,
+        out_hall: section.maintenance.per_zone,
+        out_volume: section.maintenance.per_volume,
         stages: vec![250, 500, 1000],
         stage_ms: stage,
         ..Rules::default()
@@ -44,7 +44,7 @@
     rules.check().map_err(|e| format!("accord.out.{e}"))?;
     Ok(Settings {
         me: MemberId(context.config().name.as_str().into()),
-        hall: Zone(section.hall.as_str().into()),
+        hall: Zone(section.zone.as_str().into()),
         listen: section.listen,
         state: section.state.clone(),
         keys,
@@ -74,7 +74,7 @@
     serves: Option<coordination::changes::Mailbox>,
 ) -> Result<Option<Handle>, String> {
     let config = context.config();
-    let Some(section) = &config.accord else { return Ok(None) };
+    let Some(section) = &config.coordination else { return Ok(None) };
     let (to_front, letters) = async_channel::bounded(MAILBOX_CAPACITY);
     let log = |line: &str| crate::log::line(format_args!("{line}"));
     let handle = coordination::start(settings(context, section)?, to_front, serves, log)?;
@@ -129,7 +129,7 @@
 fn measures(context: &Context, pool: &BackendPool, away: &BTreeSet<BackendId>) -> Measures {
     let (config, now) = (context.config(), context.clock.now());
     let ago = |at: Micros| u64::try_from(now.0 - at.0).unwrap_or(0);
-    let warm = config.accord.as_ref().map_or(0, |a| (a.out.warm_s * 1e6) as i64);
+    let warm = config.coordination.as_ref().map_or(0, |a| (a.maintenance.warm_up_s * 1e6) as i64);
     let mut measures = Measures { whole: context.lifecycle.serving.get(), ..Measures::default() };
     let endpoints = pool.endpoints();
     for endpoint in &endpoints {
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -217,7 +217,7 @@
                 None => watch.objects.next_object().map_err(|error| protocol_error(&error))?,
             };
             let Some(object) = object else { return Ok(count) };
-            let targets = config::targets(watch.objects.bytes(object), &self.context.config().zones)
+            let targets = config::parse_targets(watch.objects.bytes(object), &self.context.config().zones)
                 .map_err(|error| protocol_error(&error))?;
             count += 1;
             self.version = targets.generation;
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -11,14 +11,15 @@
         let context = &self.context;
         let old = context.config();
         let overlay = self.config_overlay.as_ref().map(|overlay| overlay.settings()).unwrap_or_default();
-        let (new, unchanged_keys) = match old.reload_under(|key| std::env::var(key).ok(), &overlay) {
-            Ok(reloaded) => reloaded,
-            Err(error) => {
-                crate::log::line(format_args!("reload error={error}"));
-                context.counters.reload_errors.set(context.counters.reload_errors.get() + 1);
-                return self.tell_scheduler(SchedulerMessage::Reload(None)).await;
-            }
-        };
+        let config::Reloaded { config: new, needs_restart: unchanged_keys } =
+            match old.reload_with_overlay(|key| std::env::var(key).ok(), &overlay) {
+                Ok(reloaded) => reloaded,
+                Err(error) => {
+                    crate::log::line(format_args!("reload error={error}"));
+                    context.counters.reload_errors.set(context.counters.reload_errors.get() + 1);
+                    return self.tell_scheduler(SchedulerMessage::Reload(None)).await;
+                }
+            };
         for key in unchanged_keys {
             crate::log::line(format_args!("reload key={key} needs a restart, and stays as it was"));
         }
@@ -42,7 +43,7 @@
 
     /// Hands changed keys to the hosts of `[accord]` and `[changes]`.
     fn replace_keys(&self, old: &Config, new: &Config) {
-        let keys = |config: &Config| config.accord.as_ref().and_then(|accord| accord.keys().ok());
+        let keys = |config: &Config| config.coordination.as_ref().and_then(|accord| accord.keys().ok());
         let (old_keys, new_keys) = (keys(old), keys(new));
         if let (Some(coordination), Some(new_keys)) = (&self.coordination, new_keys) {
             if Some(&new_keys) != old_keys.as_ref() {
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -37,7 +37,7 @@
 pub enum StartError {
     /// The configuration is faulty.
     #[error(transparent)]
-    Config(#[from] config::Fault),
+    Config(#[from] config::ConfigError),
     /// A listener could not be opened.
     #[error(transparent)]
     Listen(#[from] ListenError),
@@ -146,7 +146,7 @@
 ) -> Result<(), StartError> {
     let config = operators.context.config();
     let mailbox = config_overlay::actor::mailbox(&config);
-    let voter = mailbox.as_ref().filter(|_| config.accord.is_some());
+    let voter = mailbox.as_ref().filter(|_| config.coordination.is_some());
     let voter = voter.map(coordination::changes::Mailbox::for_the_log);
     let Operators { context, scheduler, pool, .. } = &*operators;
     operators.coordination =
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -50,7 +50,7 @@
 
 /// The hall in which this front stands, where that is known.
 fn own_hall(context: &Context) -> Option<Zone> {
-    context.config().accord.as_ref().map(|coordination| Zone(coordination.hall.as_str().into()))
+    context.config().coordination.as_ref().map(|coordination| Zone(coordination.zone.as_str().into()))
 }
 
 enum Woken {
@@ -132,7 +132,7 @@
 
     fn begin(&mut self, begin: Begin) {
         // The bound follows the memory that counts, whenever nothing is held under the one before.
-        let most = self.context.memory() as u64 / config::MEMORY_SHARE;
+        let most = self.context.memory() as u64 / config::MEMORY_DIVISOR;
         let budget = &mut self.gathers.shared.budget;
         if budget.most() != most && budget.held() == 0 {
             *budget = Budget::new(most);
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -55,14 +55,14 @@
     /// A handle with the inbox for its actor; none where nothing is to be gathered.
     pub fn new(config: &Config) -> Option<(Gathering, Receiver<Letter>)> {
         let mut policies = Table::new();
-        for policy in &config.gathers {
+        for policy in &config.gather_policies {
             if let Ok(piece) = u64::from_str_radix(&policy.piece, 16) {
                 policies.entry(policy.volume.0.clone()).or_default().insert(piece, policy.clone());
             }
         }
         let (letters, inbox) = async_channel::bounded(MAILBOX_CAPACITY);
         let handle = Gathering { policies: Rc::new(policies), letters, counts: Rc::default() };
-        (!config.gathers.is_empty()).then_some((handle, inbox))
+        (!config.gather_policies.is_empty()).then_some((handle, inbox))
     }
 
     /// What a client's request gathers; none where it is one of the core's. Bookings never gather.
--- a/crates/gateway/src/scatter_gather/response.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -54,7 +54,7 @@
         let config = config::read("x.toml", &(file + table + &part(0) + &part(1))).unwrap();
         let (now, mut out, budget) = (Time(1_000_000), Vec::new(), Budget::new(1 << 20));
         let mut gathers = Gathers::new(4, Halls::new(None, Rules::default()), budget.clone());
-        let id = gathers.begin(now, config.gathers[0].clone(), Time(2_000_000), &mut out).unwrap();
+        let id = gathers.begin(now, config.gather_policies[0].clone(), Time(2_000_000), &mut out).unwrap();
         for (part, result) in ends.into_iter().enumerate() {
             gathers.handle(now, id, Event::Ended { part, result }, &mut out);
         }
--- a/crates/gateway/tests/changes.rs
+++ b/crates/gateway/tests/changes.rs
@@ -8,13 +8,15 @@
 mod fleet;
 #[path = "changes/foreign_peers.rs"]
 mod foreign_peers;
-use clients::{backend_that_answers, knows_labels, labels, reads, serves, shard_box, LABELS, PRIMARY, SETTINGS};
+use clients::{
+    backend_that_answers, knows_labels, labels, reads, serves, shard_box, LABELS, PRIMARY, SETTINGS,
+};
 use common::address;
 use fleet::{until, Fleet, Machine, KEY};
+use foreign_peers::{count, framed, key, life, request, say, settled, weight};
 use std::io::Write;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
-use foreign_peers::{count, framed, key, life, request, say, settled, weight};
 
 #[test]
 fn order_takes_effect_at_all_gateways_or_is_rejected_with_its_key() {
--- a/crates/scale-bench/src/file.rs
+++ b/crates/scale-bench/src/file.rs
@@ -61,7 +61,7 @@
         self.now += STEP;
         let (config, file) = (&self.config, &self.file);
         let (read, reading) = cpu::timed(|| config.reload(|key| variable(file, key)));
-        let (new, _) = read.map_err(|e| Error::part("config", e))?;
+        let new = read.map_err(|e| Error::part("config", e))?.config;
         let (applied, applying) = cpu::timed(|| {
             let reloaded = self.module.reload(Micros(self.now), new.settings.clone());
             self.config = new;
--- a/crates/scale-bench/src/targets.rs
+++ b/crates/scale-bench/src/targets.rs
@@ -26,7 +26,7 @@
     let (bound, zones, mut rng) = (plan.bound(), files::zones(), SmallRng::seed_from_u64(seed));
     let mut play = Play::new("", at);
     let read = |text: &[u8], into: &mut Quantiles| -> Result<usize, Error> {
-        let (read, took) = cpu::timed(|| config::targets(text, &zones));
+        let (read, took) = cpu::timed(|| config::parse_targets(text, &zones));
         into.record(took);
         read.map(|t| t.targets.len()).map_err(|e| Error::part("targets", e))
     };
