--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -34,7 +34,7 @@
     NotConfigured,
     /// The section is faulty.
     #[error(transparent)]
-    Config(#[from] config::Fault),
+    Config(#[from] config::ConfigError),
     /// The host could not start.
     #[error(transparent)]
     Host(#[from] coordination::distribution::StartError),
@@ -42,7 +42,7 @@
 
 /// The host's mailbox, where the configuration has the section.
 pub fn mailbox(config: &Config) -> Option<Mailbox> {
-    config.changes.as_ref().map(|_| Mailbox::new())
+    config.distribution.as_ref().map(|_| Mailbox::new())
 }
 
 /// Starts the host and the actor. A saved configuration is applied before this returns.
@@ -52,7 +52,7 @@
 pub async fn start(operators: &Operators, mailbox: Mailbox) -> Result<Rc<ConfigOverlay>, OverlayError> {
     let Operators { context, scheduler, pool, coordination, .. } = operators;
     let config = context.config();
-    let section = config.changes.as_ref().ok_or(OverlayError::NotConfigured)?;
+    let section = config.distribution.as_ref().ok_or(OverlayError::NotConfigured)?;
     let settings = host_settings(&config, section)?;
     let is_voter = matches!(settings.role, Role::Voter { .. });
     let log = |line: &str| crate::log::line(format_args!("{line}"));
@@ -95,7 +95,7 @@
 
     /// Hands changed keys to the host.
     pub fn replace_keys(&self, old: &Config, new: &Config) {
-        let keys = |config: &Config| config.changes.as_ref().and_then(|changes| changes.keys().ok());
+        let keys = |config: &Config| config.distribution.as_ref().and_then(|changes| changes.keys().ok());
         if let Some(new_keys) = keys(new).filter(|new_keys| Some(*new_keys) != keys(old)) {
             self.handle.set_keys(new_keys);
         }
@@ -127,7 +127,7 @@
 
     fn next(&self, is_snapshot: bool, changes: &[Change]) -> Result<Next, Vec<Rejection>> {
         let config = self.context.config();
-        let configure = |overlay: &[Value]| config.put_under(|key| std::env::var(key).ok(), overlay);
+        let configure = |overlay: &[Value]| config.apply_overlay(|key| std::env::var(key).ok(), overlay);
         self.values.borrow().next(is_snapshot, changes, &config, configure)
     }
 
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -21,7 +21,7 @@
 pub enum MemberError {
     /// The section is faulty.
     #[error(transparent)]
-    Config(#[from] config::Fault),
+    Config(#[from] config::ConfigError),
     /// The rules of maintenance are faulty.
     #[error("accord.out.{0}")]
     Rules(#[from] RulesError),
@@ -31,24 +31,24 @@
 }
 
 /// The host's settings, from the section `[accord]`.
-fn host_settings(context: &Context, section: &config::Accord) -> Result<Settings, MemberError> {
-    let peer = |member: &config::Fellow| {
-        let peer = Peer { address: member.at, zone: Zone(member.hall.as_str().into()) };
+fn host_settings(context: &Context, section: &config::Coordination) -> Result<Settings, MemberError> {
+    let peer = |member: &config::Member| {
+        let peer = Peer { address: member.at, zone: Zone(member.zone.as_str().into()) };
         (MemberId(member.name.as_str().into()), peer)
     };
     let rules = Rules {
-        max_out: section.out.most,
-        max_out_per_zone: section.out.per_hall,
-        max_out_per_volume: section.out.per_volume,
+        max_out: section.maintenance.total,
+        max_out_per_zone: section.maintenance.per_zone,
+        max_out_per_volume: section.maintenance.per_volume,
         stages: STAGES_PERMILLE.to_vec(),
-        stage_ms: ((section.out.stage_s * 1000.0) as u64).max(1),
+        stage_ms: ((section.maintenance.stage_s * 1000.0) as u64).max(1),
         ..Rules::default()
     };
     let keys = section.keys()?;
     rules.check()?;
     Ok(Settings {
         me: MemberId(context.config().name.as_str().into()),
-        zone: Zone(section.hall.as_str().into()),
+        zone: Zone(section.zone.as_str().into()),
         listen: section.listen,
         state_dir: section.state.clone(),
         keys,
@@ -79,7 +79,7 @@
     distribution: Option<coordination::distribution::Mailbox>,
 ) -> Result<Option<Handle>, MemberError> {
     let config = context.config();
-    let Some(section) = &config.accord else { return Ok(None) };
+    let Some(section) = &config.coordination else { return Ok(None) };
     let (to_gateway, messages) = async_channel::bounded(MAILBOX_CAPACITY);
     let log = |line: &str| crate::log::line(format_args!("{line}"));
     let handle = coordination::start(host_settings(context, section)?, to_gateway, distribution, log)?;
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -53,7 +53,7 @@
 
 /// The zone of this gateway, where that is configured.
 fn own_zone(context: &Context) -> Option<Zone> {
-    context.config().accord.as_ref().map(|section| Zone(section.hall.as_str().into()))
+    context.config().coordination.as_ref().map(|section| Zone(section.zone.as_str().into()))
 }
 
 /// What ended the actor's wait.
@@ -156,7 +156,7 @@
 
     /// Adapts the budget to the memory limit, whenever nothing is reserved under the budget before.
     fn update_memory_budget(&mut self) {
-        let limit = self.context.memory() as u64 / config::MEMORY_SHARE;
+        let limit = self.context.memory() as u64 / config::MEMORY_DIVISOR;
         let budget = &mut self.gathers.shared.budget;
         if budget.capacity() != limit && budget.reserved() == 0 {
             *budget = MemoryBudget::new(limit);
--- a/crates/gateway/tests/effective_config.rs
+++ b/crates/gateway/tests/effective_config.rs
@@ -15,7 +15,7 @@
 
 fn next(values: &EffectiveConfig, is_snapshot: bool, changes: &[Change]) -> Result<Next, Vec<Rejection>> {
     let config = config::read("front.toml", FILE).unwrap();
-    let configure = |overlay: &[Value]| config.put_under(|_| None, overlay);
+    let configure = |overlay: &[Value]| config.apply_overlay(|_| None, overlay);
     values.next(is_snapshot, changes, &config, configure)
 }
 
