--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -52,12 +52,11 @@
     /// Parses a file: TOML where its name ends so, else JSON.
     pub fn parse(file: FileText) -> Result<(Source, TargetSource), ConfigError> {
         let is_operators = is_operators_file(&file.name);
-        let parsed: Result<Value, String> = if is_operators {
-            toml::from_str(&file.text).map_err(|error| error.to_string())
+        let mut content: Value = if is_operators {
+            toml::from_str(&file.text).map_err(|error| ConfigError::new(&file.name, error.to_string()))?
         } else {
-            serde_json::from_str(&file.text).map_err(|error| error.to_string())
+            serde_json::from_str(&file.text).map_err(|error| ConfigError::new(&file.name, error.to_string()))?
         };
-        let mut content = parsed.map_err(|reason| ConfigError::new(file.name.clone(), reason))?;
         let mut shape = Shape::default();
         // The platform's file may gain keys; in an operator's, unknown keys are errors.
         if !is_operators {
