--- a/crates/gateway/src/config_overlay/effective.rs
+++ b/crates/gateway/src/config_overlay/effective.rs
@@ -43,7 +43,7 @@
     NotAnObject,
     /// The configuration with it is faulty.
     #[error(transparent)]
-    Config(#[from] config::Fault),
+    Config(#[from] config::ConfigError),
     /// It holds no backend.
     #[error("there is none")]
     NoBackend,
@@ -98,7 +98,7 @@
 fn parse_backend(shard: u32, value: &[u8], zones: &[String]) -> Result<Target, ValueError> {
     let entry: Value = serde_json::from_slice(value)?;
     let list = json!({ "instances": [entry] }).to_string();
-    let read = config::targets(list.as_bytes(), zones)?;
+    let read = config::parse_targets(list.as_bytes(), zones)?;
     let target = read.targets.into_iter().next().ok_or(ValueError::NoBackend)?;
     if target.entry.shard.0 == shard {
         Ok(target)
@@ -135,7 +135,7 @@
         is_snapshot: bool,
         changes: &[Change],
         config: &Config,
-        configure: impl Fn(&[Value]) -> Result<Config, config::Fault>,
+        configure: impl Fn(&[Value]) -> Result<Config, config::ConfigError>,
     ) -> Result<Next, Vec<Rejection>> {
         let mut values = if is_snapshot { EffectiveConfig::default() } else { self.clone() };
         let (mut rejections, mut unknown_keys, mut backends) = (vec![], 0, vec![]);
@@ -189,8 +189,8 @@
     fn find_faulty(
         &self,
         values: &EffectiveConfig,
-        fault: config::Fault,
-        configure: impl Fn(&[Value]) -> Result<Config, config::Fault>,
+        fault: config::ConfigError,
+        configure: impl Fn(&[Value]) -> Result<Config, config::ConfigError>,
     ) -> Vec<Rejection> {
         let (mut valid, mut rejections) = (self.settings.clone(), vec![]);
         let keys: BTreeSet<&Key> = values.settings.keys().chain(self.settings.keys()).collect();
--- a/crates/gateway/src/config_overlay/host_settings.rs
+++ b/crates/gateway/src/config_overlay/host_settings.rs
@@ -1,7 +1,7 @@
 //! The settings of the host of distributed configuration, from the section `[changes]`.
 use crate::coordination::member::random_seed;
 use cluster_types::MemberId;
-use config::{Changes, Config};
+use config::{Config, Distribution};
 use config_distribution::{RateLimit, Scope, Topic};
 use coordination::distribution::{Role, Settings, Upstream};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,17 +11,17 @@
 ///
 /// # Errors
 /// The fault of the section's keys.
-pub fn host_settings(config: &Config, section: &Changes) -> Result<Settings, config::Fault> {
+pub fn host_settings(config: &Config, section: &Distribution) -> Result<Settings, config::ConfigError> {
     let limits = config_distribution::Settings {
         batch_interval: Duration::from_secs_f64(section.batch_s),
-        max_subscribers: section.most as usize,
+        max_subscribers: section.max_subscribers as usize,
         subscription_rate: RateLimit {
             bytes_per_second: section.admission_bytes_s,
             burst_bytes: section.admission_bytes_s,
         },
         ..config_distribution::Settings::default()
     };
-    let voters = config.accord.iter().flat_map(|accord| &accord.members).map(|member| &member.name);
+    let voters = config.coordination.iter().flat_map(|accord| &accord.members).map(|member| &member.name);
     let expected_reporters = voters.chain(section.relays.iter().map(|relay| &relay.name));
     Ok(Settings {
         me: MemberId(config.name.as_str().into()),
@@ -35,16 +35,16 @@
     })
 }
 
-fn role(config: &Config, section: &Changes) -> Role {
+fn role(config: &Config, section: &Distribution) -> Role {
     match section.listen {
-        Some(listen) if config.accord.is_some() => Role::Voter { listen },
+        Some(listen) if config.coordination.is_some() => Role::Voter { listen },
         Some(listen) => Role::Relay { listen },
         None => Role::Subscriber { scope: Scope::of(topics(section)), state_dir: section.state.clone() },
     }
 }
 
 /// The topics that this gateway subscribes to.
-fn topics(section: &Changes) -> impl Iterator<Item = Topic> + '_ {
+fn topics(section: &Distribution) -> impl Iterator<Item = Topic> + '_ {
     let regions = section.region.iter().map(|region| Topic::Region(region.as_str().into()));
     let zones = section.zone.iter().map(|zone| Topic::Zone(zone.as_str().into()));
     let shards = section.shards.iter().map(|shard| Topic::Shard(*shard));
--- a/crates/gateway/src/coordination/measurements.rs
+++ b/crates/gateway/src/coordination/measurements.rs
@@ -77,7 +77,8 @@
 ) -> BackendMeasurement {
     let (entry, statistics) = (endpoint.entry.borrow(), &endpoint.statistics);
     let is_silent = statistics.last_answered().is_none_or(|at| now.0 - at.0 > DEAD_AFTER_US);
-    let recovery_us = config.accord.as_ref().map_or(0, |section| (section.out.warm_s * 1e6) as i64);
+    let recovery_us =
+        config.coordination.as_ref().map_or(0, |section| (section.maintenance.warm_up_s * 1e6) as i64);
     let slow_start_us = config.settings.slow_start.duration.0;
     let has_returned = statistics.returned_at().is_some_and(|at| now.0 - at.0 < recovery_us);
     let has_started = entry.started_at.is_some_and(|at| now.0 - at.0 < slow_start_us);
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -137,7 +137,7 @@
 
     /// Adapts the budget to the memory limit, whenever nothing is reserved under the budget before.
     fn update_memory_budget(&mut self) {
-        let limit = self.context.memory() as u64 / config::MEMORY_SHARE;
+        let limit = self.context.memory() as u64 / config::MEMORY_DIVISOR;
         let budget = &mut self.gathers.shared.budget;
         if budget.capacity() != limit && budget.reserved() == 0 {
             *budget = MemoryBudget::new(limit);
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -53,14 +53,14 @@
     /// A handle, and the inbox for its actor; `None` where the configuration has no policies.
     pub fn new(config: &Config) -> Option<(Gathering, Receiver<GatherMessage>)> {
         let mut policies = PolicyTable::new();
-        for policy in &config.gathers {
+        for policy in &config.gather_policies {
             if let Ok(piece) = u64::from_str_radix(&policy.piece, 16) {
                 policies.entry(policy.volume.0.clone()).or_default().insert(piece, policy.clone());
             }
         }
         let (mailbox, inbox) = async_channel::bounded(MAILBOX_CAPACITY);
         let handle = Gathering { policies: Rc::new(policies), mailbox, counters: Rc::default() };
-        (!config.gathers.is_empty()).then_some((handle, inbox))
+        (!config.gather_policies.is_empty()).then_some((handle, inbox))
     }
 
     /// The policy of a client's request; `None` where it is an ordinary one, as writes always are.
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -116,5 +116,5 @@
 
 /// The zone of this gateway, where that is configured.
 pub fn own_zone(context: &Context) -> Option<Zone> {
-    context.config().accord.as_ref().map(|section| Zone(section.hall.as_str().into()))
+    context.config().coordination.as_ref().map(|section| Zone(section.zone.as_str().into()))
 }
--- a/crates/gateway/tests/gathered_responses.rs
+++ b/crates/gateway/tests/gathered_responses.rs
@@ -17,7 +17,7 @@
     let config = config::read("x.toml", &(file + table + &part(0) + &part(1))).unwrap();
     let (now, mut out, budget) = (Time(1_000_000), Vec::new(), MemoryBudget::new(1 << 20));
     let mut gathers = Gathers::new(4, ZoneTracker::new(None, HealthRules::default()), budget.clone());
-    let id = gathers.start(now, config.gathers[0].clone(), Time(2_000_000), &mut out).unwrap();
+    let id = gathers.start(now, config.gather_policies[0].clone(), Time(2_000_000), &mut out).unwrap();
     for (part, result) in ends.into_iter().enumerate() {
         gathers.handle(now, id, GatherEvent::Response { request: part, response: result }, &mut out);
     }
