--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -55,7 +55,8 @@
         let mut content: Value = if is_operators {
             toml::from_str(&file.text).map_err(|error| ConfigError::new(&file.name, error.to_string()))?
         } else {
-            serde_json::from_str(&file.text).map_err(|error| ConfigError::new(&file.name, error.to_string()))?
+            serde_json::from_str(&file.text)
+                .map_err(|error| ConfigError::new(&file.name, error.to_string()))?
         };
         let mut shape = Shape::default();
         // The platform's file may gain keys; in an operator's, unknown keys are errors.
