--- a/crates/test-cluster/src/verdict/fleet.rs
+++ b/crates/test-cluster/src/verdict/fleet.rs
@@ -89,11 +89,11 @@
     verdict
 }
 
-/// What a front's lines say of boxes taken out and put back: `ban node=ID out=BOOL`.
+/// What a gateway's lines say of backends suspended and resumed: `suspension backend=ID suspended=BOOL`.
 pub fn bans(lines: &[(Duration, String)]) -> Vec<(Duration, String, bool)> {
     let read = |(at, line): &(Duration, String)| {
-        let (node, out) = line.strip_prefix("ban node=")?.split_once(" out=")?;
-        Some((*at, node.to_string(), out.trim() == "true"))
+        let (backend, suspended) = line.strip_prefix("suspension backend=")?.split_once(" suspended=")?;
+        Some((*at, backend.to_string(), suspended.trim() == "true"))
     };
     lines.iter().filter_map(read).collect()
 }
--- a/crates/test-cluster/tests/verdicts.rs
+++ b/crates/test-cluster/tests/verdicts.rs
@@ -218,8 +218,11 @@
 #[test]
 fn boxes_out_and_agreement() {
     let line = |at: u64, text: &str| (ms(at), text.to_string());
-    let lines =
-        [line(1, "ban node=b-1 out=true"), line(2, "conn kind=box"), line(5, "ban node=b-1 out=false")];
+    let lines = [
+        line(1, "suspension backend=b-1 suspended=true"),
+        line(2, "conn kind=box"),
+        line(5, "suspension backend=b-1 suspended=false"),
+    ];
     let events = bans(&lines);
     assert_eq!(events, [(ms(1), "b-1".to_string(), true), (ms(5), "b-1".to_string(), false)]);
     let with = |at: u64| [events.clone(), vec![(ms(at), "b-2".to_string(), true)]].concat();
