--- a/crates/config-distribution/tests/golden.rs
+++ b/crates/config-distribution/tests/golden.rs
@@ -13,21 +13,12 @@
     Catalogue, Change, Class, GatewayRejection, Key, Lag, Put, Rejection, RelayMessage, Report,
     RolloutStatus, Scope, Subscriber, SubscriberMessage, Topic, WriteBatch,
 };
-use serde::de::DeserializeOwned;
-use serde::Serialize;
-use std::fmt::Debug;
+use golden_files::GoldenFiles;
 use std::time::Duration;
 
+const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 const LOG_ID: u64 = 0x0123_4567_89ab_cdef;
 
-fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &[u8], value: &T) {
-    assert_eq!(postcard::to_stdvec(value).unwrap(), file, "encoding {value:?}");
-    let (decoded, rest) = postcard::take_from_bytes::<T>(file).unwrap();
-    assert_eq!(rest, [0u8; 0], "nothing follows the value");
-    assert_eq!(&decoded, value);
-    assert_eq!(postcard::to_stdvec(&decoded).unwrap(), file);
-}
-
 /// One topic of each kind.
 fn topics() -> [Topic; 5] {
     [
@@ -134,45 +125,45 @@
 
 #[test]
 fn write_batch_is_held() {
-    assert_golden(include_bytes!("golden/order.bin"), &batch());
-    assert_golden(include_bytes!("golden/order_empty.bin"), &WriteBatch::default());
+    GOLDEN.assert_postcard("order.bin", &batch());
+    GOLDEN.assert_postcard("order_empty.bin", &WriteBatch::default());
 }
 
 #[test]
 fn subscriber_messages_are_held() {
     let subscribe = |scope| SubscriberMessage::Subscribe { log_id: LOG_ID, scope, from: Index(300) };
-    assert_golden(include_bytes!("golden/to_relay_subscribe_topics.bin"), &subscribe(Scope::of(topics())));
-    assert_golden(include_bytes!("golden/to_relay_subscribe_everything.bin"), &subscribe(Scope::Everything));
+    GOLDEN.assert_postcard("to_relay_subscribe_topics.bin", &subscribe(Scope::of(topics())));
+    GOLDEN.assert_postcard("to_relay_subscribe_everything.bin", &subscribe(Scope::Everything));
     let acknowledge = SubscriberMessage::Acknowledge { up_to: Index(301), rejected: vec![rejection()] };
-    assert_golden(include_bytes!("golden/to_relay_decided.bin"), &acknowledge);
-    assert_golden(include_bytes!("golden/to_relay_next.bin"), &SubscriberMessage::NextChunk);
-    assert_golden(include_bytes!("golden/to_relay_report.bin"), &SubscriberMessage::Report(report()));
+    GOLDEN.assert_postcard("to_relay_decided.bin", &acknowledge);
+    GOLDEN.assert_postcard("to_relay_next.bin", &SubscriberMessage::NextChunk);
+    GOLDEN.assert_postcard("to_relay_report.bin", &SubscriberMessage::Report(report()));
 }
 
 #[test]
 fn relay_messages_are_held() {
     let subscribed = RelayMessage::Subscribed { log_id: LOG_ID };
-    assert_golden(include_bytes!("golden/from_relay_subscribed.bin"), &subscribed);
-    assert_golden(include_bytes!("golden/from_relay_later.bin"), &RelayMessage::RetryLater);
+    GOLDEN.assert_postcard("from_relay_subscribed.bin", &subscribed);
+    GOLDEN.assert_postcard("from_relay_later.bin", &RelayMessage::RetryLater);
     let changes = RelayMessage::Changes { from: Index(299), up_to: Index(305), changes: with_deletion() };
-    assert_golden(include_bytes!("golden/from_relay_changes.bin"), &changes);
+    GOLDEN.assert_postcard("from_relay_changes.bin", &changes);
     let base = Index(305);
     let chunk = |is_first, is_last, entries| RelayMessage::SnapshotChunk { base, is_first, is_last, entries };
-    assert_golden(include_bytes!("golden/from_relay_piece_first.bin"), &chunk(true, false, values()));
-    assert_golden(include_bytes!("golden/from_relay_piece_last.bin"), &chunk(false, true, vec![]));
+    GOLDEN.assert_postcard("from_relay_piece_first.bin", &chunk(true, false, values()));
+    GOLDEN.assert_postcard("from_relay_piece_last.bin", &chunk(false, true, vec![]));
     let isolated_for = Some(Duration::new(9, 500_000_000));
     let heartbeat = RelayMessage::Heartbeat { up_to: Index(305), checksum: Some(LOG_ID), isolated_for };
-    assert_golden(include_bytes!("golden/from_relay_alive.bin"), &heartbeat);
+    GOLDEN.assert_postcard("from_relay_alive.bin", &heartbeat);
     let plain = RelayMessage::Heartbeat { up_to: Index(0), checksum: None, isolated_for: None };
-    assert_golden(include_bytes!("golden/from_relay_alive_plain.bin"), &plain);
+    GOLDEN.assert_postcard("from_relay_alive_plain.bin", &plain);
     let settled = Report { lags: vec![], rejections: vec![], ..report() };
     let reports = RelayMessage::Reports(vec![report(), settled]);
-    assert_golden(include_bytes!("golden/from_relay_fleet.bin"), &reports);
+    GOLDEN.assert_postcard("from_relay_fleet.bin", &reports);
 }
 
 #[test]
 fn reports_and_rollout_status_are_held() {
-    assert_golden(include_bytes!("golden/reports.bin"), &vec![report()]);
+    GOLDEN.assert_postcard("reports.bin", &vec![report()]);
     let status = RolloutStatus {
         is_everywhere: false,
         gateways: 2_300,
@@ -183,9 +174,9 @@
         rejections: report().rejections,
         rejecting: 3,
     };
-    assert_golden(include_bytes!("golden/where.bin"), &status);
+    GOLDEN.assert_postcard("where.bin", &status);
     let everywhere = RolloutStatus { is_everywhere: true, gateways: 1, ..RolloutStatus::default() };
-    assert_golden(include_bytes!("golden/where_everywhere.bin"), &everywhere);
+    GOLDEN.assert_postcard("where_everywhere.bin", &everywhere);
 }
 
 /// Checksums are sent too: a relay and a subscriber of different releases must find the same ones.
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -8,20 +8,9 @@
     AppendOutcome, AppendRequest, AppendResponse, Entry, HardState, Incarnations, LogPosition, Message,
     Payload, Snapshot, SnapshotChunk, StoredState, Vote, VoteResponse,
 };
-use serde::de::DeserializeOwned;
-use serde::Serialize;
-use std::fmt::Debug;
-use std::path::Path;
+use golden_files::GoldenFiles;
 
-/// Checks that `value` encodes to the golden file, and that the file decodes to `value` and encodes to itself again.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.bin"));
-    let golden = std::fs::read(&file).unwrap_or_default();
-    assert_eq!(postcard::to_stdvec(value).unwrap(), golden, "{name}: encoding");
-    let decoded: T = postcard::from_bytes(&golden).unwrap();
-    assert_eq!(&decoded, value, "{name}: decoding");
-    assert_eq!(postcard::to_stdvec(&decoded).unwrap(), golden, "{name}: encoding what was decoded");
-}
+const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 
 fn incarnations() -> Incarnations {
     [("front-1", 11), ("front-2", u64::MAX), ("front-3", 300)]
@@ -50,12 +39,15 @@
 #[test]
 fn vote_messages_keep_their_bytes() {
     let last = LogPosition { term: 6, index: 200 };
-    check("message.bootstrap_hello", &Message::BootstrapHello { term: 1 });
-    check("message.bootstrap_request", &Message::BootstrapRequest { term: 2, incarnations: incarnations() });
-    check("message.pre_vote_request", &Message::PreVoteRequest { term: 300, last });
-    check("message.vote_request", &Message::VoteRequest { term: 301, last });
-    check(
-        "message.vote_response",
+    GOLDEN.assert_postcard("message.bootstrap_hello.bin", &Message::BootstrapHello { term: 1 });
+    GOLDEN.assert_postcard(
+        "message.bootstrap_request.bin",
+        &Message::BootstrapRequest { term: 2, incarnations: incarnations() },
+    );
+    GOLDEN.assert_postcard("message.pre_vote_request.bin", &Message::PreVoteRequest { term: 300, last });
+    GOLDEN.assert_postcard("message.vote_request.bin", &Message::VoteRequest { term: 301, last });
+    GOLDEN.assert_postcard(
+        "message.vote_response.bin",
         &Message::VoteResponse(VoteResponse {
             term: 302,
             is_pre_vote: true,
@@ -69,8 +61,8 @@
 fn replication_messages_keep_their_bytes() {
     let last = LogPosition { term: 6, index: 200 };
     let entries = entries().map(|(_, entry)| entry).to_vec();
-    check(
-        "message.append_request",
+    GOLDEN.assert_postcard(
+        "message.append_request.bin",
         &Message::AppendRequest(AppendRequest {
             term: 7,
             previous: last,
@@ -86,7 +78,7 @@
         commit_index: 0,
         round: 1,
     });
-    check("message.append_request.heartbeat", &heartbeat);
+    GOLDEN.assert_postcard("message.append_request.heartbeat.bin", &heartbeat);
     let outcomes = [
         ("message.append_response.matched", AppendOutcome::Matched(200)),
         (
@@ -103,8 +95,8 @@
         ),
     ];
     for (name, outcome) in outcomes {
-        check(
-            name,
+        GOLDEN.assert_postcard(
+            &format!("{name}.bin"),
             &Message::AppendResponse(AppendResponse {
                 term: 7,
                 round: 12_345,
@@ -128,38 +120,41 @@
         bytes,
         round: 8,
     });
-    check("message.snapshot_chunk", &chunk);
+    GOLDEN.assert_postcard("message.snapshot_chunk.bin", &chunk);
 }
 
 #[test]
 fn hard_states_keep_their_bytes() {
-    check(
-        "hard_state",
+    GOLDEN.assert_postcard(
+        "hard_state.bin",
         &HardState {
             term: 7,
             vote: Some(Vote { candidate: "front-2".into(), incarnation: 1 << 40 }),
             commit: Index(300),
         },
     );
-    check("hard_state.no_vote", &HardState { term: 0, vote: None, commit: Index(0) });
+    GOLDEN.assert_postcard("hard_state.no_vote.bin", &HardState { term: 0, vote: None, commit: Index(0) });
 }
 
 #[test]
 fn entries_keep_their_bytes() {
     for (name, entry) in entries() {
-        check(name, &entry);
+        GOLDEN.assert_postcard(&format!("{name}.bin"), &entry);
     }
 }
 
 #[test]
 fn snapshots_keep_their_bytes() {
-    check("snapshot", &snapshot());
-    check("snapshot.empty", &Snapshot::default());
+    GOLDEN.assert_postcard("snapshot.bin", &snapshot());
+    GOLDEN.assert_postcard("snapshot.empty.bin", &Snapshot::default());
 }
 
 #[test]
 fn stored_states_keep_their_bytes() {
     let hard_state = HardState { term: 7, vote: None, commit: Index(1_000) };
     let entries = vec![Entry { index: Index(1_001), term: 7, payload: Payload::Noop }];
-    check("stored_state", &StoredState { incarnation: 11, hard_state, snapshot: Some(snapshot()), entries });
+    GOLDEN.assert_postcard(
+        "stored_state.bin",
+        &StoredState { incarnation: 11, hard_state, snapshot: Some(snapshot()), entries },
+    );
 }
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -14,7 +14,7 @@
 use coordination::state_machine::{Command, Entry, StateMachine};
 use coordination::{BackendMeasurement, Measurements, VolumeMeasurement};
 use golden_support::entries::{config_change, entries};
-use golden_support::{golden, member};
+use golden_support::{member, GOLDEN};
 use message_auth::{Keys, Opener, Sealer};
 use std::cell::RefCell;
 
@@ -22,7 +22,7 @@
 
 /// Bytes as they stand in a golden file, which is read.
 fn file(name: &str) -> Vec<u8> {
-    std::fs::read(golden(&format!("{name}.bin"))).unwrap_or_default()
+    GOLDEN.bytes(&format!("{name}.bin"))
 }
 
 /// What a link carries: a length and a sealed envelope around `body`.
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -7,14 +7,9 @@
 use coordination::network_thread::{LinkCounters, MembershipView};
 use coordination::state_machine::StateMachine;
 use golden_support::entries::entries;
-use golden_support::golden;
+use golden_support::GOLDEN;
 use maintenance::{BackendOutcome, MaintenanceRequest, Rejection, RequestStatus};
 
-/// Bytes of a golden file of the state machine's entries.
-fn file(name: &str) -> Vec<u8> {
-    std::fs::read(golden(&format!("{name}.bin"))).unwrap_or_default()
-}
-
 fn membership_view() -> MembershipView {
     let member = |number, state| membership::Member {
         member: golden_support::member(number),
@@ -60,7 +55,7 @@
 fn status_matches_its_golden_text() {
     let mut state = StateMachine::new();
     for (number, (name, ..)) in (1..=6).zip(entries()) {
-        state.apply(Index(number), &file(&format!("entry.{name}")));
+        state.apply(Index(number), &GOLDEN.bytes(&format!("entry.{name}.bin")));
     }
     state.undecodable_entries = 3;
     let view = membership_view();
@@ -105,8 +100,7 @@
             state: &state,
         })
     });
-    let golden = std::fs::read_to_string(golden("status.txt")).unwrap_or_default();
-    assert_eq!(texts.join("\n"), golden);
+    assert_eq!(texts.join("\n"), GOLDEN.text("status.txt"));
 }
 
 #[test]
@@ -130,6 +124,5 @@
     let undrained_members = [(Index(300), members)].into();
     let waiting_reason = Some(Rejection::NoMemberPresent);
     let status = RequestStatus { name: "w-1".into(), request, undrained_members, waiting_reason };
-    let golden = std::fs::read_to_string(golden("maintenance_status.txt")).unwrap_or_default();
-    assert_eq!(maintenance_text(&status), golden);
+    assert_eq!(maintenance_text(&status), GOLDEN.text("maintenance_status.txt"));
 }
--- a/crates/coordination/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -8,7 +8,7 @@
 use cluster_types::Index;
 use consensus::{Entry, HardState, LogPosition, Payload, Snapshot, Vote, WriteBatch};
 use coordination::storage_thread::{change_of, stored_state, Store, StoreChange, StoreContent};
-use golden_support::{golden, persisted_orders};
+use golden_support::{persisted_orders, GOLDEN};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write;
 use std::path::Path;
@@ -117,7 +117,7 @@
     write_all(&store);
     check_content(&store.read().unwrap());
     drop(store);
-    let text = std::fs::read_to_string(golden("accord.redb.txt")).unwrap_or_default();
+    let text = GOLDEN.text("accord.redb.txt");
     assert_eq!(dump(&folder.path().join("accord.redb")), text);
 }
 
@@ -125,8 +125,8 @@
 fn store_of_an_earlier_version_is_read_and_written_on() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("accord.redb");
-    std::fs::copy(golden("accord.redb"), &file).unwrap();
-    let text = std::fs::read_to_string(golden("accord.redb.txt")).unwrap();
+    std::fs::copy(GOLDEN.path("accord.redb"), &file).unwrap();
+    let text = GOLDEN.text("accord.redb.txt");
     assert_eq!(dump(&file), text);
     let store = Store::open(folder.path(), 99).unwrap();
     check_content(&store.read().unwrap());
--- a/crates/coordination/tests/golden_support/mod.rs
+++ b/crates/coordination/tests/golden_support/mod.rs
@@ -3,14 +3,12 @@
 pub mod entries;
 
 use cluster_types::{Index, MemberId};
+use golden_files::GoldenFiles;
 use maintenance::{Action, Event, MemberAgent, MemberOrder, PersistedOrders};
-use std::path::PathBuf;
 use std::time::Duration;
 
-/// A file below `tests/golden/`.
-pub fn golden(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
-}
+/// The golden files of this package.
+pub const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 
 /// What a member persists of two orders of the replicated state, as its state machine writes it.
 #[allow(dead_code, reason = "used by the tests of the store alone")]
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -7,18 +7,15 @@
 mod fleet;
 use common::{address, call, config, spawn_in, Program};
 use fleet::{until, Fleet, Machine};
+use golden_files::GoldenFiles;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::time::Duration;
 use test_cluster::operator;
 
+const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn golden(name: &str) -> String {
-    let path = format!("{}/tests/golden/{name}", env!("CARGO_MANIFEST_DIR"));
-    std::fs::read_to_string(path).unwrap()
-}
-
 /// The text with each number, also one with a fraction, replaced by `N`.
 fn without_numbers(text: &str) -> String {
     let mut shape = String::new();
@@ -71,17 +68,17 @@
     let name = file.file_name().unwrap().to_str().unwrap();
     let number = name.strip_prefix(&format!("{}.", prefix(&ip))).unwrap().strip_suffix(".bans").unwrap();
     assert!(number.len() == 20 && number.bytes().all(|b| b.is_ascii_digit()), "{name}");
-    assert_eq!(std::fs::read_to_string(&file).unwrap(), golden("suspensions.bans"));
+    assert_eq!(std::fs::read_to_string(&file).unwrap(), GOLDEN.text("suspensions.bans"));
 }
 
 #[test]
 fn suspensions_of_an_earlier_process_are_read() {
     let (ip, folder) = (address(), tempfile::tempdir().unwrap());
     let name = format!("{}.00000000000000000007.bans", prefix(&ip));
-    std::fs::write(folder.path().join(name), golden("suspensions.bans")).unwrap();
+    std::fs::write(folder.path().join(name), GOLDEN.text("suspensions.bans")).unwrap();
     let _program = front(&ip, folder.path());
     let metrics = text_of(&ip, "GET", "/v1/metrics");
-    assert_eq!(metrics, golden("metrics-two-suspended.txt"));
+    assert_eq!(metrics, GOLDEN.text("metrics-two-suspended.txt"));
 }
 
 #[test]
@@ -95,7 +92,7 @@
     until(TIMEOUT, "the number of descriptors", || !std::fs::read(&file).unwrap().is_empty());
     let text = std::fs::read_to_string(&file).unwrap();
     let descriptors: u32 = text.trim().parse().unwrap();
-    assert_eq!(text, golden("process-lock.live").replace("      12", &format!("{descriptors:8}")));
+    assert_eq!(text, GOLDEN.text("process-lock.live").replace("      12", &format!("{descriptors:8}")));
 }
 
 #[test]
@@ -116,7 +113,7 @@
     ];
     let texts: String =
         calls.map(|(method, path)| format!("{method} {path}\n{}", text_of(&ip, method, path))).concat();
-    assert_eq!(texts, golden("front.txt"));
+    assert_eq!(texts, GOLDEN.text("front.txt"));
 }
 
 fn ask(machine: &Machine, method: &str, path: &str, body: &str) -> String {
@@ -180,5 +177,5 @@
         texts += &ask(machine, "GET", "/v1/changes/1", "");
         texts += &ask(machine, "GET", "/v1/changes/x", "");
     }
-    assert_eq!(texts, golden("fleet.txt"));
+    assert_eq!(texts, GOLDEN.text("fleet.txt"));
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,19 +1,15 @@
 //! Holds the bytes of membership datagrams, and the text that operators read: each `.bin` file under `golden/` is one packet
 //! as it is sent before signing.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+use golden_files::GoldenFiles;
 use membership::wire::{ClaimRecord, MemberRecord, Message, Packet, Update};
 use membership::{ClaimKind, Counters, Digest, MemberState, Subject};
 use rstest::rstest;
 use std::net::{Ipv6Addr, SocketAddr};
-use std::path::Path;
 
+const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 const BASE_INCARNATION: u64 = 1_800_000_000_000 << 20;
 
-fn golden(name: &str) -> Vec<u8> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    std::fs::read(path).unwrap()
-}
-
 fn record(state: MemberState) -> MemberRecord {
     MemberRecord {
         member: "front-2".into(),
@@ -63,7 +59,7 @@
 
 /// Checks that encoding gives the file, and that decoding and encoding the file gives it again.
 fn assert_golden(name: &str, packet: &Packet) {
-    let bytes = golden(name);
+    let bytes = GOLDEN.bytes(name);
     assert_eq!(packet.encode(), bytes, "{name}");
     let decoded = Packet::decode(&bytes).unwrap();
     assert_eq!(decoded, *packet, "{name}");
@@ -148,5 +144,5 @@
     for state in [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left] {
         text += &format!("state={state:?}\n");
     }
-    assert_eq!(text.into_bytes(), golden("operators_text.txt"));
+    assert_eq!(text.into_bytes(), GOLDEN.bytes("operators_text.txt"));
 }
--- a/crates/resharding/tests/golden.rs
+++ b/crates/resharding/tests/golden.rs
@@ -1,39 +1,19 @@
 //! The stored, sent and read forms, held byte for byte by the files in `tests/golden/`.
 #![allow(clippy::unwrap_used, clippy::panic)]
 use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
+use golden_files::GoldenFiles;
 use resharding::block_set::BlockSet;
 use resharding::{
     Bounds, Command, CrossZoneOrder, MemberStanding, Migration, Phase, PieceMap, Placement, Plan, RangeMove,
     ReshardingState, Settings, Step,
 };
-use serde::de::DeserializeOwned;
-use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fmt::Debug;
-use std::path::PathBuf;
 use std::time::Duration;
 
+const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 const VOLUME: &str = "00000000000000ff";
 const INCARNATION: u64 = 1 << 40;
 
-fn golden_file(name: &str) -> Vec<u8> {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
-}
-
-fn golden_text(name: &str) -> String {
-    String::from_utf8(golden_file(name)).unwrap()
-}
-
-/// Encoding gives the file, decoding the file gives the value, and encoding that gives the file again.
-fn assert_holds<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
-    let file = golden_file(name);
-    assert_eq!(postcard::to_stdvec(value).unwrap(), file, "{name}: {value:?}");
-    let decoded: T = postcard::from_bytes(&file).unwrap();
-    assert_eq!(decoded, *value, "{name}");
-    assert_eq!(postcard::to_stdvec(&decoded).unwrap(), file, "{name}");
-}
-
 fn member(number: u32) -> MemberId {
     format!("front-{number}").as_str().into()
 }
@@ -182,14 +162,14 @@
 #[test]
 fn commands_keep_their_bytes() {
     for (name, command) in plan_commands().into_iter().chain(migration_commands()) {
-        assert_holds(&format!("{name}.postcard"), &command);
+        GOLDEN.assert_postcard(&format!("{name}.postcard"), &command);
     }
 }
 
 #[test]
 fn replicated_state_keeps_its_bytes() {
-    assert_holds("state-empty.postcard", &ReshardingState::new());
-    assert_holds("state-filled.postcard", &filled_state());
+    GOLDEN.assert_postcard("state-empty.postcard", &ReshardingState::new());
+    GOLDEN.assert_postcard("state-filled.postcard", &filled_state());
 }
 
 #[test]
@@ -206,22 +186,22 @@
         max_chunks: 5,
         verify: false,
     };
-    assert_holds("rules.postcard", &settings);
-    assert_holds("bounds-exports-first.postcard", &bounds(CrossZoneOrder::ExportsFirst));
-    assert_holds("bounds-last.postcard", &bounds(CrossZoneOrder::Last));
-    assert_holds("bounds-never.postcard", &bounds(CrossZoneOrder::Never));
+    GOLDEN.assert_postcard("rules.postcard", &settings);
+    GOLDEN.assert_postcard("bounds-exports-first.postcard", &bounds(CrossZoneOrder::ExportsFirst));
+    GOLDEN.assert_postcard("bounds-last.postcard", &bounds(CrossZoneOrder::Last));
+    GOLDEN.assert_postcard("bounds-never.postcard", &bounds(CrossZoneOrder::Never));
 }
 
 /// What the operators' interface shows of steps and migrations.
 #[test]
 fn operator_status_keeps_its_form() {
     let status = BTreeMap::from([("step", filled_state().status())]);
-    assert_eq!(toml::to_string(&status).unwrap(), golden_text("status.toml"));
+    assert_eq!(toml::to_string(&status).unwrap(), GOLDEN.text("status.toml"));
 }
 
 #[test]
 fn reads_plan_file() {
-    let plan = Plan::read(&golden_text("plan.toml")).unwrap();
+    let plan = Plan::read(&GOLDEN.text("plan.toml")).unwrap();
     assert_eq!(plan.name, "empty box-1");
     let targets = plan.targets.iter();
     let targets: Vec<_> =
@@ -234,7 +214,7 @@
 
 #[test]
 fn reads_piece_file() {
-    let pieces = PieceMap::read(&golden_text("pieces.toml")).unwrap();
+    let pieces = PieceMap::read(&GOLDEN.text("pieces.toml")).unwrap();
     assert_eq!(pieces.find(&volume(), "head"), Some(blocks(0, 16)));
     assert_eq!(pieces.find(&volume(), "tail"), Some(blocks(16, 40)));
 }
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -1,19 +1,15 @@
 //! The simulator's wire, byte for byte: `golden/` holds sessions and faulty lines as the adapter read and answered them.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+use golden_files::GoldenFiles;
 use scheduler::simulator_wire::{read_settings, run, WireError};
-use std::fs;
-use std::path::PathBuf;
 
-fn golden(name: &str) -> String {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
-    fs::read_to_string(path).expect("a golden file")
-}
+const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 
 fn assert_session_is_unchanged(name: &str) {
     let mut output = Vec::new();
-    run(golden(&format!("{name}.in")).as_bytes(), &mut output).expect("a session without faults");
+    run(GOLDEN.text(&format!("{name}.in")).as_bytes(), &mut output).expect("a session without faults");
     let output = String::from_utf8(output).expect("utf-8");
-    let expected = golden(&format!("{name}.out"));
+    let expected = GOLDEN.text(&format!("{name}.out"));
     for (number, (line, expected)) in output.lines().zip(expected.lines()).enumerate() {
         assert_eq!(line, expected, "{name}.out, line {}", number + 1);
     }
@@ -22,7 +18,7 @@
 
 #[test]
 fn session_with_every_message_is_answered_as_before() {
-    let (read, written) = (golden("forms.in"), golden("forms.out"));
+    let (read, written) = (GOLDEN.text("forms.in"), GOLDEN.text("forms.out"));
     for message in ["Tick", "Flush", "Launch", "Halt", "Topology", "JobIn", "Reply", "ClientLeft", "Fired"] {
         assert!(read.contains(&format!("\"m\":\"{message}\"")), "the file holds no {message}");
     }
@@ -45,7 +41,7 @@
 
 #[test]
 fn malformed_lines_are_reported_in_the_same_text() {
-    let file = golden("malformed.txt");
+    let file = GOLDEN.text("malformed.txt");
     let lines: Vec<&str> = file.lines().collect();
     for pair in lines.chunks(2) {
         let [line, expected] = pair else { panic!("a line without its report: {pair:?}") };
@@ -62,7 +58,7 @@
 #[test]
 fn malformed_settings_are_reported_in_the_same_text() {
     let setup = |line: &str| serde_json::from_str::<serde_json::Value>(line).ok()?.get("Setup").cloned();
-    let file = golden("malformed.txt");
+    let file = GOLDEN.text("malformed.txt");
     let lines: Vec<&str> = file.lines().collect();
     let mut checked = 0;
     for pair in lines.chunks(2) {
