--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -11,13 +11,6 @@
 //!
 //! So the kind of failure decides the pause ([`Failure`]), and the staleness bound alone decides how long pauses
 //! may grow ([`BackoffPolicy`]). Calls without a response are hedged by a second one.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 
 mod caller;
 mod policy;
--- a/crates/cluster-types/src/lib.rs
+++ b/crates/cluster-types/src/lib.rs
@@ -1,12 +1,5 @@
 //! Identifiers and values that several packages share: members, backends, zones, volumes, time, log positions and block
 //! ranges.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod block_range;
 mod identifiers;
 mod log_index;
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -11,13 +11,6 @@
 //! - Acknowledgements are aggregated in [`Report`]s of bounded size: what is not applied yet, where, and why.
 //!
 //! Spans are [`std::time::Duration`]s, sizes are bytes.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 #![deny(missing_docs)]
 
 mod catalogue;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -28,13 +28,6 @@
 //! - **The host's duty.** Batches are written atomically and in order; after one has failed, no later one is written. The
 //!   applied state is rebuilt from snapshot and log at start: entries may be applied before this member has them on
 //!   disk. A disk that hangs is to be reported as failed.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod action;
 mod bootstrap;
 mod bootstrap_hello;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -14,13 +14,6 @@
 //!
 //! Each thread has its own state; between them are bounded mailboxes. A full mailbox loses a message, which is sent again
 //! later, as it would be lost on the network.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod clock;
 pub mod distribution;
 mod error;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -4,13 +4,6 @@
 //! sure that each request gets exactly one final response. It is sans-I/O: it knows no protocol and reads
 //! no clock, and what is to be done comes out as [`Effect`]s. The type parameter `T`, the ticket, is what a
 //! listener needs to find its client again; `V` is its type of values.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod attempt;
 mod counters;
 mod dispatcher;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,8 @@
 //! The gateway: actors on real sockets around the `scheduler`. `docs/ARCHITECTURE.md` has the overview.
-#![warn(clippy::map_err_ignore, clippy::match_bool, clippy::missing_errors_doc, clippy::too_many_lines)]
+#![allow(
+    clippy::let_underscore_must_use,
+    reason = "closed channels only end a wait, and text is written to strings"
+)]
 pub mod admin;
 pub mod backend;
 pub mod client;
--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -1,5 +1,6 @@
 //! What can grow has a bound, and beyond it the program refuses and goes on.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+#![allow(clippy::let_underscore_must_use, reason = "a call may fail here: its peer may have gone")]
 mod common;
 use common::{address, ask, config, spawn, Program};
 use rstest::rstest;
--- a/crates/gateway/tests/changes/foreign_peers.rs
+++ b/crates/gateway/tests/changes/foreign_peers.rs
@@ -1,4 +1,5 @@
 //! Those who have no business at a relay's address, or at a gateway that follows one.
+#![allow(clippy::let_underscore_must_use, reason = "a call may fail here: its peer may have gone")]
 use crate::fleet::{until, Machine, KEY};
 use config_distribution::{Scope, SubscriberMessage, Topic};
 use message_auth::{Keys, Opener, Sealer};
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! Starts the program on loopback addresses of its own, and plays recorded byte exchanges against it.
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+#![allow(clippy::let_underscore_must_use, reason = "a call may fail here: its peer may have gone")]
 pub mod late;
 pub mod pattern;
 pub mod play;
--- a/crates/gateway/tests/common/play.rs
+++ b/crates/gateway/tests/common/play.rs
@@ -1,4 +1,9 @@
 //! Plays recorded byte exchanges against the program.
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::too_many_lines,
+    reason = "not split yet; a call may fail here: its peer may have gone"
+)]
 use super::late::{reset, Late};
 use super::pattern::{matches, pattern, Item, Match};
 use super::{address, config, spawn, Program, TIMEOUT};
--- a/crates/gateway/tests/descriptors.rs
+++ b/crates/gateway/tests/descriptors.rs
@@ -1,6 +1,7 @@
 //! Idle clients fill the descriptors while discovery is down: calls to discovery, connections to backends and operators' calls
 //! still get theirs. The limit is the system's own, and not the program's word alone.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+#![allow(clippy::let_underscore_must_use, reason = "a call may fail here: its peer may have gone")]
 mod common;
 use common::play::accept;
 use common::{address, ask, config, spawn_limited, Program};
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -1,5 +1,6 @@
 //! The instant in which something ends while something is still due, forced on real connections.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+#![allow(clippy::let_underscore_must_use, reason = "a call may fail here: its peer may have gone")]
 mod common;
 use common::play::accept;
 use common::{address, ask, config, Program};
--- a/crates/gateway/tests/kill.rs
+++ b/crates/gateway/tests/kill.rs
@@ -1,6 +1,7 @@
 //! A planned restart to its end: SIGTERM while requests are out at a backend that hangs, clients that come again at once on new
 //! connections, and the kill.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+#![allow(clippy::let_underscore_must_use, reason = "a call may fail here: its peer may have gone")]
 mod common;
 use common::{address, ask, config, Program};
 use std::io::{Read, Write};
--- a/crates/gateway/tests/upgrade.rs
+++ b/crates/gateway/tests/upgrade.rs
@@ -1,6 +1,7 @@
 //! A second process of a gateway starts beside the first and takes over: no client is rejected, and what operators have
 //! banned holds for both.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+#![allow(clippy::match_bool, clippy::too_many_lines, reason = "not split yet")]
 mod common;
 use common::{address, call, config, spawn_in, Program};
 use std::io::{Read, Write};
--- a/crates/gateway/tests/wall_clock/discovery.rs
+++ b/crates/gateway/tests/wall_clock/discovery.rs
@@ -1,4 +1,5 @@
 //! Discovery with one backend: a watch tells the list, and later starts of the server.
+#![allow(clippy::let_underscore_must_use, reason = "a call may fail here: its peer may have gone")]
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,12 +1,5 @@
 //! Encoding and decoding of HTTP/1.1 (RFC 9112) without I/O, as far as this program needs it: heads of requests and
 //! responses, short bodies of a stated length, and chunked bodies as they arrive.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod chunked;
 mod error;
 mod head;
--- a/crates/iscsi/src/lib.rs
+++ b/crates/iscsi/src/lib.rs
@@ -1,12 +1,5 @@
 //! Encoding and decoding of iSCSI (RFC 7143) in the subset that docs/iscsi.md lists: protocol data units, SCSI commands,
 //! and both ends of a session with one connection. Without I/O and without a clock: the caller moves the bytes.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod error;
 pub mod initiator;
 pub mod opcode;
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -14,13 +14,6 @@
 //! Times in the log are Unix times of successive leaders and differ by the error of their clocks. No bound depends on
 //! them: they decide deadlines, overdue work, the age of measurements and when an unlisted backend is forgotten. The
 //! stages of a recovery are timed on the leader's steady clock ([`StageTimer`]).
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 #![deny(missing_docs)]
 
 mod admission;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,13 +15,6 @@
 //! - Dead members and silent seeds are contacted from time to time, so that the parts of a healed partition merge again.
 //!
 //! From Lifeguard it takes the local health multiplier and the nacks of indirect probes.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod claim;
 pub mod claim_table;
 mod counters;
--- a/crates/message-auth/src/lib.rs
+++ b/crates/message-auth/src/lib.rs
@@ -7,13 +7,6 @@
 //! counter and does nothing else.
 //!
 //! Bodies are authenticated, not encrypted. Any holder of the key can sign in any member's name.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod header;
 mod incarnation;
 mod keys;
--- a/crates/resharding/src/lib.rs
+++ b/crates/resharding/src/lib.rs
@@ -18,14 +18,6 @@
 //!   the old place is given to others. It does so when it is connected again, or an operator declares it dead.
 //!
 //! A write over the border of two ranges is split: either all its parts are permitted or none, with one ticket.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
-#![warn(clippy::all)]
 
 pub mod block_set;
 pub mod command;
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,12 +1,5 @@
 //! Encoding and decoding of RESP2, the Redis serialization protocol, without I/O: commands and replies are parsed from the
 //! front of a buffer, which may end anywhere within one.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod command;
 mod error;
 mod item;
--- a/crates/ring-buffer/src/lib.rs
+++ b/crates/ring-buffer/src/lib.rs
@@ -1,12 +1,5 @@
 //! A ring buffer of bytes with a bound. It starts without memory, grows up to the bound and releases its memory once it is
 //! empty, so that many idle connections cost little.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 
 /// The least memory that a buffer takes, and the most that it keeps while it is empty, in bytes.
 const MIN_ALLOCATION: usize = 4096;
--- a/crates/scale-bench/src/lib.rs
+++ b/crates/scale-bench/src/lib.rs
@@ -19,6 +19,14 @@
 //! | [`path`] | the program itself, as a process | disks: stand-in boxes take a fixed time for each read, and share their cores with clients of this tool |
 //!
 //! Nothing of a part is changed for the measurement. What a bound cut short is kept and marked as not whole.
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::match_bool,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not revised yet: docs/ROADMAP.md"
+)]
 pub mod chart;
 pub mod cpu;
 mod error;
--- a/crates/scatter-gather/src/lib.rs
+++ b/crates/scatter-gather/src/lib.rs
@@ -7,13 +7,6 @@
 //!
 //! Each shard request is a request of its own for the scheduler, which alone decides on retries: a gather sends each once.
 //! Writes are never gathered: [`Policy::check`] rejects each class that is not known to read only.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 mod answer;
 mod check;
 mod conclude;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,13 +3,6 @@
 //! [`Scheduler`] is sans-I/O: its caller notifies it of events with the time at which they happened, and it
 //! returns the actions to take. See the README for a complete example and `docs/design.md` for the
 //! mechanism.
-#![warn(
-    clippy::let_underscore_must_use,
-    clippy::map_err_ignore,
-    clippy::match_bool,
-    clippy::missing_errors_doc,
-    clippy::too_many_lines
-)]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/test-cluster/examples/smoke.rs
+++ b/crates/test-cluster/examples/smoke.rs
@@ -1,6 +1,7 @@
 //! Five fronts, eight boxes in two halls, discovery, clients, and ten seconds of faults. `LICHENRUDDER` names the program;
 //! seeds are the arguments, or `RIG_SEED`; `RIG_MORE` adds kinds of faults, `RIG_ISCSI` lets clients and boxes speak iSCSI,
 //! `RIG_STORY` and `RIG_LINES` show what happens.
+#![allow(clippy::too_many_lines, reason = "not revised yet: docs/ROADMAP.md")]
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,6 +1,14 @@
 //! Test support: several processes of the program, boxes, discovery, and links that fail. Schedules of faults come from
 //! seeds that are printed, verdicts rest on what boxes, discovery and clients have logged and not on the machine's speed,
 //! and only what was started here is ever signalled.
+#![allow(
+    clippy::let_underscore_must_use,
+    clippy::map_err_ignore,
+    clippy::match_bool,
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not revised yet: docs/ROADMAP.md"
+)]
 pub mod boxes;
 pub mod clients;
 pub mod discovery;
--- a/crates/test-cluster/tests/schedules.rs
+++ b/crates/test-cluster/tests/schedules.rs
@@ -1,5 +1,6 @@
 //! Schedules come from their seeds, keep to their bounds, and can be made smaller.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+#![allow(clippy::match_bool, reason = "not revised yet: docs/ROADMAP.md")]
 use std::time::Duration;
 use test_cluster::schedule::{Fault, Kind, Parties, Schedule, MORE, MOST, USUAL};
 
