--- a/crates/coordination/src/log_thread/apply.rs
+++ b/crates/coordination/src/log_thread/apply.rs
@@ -35,13 +35,13 @@
     let mut response = OperatorResponse::Done("done\n".into());
     for effect in effects {
         match effect {
-            Effect::Status(status) | Effect::Ended(status) => {
+            Effect::Status(status) | Effect::RequestEnded(status) => {
                 response = OperatorResponse::Done(maintenance_text(status));
             }
             Effect::Rejected { command, reason } => {
                 let text = format!("{command}: {reason}\n");
                 return match reason {
-                    Rejection::Unknown | Rejection::NotListed(_) | Rejection::MemberNotPresent => {
+                    Rejection::NotFound | Rejection::NotListed(_) | Rejection::MemberNotPresent => {
                         OperatorResponse::NotFound(text)
                     }
                     _ => OperatorResponse::Rejected(text),
--- a/crates/coordination/src/log_thread/effect_log.rs
+++ b/crates/coordination/src/log_thread/effect_log.rs
@@ -38,7 +38,7 @@
         Effect::Unlisted { name, backend } => {
             format!("maintenance unlisted request={name} backend={backend}")
         }
-        Effect::Ended(status) => format!("maintenance ended request={}", status.name),
+        Effect::RequestEnded(status) => format!("maintenance ended request={}", status.name),
         Effect::Status(_) | Effect::Rejected { .. } => return None,
     };
     Some(line)
--- a/crates/coordination/src/log_thread/facts.rs
+++ b/crates/coordination/src/log_thread/facts.rs
@@ -65,13 +65,13 @@
     applied_index: Index,
     maintenance: &MaintenanceState,
 ) -> ClusterView {
-    let view = ClusterView { healthy_ms, seen: applied_index, ..ClusterView::default() };
+    let view = ClusterView { healthy_ms, min_applied: applied_index, ..ClusterView::default() };
     let mut combined = Combined { view, ..Combined::default() };
     let (mut is_complete, mut max_reservation) = (true, 0);
     let mut reporting = BTreeSet::new();
     for (member, measured) in measured {
         reporting.insert(member.clone());
-        combined.view.seen = combined.view.seen.min(measured.applied_index);
+        combined.view.min_applied = combined.view.min_applied.min(measured.applied_index);
         let measurements = &measured.measurements;
         is_complete &= measurements.is_complete;
         max_reservation = max_reservation.max(measurements.max_reservation);
--- a/crates/coordination/src/log_thread/periodic.rs
+++ b/crates/coordination/src/log_thread/periodic.rs
@@ -8,7 +8,7 @@
 use crate::state_machine::Command;
 use cluster_types::Time;
 use consensus::Role;
-use maintenance::{Event, MemberStanding, Presence};
+use maintenance::{Event, MemberStatus, Presence};
 use std::time::Duration;
 
 /// When a command that is not in the log is sent again.
@@ -48,8 +48,8 @@
     /// Announces that this member is present, under this incarnation of its process.
     fn announce_presence(&mut self, now: Time) {
         let incarnation = self.process_incarnation;
-        let is_known = self.state.maintenance.standing(&self.settings.me)
-            == Some(MemberStanding::Present { incarnation });
+        let is_known = self.state.maintenance.member_status(&self.settings.me)
+            == Some(MemberStatus::Present { incarnation });
         let is_due = now.since(self.last_runs.presence) >= RESEND_INTERVAL;
         if !is_known && !self.is_leaving && is_due {
             self.last_runs.presence = now;
--- a/crates/coordination/src/log_thread/status.rs
+++ b/crates/coordination/src/log_thread/status.rs
@@ -49,7 +49,7 @@
             out.push_str(&maintenance_text(&request));
         }
     }
-    for backend in maintenance.out_backends() {
+    for backend in maintenance.out_of_service() {
         push(&mut out, format_args!("out {backend}"));
     }
     out
--- a/crates/coordination/tests/golden_support/entries.rs
+++ b/crates/coordination/tests/golden_support/entries.rs
@@ -26,7 +26,7 @@
     let fact = BackendFacts { zone: "h-1".into(), is_listed: true, has_failed: false, is_warming_up: false };
     let volume = VolumeFacts { reserved: 100, backends: [("b-1".into(), 400), ("b-2".into(), 300)].into() };
     maintenance::Command::Observe {
-        seen: Index(3),
+        min_applied: Index(3),
         is_complete: true,
         backends: [("b-1".into(), fact.clone()), ("b-2".into(), fact)].into(),
         volumes: [("00000000000000ff".into(), volume)].into(),
--- a/crates/maintenance/src/admission/mod.rs
+++ b/crates/maintenance/src/admission/mod.rs
@@ -1,39 +1,39 @@
-//! Admission: whether a batch may be taken out of service now.
-mod out_backends;
+//! Admission control: whether a batch may be taken out of service now.
+mod out_of_service;
 mod queue_order;
 
-pub(crate) use out_backends::OutBackends;
+pub(crate) use out_of_service::OutOfServiceSet;
 
 use crate::rejection::Rejection;
 use crate::request::Batch;
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use cluster_types::Index;
 
-/// A batch that waits for backends to return, with the log index and name of its request.
+/// A batch that waits for other backends to return, with the log index and name of its request.
 struct QueuedBatch<'a> {
     request: Index,
     name: &'a str,
     batch: Batch,
 }
 
-/// What batches are judged by at one state. All of it is replicated: the proposer is not trusted.
+/// Checks batches against one state. It only uses replicated data, since the proposer is not trusted.
 pub(crate) struct AdmissionCheck<'a> {
     state: &'a MaintenanceState,
-    all: OutBackends<'a>,
-    granted: OutBackends<'a>,
-    /// The longest-waiting first.
+    all: OutOfServiceSet<'a>,
+    granted: OutOfServiceSet<'a>,
+    /// Waiting batches, the longest-waiting first.
     queue: Vec<QueuedBatch<'a>>,
 }
 
 impl<'a> AdmissionCheck<'a> {
     pub(crate) fn new(state: &'a MaintenanceState) -> AdmissionCheck<'a> {
-        let all = OutBackends::all(state);
-        AdmissionCheck { state, queue: queue(state, &all), granted: OutBackends::granted(state), all }
+        let all = OutOfServiceSet::all(state);
+        AdmissionCheck { state, queue: queue(state, &all), granted: OutOfServiceSet::granted(state), all }
     }
 
     /// Whether a batch of the named request may be granted now.
     pub(crate) fn admit(&self, name: &str, batch: &Batch) -> Result<(), Rejection> {
-        let request = self.state.requests.get(name).ok_or(Rejection::Unknown)?;
+        let request = self.state.requests.get(name).ok_or(Rejection::NotFound)?;
         if !request.waiting_batches().contains(batch) {
             return Err(Rejection::Superseded);
         }
@@ -45,7 +45,7 @@
             .admit_now(batch)
             .and_then(|()| self.granted.admit_now(batch))
             .map_err(Rejection::BoundExceeded)?;
-        if !self.is_measured_lately(batch) {
+        if !self.has_recent_measurements(batch) {
             return Err(Rejection::StaleMeasurements);
         }
         let mut older = self.queue.iter().take_while(|queued| queued.request < request.index);
@@ -59,27 +59,27 @@
         for backend in batch {
             let facts = self.state.facts.backend(backend).filter(|facts| facts.is_listed);
             let facts = facts.ok_or_else(|| Rejection::NotListed(backend.clone()))?;
-            match self.state.placements.get(backend) {
+            match self.state.phases.get(backend) {
                 None => {}
-                Some(Placement::Recovering(_)) if facts.has_failed => {}
-                Some(_) => return Err(Rejection::Busy(backend.clone())),
+                Some(MaintenancePhase::Recovering(_)) if facts.has_failed => {}
+                Some(_) => return Err(Rejection::UnderMaintenance(backend.clone())),
             }
         }
         Ok(())
     }
 
-    /// Whether the facts that a grant of the batch rests on are recent enough.
-    fn is_measured_lately(&self, batch: &Batch) -> bool {
+    /// Whether the facts that a grant of the batch depends on are recent enough.
+    fn has_recent_measurements(&self, batch: &Batch) -> bool {
         let state = self.state;
         let is_recent =
             |at_ms: u64| at_ms.saturating_add(state.rules.max_measurement_age_ms) >= state.log_time_ms;
         let mut volumes = batch.iter().flat_map(|backend| state.facts.volumes_of(backend));
-        state.facts.complete_ms.is_some_and(is_recent)
-            && volumes.all(|(_, volume)| is_recent(volume.measured_ms))
+        state.facts.complete_at_ms.is_some_and(is_recent)
+            && volumes.all(|(_, volume)| is_recent(volume.measured_at_ms))
     }
 
-    /// Whether `younger` has to wait for `older`, so that a stream of younger requests can't starve an older one: whatever
-    /// is granted meanwhile, `older` is granted as soon as it would have been without.
+    /// Whether `younger` has to wait for `older`. This prevents a stream of younger requests from starving an older one:
+    /// whatever is granted in the meantime, `older` is granted as early as it would have been without it.
     fn must_wait_for(&self, older: &Batch, younger: &Batch) -> bool {
         !older.is_disjoint(younger)
             || self.all.is_delayed_by(older, younger)
@@ -87,10 +87,10 @@
     }
 }
 
-/// The batches that wait for backends to return, the longest-waiting first. One that could not be granted even after all
-/// that return in time have done so (a backend has failed, its volume has too little capacity) is left out and holds back
-/// no other.
-fn queue<'a>(state: &'a MaintenanceState, all: &OutBackends) -> Vec<QueuedBatch<'a>> {
+/// The batches that wait for backends to return, the longest-waiting first. A batch that could not be granted even after
+/// all temporarily unavailable backends have returned (a backend has failed, or its volume has too little capacity) is left
+/// out and delays no other.
+fn queue<'a>(state: &'a MaintenanceState, all: &OutOfServiceSet) -> Vec<QueuedBatch<'a>> {
     let mut queue = Vec::new();
     for (name, request) in state.open_requests() {
         for batch in request.waiting_batches() {
--- a/crates/maintenance/src/admission/out_backends.rs
+++ b/crates/maintenance/src/admission/out_of_service.rs
@@ -1,51 +1,51 @@
-//! The backends that count as out of service, and whether more of them would exceed a bound.
+//! The backends that count as out of service, and whether additional ones would exceed a bound.
 use crate::bound::Bound;
 use crate::request::Batch;
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use cluster_types::{BackendId, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Why a backend counts as out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OutReason {
-    /// It is granted, recovering or warming up: it returns in time.
+    /// It is granted, recovering or warming up, and expected to return.
     Temporary,
-    /// It has failed or is no longer listed: it is unknown when it returns.
+    /// It has failed or is no longer listed, and may never return.
     Failed,
 }
 
-/// The backends that count as out of service at one state.
-pub(crate) struct OutBackends<'a> {
+/// The backends that count as out of service in one state.
+pub(crate) struct OutOfServiceSet<'a> {
     state: &'a MaintenanceState,
     reasons: BTreeMap<&'a BackendId, OutReason>,
     /// Whether only grants and recoveries count.
     only_granted: bool,
 }
 
-impl<'a> OutBackends<'a> {
-    /// All that count.
-    pub(crate) fn all(state: &'a MaintenanceState) -> OutBackends<'a> {
+impl<'a> OutOfServiceSet<'a> {
+    /// All backends that count as out of service.
+    pub(crate) fn all(state: &'a MaintenanceState) -> OutOfServiceSet<'a> {
         let mut reasons = BTreeMap::new();
         for (backend, known) in &state.facts.backends {
-            let placement = state.placements.get(backend);
-            let reason = match placement {
-                Some(Placement::Granted(_)) => Some(OutReason::Temporary),
+            let phase = state.phases.get(backend);
+            let reason = match phase {
+                Some(MaintenancePhase::Granted(_)) => Some(OutReason::Temporary),
                 _ if !known.facts.is_available() => Some(OutReason::Failed),
-                Some(Placement::Recovering(_)) => Some(OutReason::Temporary),
+                Some(MaintenancePhase::Recovering(_)) => Some(OutReason::Temporary),
                 None if known.facts.is_warming_up => Some(OutReason::Temporary),
                 None => None,
             };
             reasons.extend(reason.map(|reason| (backend, reason)));
         }
-        OutBackends { state, reasons, only_granted: false }
+        OutOfServiceSet { state, reasons, only_granted: false }
     }
 
-    /// Only those that are granted or recovering. A failed backend may be granted beyond bounds that failures exceed
-    /// already, but grants by themselves never exceed any. Otherwise a leader that is cut off from a zone would take all of
-    /// it for failed and grant all of it.
-    pub(crate) fn granted(state: &'a MaintenanceState) -> OutBackends<'a> {
-        let reasons = state.placements.keys().map(|backend| (backend, OutReason::Temporary)).collect();
-        OutBackends { state, reasons, only_granted: true }
+    /// Only the backends that are granted or recovering. A failed backend may be granted although failures already exceed
+    /// a bound, but the grants alone must not exceed any. Otherwise a leader that is partitioned from a zone would consider
+    /// all of its backends failed and grant all of them.
+    pub(crate) fn granted(state: &'a MaintenanceState) -> OutOfServiceSet<'a> {
+        let reasons = state.phases.keys().map(|backend| (backend, OutReason::Temporary)).collect();
+        OutOfServiceSet { state, reasons, only_granted: true }
     }
 
     pub(crate) fn into_backends(self) -> BTreeSet<BackendId> {
@@ -60,7 +60,7 @@
         self.reasons.contains_key(backend)
     }
 
-    /// Whether a backend is out of service without a grant, by failure.
+    /// Whether a backend is out of service because of a failure rather than a grant.
     pub(super) fn has_failed(&self, backend: &BackendId) -> bool {
         self.reasons.get(backend) == Some(&OutReason::Failed)
     }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// All bounds that apply to some of these backends.
+    /// All bounds that apply to at least one of these backends.
     pub(super) fn bounds_of<'b>(&self, backends: impl Iterator<Item = &'b BackendId>) -> BTreeSet<Bound> {
         let mut bounds = BTreeSet::from([Bound::Total]);
         for backend in backends {
@@ -104,7 +104,7 @@
         allowed as usize
     }
 
-    /// Whether a volume keeps its reserved capacity without the backends for which `is_out` holds.
+    /// Whether a volume keeps its reserved capacity without the backends for which `is_out` returns true.
     pub(super) fn keeps_reservation(&self, volume: &Volume, is_out: impl Fn(&BackendId) -> bool) -> bool {
         let Some(known) = self.state.facts.volumes.get(volume) else { return true };
         let in_service = known.facts.backends.iter().filter(|(backend, _)| !is_out(backend));
@@ -112,7 +112,8 @@
         capacity >= u128::from(known.facts.reserved)
     }
 
-    /// Whether a batch may go out beside those that are out for a reason that `counts`. What counts already adds nothing.
+    /// Checks whether a batch may go out of service in addition to the backends that are out for a reason that `counts`.
+    /// Backends of the batch that are already counted add nothing.
     fn admit(&self, batch: &Batch, counts: impl Fn(OutReason) -> bool) -> Result<(), Bound> {
         let is_out = |backend: &BackendId| self.reasons.get(backend).is_some_and(|reason| counts(*reason));
         let added: Batch = batch.iter().filter(|backend| !is_out(backend)).cloned().collect();
@@ -138,12 +139,12 @@
         Ok(())
     }
 
-    /// Whether a batch may go out now; the first bound that it would exceed otherwise.
+    /// Checks whether a batch may go out of service now; the error is the first bound that it would exceed.
     pub(super) fn admit_now(&self, batch: &Batch) -> Result<(), Bound> {
         self.admit(batch, |_| true)
     }
 
-    /// Whether a batch could go out once all that return in time have done so.
+    /// Whether a batch could go out of service once all temporarily unavailable backends have returned.
     pub(super) fn admits_eventually(&self, batch: &Batch) -> bool {
         batch.iter().all(|backend| self.state.facts.is_listed(backend))
             && self.admit(batch, |reason| reason == OutReason::Failed).is_ok()
--- a/crates/maintenance/src/admission/queue_order.rs
+++ b/crates/maintenance/src/admission/queue_order.rs
@@ -1,19 +1,20 @@
-//! Which younger batches have to wait for an older one: only those that would delay it.
-use super::out_backends::OutBackends;
+//! Decides which younger batches have to wait for an older one: only those that would delay it.
+use super::out_of_service::OutOfServiceSet;
 use crate::bound::Bound;
 use crate::request::Batch;
 use cluster_types::BackendId;
 
-/// Two waiting batches that compete for a bound, without backends that have failed: these are out whatever is granted.
+/// Two waiting batches that compete for a bound. Failed backends are left out, since they are out of service whether or
+/// not they are granted.
 struct Competition<'s, 'a> {
-    out: &'s OutBackends<'a>,
+    out: &'s OutOfServiceSet<'a>,
     older: Batch,
     younger: Batch,
 }
 
-impl OutBackends<'_> {
-    /// Whether granting `younger` would delay `older`: once those have returned that `older` waits for anyway, it still
-    /// could not be granted because of `younger`.
+impl OutOfServiceSet<'_> {
+    /// Whether granting `younger` would delay `older`: after the return of the backends that `older` waits for in any case,
+    /// it still could not be granted because of `younger`.
     pub(super) fn is_delayed_by(&self, older: &Batch, younger: &Batch) -> bool {
         let without_failed = |batch: &Batch| -> Batch {
             batch.iter().filter(|backend| !self.has_failed(backend)).cloned().collect()
@@ -31,15 +32,16 @@
         let older_bounds = self.out.bounds_of(self.older.iter());
         let younger_bounds = self.out.bounds_of(self.younger.iter());
         let due: Vec<(&Bound, usize)> =
-            older_bounds.iter().map(|bound| (bound, self.returns_due(bound))).collect();
+            older_bounds.iter().map(|bound| (bound, self.required_returns(bound))).collect();
         older_bounds.intersection(&younger_bounds).any(|bound| match bound {
             Bound::Reservation(volume) => {
                 !self.out.keeps_reservation(volume, |backend| self.is_out_with_both(backend))
             }
             _ => {
                 let excess = self.count_with_both(bound).saturating_sub(self.out.allowed(bound));
-                let covers =
-                    |(other, returns): &(&Bound, usize)| self.returns_under(bound, other, *returns) >= excess;
+                let covers = |(other, returns): &(&Bound, usize)| {
+                    self.min_returns_under(bound, other, *returns) >= excess
+                };
                 excess > 0 && !due.iter().any(covers)
             }
         })
@@ -49,7 +51,7 @@
         self.out.contains(backend) || self.older.contains(backend) || self.younger.contains(backend)
     }
 
-    /// How many backends under a bound would be out with both batches.
+    /// How many backends under a bound would be out of service with both batches granted.
     fn count_with_both(&self, bound: &Bound) -> usize {
         let is_under = |backend: &&BackendId| self.out.is_under(backend, bound);
         self.others().filter(is_under).count()
@@ -57,15 +59,15 @@
             + self.younger.iter().filter(is_under).count()
     }
 
-    /// The backends that are out and belong to neither batch.
+    /// The backends that are out of service and belong to neither batch.
     fn others(&self) -> impl Iterator<Item = &'a BackendId> + use<'_, 'a> {
         let is_other =
             |backend: &&BackendId| !self.older.contains(*backend) && !self.younger.contains(*backend);
         self.out.backends().filter(is_other)
     }
 
-    /// How many backends under a bound must return before the older batch can be granted, were there no younger one.
-    fn returns_due(&self, bound: &Bound) -> usize {
+    /// How many backends under a bound must return before the older batch can be granted, regardless of the younger one.
+    fn required_returns(&self, bound: &Bound) -> usize {
         match bound {
             Bound::Reservation(volume) => {
                 let is_out = |backend: &BackendId| {
@@ -83,9 +85,10 @@
         }
     }
 
-    /// Of the `returns` that are due under `other`, at least so many are under `bound` as well: those under `other` alone
-    /// can't be more than there are. Returns due under `bound` itself make room for the older batch alone.
-    fn returns_under(&self, bound: &Bound, other: &Bound, returns: usize) -> usize {
+    /// The minimum number of the `returns` required under `other` that are under `bound` as well: at most as many as there
+    /// are backends under `other` alone can be missing. Returns required under `bound` itself only free capacity for the
+    /// older batch, so they count as 0.
+    fn min_returns_under(&self, bound: &Bound, other: &Bound, returns: usize) -> usize {
         if bound == other {
             return 0;
         }
--- a/crates/maintenance/src/bound.rs
+++ b/crates/maintenance/src/bound.rs
@@ -1,22 +1,22 @@
-//! The bounds on what may be out of service.
+//! The bounds on the backends that may be out of service.
 use cluster_types::{Volume, Zone};
 use std::fmt;
 
 /// A bound that a grant may not exceed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Bound {
-    /// The number of all backends that are out of service.
+    /// The number of backends that are out of service.
     Total,
-    /// Their number in a zone.
+    /// The number of backends of a zone that are out of service.
     Zone(Zone),
-    /// Their number among those that store a volume.
+    /// The number of backends that store a volume and are out of service.
     Volume(Volume),
-    /// The capacity that is reserved for a volume.
+    /// The capacity that must remain available for a volume.
     Reservation(Volume),
 }
 
 impl fmt::Display for Bound {
-    /// The wording of the operators' interface.
+    /// Writes the text of the operator interface.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Bound::Total => f.write_str("as many are out as may be in the whole"),
--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -8,37 +8,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Whether a member serves, by its own report. Stored and sent: the variants keep their order.
+/// Whether a member is running, by its own report. Stored and sent: the variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Presence {
-    /// It serves. A new incarnation means that it has restarted and that its earlier reports no longer hold.
+    /// The member is running. A new incarnation means that it has restarted and that its earlier reports are void.
     Present {
-        /// The start of the member's process.
+        /// Identifies the member's process: one that starts later has a higher value.
         incarnation: u64,
     },
-    /// It has left the cluster and sends nothing to backends any more.
+    /// The member has left the cluster and no longer sends requests to backends.
     Left,
 }
 
 /// A command of the log. Stored and sent: the variants and their fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Replaces the operators' rules.
+    /// Replaces the rules.
     SetRules(Rules),
     /// An operator requests maintenance.
     Request {
-        /// Identifies the request. Repeated with the same content, the command reports the request's status.
+        /// Identifies the request. A repeated command with the same content reports the request's status.
         name: String,
         /// The backends to take out of service.
         backends: BTreeSet<BackendId>,
         /// How long each may be out of service, in milliseconds.
         work_ms: u64,
-        /// The Unix time in milliseconds after which nothing of it is granted.
+        /// The Unix time in milliseconds after which no backend of the request is granted.
         deadline_ms: Option<u64>,
         /// Whether the backends are granted all at once or not at all.
         all_at_once: bool,
     },
-    /// Withdraws a request: waiting backends are dropped, draining ones recover, and open ones stay out until returned.
+    /// Withdraws a request: waiting backends are dropped, draining ones recover, and drained ones stay out of service until
+    /// they are returned.
     Withdraw {
         /// The request.
         name: String,
@@ -47,10 +48,10 @@
     Grant {
         /// The request.
         name: String,
-        /// One backend, or all that wait of a request that is granted all at once.
+        /// One backend, or all waiting backends of a request that is granted all at once.
         backends: BTreeSet<BackendId>,
     },
-    /// A member has drained all backends of a grant. Counts only from the member itself.
+    /// A member has drained all backends of a grant. Only accepted from the member itself.
     ReportDrained {
         /// The grant.
         grant: Index,
@@ -64,23 +65,23 @@
         /// The backend.
         backend: BackendId,
     },
-    /// The operator has finished work on all backends of a request; those that still wait are dropped.
+    /// The operator has finished work on all backends of a request; those still waiting are dropped.
     Finish {
         /// The request.
         name: String,
     },
-    /// The leader assigns quotas of a recovering backend's cold budget.
+    /// The leader assigns members their quotas of a recovering backend's cold budget.
     SetStage {
         /// The backend.
         backend: BackendId,
-        /// The recovery step that this one follows; if another came between, the command is rejected.
+        /// The previous recovery step; if it is no longer the latest one, the command is rejected.
         after: Index,
         /// The stage.
         stage: usize,
-        /// The members' quotas; a member without one sends nothing.
+        /// The members' quotas; a member without one sends no requests to the backend.
         quotas: Quotas,
     },
-    /// A member keeps to its quota. Counts only from the member itself.
+    /// A member has put its quota into effect. Only accepted from the member itself.
     AcknowledgeStage {
         /// The backend.
         backend: BackendId,
@@ -93,18 +94,18 @@
     CompleteRecovery {
         /// The backend.
         backend: BackendId,
-        /// The recovery step that it was at.
+        /// The latest recovery step.
         step: Index,
     },
-    /// What the leader has collected of the members' measurements.
+    /// Changes that the leader found in the members' measurements.
     Observe {
-        /// Every member whose measurements are included had applied the log up to here.
-        seen: Index,
-        /// Whether, with this command, all backends and volumes are known.
+        /// All members whose measurements are included had applied the log at least up to this index.
+        min_applied: Index,
+        /// Whether all backends and volumes are known once this command is applied.
         is_complete: bool,
         /// Backends that have changed.
         backends: BTreeMap<BackendId, BackendFacts>,
-        /// Volumes that have changed or were measured again; one without backends is forgotten.
+        /// Volumes that have changed or were measured again; a volume without backends is removed.
         volumes: BTreeMap<Volume, VolumeFacts>,
     },
     /// A member's report on its own presence.
@@ -114,16 +115,16 @@
         /// Its presence.
         presence: Presence,
     },
-    /// An operator confirms that a member is dead that did not leave: it counts as having left.
+    /// An operator confirms that a member that did not leave is dead: it is treated as having left.
     DeclareDead {
         /// The member.
         member: MemberId,
     },
-    /// Advances the log's time.
+    /// Advances the log time.
     Tick,
 }
 
-/// A short description of a command for the reply to its issuer, such as `withdraw rack-7`.
+/// A short description of a command for the response to its issuer, such as `withdraw rack-7`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommandLabel {
     kind: &'static str,
@@ -135,7 +136,7 @@
         CommandLabel { kind, subject: subject.chars().take(limits::NAME_BYTES).collect() }
     }
 
-    /// Describes a log entry that is not applied, whatever its command.
+    /// Describes a log entry that is not applied, regardless of its command.
     pub(crate) fn entry(index: Index) -> CommandLabel {
         CommandLabel::new("entry", &index.0.to_string())
     }
@@ -163,7 +164,7 @@
 }
 
 impl fmt::Display for CommandLabel {
-    /// The wording of the operators' interface, which its clients parse.
+    /// Writes the text of the operator interface, which its clients parse.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.kind, self.subject)
     }
--- a/crates/maintenance/src/effect.rs
+++ b/crates/maintenance/src/effect.rs
@@ -1,30 +1,30 @@
-//! What applying a command brings about.
+//! The effects of applying a command.
 use crate::command::CommandLabel;
 use crate::rejection::Rejection;
 use crate::status::RequestStatus;
 use cluster_types::{BackendId, Index};
 use std::collections::BTreeSet;
 
-/// A consequence of a command, for the host to report or log. The orders for members are read from the state instead.
+/// An effect of a command, for the host to report or log. Members' orders are read from the state instead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// The status of a request, for the issuer of the command.
     Status(RequestStatus),
-    /// The command changed nothing.
+    /// The command was rejected and changed nothing.
     Rejected {
-        /// The command.
+        /// The rejected command.
         command: CommandLabel,
-        /// Why.
+        /// Why it was rejected.
         reason: Rejection,
     },
-    /// All members have to drain these backends.
+    /// All members must drain these backends.
     Drain {
         /// The grant.
         grant: Index,
         /// The backends.
         backends: BTreeSet<BackendId>,
     },
-    /// All members have drained the backends: the operator may open them.
+    /// All members have drained the backends: the operator may start work on them.
     Drained {
         /// The grant.
         grant: Index,
@@ -33,13 +33,13 @@
         /// The backends.
         backends: BTreeSet<BackendId>,
     },
-    /// A backend recovers, by the quotas of this step.
+    /// A recovery step begins, and the quotas of this step apply.
     Recovering {
         /// The backend.
         backend: BackendId,
         /// The recovery step.
         step: Index,
-        /// The stage; none before the first.
+        /// The stage; `None` before the first.
         stage: Option<usize>,
     },
     /// A backend is in service again.
@@ -47,14 +47,14 @@
         /// The backend.
         backend: BackendId,
     },
-    /// The deadline has passed and these backends will not be granted.
+    /// The request's deadline has passed, and these backends will not be granted.
     DeadlineMissed {
         /// The request.
         name: String,
         /// The backends.
         backends: BTreeSet<BackendId>,
     },
-    /// Backends have been open for longer than requested. They still count as out of service.
+    /// Work on backends takes longer than requested. They still count as out of service.
     Overdue {
         /// The grant.
         grant: Index,
@@ -63,13 +63,13 @@
         /// The backends.
         backends: BTreeSet<BackendId>,
     },
-    /// A waiting backend is no longer listed and will not be granted.
+    /// Discovery no longer lists a waiting backend, and it will not be granted.
     Unlisted {
         /// The request.
         name: String,
         /// The backend.
         backend: BackendId,
     },
-    /// Nothing of a request is open any more.
-    Ended(RequestStatus),
+    /// No backend of a request is waiting or granted any more.
+    RequestEnded(RequestStatus),
 }
--- a/crates/maintenance/src/facts.rs
+++ b/crates/maintenance/src/facts.rs
@@ -1,13 +1,13 @@
-//! What is known of backends and volumes: replicated, so that every member checks bounds by the same facts.
+//! Replicated facts about backends and volumes, by which every member checks the bounds in the same way.
 use crate::limits;
 use cluster_types::{BackendId, Index, Volume, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a backend. Stored and sent: the fields keep their order.
+/// Facts about a backend. Stored and sent: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendFacts {
-    /// Its zone.
+    /// The zone of the backend.
     pub zone: Zone,
     /// Whether discovery lists it.
     pub is_listed: bool,
@@ -18,34 +18,34 @@
 }
 
 impl BackendFacts {
-    /// Whether it can serve requests, as far as it is not under maintenance.
+    /// Whether the backend can serve requests, maintenance aside.
     pub(crate) fn is_available(&self) -> bool {
         self.is_listed && !self.has_failed
     }
 }
 
-/// What is known of a volume. Stored and sent: the fields keep their order.
+/// Facts about a volume. Stored and sent: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VolumeFacts {
-    /// The capacity that is reserved for it.
+    /// The capacity that is reserved for the volume.
     pub reserved: u64,
-    /// The backends that store it, with the capacity that members measured for it at each, in the unit of the reservation.
-    /// Backends that are out of service are included as long as they store it.
+    /// The backends that store the volume, with the capacity that members measured at each, in the unit of `reserved`.
+    /// Backends that are out of service are included as long as they store the volume.
     pub backends: BTreeMap<BackendId, u64>,
 }
 
-/// The log entry that facts come from.
+/// Index and time of the log entry that carried the facts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EntryPosition {
     pub(crate) index: Index,
     pub(crate) time_ms: u64,
 }
 
-/// A backend and when its facts changed. Stored: the fields keep their order.
+/// The facts about a backend and when they changed. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct KnownBackend {
     pub(crate) facts: BackendFacts,
-    /// The entry that changed the facts last. Observations made before it are ignored.
+    /// The last entry that changed the facts. Observations made before it are ignored.
     pub(crate) changed: Index,
     /// The log time at which discovery stopped listing it.
     pub(crate) unlisted_since_ms: Option<u64>,
@@ -53,24 +53,24 @@
     pub(crate) volumes: BTreeSet<Volume>,
 }
 
-/// A volume and when it was measured. Stored: the fields keep their order.
+/// The facts about a volume and when they were measured. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MeasuredVolume {
     pub(crate) facts: VolumeFacts,
-    /// The entry that measured it last. Observations made before it are ignored.
+    /// The last entry that measured the volume. Observations made before it are ignored.
     pub(crate) changed: Index,
     /// The log time of that entry.
-    pub(crate) measured_ms: u64,
+    pub(crate) measured_at_ms: u64,
 }
 
-/// All known facts. Stored: the fields keep their order.
+/// All facts. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FactStore {
     pub(crate) backends: BTreeMap<BackendId, KnownBackend>,
     pub(crate) volumes: BTreeMap<Volume, MeasuredVolume>,
-    /// The log time at which all backends and volumes were last known.
-    pub(crate) complete_ms: Option<u64>,
-    /// Facts that were dropped at one of the limits.
+    /// The log time of the last observation after which all backends and volumes were known.
+    pub(crate) complete_at_ms: Option<u64>,
+    /// The number of facts that were dropped because a limit was reached.
     pub(crate) dropped: u64,
 }
 
@@ -93,12 +93,12 @@
         volumes.filter_map(|volume| self.volumes.get_key_value(volume))
     }
 
-    /// Records what was observed of a backend once the log was applied up to `seen`, unless it has changed after that.
-    /// Returns whether anything changed. A backend that was never listed is not recorded.
+    /// Records an observation of a backend that was made with the log applied up to `min_applied`, unless the facts have
+    /// changed since. Returns whether anything changed. A backend that was never listed is not recorded.
     pub(crate) fn observe_backend(
         &mut self,
         entry: EntryPosition,
-        seen: Index,
+        min_applied: Index,
         backend: &BackendId,
         facts: &BackendFacts,
     ) -> bool {
@@ -113,7 +113,7 @@
             None => self.backends.entry(backend.clone()).or_default(),
         };
         let is_new = known.changed == Index(0);
-        if known.changed > seen || (known.facts == *facts && !is_new) {
+        if known.changed > min_applied || (known.facts == *facts && !is_new) {
             return false;
         }
         known.unlisted_since_ms =
@@ -123,17 +123,17 @@
         true
     }
 
-    /// Records what was observed of a volume once the log was applied up to `seen`, unless it has changed after that. A
-    /// volume without backends is forgotten; unknown backends are left out.
+    /// Records an observation of a volume that was made with the log applied up to `min_applied`, unless the facts have
+    /// changed since. A volume without backends is removed; unknown backends are left out.
     pub(crate) fn observe_volume(
         &mut self,
         entry: EntryPosition,
-        seen: Index,
+        min_applied: Index,
         volume: &Volume,
         facts: &VolumeFacts,
     ) {
         let known = self.volumes.get(volume);
-        if known.is_some_and(|known| known.changed > seen) {
+        if known.is_some_and(|known| known.changed > min_applied) {
             return;
         }
         let is_full = known.is_none() && self.volumes.len() >= limits::VOLUMES;
@@ -150,7 +150,7 @@
             }
         }
         if !facts.backends.is_empty() {
-            let measured = MeasuredVolume { facts, changed: entry.index, measured_ms: entry.time_ms };
+            let measured = MeasuredVolume { facts, changed: entry.index, measured_at_ms: entry.time_ms };
             self.volumes.insert(volume.clone(), measured);
         }
     }
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Forgets a backend, and volumes that only it stored.
+    /// Removes a backend, and the volumes that only it stored.
     pub(crate) fn forget_backend(&mut self, backend: &BackendId) {
         let Some(known) = self.backends.remove(backend) else { return };
         for name in known.volumes {
--- a/crates/maintenance/src/grant.rs
+++ b/crates/maintenance/src/grant.rs
@@ -3,18 +3,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A grant. The log index of its command identifies it. Stored: the fields keep their order.
+/// Backends that were taken out of service by one command, whose log index identifies the grant. Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The request.
+    /// The name of the request.
     pub name: String,
-    /// The backends that are still out of service under it.
+    /// The backends of the grant that have not been returned.
     pub backends: BTreeSet<BackendId>,
-    /// The members that have drained them in their present incarnation.
+    /// The members that have drained the backends in their current incarnation.
     pub drained_by: BTreeSet<MemberId>,
-    /// The log time in milliseconds at which all members had drained and the operator was asked to open the backends.
-    pub drained_ms: Option<u64>,
-    /// How long the backends may be open, in milliseconds.
+    /// The log time in milliseconds at which all members had drained the backends and the operator could start work.
+    pub drained_at_ms: Option<u64>,
+    /// How long work on the backends may take, in milliseconds.
     pub work_ms: u64,
     /// Whether [`crate::Effect::Overdue`] was reported.
     pub is_overdue_reported: bool,
@@ -26,14 +26,14 @@
             name: name.into(),
             backends,
             drained_by: BTreeSet::new(),
-            drained_ms: None,
+            drained_at_ms: None,
             work_ms,
             is_overdue_reported: false,
         }
     }
 
-    /// Whether all members have drained the backends, so that they may be open.
+    /// Whether all members have drained the backends, so that work on them may start.
     pub fn is_drained(&self) -> bool {
-        self.drained_ms.is_some()
+        self.drained_at_ms.is_some()
     }
 }
--- a/crates/maintenance/src/limits.rs
+++ b/crates/maintenance/src/limits.rs
@@ -1,4 +1,4 @@
-//! Upper limits of what the replicated state holds. Commands that would exceed one are rejected.
+//! Limits on the size of the replicated state. Commands that would exceed one are rejected.
 
 /// Open requests.
 pub const OPEN_REQUESTS: usize = 64;
@@ -8,7 +8,7 @@
 pub const REQUESTED_BACKENDS: usize = 512;
 /// Length of a request's name, in bytes.
 pub const NAME_BYTES: usize = 128;
-/// Ended requests that are remembered.
+/// Ended requests that are kept.
 pub const ENDED_REQUESTS: usize = 256;
 /// Known backends.
 pub const BACKENDS: usize = 4096;
@@ -18,5 +18,5 @@
 pub const BACKENDS_PER_VOLUME: usize = 256;
 /// Known members.
 pub const MEMBERS: usize = 256;
-/// Backends, and likewise volumes, in one [`crate::Command::Observe`].
+/// Backends, and also volumes, in one [`crate::Command::Observe`].
 pub const FACTS_PER_COMMAND: usize = 128;
--- a/crates/maintenance/src/member_agent/action.rs
+++ b/crates/maintenance/src/member_agent/action.rs
@@ -1,5 +1,5 @@
 //! What the agent has the host do.
-use super::tracked::{FollowedOrder, PersistedOrders};
+use super::tracked::{AppliedOrder, PersistedOrders};
 use crate::order::Quota;
 use cluster_types::{BackendId, Index};
 
@@ -50,16 +50,16 @@
 
 impl Action {
     /// What the scheduler has to do to follow an order.
-    pub(super) fn to_follow(order: FollowedOrder, backend: &BackendId) -> Action {
+    pub(super) fn for_order(order: AppliedOrder, backend: &BackendId) -> Action {
         let backend = backend.clone();
         match order {
-            FollowedOrder::Ramp(_, permille @ 1..) => {
+            AppliedOrder::Ramp(_, permille @ 1..) => {
                 Action::Undrain { backend, quota: Quota::Permille(permille) }
             }
-            FollowedOrder::Drain(index) | FollowedOrder::Ramp(index, _) => {
+            AppliedOrder::Drain(index) | AppliedOrder::Ramp(index, _) => {
                 Action::Drain { backend, order: Some(index) }
             }
-            FollowedOrder::Orphan => Action::Drain { backend, order: None },
+            AppliedOrder::Orphan => Action::Drain { backend, order: None },
         }
     }
 }
--- a/crates/maintenance/src/member_agent/mod.rs
+++ b/crates/maintenance/src/member_agent/mod.rs
@@ -5,7 +5,7 @@
 //! meanwhile.
 mod action;
 mod event;
-mod follow;
+mod orders;
 mod report;
 mod tracked;
 
@@ -17,7 +17,7 @@
 use cluster_types::{BackendId, Index, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use tracked::{FollowedOrder, TrackedBackend};
+use tracked::{AppliedOrder, TrackedBackend};
 
 /// A report that has not reached the log is made again after this time.
 const REPORT_RETRY: Duration = Duration::from_secs(1);
@@ -35,7 +35,7 @@
     /// How long after an order the scheduler may still send to a backend.
     drain_delay: Duration,
     /// Where the log stood that the present orders come from.
-    followed: Index,
+    orders_index: Index,
     backends: BTreeMap<BackendId, TrackedBackend>,
     pending: Option<PendingOrders>,
     lease_end: Option<Time>,
@@ -55,15 +55,15 @@
         now: Time,
         actions: &mut Vec<Action>,
     ) -> MemberAgent {
-        let PersistedOrders { followed, orders } = persisted.unwrap_or_default();
+        let PersistedOrders { orders_index, orders } = persisted.unwrap_or_default();
         let mut backends = BTreeMap::new();
         for (backend, order) in orders {
-            actions.push(Action::to_follow(order, &backend));
+            actions.push(Action::for_order(order, &backend));
             backends.insert(backend, TrackedBackend::new(order, now, 0));
         }
         MemberAgent {
             drain_delay,
-            followed,
+            orders_index,
             backends,
             pending: None,
             lease_end: None,
@@ -85,7 +85,7 @@
             }
             Event::LeaseRenewed { until } => self.lease_end = self.lease_end.max(Some(until)),
             Event::InFlight { backend, in_flight, last_send, measured_at } => {
-                self.note_in_flight(now, &backend, in_flight, last_send, measured_at, actions);
+                self.record_in_flight(now, &backend, in_flight, last_send, measured_at, actions);
             }
             Event::Persisted { serial } => {
                 self.persisted_serial = self.persisted_serial.max(serial.min(self.last_serial));
@@ -94,7 +94,7 @@
             Event::ReleaseOrphan { backend } => self.release_orphan(backend, actions),
         }
         if self.has_lease(now) {
-            self.follow_pending(now, actions);
+            self.apply_pending_orders(now, actions);
             self.report(now, actions);
         }
     }
@@ -108,10 +108,10 @@
     pub fn next_wakeup(&self) -> Option<Time> {
         let unreported = self.backends.values().filter(|tracked| !tracked.is_reported);
         let wakeups = unreported.filter_map(|tracked| match (tracked.order, tracked.reported_at) {
-            (FollowedOrder::Orphan, _) => None,
+            (AppliedOrder::Orphan, _) => None,
             (_, Some(reported_at)) => Some(reported_at + REPORT_RETRY),
-            (FollowedOrder::Ramp { .. }, None) => Some(tracked.ordered_at + self.drain_delay),
-            (FollowedOrder::Drain(_), None) => None,
+            (AppliedOrder::Ramp { .. }, None) => Some(tracked.ordered_at + self.drain_delay),
+            (AppliedOrder::Drain(_), None) => None,
         });
         wakeups.min()
     }
@@ -136,7 +136,7 @@
         self.last_serial += 1;
         let orders =
             self.backends.iter().map(|(backend, tracked)| (backend.clone(), tracked.order)).collect();
-        let persisted = PersistedOrders { followed: self.followed, orders };
+        let persisted = PersistedOrders { orders_index: self.orders_index, orders };
         actions.push(Action::Persist { serial: self.last_serial, orders: persisted });
     }
 }
--- a/crates/maintenance/src/member_agent/follow.rs
+++ b/crates/maintenance/src/member_agent/orders.rs
@@ -1,5 +1,5 @@
 //! How the agent takes up orders and follows them.
-use super::tracked::{FollowedOrder, TrackedBackend};
+use super::tracked::{AppliedOrder, TrackedBackend};
 use super::{Action, MemberAgent, PendingOrders};
 use crate::order::{MemberOrder, Quota};
 use cluster_types::{BackendId, Index, Time};
@@ -8,7 +8,7 @@
 impl MemberAgent {
     /// Keeps orders until there is a lease to follow them. Returns false for orders older than known ones.
     pub(super) fn accept_orders(&mut self, index: Index, orders: BTreeMap<BackendId, MemberOrder>) -> bool {
-        let newest = self.pending.as_ref().map_or(self.followed, |pending| pending.index);
+        let newest = self.pending.as_ref().map_or(self.orders_index, |pending| pending.index);
         if index < newest {
             self.stale_inputs += 1;
             return false;
@@ -18,12 +18,12 @@
     }
 
     /// Follows the orders that arrived last.
-    pub(super) fn follow_pending(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(super) fn apply_pending_orders(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(PendingOrders { index, orders }) = self.pending.take() else { return };
-        self.followed = index;
+        self.orders_index = index;
         let mut has_changed = self.end_orders(&orders, actions);
         for (backend, order) in orders {
-            has_changed |= self.follow(now, backend, order, actions);
+            has_changed |= self.apply_order(now, backend, order, actions);
         }
         if has_changed {
             self.persist(actions);
@@ -32,10 +32,10 @@
 
     /// Undrains the backends that have no order any more. Returns whether there were any.
     fn end_orders(&mut self, orders: &BTreeMap<BackendId, MemberOrder>, actions: &mut Vec<Action>) -> bool {
-        let is_ended = |backend: &BackendId, tracked: &TrackedBackend| {
-            !orders.contains_key(backend) && tracked.order != FollowedOrder::Orphan
+        let is_order_ended = |backend: &BackendId, tracked: &TrackedBackend| {
+            !orders.contains_key(backend) && tracked.order != AppliedOrder::Orphan
         };
-        let ended = self.backends.iter().filter(|(backend, tracked)| is_ended(backend, tracked));
+        let ended = self.backends.iter().filter(|(backend, tracked)| is_order_ended(backend, tracked));
         let ended: Vec<BackendId> = ended.map(|(backend, _)| backend.clone()).collect();
         let has_ended = !ended.is_empty();
         for backend in ended {
@@ -46,7 +46,7 @@
     }
 
     /// Follows the order for one backend. Returns whether it is a new one.
-    fn follow(
+    fn apply_order(
         &mut self,
         now: Time,
         backend: BackendId,
@@ -54,9 +54,9 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let (order, is_reported) = match order {
-            MemberOrder::Drain { grant, is_reported } => (FollowedOrder::Drain(grant), is_reported),
+            MemberOrder::Drain { grant, is_reported } => (AppliedOrder::Drain(grant), is_reported),
             MemberOrder::Ramp { step, permille, is_reported } => {
-                (FollowedOrder::Ramp(step, permille), is_reported)
+                (AppliedOrder::Ramp(step, permille), is_reported)
             }
         };
         let next_serial = self.last_serial + 1;
@@ -65,7 +65,7 @@
         let is_new = known.is_none_or(|tracked| tracked.order != order);
         if is_new {
             // The drain delay counts from now on.
-            actions.push(Action::to_follow(order, &backend));
+            actions.push(Action::for_order(order, &backend));
             self.backends.insert(backend.clone(), TrackedBackend::new(order, now, next_serial));
         }
         if let Some(tracked) = self.backends.get_mut(&backend) {
@@ -77,20 +77,20 @@
     /// The log was replaced: everything that is under an order is drained until an operator ends that. The quotas
     /// of a log that no longer exists are void.
     pub(super) fn orphan_all(&mut self, actions: &mut Vec<Action>) {
-        self.followed = Index(0);
+        self.orders_index = Index(0);
         self.pending = None;
         for (backend, tracked) in &mut self.backends {
             if !tracked.order.is_drained() {
-                actions.push(Action::to_follow(FollowedOrder::Orphan, backend));
+                actions.push(Action::for_order(AppliedOrder::Orphan, backend));
             }
-            tracked.order = FollowedOrder::Orphan;
+            tracked.order = AppliedOrder::Orphan;
         }
         self.persist(actions);
     }
 
     pub(super) fn release_orphan(&mut self, backend: BackendId, actions: &mut Vec<Action>) {
         let tracked = self.backends.get(&backend);
-        if tracked.is_some_and(|tracked| tracked.order == FollowedOrder::Orphan) {
+        if tracked.is_some_and(|tracked| tracked.order == AppliedOrder::Orphan) {
             self.backends.remove(&backend);
             actions.push(Action::Undrain { backend, quota: Quota::Full });
             self.persist(actions);
--- a/crates/maintenance/src/member_agent/report.rs
+++ b/crates/maintenance/src/member_agent/report.rs
@@ -1,5 +1,5 @@
 //! When the agent reports that it has followed an order.
-use super::tracked::{FollowedOrder, TrackedBackend};
+use super::tracked::{AppliedOrder, TrackedBackend};
 use super::{Action, MemberAgent, Report, REPORT_RETRY};
 use cluster_types::{BackendId, Index, Time};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 
 impl MemberAgent {
     /// Takes in what is in flight at a drained backend.
-    pub(super) fn note_in_flight(
+    pub(super) fn record_in_flight(
         &mut self,
         now: Time,
         backend: &BackendId,
@@ -33,9 +33,9 @@
             // The scheduler has sent too late: it is notified again, and nothing is reported before it complies.
             self.late_sends += 1;
             tracked.ordered_at = now;
-            actions.push(Action::to_follow(tracked.order, backend));
+            actions.push(Action::for_order(tracked.order, backend));
         }
-        tracked.is_quiet = in_flight == 0 && measured_at >= tracked.ordered_at + self.drain_delay;
+        tracked.is_idle = in_flight == 0 && measured_at >= tracked.ordered_at + self.drain_delay;
     }
 
     /// Reports what is done and not in the log yet. A drain counts once it is on the disk, for it must survive a restart,
@@ -53,7 +53,7 @@
             let mut backends: Vec<&mut TrackedBackend> =
                 backends.filter(|tracked| tracked.order.grant() == Some(grant)).collect();
             let is_drained =
-                |tracked: &&mut TrackedBackend| tracked.is_quiet && tracked.serial <= self.persisted_serial;
+                |tracked: &&mut TrackedBackend| tracked.is_idle && tracked.serial <= self.persisted_serial;
             if backends.iter().all(is_drained) {
                 for tracked in &mut backends {
                     tracked.reported_at = Some(now);
@@ -65,10 +65,10 @@
 
     fn report_stages(&mut self, now: Time, actions: &mut Vec<Action>) {
         for (backend, tracked) in &mut self.backends {
-            let FollowedOrder::Ramp(step, _) = tracked.order else { continue };
+            let AppliedOrder::Ramp(step, _) = tracked.order else { continue };
             let is_persisted = tracked.serial <= self.persisted_serial;
-            let is_followed = now >= tracked.ordered_at + self.drain_delay;
-            if tracked.is_report_due(now) && is_persisted && is_followed {
+            let is_in_effect = now >= tracked.ordered_at + self.drain_delay;
+            if tracked.is_report_due(now) && is_persisted && is_in_effect {
                 tracked.reported_at = Some(now);
                 let report = Report::StageAcknowledged { backend: backend.clone(), step };
                 actions.push(Action::Report(report));
--- a/crates/maintenance/src/member_agent/tracked.rs
+++ b/crates/maintenance/src/member_agent/tracked.rs
@@ -5,7 +5,7 @@
 
 /// What a member does with a backend. Stored: the variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) enum FollowedOrder {
+pub(super) enum AppliedOrder {
     /// It is drained for this grant.
     Drain(Index),
     /// It recovers by this step, with this many thousandths of its cold budget.
@@ -14,16 +14,16 @@
     Orphan,
 }
 
-impl FollowedOrder {
+impl AppliedOrder {
     pub(super) fn is_drained(self) -> bool {
-        !matches!(self, FollowedOrder::Ramp(_, 1..))
+        !matches!(self, AppliedOrder::Ramp(_, 1..))
     }
 
     /// The grant that the backend is drained for.
     pub(super) fn grant(self) -> Option<Index> {
         match self {
-            FollowedOrder::Drain(grant) => Some(grant),
-            FollowedOrder::Ramp(..) | FollowedOrder::Orphan => None,
+            AppliedOrder::Drain(grant) => Some(grant),
+            AppliedOrder::Ramp(..) | AppliedOrder::Orphan => None,
         }
     }
 }
@@ -32,20 +32,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedOrders {
     /// Where the log stood that the orders come from.
-    pub(super) followed: Index,
-    pub(super) orders: BTreeMap<BackendId, FollowedOrder>,
+    pub(super) orders_index: Index,
+    pub(super) orders: BTreeMap<BackendId, AppliedOrder>,
 }
 
 /// A backend with an order.
 #[derive(Clone, Debug)]
 pub(super) struct TrackedBackend {
-    pub(super) order: FollowedOrder,
+    pub(super) order: AppliedOrder,
     /// When the scheduler was notified.
     pub(super) ordered_at: Time,
     /// As of when the requests in flight are known.
     pub(super) measured_at: Option<Time>,
     /// Whether nothing is in flight, at a time at which nothing new is sent any more.
-    pub(super) is_quiet: bool,
+    pub(super) is_idle: bool,
     /// Whether the report is in the log.
     pub(super) is_reported: bool,
     /// When the report was made last.
@@ -55,12 +55,12 @@
 }
 
 impl TrackedBackend {
-    pub(super) fn new(order: FollowedOrder, ordered_at: Time, serial: u64) -> TrackedBackend {
+    pub(super) fn new(order: AppliedOrder, ordered_at: Time, serial: u64) -> TrackedBackend {
         TrackedBackend {
             order,
             ordered_at,
             measured_at: None,
-            is_quiet: false,
+            is_idle: false,
             is_reported: false,
             reported_at: None,
             serial,
--- a/crates/maintenance/src/order.rs
+++ b/crates/maintenance/src/order.rs
@@ -1,17 +1,17 @@
-//! What the replicated state orders a member to do with a backend.
+//! Orders of the replicated state to a member, one for each backend under maintenance.
 use cluster_types::Index;
 
-/// The order for one backend at one member. A backend without an order is used like any other.
+/// An order to one member for one backend. A backend without an order is used without restrictions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberOrder {
-    /// Send no new requests.
+    /// Send no new requests to the backend.
     Drain {
         /// The grant.
         grant: Index,
         /// Whether the member's report is already in the log.
         is_reported: bool,
     },
-    /// Keep to a quota of the backend's cold budget; with a quota of 0 the backend stays drained.
+    /// Limit requests to a quota of the backend's cold budget; with a quota of 0 the backend stays drained.
     Ramp {
         /// The recovery step.
         step: Index,
@@ -25,8 +25,8 @@
 /// How much a member may send to a backend that is not drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Quota {
-    /// This many thousandths of the backend's cold budget.
+    /// A quota in thousandths of the backend's cold budget.
     Permille(u16),
-    /// Without a limit from maintenance.
+    /// No limit by maintenance.
     Full,
 }
--- a/crates/maintenance/src/proposal/mod.rs
+++ b/crates/maintenance/src/proposal/mod.rs
@@ -34,11 +34,11 @@
         let mut requests = self.requests.values();
         let is_deadline_missed = requests.any(|request| request.is_deadline_missed(now_ms));
         let is_overdue = self.grants.values().any(|grant| {
-            let drained_ms = grant.drained_ms.filter(|_| !grant.is_overdue_reported);
-            drained_ms.is_some_and(|drained_ms| has_passed(drained_ms, grant.work_ms))
+            let drained_at_ms = grant.drained_at_ms.filter(|_| !grant.is_overdue_reported);
+            drained_at_ms.is_some_and(|drained_at_ms| has_passed(drained_at_ms, grant.work_ms))
         });
         let is_forgotten = self.facts.backends.iter().any(|(backend, known)| {
-            let unlisted_ms = known.unlisted_since_ms.filter(|_| !self.placements.contains_key(backend));
+            let unlisted_ms = known.unlisted_since_ms.filter(|_| !self.phases.contains_key(backend));
             unlisted_ms.is_some_and(|unlisted_ms| has_passed(unlisted_ms, self.rules.unlisted_grace_ms))
         });
         is_deadline_missed || is_overdue || is_forgotten
@@ -51,7 +51,7 @@
             return None;
         }
         let max_age_ms = self.rules.max_measurement_age_ms;
-        if self.facts.complete_ms.is_none_or(|at_ms| at_ms.saturating_add(max_age_ms) < now_ms) {
+        if self.facts.complete_at_ms.is_none_or(|at_ms| at_ms.saturating_add(max_age_ms) < now_ms) {
             return None;
         }
         let check = AdmissionCheck::new(self);
--- a/crates/maintenance/src/proposal/observations.rs
+++ b/crates/maintenance/src/proposal/observations.rs
@@ -28,7 +28,7 @@
         let mut backends = backends.into_iter();
         let mut volumes = volumes.into_iter();
         let observe = |number: usize| Command::Observe {
-            seen: view.seen,
+            min_applied: view.min_applied,
             is_complete: is_complete && count <= MAX_COMMANDS && number == count,
             backends: backends.by_ref().take(limits::FACTS_PER_COMMAND).collect(),
             volumes: volumes.by_ref().take(limits::FACTS_PER_COMMAND).collect(),
@@ -38,33 +38,33 @@
 
     /// Whether a request waits for facts that will soon be too old, or were never complete.
     fn is_refresh_due(&self, now_ms: u64) -> bool {
-        match self.facts.complete_ms {
+        match self.facts.complete_at_ms {
             None => true,
-            Some(at_ms) => self.is_half_aged(at_ms, now_ms) && self.has_waiting_request(),
+            Some(at_ms) => self.is_past_half_max_age(at_ms, now_ms) && self.has_waiting_request(),
         }
     }
 
     /// Whether a measurement has reached half the age at which no grant may rest on it.
-    fn is_half_aged(&self, measured_ms: u64, now_ms: u64) -> bool {
-        measured_ms.saturating_add(self.rules.max_measurement_age_ms / 2) < now_ms
+    fn is_past_half_max_age(&self, measured_at_ms: u64, now_ms: u64) -> bool {
+        measured_at_ms.saturating_add(self.rules.max_measurement_age_ms / 2) < now_ms
     }
 
     fn changed_backends(&self, view: &ClusterView) -> Vec<(BackendId, BackendFacts)> {
         let mut changed = Vec::new();
-        let has_room = self.facts.backends.len() < limits::BACKENDS;
+        let is_below_limit = self.facts.backends.len() < limits::BACKENDS;
         for (backend, facts) in &view.backends {
-            let differs = match self.facts.backends.get(backend) {
-                None => facts.is_listed && has_room,
-                Some(known) => known.facts != *facts && known.changed <= view.seen,
+            let has_changed = match self.facts.backends.get(backend) {
+                None => facts.is_listed && is_below_limit,
+                Some(known) => known.facts != *facts && known.changed <= view.min_applied,
             };
-            if differs {
+            if has_changed {
                 changed.push((backend.clone(), facts.clone()));
             }
         }
         if view.is_complete {
             for (backend, known) in &self.facts.backends {
                 let is_in_view = view.backends.contains_key(backend);
-                if !is_in_view && known.facts.is_listed && known.changed <= view.seen {
+                if !is_in_view && known.facts.is_listed && known.changed <= view.min_applied {
                     let facts = BackendFacts { is_listed: false, ..known.facts.clone() };
                     changed.push((backend.clone(), facts));
                 }
@@ -77,14 +77,14 @@
         let mut changed = Vec::new();
         let requested = self.requested_backends();
         for (volume, facts) in &view.volumes {
-            let is_small = facts.backends.len() <= limits::BACKENDS_PER_VOLUME;
-            if is_small && self.has_volume_changed(now_ms, volume, facts, &requested, view) {
+            let is_within_limit = facts.backends.len() <= limits::BACKENDS_PER_VOLUME;
+            if is_within_limit && self.has_volume_changed(now_ms, volume, facts, &requested, view) {
                 changed.push((volume.clone(), facts.clone()));
             }
         }
         if view.is_complete {
             for (volume, known) in &self.facts.volumes {
-                if !view.volumes.contains_key(volume) && known.changed <= view.seen {
+                if !view.volumes.contains_key(volume) && known.changed <= view.min_applied {
                     changed.push((volume.clone(), VolumeFacts::default()));
                 }
             }
@@ -113,7 +113,7 @@
         let Some(known) = self.facts.volumes.get(volume) else {
             return !facts.backends.is_empty() && self.facts.volumes.len() < limits::VOLUMES;
         };
-        if known.changed > view.seen {
+        if known.changed > view.min_applied {
             return false;
         }
         let has_same_backends = known.facts.backends.keys().eq(facts.backends.keys());
@@ -124,7 +124,7 @@
             return false;
         }
         let mut capacities = known.facts.backends.values().zip(facts.backends.values());
-        self.is_half_aged(known.measured_ms, now_ms)
+        self.is_past_half_max_age(known.measured_at_ms, now_ms)
             || capacities.any(|(known, measured)| has_capacity_changed(*known, *measured))
     }
 }
--- a/crates/maintenance/src/proposal/recovery_step.rs
+++ b/crates/maintenance/src/proposal/recovery_step.rs
@@ -46,7 +46,7 @@
         let mut quotas = distribute_quotas(capacity, &weights);
         let is_same_stage = recovery.stage() == Some(stage);
         let current = without_zeros(recovery.quotas());
-        if is_same_stage && !justify_a_step(&current, &quotas) {
+        if is_same_stage && !is_step_justified(&current, &quotas) {
             return None;
         }
         if recovery.max_in_use_with(&quotas) > u32::from(capacity) {
@@ -67,7 +67,7 @@
 }
 
 /// Whether other quotas are worth a step: a member has joined or left, or over a quarter of the stage is unassigned.
-fn justify_a_step(current: &Quotas, wanted: &Quotas) -> bool {
+fn is_step_justified(current: &Quotas, wanted: &Quotas) -> bool {
     let sum = |quotas: &Quotas| quotas.values().map(|permille| u32::from(*permille)).sum::<u32>();
     let wanted_members = wanted.iter().filter(|(_, permille)| **permille > 0).map(|(member, _)| member);
     !current.keys().eq(wanted_members) || sum(current) * 4 < sum(wanted) * 3
--- a/crates/maintenance/src/proposal/view.rs
+++ b/crates/maintenance/src/proposal/view.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClusterView {
     /// Every member whose measurements are included had applied the log up to here when it measured.
-    pub seen: Index,
+    pub min_applied: Index,
     /// Whether the backends and measurements are complete. Until they are, no backend is taken for unlisted and none is
     /// granted.
     pub is_complete: bool,
--- a/crates/maintenance/src/queries.rs
+++ b/crates/maintenance/src/queries.rs
@@ -1,9 +1,9 @@
-//! What the host reads from the replicated state: the status of requests, and the orders for a member.
-use crate::admission::{AdmissionCheck, OutBackends};
+//! Queries of the host: the status of requests, and the orders for a member.
+use crate::admission::{AdmissionCheck, OutOfServiceSet};
 use crate::order::MemberOrder;
 use crate::rejection::Rejection;
 use crate::request::{BackendOutcome, MaintenanceRequest};
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use crate::status::RequestStatus;
 use cluster_types::{BackendId, Index, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,21 +38,21 @@
         batches.iter().find_map(|batch| check.admit(name, batch).err())
     }
 
-    /// What a member is ordered to do: its drains, and its quotas of recovering backends.
+    /// The orders for a member: the backends to drain, and its quotas of recovering backends.
     pub fn orders(&self, member: &MemberId) -> BTreeMap<BackendId, MemberOrder> {
-        let placements = self.placements.iter();
-        placements.map(|(backend, placement)| (backend.clone(), self.order(member, placement))).collect()
+        let phases = self.phases.iter();
+        phases.map(|(backend, phase)| (backend.clone(), self.order(member, phase))).collect()
     }
 
-    fn order(&self, member: &MemberId, placement: &Placement) -> MemberOrder {
-        match placement {
-            Placement::Granted(index) => {
+    fn order(&self, member: &MemberId, phase: &MaintenancePhase) -> MemberOrder {
+        match phase {
+            MaintenancePhase::Granted(index) => {
                 let grant = self.grants.get(index);
                 let is_reported =
                     grant.is_none_or(|grant| grant.is_drained() || grant.drained_by.contains(member));
                 MemberOrder::Drain { grant: *index, is_reported }
             }
-            Placement::Recovering(recovery) => {
+            MaintenancePhase::Recovering(recovery) => {
                 let quota = recovery.quota(member);
                 MemberOrder::Ramp {
                     step: recovery.step(),
@@ -64,7 +64,7 @@
     }
 
     /// The backends that count as out of service.
-    pub fn out_backends(&self) -> BTreeSet<BackendId> {
-        OutBackends::all(self).into_backends()
+    pub fn out_of_service(&self) -> BTreeSet<BackendId> {
+        OutOfServiceSet::all(self).into_backends()
     }
 }
--- a/crates/maintenance/src/quota.rs
+++ b/crates/maintenance/src/quota.rs
@@ -1,4 +1,4 @@
-//! The division of a recovering backend's cold budget among members.
+//! Divides a recovering backend's cold budget among members.
 use cluster_types::MemberId;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,13 +10,13 @@
 struct Allotment<'a> {
     member: &'a MemberId,
     quota: u128,
-    /// What rounding down has cost the member; only comparable between members of one division.
+    /// What rounding down took from the member's share; only comparable within one division.
     remainder: u128,
 }
 
-/// Divides `total` by weight. The quotas add up to `total` unless there are no members. As far as `total` suffices each
-/// member gets at least 1, since one without measured traffic could otherwise never show any; without any traffic all
-/// get the same. What rounding leaves goes to the largest remainders.
+/// Divides `total` among members in proportion to their weights. The quotas add up to `total` unless there are no members.
+/// If `total` suffices, each member gets at least 1: a member without measured traffic could otherwise never have any.
+/// If no member has traffic, all get the same. What is left after rounding goes to the largest remainders.
 pub fn distribute_quotas(total: u16, weights: &BTreeMap<MemberId, u64>) -> Quotas {
     let count = weights.len();
     if count == 0 {
@@ -35,10 +35,10 @@
         let share = divisible * weight;
         allotments.push(Allotment { member, quota: 1 + share / sum, remainder: share % sum });
     }
-    let divided: u128 = allotments.iter().map(|allotment| allotment.quota).sum();
-    let undivided = u128::from(total).saturating_sub(divided);
+    let assigned: u128 = allotments.iter().map(|allotment| allotment.quota).sum();
+    let unassigned = u128::from(total).saturating_sub(assigned);
     allotments.sort_by_key(|allotment| (Reverse(allotment.remainder), allotment.member));
-    for allotment in allotments.iter_mut().take(usize::try_from(undivided).unwrap_or(0)) {
+    for allotment in allotments.iter_mut().take(usize::try_from(unassigned).unwrap_or(0)) {
         allotment.quota += 1;
     }
     let quota = |quota: u128| u16::try_from(quota).unwrap_or(0);
--- a/crates/maintenance/src/recovery.rs
+++ b/crates/maintenance/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The recovery of a backend in stages, each of which divides a growing part of its cold budget among the members.
+//! The staged recovery of a backend: each stage divides a larger part of its cold budget among the members.
 use crate::quota::Quotas;
 use cluster_types::{Index, MemberId};
 use serde::{Deserialize, Serialize};
@@ -7,22 +7,22 @@
 /// A member's quota. Stored: the fields keep their order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberQuota {
-    /// The quota that the member is to keep to.
+    /// The quota that is assigned to the member.
     pub(crate) current: u16,
     /// The highest quota that the member may still be using until it acknowledges `current`.
     pub(crate) held: u16,
-    /// Whether it has acknowledged `current`.
+    /// Whether the member has acknowledged `current`.
     pub(crate) is_acknowledged: bool,
 }
 
-/// A recovering backend. Stored: the fields keep their order.
+/// The state of a backend's recovery. Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recovery {
-    /// The log index of the last step. Acknowledgements of earlier ones are ignored.
+    /// The log index of the latest step. Acknowledgements of earlier steps are ignored.
     step: Index,
-    /// The step with which the stage began.
+    /// The first step of the current stage.
     stage_start: Index,
-    /// The stage; none before any member has a quota.
+    /// The current stage; `None` until quotas are first assigned.
     stage: Option<usize>,
     quotas: BTreeMap<MemberId, MemberQuota>,
 }
@@ -32,7 +32,8 @@
         Recovery { step, stage_start: step, stage: None, quotas: BTreeMap::new() }
     }
 
-    /// Begins again after the backend has failed. Quotas that members may still be using count until each has let go.
+    /// Restarts the recovery after the backend has failed. A quota that a member may still be using counts until the member
+    /// has acknowledged a lower one.
     pub(crate) fn restart(&mut self, step: Index) {
         self.step = step;
         self.stage_start = step;
@@ -41,7 +42,7 @@
         self.reset_quotas();
     }
 
-    /// Begins a step with these quotas; members that are not named get none.
+    /// Begins a step with these quotas; members that are not named get no quota.
     pub(crate) fn begin_step(&mut self, step: Index, stage: usize, quotas: &Quotas) {
         if self.stage != Some(stage) {
             self.stage_start = step;
@@ -57,7 +58,7 @@
         self.drop_released_quotas();
     }
 
-    /// Notes that a member keeps to its present quota. Returns whether it has one.
+    /// Records that a member has put its current quota into effect. Returns whether it has one.
     pub(crate) fn acknowledge(&mut self, member: &MemberId) -> bool {
         let Some(quota) = self.quotas.get_mut(member) else { return false };
         quota.held = quota.current;
@@ -81,22 +82,22 @@
         self.quotas.retain(|_, quota| quota.held > 0);
     }
 
-    /// The log index of the last step.
+    /// The log index of the latest step.
     pub fn step(&self) -> Index {
         self.step
     }
 
-    /// The step with which the stage began.
+    /// The first step of the current stage.
     pub fn stage_start(&self) -> Index {
         self.stage_start
     }
 
-    /// The stage; none before the first.
+    /// The current stage; `None` before the first.
     pub fn stage(&self) -> Option<usize> {
         self.stage
     }
 
-    /// The quotas that members are to keep to.
+    /// The quotas that are assigned to members.
     pub fn quotas(&self) -> Quotas {
         self.quotas.iter().map(|(member, quota)| (member.clone(), quota.current)).collect()
     }
@@ -109,7 +110,7 @@
         self.quotas.get(member).map_or(0, |quota| quota.held)
     }
 
-    /// The most that all members together may be using, including those that have not heard of the last step.
+    /// The most that all members together may be using, including members that have not received the latest step.
     pub fn max_in_use(&self) -> u32 {
         self.quotas.values().map(|quota| u32::from(quota.current.max(quota.held))).sum()
     }
@@ -123,13 +124,13 @@
         others + named
     }
 
-    /// Whether some member would get more than it may be using now.
+    /// Whether some member's quota would rise above what it may be using now.
     pub(crate) fn is_raised_by(&self, quotas: &Quotas) -> bool {
         quotas.iter().any(|(member, permille)| self.held(member) < *permille)
     }
 
-    /// The quotas nearest to the wanted ones that one step can reach without members exceeding `capacity` together while
-    /// only some of them have heard of it.
+    /// The quotas nearest to `wanted` that one step can set such that all members together stay within `capacity` while
+    /// only some of them have received the step.
     pub(crate) fn reachable_quotas(&self, wanted: &Quotas, capacity: u16) -> Quotas {
         let lowered =
             wanted.iter().map(|(member, permille)| (member.clone(), (*permille).min(self.held(member))));
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -1,4 +1,4 @@
-//! A maintenance request of an operator and the outcome for each of its backends.
+//! An operator's maintenance request and the outcome for each of its backends.
 use cluster_types::{BackendId, Index};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,32 +7,32 @@
 /// Backends that are taken out of service together, in one grant.
 pub(crate) type Batch = BTreeSet<BackendId>;
 
-/// What has become of a backend of a request. Stored: the variants keep their order.
+/// The outcome so far for one backend of a request. Stored: the variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendOutcome {
-    /// It waits for a grant.
+    /// The backend waits for a grant.
     Waiting,
-    /// It is out of service under the grant with this log index.
+    /// The backend is out of service under the grant with this log index.
     Granted(Index),
-    /// It was granted, and the operator has returned it.
+    /// The backend was granted, and the operator has returned it.
     Returned,
-    /// It was not granted before the request's deadline, and will not be.
+    /// The backend was not granted before the request's deadline.
     DeadlineMissed,
     /// The request was withdrawn before the backend was granted.
     Withdrawn,
-    /// Discovery stopped listing it before it was granted.
+    /// Discovery stopped listing the backend before it was granted.
     Unlisted,
 }
 
 impl BackendOutcome {
-    /// Whether the request still waits for something to happen to the backend.
+    /// Whether the backend is waiting or granted, so that the request has not ended.
     pub fn is_open(&self) -> bool {
         matches!(self, BackendOutcome::Waiting | BackendOutcome::Granted(_))
     }
 }
 
 impl fmt::Display for BackendOutcome {
-    /// The wording of the operators' interface, which its clients parse.
+    /// Writes the text of the operator interface, which its clients parse.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BackendOutcome::Waiting => f.write_str("waiting"),
@@ -48,20 +48,20 @@
 /// A request to take backends out of service for a limited time. Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MaintenanceRequest {
-    /// The log index of the request: a lower one has waited longer.
+    /// The log index of the request: a request with a lower index has waited longer.
     pub index: Index,
     /// The requested backends and their outcomes.
     pub backends: BTreeMap<BackendId, BackendOutcome>,
-    /// How long a backend may be out of service once the operator may open it, in milliseconds.
+    /// How long work on a backend may take once it is drained, in milliseconds.
     pub work_ms: u64,
-    /// The Unix time in milliseconds after which no backend of it is granted any more.
+    /// The Unix time in milliseconds after which no backend of the request is granted.
     pub deadline_ms: Option<u64>,
-    /// Whether its backends are granted all at once or not at all.
+    /// Whether the backends are granted all at once or not at all.
     pub all_at_once: bool,
 }
 
 impl MaintenanceRequest {
-    /// Whether both ask for the same. A name never stands for two different requests.
+    /// Whether both requests have the same content. A name never identifies two different requests.
     pub(crate) fn asks_for_same(&self, other: &MaintenanceRequest) -> bool {
         self.backends.keys().eq(other.backends.keys())
             && self.work_ms == other.work_ms
@@ -79,7 +79,7 @@
         self.backends.values().any(|outcome| *outcome == BackendOutcome::Waiting)
     }
 
-    /// Whether some backend waits although the deadline has passed at `now_ms`.
+    /// Whether some backend still waits at `now_ms` although the deadline has passed.
     pub(crate) fn is_deadline_missed(&self, now_ms: u64) -> bool {
         self.deadline_ms.is_some_and(|deadline_ms| deadline_ms <= now_ms) && self.is_waiting()
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Gives every waiting backend this outcome and returns them.
+    /// Sets the outcome of all waiting backends and returns these backends.
     pub(crate) fn end_waiting(&mut self, outcome: BackendOutcome) -> Batch {
         let waiting = self.waiting_backends();
         for backend in &waiting {
--- a/crates/maintenance/src/rules.rs
+++ b/crates/maintenance/src/rules.rs
@@ -2,35 +2,35 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A whole cold budget, in the unit of [`Rules::stages`].
+/// The full cold budget, in the unit of [`Rules::stages`].
 const FULL_PERMILLE: u16 = 1000;
-/// Most stages of a recovery.
+/// The maximum number of recovery stages.
 const MAX_STAGES: usize = 16;
 
 /// The rules. They are part of the replicated state and change only by [`crate::Command::SetRules`], so that members whose
-/// files differ for a while still arrive at the same state. Until the log holds rules, nothing is granted.
+/// configuration files differ for a while still reach the same state. Until the log holds rules, nothing is granted.
 ///
 /// Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rules {
     /// How many backends may be out of service at once.
     pub max_out: u32,
-    /// How many of one zone.
+    /// How many backends of one zone may be out of service at once.
     pub max_out_per_zone: u32,
-    /// How many of those that store one volume.
+    /// How many of the backends that store one volume may be out of service at once.
     pub max_out_per_volume: u32,
-    /// How old a measurement may be, in log time, for a grant to rest on it.
+    /// The maximum age, in log time, of the measurements that a grant depends on.
     pub max_measurement_age_ms: u64,
-    /// For how long a backend that is no longer listed counts as out: discovery also drops backends that have failed.
+    /// How long a backend that is no longer listed counts as out of service: discovery also drops failed backends.
     pub unlisted_grace_ms: u64,
     /// The stages of a recovery, in thousandths of the backend's cold budget, increasing.
     pub stages: Vec<u16>,
-    /// How long a stage lasts without a failure before the next one begins.
+    /// How long a stage must last without a failure before the next one begins.
     pub stage_ms: u64,
 }
 
 impl Default for Rules {
-    /// Nothing may be taken out of service.
+    /// No backend may be taken out of service.
     fn default() -> Rules {
         Rules {
             max_out: 0,
@@ -62,7 +62,7 @@
     /// [`Rules::stages`] do not increase, or begin at 0.
     #[error("stages: must grow")]
     StagesNotIncreasing,
-    /// The last of [`Rules::stages`] is above a whole cold budget.
+    /// The last of [`Rules::stages`] is above the full cold budget.
     #[error("stages: are parts per thousand")]
     StageAboveBudget,
 }
@@ -95,12 +95,12 @@
         Ok(())
     }
 
-    /// The number of the last stage.
+    /// The index of the last stage.
     pub(crate) fn last_stage(&self) -> usize {
         self.stages.len().saturating_sub(1)
     }
 
-    /// What a stage allows of the cold budget; stages beyond the last allow as much as the last.
+    /// The part of the cold budget that a stage allows; stages beyond the last allow as much as the last.
     pub(crate) fn stage_permille(&self, stage: usize) -> u16 {
         self.stages.get(stage).copied().unwrap_or_else(|| self.last_stage_permille())
     }
--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -1,44 +1,44 @@
 //! The replicated state.
 use crate::facts::FactStore;
 use crate::grant::Grant;
+use crate::member_status::MemberStatus;
 use crate::recovery::Recovery;
 use crate::request::MaintenanceRequest;
-use crate::roster::MemberStanding;
 use crate::rules::Rules;
 use cluster_types::{BackendId, Index, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Where a backend stands that is not in service. Stored: the variants keep their order.
+/// The maintenance phase of a backend that is not in service. Stored: the variants keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Placement {
+pub(crate) enum MaintenancePhase {
     /// Out of service under a grant.
     Granted(Index),
-    /// On its way to full load.
+    /// Returning to full load in stages.
     Recovering(Recovery),
 }
 
-/// The replicated state: the same on all members at the same place of the log. It is its own snapshot.
+/// The replicated state: the same on all members at the same log index. It is stored whole as its snapshot.
 ///
 /// Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MaintenanceState {
     pub(crate) rules: Rules,
     pub(crate) applied: Index,
-    /// The latest time of any entry: it never goes back.
+    /// The latest time of any entry: it never decreases.
     pub(crate) log_time_ms: u64,
     pub(crate) requests: BTreeMap<String, MaintenanceRequest>,
     /// Requests that have ended, the oldest first.
     pub(crate) ended_requests: VecDeque<(String, MaintenanceRequest)>,
     pub(crate) grants: BTreeMap<Index, Grant>,
-    pub(crate) placements: BTreeMap<BackendId, Placement>,
+    pub(crate) phases: BTreeMap<BackendId, MaintenancePhase>,
     pub(crate) facts: FactStore,
-    pub(crate) members: BTreeMap<MemberId, MemberStanding>,
+    pub(crate) members: BTreeMap<MemberId, MemberStatus>,
     pub(crate) rejected_commands: u64,
 }
 
 impl MaintenanceState {
-    /// An empty state. All members must begin with the same rules.
+    /// An empty state. All members must start with the same rules.
     pub fn new(rules: Rules) -> MaintenanceState {
         MaintenanceState { rules, ..MaintenanceState::default() }
     }
@@ -53,7 +53,7 @@
         self.rejected_commands
     }
 
-    /// The rules that apply now.
+    /// The current rules.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
@@ -83,24 +83,24 @@
 
     /// The backends that are recovering.
     pub fn recoveries(&self) -> impl Iterator<Item = (&BackendId, &Recovery)> {
-        self.placements.iter().filter_map(|(backend, placement)| match placement {
-            Placement::Recovering(recovery) => Some((backend, recovery)),
-            Placement::Granted(_) => None,
+        self.phases.iter().filter_map(|(backend, phase)| match phase {
+            MaintenancePhase::Recovering(recovery) => Some((backend, recovery)),
+            MaintenancePhase::Granted(_) => None,
         })
     }
 
-    /// The members that serve, by their own reports.
+    /// The members that are running, by their own reports.
     pub fn present_members(&self) -> impl Iterator<Item = &MemberId> {
-        self.members.iter().filter(|(_, standing)| standing.is_present()).map(|(member, _)| member)
+        self.members.iter().filter(|(_, status)| status.is_present()).map(|(member, _)| member)
     }
 
-    /// Whether a member serves, by its own report.
+    /// Whether a member is running, by its own report.
     pub fn is_present(&self, member: &MemberId) -> bool {
-        self.members.get(member).is_some_and(MemberStanding::is_present)
+        self.members.get(member).is_some_and(MemberStatus::is_present)
     }
 
-    /// The standing of a member that has ever reported.
-    pub fn standing(&self, member: &MemberId) -> Option<MemberStanding> {
+    /// The status of a member; `None` for one that has never reported or was removed.
+    pub fn member_status(&self, member: &MemberId) -> Option<MemberStatus> {
         self.members.get(member).copied()
     }
 
--- a/crates/maintenance/src/status.rs
+++ b/crates/maintenance/src/status.rs
@@ -5,21 +5,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// The status of a request: its outcomes so far and what it waits for.
+/// The status of a request: the outcomes so far and what it waits for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestStatus {
     /// The name of the request.
     pub name: String,
     /// What was requested, and the outcome for each backend.
     pub request: MaintenanceRequest,
-    /// For each of its grants that is still draining, the members that have not reported.
+    /// For each grant of the request that is still draining, the members that have not reported.
     pub undrained_members: BTreeMap<Index, BTreeSet<MemberId>>,
-    /// Why the first waiting backend that can't be granted now is not granted.
+    /// Why the first waiting batch that can't be granted now is not granted.
     pub waiting_reason: Option<Rejection>,
 }
 
 impl fmt::Display for RequestStatus {
-    /// Writes the status in one line, in the wording of the operators' interface.
+    /// Writes the status in one line, in the text of the operator interface.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "wish {}:", self.name)?;
         for (backend, outcome) in &self.request.backends {
--- a/crates/maintenance/src/transitions/mod.rs
+++ b/crates/maintenance/src/transitions/mod.rs
@@ -62,8 +62,8 @@
                 self.acknowledge_stage(issuer, backend, *step, member)
             }
             Command::CompleteRecovery { backend, step } => self.complete_recovery(backend, *step, effects),
-            Command::Observe { seen, is_complete, backends, volumes } => {
-                self.observe(*seen, *is_complete, backends, volumes, effects)
+            Command::Observe { min_applied, is_complete, backends, volumes } => {
+                self.observe(*min_applied, *is_complete, backends, volumes, effects)
             }
             Command::SetPresence { member, presence } => {
                 self.set_presence(issuer, member, *presence, effects)
--- a/crates/maintenance/src/transitions/presence.rs
+++ b/crates/maintenance/src/transitions/presence.rs
@@ -2,9 +2,9 @@
 use crate::command::Presence;
 use crate::effect::Effect;
 use crate::limits;
+use crate::member_status::MemberStatus;
 use crate::rejection::Rejection;
-use crate::roster::MemberStanding;
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use cluster_types::MemberId;
 
 impl MaintenanceState {
@@ -21,19 +21,19 @@
         match presence {
             Presence::Present { incarnation } => self.join(member, incarnation),
             Presence::Left => {
-                let incarnation = self.standing(member).ok_or(Rejection::Unknown)?.incarnation();
-                self.remove_member(member, MemberStanding::Left { incarnation }, effects);
+                let incarnation = self.member_status(member).ok_or(Rejection::NotFound)?.incarnation();
+                self.remove_member(member, MemberStatus::Left { incarnation }, effects);
                 Ok(())
             }
         }
     }
 
     fn join(&mut self, member: &MemberId, incarnation: u64) -> Result<(), Rejection> {
-        let known = self.standing(member);
+        let known = self.member_status(member);
         // A report of an earlier incarnation, or from before it left, comes late.
         let is_late = match known {
-            Some(MemberStanding::Left { incarnation: left }) => incarnation <= left,
-            Some(standing) => incarnation < standing.incarnation(),
+            Some(MemberStatus::Left { incarnation: left }) => incarnation <= left,
+            Some(status) => incarnation < status.incarnation(),
             None => false,
         };
         if is_late {
@@ -42,19 +42,19 @@
         if known.is_none() && self.members.len() >= limits::MEMBERS {
             self.forget_absent_member()?;
         }
-        let standing = MemberStanding::Present { incarnation };
-        if known != Some(standing) {
+        let status = MemberStatus::Present { incarnation };
+        if known != Some(status) {
             // What it reported in an earlier incarnation is no longer known to hold.
             for grant in self.grants.values_mut().filter(|grant| !grant.is_drained()) {
                 grant.drained_by.remove(member);
             }
         }
-        self.members.insert(member.clone(), standing);
+        self.members.insert(member.clone(), status);
         Ok(())
     }
 
     fn forget_absent_member(&mut self) -> Result<(), Rejection> {
-        let absent = self.members.iter().find(|(_, standing)| !standing.is_present());
+        let absent = self.members.iter().find(|(_, status)| !status.is_present());
         let absent = absent.map(|(member, _)| member.clone()).ok_or(Rejection::LimitReached)?;
         self.members.remove(&absent);
         Ok(())
@@ -65,18 +65,18 @@
         member: &MemberId,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
-        let Some(MemberStanding::Present { incarnation }) = self.standing(member) else {
+        let Some(MemberStatus::Present { incarnation }) = self.member_status(member) else {
             return Err(Rejection::MemberNotPresent);
         };
-        self.remove_member(member, MemberStanding::DeclaredDead { incarnation }, effects);
+        self.remove_member(member, MemberStatus::DeclaredDead { incarnation }, effects);
         Ok(())
     }
 
     /// Nothing waits for the member any more, and its quotas are free for others.
-    fn remove_member(&mut self, member: &MemberId, standing: MemberStanding, effects: &mut Vec<Effect>) {
-        self.members.insert(member.clone(), standing);
-        for placement in self.placements.values_mut() {
-            if let Placement::Recovering(recovery) = placement {
+    fn remove_member(&mut self, member: &MemberId, status: MemberStatus, effects: &mut Vec<Effect>) {
+        self.members.insert(member.clone(), status);
+        for phase in self.phases.values_mut() {
+            if let MaintenancePhase::Recovering(recovery) = phase {
                 recovery.remove_member(member);
             }
         }
--- a/crates/maintenance/src/transitions/recovery.rs
+++ b/crates/maintenance/src/transitions/recovery.rs
@@ -3,14 +3,14 @@
 use crate::quota::Quotas;
 use crate::recovery::Recovery;
 use crate::rejection::Rejection;
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use cluster_types::{BackendId, Index, MemberId};
 
 impl MaintenanceState {
     fn recovery_mut(&mut self, backend: &BackendId) -> Result<&mut Recovery, Rejection> {
-        match self.placements.get_mut(backend) {
-            Some(Placement::Recovering(recovery)) => Ok(recovery),
-            _ => Err(Rejection::Unknown),
+        match self.phases.get_mut(backend) {
+            Some(MaintenancePhase::Recovering(recovery)) => Ok(recovery),
+            _ => Err(Rejection::NotFound),
         }
     }
 
@@ -69,7 +69,7 @@
         if recovery.acknowledge(member) {
             Ok(())
         } else {
-            Err(Rejection::Unknown)
+            Err(Rejection::NotFound)
         }
     }
 
@@ -89,7 +89,7 @@
         if !has_warmed_up || recovery.stage().is_none_or(|stage| stage < last_stage) {
             return Err(Rejection::NotRecovered);
         }
-        self.placements.remove(backend);
+        self.phases.remove(backend);
         effects.push(Effect::InService { backend: backend.clone() });
         Ok(())
     }
--- a/crates/maintenance/src/transitions/requests.rs
+++ b/crates/maintenance/src/transitions/requests.rs
@@ -5,7 +5,7 @@
 use crate::recovery::Recovery;
 use crate::rejection::Rejection;
 use crate::request::{BackendOutcome, MaintenanceRequest};
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use cluster_types::{BackendId, Index};
 use std::collections::BTreeSet;
 
@@ -45,9 +45,9 @@
         let is_name_valid = (1..=limits::NAME_BYTES).contains(&name.len());
         let is_size_valid = (1..=limits::BACKENDS_PER_REQUEST).contains(&request.backends.len());
         if !is_name_valid || !is_size_valid {
-            return Err(Rejection::Malformed);
+            return Err(Rejection::InvalidSize);
         }
-        if self.facts.complete_ms.is_some() {
+        if self.facts.complete_at_ms.is_some() {
             let unlisted = request.backends.keys().find(|backend| !self.facts.is_listed(backend));
             if let Some(backend) = unlisted {
                 return Err(Rejection::NotListed(backend.clone()));
@@ -86,7 +86,7 @@
                 }
             }
         }
-        let status = self.status(name).ok_or(Rejection::Unknown)?;
+        let status = self.status(name).ok_or(Rejection::NotFound)?;
         effects.push(Effect::Status(status));
         Ok(())
     }
@@ -98,7 +98,7 @@
         backend: &BackendId,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
-        let known = self.request(name).ok_or(Rejection::Unknown)?;
+        let known = self.request(name).ok_or(Rejection::NotFound)?;
         let Some(BackendOutcome::Granted(grant)) = known.backends.get(backend).copied() else {
             return Err(Rejection::Superseded);
         };
@@ -121,14 +121,14 @@
         let step = self.applied;
         let listed = self.facts.backends.get_mut(backend).filter(|known| known.facts.is_listed);
         let Some(known) = listed else {
-            self.placements.remove(backend);
+            self.phases.remove(backend);
             effects.push(Effect::InService { backend: backend.clone() });
             return;
         };
         // Whatever was measured before, it counts as warming up until it is measured again.
         known.facts.is_warming_up = true;
         known.changed = step;
-        self.placements.insert(backend.clone(), Placement::Recovering(Recovery::new(step)));
+        self.phases.insert(backend.clone(), MaintenancePhase::Recovering(Recovery::new(step)));
         effects.push(Effect::Recovering { backend: backend.clone(), step, stage: None });
     }
 }
--- a/crates/maintenance/src/transitions/time.rs
+++ b/crates/maintenance/src/transitions/time.rs
@@ -26,7 +26,7 @@
     /// Reports once each grant that is open for longer than requested. Its backends still count as out of service.
     fn report_overdue(&mut self, effects: &mut Vec<Effect>) {
         for (index, grant) in &mut self.grants {
-            let due_ms = grant.drained_ms.map(|drained_ms| drained_ms.saturating_add(grant.work_ms));
+            let due_ms = grant.drained_at_ms.map(|drained_at_ms| drained_at_ms.saturating_add(grant.work_ms));
             if !grant.is_overdue_reported && due_ms.is_some_and(|due_ms| due_ms < self.log_time_ms) {
                 grant.is_overdue_reported = true;
                 let (name, backends) = (grant.name.clone(), grant.backends.clone());
@@ -41,7 +41,7 @@
         let known = self.facts.backends.iter();
         let unlisted = known.filter(|(_, known)| known.unlisted_since_ms.is_some_and(is_over));
         let forgotten = unlisted.map(|(backend, _)| backend);
-        let forgotten = forgotten.filter(|backend| !self.placements.contains_key(*backend));
+        let forgotten = forgotten.filter(|backend| !self.phases.contains_key(*backend));
         let forgotten: Vec<BackendId> = forgotten.cloned().collect();
         for backend in &forgotten {
             self.facts.forget_backend(backend);
@@ -52,7 +52,7 @@
         let ended = self.requests.iter().filter(|(_, request)| !request.is_open());
         let ended: Vec<String> = ended.map(|(name, _)| name.clone()).collect();
         for name in ended {
-            effects.extend(self.status(&name).map(Effect::Ended));
+            effects.extend(self.status(&name).map(Effect::RequestEnded));
             if let Some(request) = self.requests.remove(&name) {
                 self.ended_requests.push_back((name, request));
             }
--- a/crates/maintenance/tests/admission.rs
+++ b/crates/maintenance/tests/admission.rs
@@ -73,7 +73,7 @@
     };
     assert_eq!(result("w-a2", "a2"), Some(Rejection::QueuedBehind("w-a1".into())));
     assert_eq!(result("w-a1", "a1 a2"), Some(Rejection::Superseded));
-    assert_eq!(result("other", "a1"), Some(Rejection::Unknown));
+    assert_eq!(result("other", "a1"), Some(Rejection::NotFound));
     assert_eq!(result("w-a1", "a1"), None);
     assert_eq!(result("w-a1", "a1"), Some(Rejection::Superseded));
     assert_eq!(result("w-a2", "a2"), Some(Rejection::BoundExceeded(Bound::Zone("a".into()))));
@@ -93,10 +93,10 @@
     harness.run("f1", &request("w", "a1"));
     harness.run_leader();
     harness.drain();
-    let seen = harness.state.applied();
+    let min_applied = harness.state.applied();
     harness.run("f1", &finish("w"));
     let backends = harness.view.backends.clone();
-    let late = Command::Observe { seen, is_complete: true, backends, volumes: BTreeMap::new() };
+    let late = Command::Observe { min_applied, is_complete: true, backends, volumes: BTreeMap::new() };
     harness.run("deposed", &late);
     let step = |harness: &Harness| -> Index { harness.state.recoveries().next().unwrap().1.step() };
     for stage in 0..2 {
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -13,20 +13,20 @@
 const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 
 #[test]
-fn commands_keep_their_bytes() {
+fn commands_match_golden_files() {
     for (name, command) in commands() {
         GOLDEN.assert_postcard(&format!("{name}.postcard"), &command);
     }
 }
 
 #[test]
-fn replicated_state_keeps_its_bytes() {
+fn replicated_state_matches_golden_files() {
     GOLDEN.assert_postcard("state-empty.postcard", &MaintenanceState::default());
     GOLDEN.assert_postcard("state-filled.postcard", &filled_state().state);
 }
 
 #[test]
-fn persisted_orders_keep_their_bytes() {
+fn persisted_orders_match_golden_files() {
     GOLDEN.assert_postcard("persisted-orders-empty.postcard", &PersistedOrders::default());
     let mut actions = Vec::new();
     let mut agent = MemberAgent::new(Duration::from_millis(250), None, Time(0), &mut actions);
--- a/crates/maintenance/tests/interleavings.rs
+++ b/crates/maintenance/tests/interleavings.rs
@@ -41,7 +41,7 @@
         checker.check(&self.view, &self.rules, &transition);
         self.drained_count +=
             effects.iter().filter(|effect| matches!(effect, Effect::Drained { .. })).count();
-        self.ended_count += effects.iter().filter(|effect| matches!(effect, Effect::Ended(_))).count();
+        self.ended_count += effects.iter().filter(|effect| matches!(effect, Effect::RequestEnded(_))).count();
         if is_rejected(&effects) {
             return None;
         }
@@ -65,7 +65,7 @@
                 }));
                 continue;
             }
-            let view = ClusterView { seen: known.applied(), ..self.view.clone() };
+            let view = ClusterView { min_applied: known.applied(), ..self.view.clone() };
             successors.extend(known.propose(NOW_MS, &view).into_iter().map(|command| {
                 let mut next = node.clone();
                 next.proposers[proposer].1 = Some(command);
--- a/crates/maintenance/tests/invariants.rs
+++ b/crates/maintenance/tests/invariants.rs
@@ -15,12 +15,12 @@
 const BACKENDS: [&str; 8] = ["a1", "a2", "a3", "b1", "b2", "b3", "c1", "c2"];
 const MEMBERS: [&str; 3] = ["f1", "f2", "f3"];
 
-fn pick<'a>(rng: &mut SmallRng, from: &[&'a str]) -> &'a str {
+fn choose_name<'a>(rng: &mut SmallRng, from: &[&'a str]) -> &'a str {
     from.choose(rng).unwrap()
 }
 
 fn random_backends(rng: &mut SmallRng) -> BTreeSet<BackendId> {
-    (0..rng.random_range(1..4)).map(|_| backend(pick(rng, &BACKENDS))).collect()
+    (0..rng.random_range(1..4)).map(|_| backend(choose_name(rng, &BACKENDS))).collect()
 }
 
 fn random_cluster(rng: &mut SmallRng) -> (Rules, ClusterView) {
@@ -36,17 +36,17 @@
 
 /// Any command.
 fn random_command(rng: &mut SmallRng, state: &MaintenanceState, view: &ClusterView) -> Command {
-    let name = pick(rng, &["w1", "w2", "w3", "w4"]).to_string();
+    let name = choose_name(rng, &["w1", "w2", "w3", "w4"]).to_string();
     let grants: Vec<Index> = state.grants().map(|(index, _)| index).chain([Index(7)]).collect();
     let grant = *grants.choose(rng).unwrap();
-    let member_name = pick(rng, &MEMBERS);
+    let member_name = choose_name(rng, &MEMBERS);
     let member = member(member_name);
-    let backend = backend(pick(rng, &BACKENDS));
+    let backend = backend(choose_name(rng, &BACKENDS));
     let recovery = state.recoveries().find(|(recovering, _)| **recovering == backend);
     let step = recovery.map_or(Index(3), |(_, recovery)| recovery.step());
     match rng.random_range(0..14) {
         0 | 1 => Command::Request {
-            name: name + pick(rng, &["", "-", "+"]),
+            name: name + choose_name(rng, &["", "-", "+"]),
             backends: random_backends(rng),
             work_ms: rng.random_range(0..9000),
             deadline_ms: rng.random_bool(0.2).then(|| rng.random_range(0..100_000)),
@@ -82,35 +82,35 @@
     facts.has_failed = rng.random_bool(0.2);
     facts.is_warming_up = rng.random_bool(0.3);
     facts.is_listed = rng.random_bool(0.9);
-    let seen = Index(state.applied().0.saturating_sub(rng.random_range(0..3)));
+    let min_applied = Index(state.applied().0.saturating_sub(rng.random_range(0..3)));
     let backends = BTreeMap::from([(backend, facts)]);
-    Command::Observe { seen, is_complete: false, backends, volumes: BTreeMap::new() }
+    Command::Observe { min_applied, is_complete: false, backends, volumes: BTreeMap::new() }
 }
 
 /// The commands that a cluster begins with, and their issuers.
-fn first_commands(rules: &Rules) -> Vec<(&'static str, Command)> {
+fn initial_commands(rules: &Rules) -> Vec<(&'static str, Command)> {
     let mut commands = vec![("op", Command::SetRules(rules.clone()))];
     commands.extend(MEMBERS.map(|name| (name, set_presence(name, present(1)))));
     commands
 }
 
 /// Any commands, among them proposals of leaders that know only an earlier state, applied to two replicas.
-fn apply_random_commands(seed: u64) {
+fn check_random_commands(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let (rules, view) = random_cluster(&mut rng);
     let mut checker = InvariantChecker::default();
     let (mut state, mut replica) = (MaintenanceState::default(), MaintenanceState::default());
     let mut now_ms = 1000;
     let mut earlier = vec![state.clone()];
-    let mut queue = first_commands(&rules);
+    let mut queue = initial_commands(&rules);
     for _ in 0..300 {
         if queue.is_empty() {
             if rng.random_bool(0.3) {
                 let leader = earlier.choose(&mut rng).unwrap();
-                let view = ClusterView { seen: leader.applied(), ..view.clone() };
+                let view = ClusterView { min_applied: leader.applied(), ..view.clone() };
                 queue.extend(leader.propose(now_ms, &view).into_iter().map(|command| ("leader", command)));
             } else {
-                queue.push((pick(&mut rng, &MEMBERS), random_command(&mut rng, &state, &view)));
+                queue.push((choose_name(&mut rng, &MEMBERS), random_command(&mut rng, &state, &view)));
             }
             continue;
         }
@@ -155,7 +155,7 @@
 
 /// Younger requests arrive all the time, and what they take out never returns. As soon as what was out before an older
 /// request is in service again, the older one is granted.
-fn submit_stream_of_requests(seed: u64) {
+fn check_older_request_is_granted(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let (rules, view) = random_cluster(&mut rng);
     let mut harness = Harness::new(rules, view, "f1");
@@ -164,7 +164,7 @@
         return;
     }
     for number in 0..rng.random_range(1..5) {
-        harness.run("f1", &request(&format!("before{number}"), pick(&mut rng, &BACKENDS)));
+        harness.run("f1", &request(&format!("before{number}"), choose_name(&mut rng, &BACKENDS)));
         harness.run_leader();
     }
     let open = harness.state.open_requests();
@@ -209,11 +209,11 @@
 
     #[test]
     fn invariants_hold_for_random_commands(seed in any::<u64>()) {
-        apply_random_commands(seed);
+        check_random_commands(seed);
     }
 
     #[test]
     fn no_request_starves(seed in any::<u64>()) {
-        submit_stream_of_requests(seed);
+        check_older_request_is_granted(seed);
     }
 }
--- a/crates/maintenance/tests/member_agent.rs
+++ b/crates/maintenance/tests/member_agent.rs
@@ -62,47 +62,47 @@
     MemberOrder::Ramp { step: Index(step), permille, is_reported: false }
 }
 
-fn drains_a1(order: u64) -> Vec<Action> {
+fn drain_action_of_a1(order: u64) -> Vec<Action> {
     vec![Action::Drain { backend: backend("a1"), order: Some(Index(order)) }]
 }
 
-fn undrains_a1(quota: Quota) -> Vec<Action> {
+fn undrain_action_of_a1(quota: Quota) -> Vec<Action> {
     vec![Action::Undrain { backend: backend("a1"), quota }]
 }
 
-fn reports_drained(grant: u64) -> Vec<Action> {
+fn drained_report(grant: u64) -> Vec<Action> {
     vec![Action::Report(Report::Drained { grant: Index(grant) })]
 }
 
 /// The agent reports once nothing is in flight at a time at which nothing new may be sent, not before the order is
 /// persisted, and again until the log has the report. A scheduler that sends too late is notified again and not reported.
 #[test]
-fn reports_drain_once_quiet_and_persisted() {
+fn reports_drain_once_idle_and_persisted() {
     let (mut host, _) = Host::start(None);
     host.renew_lease(0, 60_000);
-    assert_eq!(host.orders(1000, 5, &[("a1", drain(5))]), drains_a1(5));
+    assert_eq!(host.orders(1000, 5, &[("a1", drain(5))]), drain_action_of_a1(5));
     assert!(host.in_flight(1200, 0, 900).is_empty(), "it may still send");
     assert!(host.in_flight(1260, 1, 1240).is_empty(), "one is in flight");
     assert!(host.in_flight(1250, 0, 900).is_empty(), "older than what is known");
-    assert_eq!(host.in_flight(1300, 0, 1251), drains_a1(5));
+    assert_eq!(host.in_flight(1300, 0, 1251), drain_action_of_a1(5));
     assert_eq!(host.agent.late_sends(), 1);
     assert!(host.in_flight(1540, 0, 1251).is_empty());
-    assert_eq!(host.in_flight(1560, 0, 1251), reports_drained(5));
+    assert_eq!(host.in_flight(1560, 0, 1251), drained_report(5));
     assert!(host.handle(2000, Event::Tick).is_empty());
     assert_eq!(host.agent.next_wakeup(), Some(ms(2560)));
-    assert_eq!(host.handle(2560, Event::Tick), reports_drained(5));
+    assert_eq!(host.handle(2560, Event::Tick), drained_report(5));
     let reported = MemberOrder::Drain { grant: Index(5), is_reported: true };
     assert!(host.orders(2600, 6, &[("a1", reported)]).is_empty());
     assert_eq!(host.agent.next_wakeup(), None);
     let mut actions = Vec::new();
-    let mut unsaved = MemberAgent::new(DRAIN_DELAY, None, ms(0), &mut actions);
-    unsaved.handle(ms(0), Event::LeaseRenewed { until: ms(9000) }, &mut actions);
+    let mut unpersisted_agent = MemberAgent::new(DRAIN_DELAY, None, ms(0), &mut actions);
+    unpersisted_agent.handle(ms(0), Event::LeaseRenewed { until: ms(9000) }, &mut actions);
     let orders = [(backend("a1"), drain(5))].into();
-    unsaved.handle(ms(0), Event::Orders { index: Index(5), orders }, &mut actions);
+    unpersisted_agent.handle(ms(0), Event::Orders { index: Index(5), orders }, &mut actions);
     actions.clear();
-    let quiet =
+    let idle =
         Event::InFlight { backend: backend("a1"), in_flight: 0, last_send: None, measured_at: ms(300) };
-    unsaved.handle(ms(300), quiet, &mut actions);
+    unpersisted_agent.handle(ms(300), idle, &mut actions);
     assert!(actions.is_empty(), "not persisted yet");
 }
 
@@ -117,7 +117,7 @@
     assert_eq!(host.agent.drained_backends(), backends("a1"));
     host.orders(1300, 9, &[("a1", ramp(9, 40)), ("b1", drain(8))]);
     let regained = host.renew_lease(1400, 9000);
-    assert_eq!(regained[0], undrains_a1(Quota::Permille(40))[0]);
+    assert_eq!(regained[0], undrain_action_of_a1(Quota::Permille(40))[0]);
     assert_eq!(host.agent.drained_backends(), backends("b1"));
 }
 
@@ -129,16 +129,16 @@
     host.renew_lease(0, 1000);
     host.orders(500, 5, &[("a1", drain(5))]);
     let (mut restarted, first) = Host::start(host.disk);
-    assert_eq!(first, drains_a1(5));
+    assert_eq!(first, drain_action_of_a1(5));
     restarted.renew_lease(0, 9000);
     assert!(restarted.orders(10, 4, &[]).is_empty());
     assert_eq!(restarted.agent.stale_inputs(), 1);
     assert!(restarted.orders(20, 5, &[("a1", drain(5))]).is_empty());
-    assert_eq!(restarted.in_flight(300, 0, 0), reports_drained(5));
+    assert_eq!(restarted.in_flight(300, 0, 0), drained_report(5));
     let (mut without_disk, first) = Host::start(None);
     assert!(first.is_empty());
     without_disk.renew_lease(0, 9000);
-    assert_eq!(without_disk.orders(10, 7, &[("a1", drain(5))]), drains_a1(5));
+    assert_eq!(without_disk.orders(10, 7, &[("a1", drain(5))]), drain_action_of_a1(5));
 }
 
 #[test]
@@ -146,12 +146,12 @@
     let (mut host, _) = Host::start(None);
     host.renew_lease(0, 60_000);
     host.orders(0, 5, &[("a1", drain(5))]);
-    assert_eq!(host.orders(1000, 8, &[("a1", ramp(8, 0))]), drains_a1(8));
-    assert_eq!(host.orders(1100, 9, &[("a1", ramp(9, 75))]), undrains_a1(Quota::Permille(75)));
+    assert_eq!(host.orders(1000, 8, &[("a1", ramp(8, 0))]), drain_action_of_a1(8));
+    assert_eq!(host.orders(1100, 9, &[("a1", ramp(9, 75))]), undrain_action_of_a1(Quota::Permille(75)));
     assert_eq!(host.agent.next_wakeup(), Some(ms(1350)));
     let acknowledged = Report::StageAcknowledged { backend: backend("a1"), step: Index(9) };
     assert_eq!(host.handle(1350, Event::Tick), [Action::Report(acknowledged)]);
-    assert_eq!(host.orders(2000, 12, &[]), undrains_a1(Quota::Full));
+    assert_eq!(host.orders(2000, 12, &[]), undrain_action_of_a1(Quota::Full));
 }
 
 /// A log that was bootstrapped again knows nothing of the drained backends: they stay drained until an operator ends that.
@@ -165,5 +165,5 @@
     assert_eq!(host.agent.drained_backends(), backends("a1"));
     let release = |name: &str| Event::ReleaseOrphan { backend: backend(name) };
     assert!(host.handle(30, release("b1")).is_empty());
-    assert_eq!(host.handle(40, release("a1")), undrains_a1(Quota::Full));
+    assert_eq!(host.handle(40, release("a1")), undrain_action_of_a1(Quota::Full));
 }
--- a/crates/maintenance/tests/operator_text.rs
+++ b/crates/maintenance/tests/operator_text.rs
@@ -6,17 +6,17 @@
 use maintenance::{BackendFacts, BackendOutcome, Bound, Command, Effect, Rejection, Rules, RulesError};
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use support::samples::{all_rules, commands, filled_state};
+use support::samples::{commands, filled_state, sample_rules};
 use support::*;
 
 fn rules_errors() -> Vec<RulesError> {
     let broken = [
-        Rules { max_out_per_zone: 10, ..all_rules() },
-        Rules { max_out_per_volume: 10, ..all_rules() },
-        Rules { max_measurement_age_ms: 0, ..all_rules() },
-        Rules { stages: Vec::new(), ..all_rules() },
-        Rules { stages: vec![200, 200], ..all_rules() },
-        Rules { stages: vec![200, 1001], ..all_rules() },
+        Rules { max_out_per_zone: 10, ..sample_rules() },
+        Rules { max_out_per_volume: 10, ..sample_rules() },
+        Rules { max_measurement_age_ms: 0, ..sample_rules() },
+        Rules { stages: Vec::new(), ..sample_rules() },
+        Rules { stages: vec![200, 200], ..sample_rules() },
+        Rules { stages: vec![200, 1001], ..sample_rules() },
     ];
     broken.iter().map(|rules| rules.check().unwrap_err()).collect()
 }
@@ -26,12 +26,12 @@
     let mut rejections = vec![
         Rejection::AlreadyApplied,
         Rejection::Superseded,
-        Rejection::Unknown,
+        Rejection::NotFound,
         Rejection::NameTaken,
         Rejection::LimitReached,
-        Rejection::Malformed,
+        Rejection::InvalidSize,
         Rejection::NotListed(backend("a1")),
-        Rejection::Busy(backend("a1")),
+        Rejection::UnderMaintenance(backend("a1")),
         Rejection::StaleMeasurements,
         Rejection::NoMemberPresent,
         Rejection::NotOwnReport,
@@ -52,11 +52,15 @@
 fn rejected_commands(harness: &mut Harness) -> Vec<String> {
     let mut commands = commands();
     let too_many = (0..200).map(|n| (backend(&n.to_string()), BackendFacts::default())).collect();
-    let observe =
-        Command::Observe { seen: Index(1), is_complete: false, backends: too_many, volumes: BTreeMap::new() };
+    let observe = Command::Observe {
+        min_applied: Index(1),
+        is_complete: false,
+        backends: too_many,
+        volumes: BTreeMap::new(),
+    };
     commands.extend([
         ("long", withdraw(&"n".repeat(200))),
-        ("rules", Command::SetRules(Rules { max_measurement_age_ms: 0, ..all_rules() })),
+        ("rules", Command::SetRules(Rules { max_measurement_age_ms: 0, ..sample_rules() })),
         ("observe", observe),
     ]);
     let mut effects: Vec<Effect> =
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn operator_text_keeps_its_wording() {
+fn operator_text_matches_golden_file() {
     let mut text = String::new();
     for rejection in rejections() {
         writeln!(text, "{rejection}").unwrap();
--- a/crates/maintenance/tests/recovery.rs
+++ b/crates/maintenance/tests/recovery.rs
@@ -76,7 +76,7 @@
     harness.view.healthy_ms.insert(backend("a1"), STAGE_MS);
     harness.run_leader();
     assert!(harness.effects.contains(&Effect::InService { backend: backend("a1") }));
-    assert!(harness.state.out_backends().is_empty());
+    assert!(harness.state.out_of_service().is_empty());
 }
 
 /// Members hear of a step at different times: old and new quotas together stay within the stage.
@@ -135,6 +135,6 @@
     harness.view.backends.get_mut(&backend("a1")).unwrap().has_failed = false;
     harness.run_leader();
     assert_eq!(recovery(&harness).stage(), Some(0));
-    assert!(harness.state.out_backends().contains(&backend("a1")));
+    assert!(harness.state.out_of_service().contains(&backend("a1")));
     assert!(recovery(&harness).quotas().values().sum::<u16>() <= 300);
 }
--- a/crates/maintenance/tests/scenarios.rs
+++ b/crates/maintenance/tests/scenarios.rs
@@ -4,7 +4,7 @@
 
 use cluster_types::{Index, MemberId};
 use maintenance::{
-    BackendOutcome, Command, Effect, MaintenanceState, MemberStanding, Presence, Rejection, RequestStatus,
+    BackendOutcome, Command, Effect, MaintenanceState, MemberStatus, Presence, Rejection, RequestStatus,
 };
 use std::collections::BTreeSet;
 use support::*;
@@ -57,8 +57,8 @@
         assert_eq!(rejection(&harness.run("f2", &left)), Some(&Rejection::NotOwnReport));
         if is_declared_dead {
             harness.run("f2", &Command::DeclareDead { member: member("f1") });
-            let standing = harness.state.standing(&member("f1"));
-            assert!(matches!(standing, Some(MemberStanding::DeclaredDead { .. })));
+            let status = harness.state.member_status(&member("f1"));
+            assert!(matches!(status, Some(MemberStatus::DeclaredDead { .. })));
         } else {
             harness.run("f1", &set_presence("f1", present(2)));
             report_drained(&mut harness, grant, "f1");
@@ -97,7 +97,7 @@
     harness.run_leader();
     // A leader on the minority side proposes by its own state; the log receives it only after the other side's grant.
     minority.run("f3", &far);
-    minority.view.seen = minority.state.applied();
+    minority.view.min_applied = minority.state.applied();
     let late: Vec<Command> = minority.state.propose(minority.now_ms, &minority.view);
     assert!(late.iter().any(|command| matches!(command, Command::Grant { .. })));
     harness.run("f3", &far);
@@ -230,5 +230,5 @@
     assert_eq!(outcome(&harness, "w", "a2"), BackendOutcome::Withdrawn);
     harness.run("f2", &finish("w"));
     assert!(harness.are_granted("") && harness.state.open_requests().is_empty());
-    assert_eq!(rejection(&harness.run("f2", &withdraw("none"))), Some(&Rejection::Unknown));
+    assert_eq!(rejection(&harness.run("f2", &withdraw("none"))), Some(&Rejection::NotFound));
 }
--- a/crates/maintenance/tests/simulation.rs
+++ b/crates/maintenance/tests/simulation.rs
@@ -3,17 +3,17 @@
 #![allow(clippy::unwrap_used, clippy::panic)]
 #[path = "simulation/calls.rs"]
 mod calls;
+#[path = "simulation/cluster.rs"]
+mod cluster;
 #[path = "simulation/member.rs"]
 mod simulated_member;
 mod support;
-#[path = "simulation/world.rs"]
-mod world;
 
+use cluster::{SimulatedCluster, MEMBERS};
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use std::collections::BTreeSet;
 use support::*;
-use world::{World, MEMBERS};
 
 /// Steps in which members fail.
 const FAULTY_STEPS: u64 = 2500;
@@ -22,9 +22,9 @@
 /// A new request is submitted every so many steps.
 const STEPS_PER_REQUEST: u64 = 250;
 /// Steps without faults in the beginning.
-const QUIET_STEPS: u64 = 100;
+const INITIAL_FAULT_FREE_STEPS: u64 = 100;
 
-impl World {
+impl SimulatedCluster {
     /// Breaks something, or repairs it.
     fn inject_fault(&mut self) {
         let number = self.rng.random_range(0..MEMBERS);
@@ -39,7 +39,7 @@
             2 | 3 if !self.members[number].is_running => self.members[number].start(now, &mut self.rng),
             4 => self.members[number].stalled_until = now + self.rng.random_range(100..2000),
             5 => {
-                let names: Vec<&str> = world::BACKENDS.split(' ').collect();
+                let names: Vec<&str> = cluster::BACKENDS.split(' ').collect();
                 let name = names.choose(&mut self.rng).unwrap();
                 let facts = self.view.backends.get_mut(&backend(name)).unwrap();
                 facts.has_failed = !facts.has_failed;
@@ -68,7 +68,7 @@
     }
 
     fn submit_request(&mut self, name: String) {
-        let names: Vec<&str> = world::BACKENDS.split(' ').collect();
+        let names: Vec<&str> = cluster::BACKENDS.split(' ').collect();
         let chosen: BTreeSet<&str> = (0..3).map(|_| *names.choose(&mut self.rng).unwrap()).collect();
         let chosen: Vec<&str> = chosen.into_iter().collect();
         self.submitted.insert(name.clone(), request(&name, &chosen.join(" ")));
@@ -76,45 +76,45 @@
 
     fn have_all_ended(&self) -> bool {
         let has_ended = |name: &String| self.state.request(name).is_some_and(|request| !request.is_open());
-        self.submitted.keys().all(has_ended) && self.state.out_backends().is_empty()
+        self.submitted.keys().all(has_ended) && self.state.out_of_service().is_empty()
     }
 }
 
 /// Returns whether all members were restarted while three backends were out.
-fn run(seed: u64) -> bool {
+fn run_simulation(seed: u64) -> bool {
     println!("seed {seed}");
-    let mut world = World::new(seed);
+    let mut cluster = SimulatedCluster::new(seed);
     let mut has_restarted = false;
     for step in 0..FAULTY_STEPS {
         if step % STEPS_PER_REQUEST == 0 {
-            world.submit_request(format!("w{step}"));
+            cluster.submit_request(format!("w{step}"));
         }
-        if step > QUIET_STEPS && world.rng.random_bool(0.02) {
-            world.inject_fault();
+        if step > INITIAL_FAULT_FREE_STEPS && cluster.rng.random_bool(0.02) {
+            cluster.inject_fault();
         }
-        if !has_restarted && world.max_granted >= 3 {
+        if !has_restarted && cluster.max_granted >= 3 {
             has_restarted = true;
-            world.restart_all();
+            cluster.restart_all();
         }
-        world.step();
-        assert!(world.max_granted <= 3);
+        cluster.step();
+        assert!(cluster.max_granted <= 3);
     }
-    world.repair_all();
+    cluster.repair_all();
     for _ in 0..HEALTHY_STEPS {
-        if world.have_all_ended() {
-            let World { drained_count, max_granted, now, .. } = world;
+        if cluster.have_all_ended() {
+            let SimulatedCluster { drained_count, max_granted, now, .. } = cluster;
             println!("{drained_count} drained, {max_granted} out at most, ended at {now} ms");
             return has_restarted;
         }
-        world.step();
+        cluster.step();
     }
-    panic!("seed {seed}: requests never end: {:?}", world.state.open_requests());
+    panic!("seed {seed}: requests never end: {:?}", cluster.state.open_requests());
 }
 
 #[test]
 fn all_requests_end_although_members_fail() {
     let seed = std::env::var("SIM_SEED").ok().and_then(|seed| seed.parse().ok());
     let seeds = seed.map_or(0..3, |seed| seed..seed + 1);
-    let restarted = seeds.filter(|seed| run(*seed)).count();
+    let restarted = seeds.filter(|seed| run_simulation(*seed)).count();
     assert!(restarted > 0 || seed.is_some());
 }
--- a/crates/maintenance/tests/simulation/calls.rs
+++ b/crates/maintenance/tests/simulation/calls.rs
@@ -1,17 +1,17 @@
 //! What leaders and operators send to the log.
+use super::cluster::SimulatedCluster;
 use super::support::*;
-use super::world::World;
 use maintenance::{BackendOutcome, ClusterView, Command, MaintenanceRequest};
 use rand::Rng;
 use std::collections::BTreeSet;
 
-impl World {
+impl SimulatedCluster {
     pub fn propose(&mut self, number: usize) {
         let (now, member) = (self.now, &mut self.members[number]);
         let steady_time = member.steady_time(now);
         member.stage_timer.update(steady_time, &member.state, &BTreeSet::new());
         let healthy_ms = member.stage_timer.healthy_ms(steady_time);
-        let view = ClusterView { seen: member.state.applied(), healthy_ms, ..self.view.clone() };
+        let view = ClusterView { min_applied: member.state.applied(), healthy_ms, ..self.view.clone() };
         let commands = member.state.propose(member.unix_ms(now), &view);
         let issuer = member.name.clone();
         for command in commands {
--- a/crates/maintenance/tests/simulation/world.rs
+++ b/crates/maintenance/tests/simulation/cluster.rs
@@ -1,10 +1,10 @@
 //! The simulated world: an idealised log that splits and delays, backends that fail and warm up, and operators that repeat
 //! their calls. Times are in milliseconds.
-use super::simulated_member::{LogEntry, Member};
+use super::simulated_member::{LogEntry, SimulatedMember};
 use super::support::invariants::{InvariantChecker, Transition};
 use super::support::*;
 use cluster_types::{BackendId, Index, MemberId};
-use maintenance::{ClusterView, Command, Effect, Event, MaintenanceState, MemberStanding, Presence, Rules};
+use maintenance::{ClusterView, Command, Effect, Event, MaintenanceState, MemberStatus, Presence, Rules};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,10 +33,10 @@
     pub until: u64,
 }
 
-pub struct World {
+pub struct SimulatedCluster {
     pub rng: SmallRng,
     pub now: u64,
-    pub members: Vec<Member>,
+    pub members: Vec<SimulatedMember>,
     /// The state after the last committed entry.
     pub state: MaintenanceState,
     log: Vec<LogEntry>,
@@ -53,14 +53,15 @@
     pub drained_count: usize,
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
+impl SimulatedCluster {
+    pub fn new(seed: u64) -> SimulatedCluster {
         let mut rng = SmallRng::seed_from_u64(seed);
         let rules = Rules { stage_ms: 500, ..rules(3, 2, 2) };
         let volumes = [("v", 100, "a1 b1 c1"), ("w", 100, "a2 b2 c2"), ("x", 200, "a3 b3 c3")];
         let state = MaintenanceState::new(Rules::default());
-        let members = (1..=MEMBERS as u64).map(|number| Member::new(number, &mut rng, &state)).collect();
-        let mut world = World {
+        let members =
+            (1..=MEMBERS as u64).map(|number| SimulatedMember::new(number, &mut rng, &state)).collect();
+        let mut cluster = SimulatedCluster {
             rng,
             now: 0,
             members,
@@ -77,8 +78,8 @@
             is_faulty: true,
             drained_count: 0,
         };
-        world.commit(1_000_000, member("op"), Command::SetRules(rules));
-        world
+        cluster.commit(1_000_000, member("op"), Command::SetRules(rules));
+        cluster
     }
 
     /// Whether a member is on the side of a partition that has the log's quorum.
@@ -120,8 +121,8 @@
         let present: BTreeSet<&MemberId> = self.state.present_members().collect();
         for backend in backends {
             for member in &self.members {
-                let is_quiet = !present.contains(&member.name) || member.is_quiet(self.now, backend);
-                assert!(is_quiet, "{backend} is reported as drained, and {} still sends", member.name);
+                let is_idle = !present.contains(&member.name) || member.is_idle(self.now, backend);
+                assert!(is_idle, "{backend} is reported as drained, and {} still sends", member.name);
             }
         }
         let until = self.now + self.rng.random_range(100..3000);
@@ -178,15 +179,15 @@
     fn step_member(&mut self, number: usize, leader: Option<usize>, backends: &[BackendId]) {
         let now = self.now;
         if self.has_quorum(number) {
-            self.follow_log(number);
+            self.apply_log_entries(number);
         }
-        for backend in self.members[number].turn(now, backends, &mut self.rng) {
+        for backend in self.members[number].run_turn(now, backends, &mut self.rng) {
             let is_open = self.open.contains_key(&backend);
             assert!(!is_open, "{} sends to {backend}, which is open", self.members[number].name);
         }
         for command in std::mem::take(&mut self.members[number].outbox) {
             // A member repeats its presence until it is in the log.
-            if self.is_unknown_presence(number, &command) {
+            if self.is_unconfirmed_presence(number, &command) {
                 self.members[number].outbox.push(command.clone());
                 if !self.rng.random_bool(0.05) {
                     continue;
@@ -201,7 +202,7 @@
         }
     }
 
-    fn follow_log(&mut self, number: usize) {
+    fn apply_log_entries(&mut self, number: usize) {
         while self.rng.random_bool(0.6) {
             let position = self.members[number].state.applied().0 as usize;
             let Some(entry) = self.log.get(position).cloned() else { break };
@@ -213,12 +214,12 @@
         }
     }
 
-    fn is_unknown_presence(&self, number: usize, command: &Command) -> bool {
+    fn is_unconfirmed_presence(&self, number: usize, command: &Command) -> bool {
         let Command::SetPresence { presence: Presence::Present { .. }, member } = command else {
             return false;
         };
         let sender = &self.members[number];
-        let expected = MemberStanding::Present { incarnation: sender.incarnation };
-        sender.state.standing(member) != Some(expected)
+        let expected = MemberStatus::Present { incarnation: sender.incarnation };
+        sender.state.member_status(member) != Some(expected)
     }
 }
--- a/crates/maintenance/tests/simulation/member.rs
+++ b/crates/maintenance/tests/simulation/member.rs
@@ -36,7 +36,7 @@
     ends: u64,
 }
 
-pub struct Member {
+pub struct SimulatedMember {
     pub name: MemberId,
     pub incarnation: u64,
     pub is_running: bool,
@@ -45,40 +45,40 @@
     /// How far its Unix time is off.
     pub clock_offset: i64,
     /// The origin of its steady clock, in microseconds.
-    origin: u64,
+    steady_clock_origin_us: u64,
     pub state: MaintenanceState,
     pub stage_timer: StageTimer,
     agent: Option<MemberAgent>,
     disk: Option<PersistedOrders>,
     writes: Vec<PendingWrite>,
     /// From when on the scheduler sends nothing new to a backend.
-    send_stops: BTreeMap<BackendId, u64>,
+    send_stop_times: BTreeMap<BackendId, u64>,
     /// When the agent first ordered that.
-    drain_orders: BTreeMap<BackendId, u64>,
-    last_sends: BTreeMap<BackendId, u64>,
+    drain_order_times: BTreeMap<BackendId, u64>,
+    last_send_times: BTreeMap<BackendId, u64>,
     in_flight: Vec<InFlight>,
     /// Commands that it wants in the log.
     pub outbox: Vec<Command>,
 }
 
-impl Member {
-    pub fn new(number: u64, rng: &mut SmallRng, state: &MaintenanceState) -> Member {
-        let mut member = Member {
+impl SimulatedMember {
+    pub fn new(number: u64, rng: &mut SmallRng, state: &MaintenanceState) -> SimulatedMember {
+        let mut member = SimulatedMember {
             name: member(&format!("f{number}")),
             incarnation: 0,
             is_running: false,
             stalled_until: 0,
             group: 0,
             clock_offset: rng.random_range(-300_000..300_000),
-            origin: rng.random_range(0..1 << 40),
+            steady_clock_origin_us: rng.random_range(0..1 << 40),
             state: state.clone(),
             stage_timer: StageTimer::new(),
             agent: None,
             disk: None,
             writes: Vec::new(),
-            send_stops: BTreeMap::new(),
-            drain_orders: BTreeMap::new(),
-            last_sends: BTreeMap::new(),
+            send_stop_times: BTreeMap::new(),
+            drain_order_times: BTreeMap::new(),
+            last_send_times: BTreeMap::new(),
             in_flight: Vec::new(),
             outbox: Vec::new(),
         };
@@ -87,7 +87,7 @@
     }
 
     pub fn steady_time(&self, now: u64) -> Time {
-        Time(self.origin + now * 1000)
+        Time(self.steady_clock_origin_us + now * 1000)
     }
 
     pub fn unix_ms(&self, now: u64) -> u64 {
@@ -102,9 +102,9 @@
     pub fn crash(&mut self) {
         self.is_running = false;
         self.agent = None;
-        self.send_stops.clear();
-        self.drain_orders.clear();
-        self.last_sends.clear();
+        self.send_stop_times.clear();
+        self.drain_order_times.clear();
+        self.last_send_times.clear();
         self.in_flight.clear();
         self.writes.clear();
         self.outbox.clear();
@@ -120,7 +120,7 @@
         self.agent = Some(agent);
         self.carry_out(now, actions, rng);
         // What was persisted holds from the first moment on.
-        self.send_stops.values_mut().for_each(|at| *at = now);
+        self.send_stop_times.values_mut().for_each(|at| *at = now);
         let presence = Presence::Present { incarnation: self.incarnation };
         self.outbox.push(Command::SetPresence { member: self.name.clone(), presence });
     }
@@ -137,13 +137,16 @@
         for action in actions {
             match action {
                 Action::Drain { backend, .. } => {
-                    self.drain_orders.entry(backend.clone()).or_insert(now);
+                    self.drain_order_times.entry(backend.clone()).or_insert(now);
                     let stop = now + rng.random_range(0..DRAIN_DELAY_MS);
-                    self.send_stops.entry(backend).and_modify(|at| *at = (*at).min(stop)).or_insert(stop);
+                    self.send_stop_times
+                        .entry(backend)
+                        .and_modify(|at| *at = (*at).min(stop))
+                        .or_insert(stop);
                 }
                 Action::Undrain { backend, .. } => {
-                    self.send_stops.remove(&backend);
-                    self.drain_orders.remove(&backend);
+                    self.send_stop_times.remove(&backend);
+                    self.drain_order_times.remove(&backend);
                 }
                 Action::Persist { serial, orders } => {
                     self.writes.push(PendingWrite { due: now + rng.random_range(0..60), serial, orders });
@@ -160,14 +163,14 @@
     }
 
     /// Whether nothing is sent to a backend any more, and nothing is in flight there.
-    pub fn is_quiet(&self, now: u64, backend: &BackendId) -> bool {
-        let has_stopped = self.send_stops.get(backend).is_some_and(|at| *at <= now);
+    pub fn is_idle(&self, now: u64, backend: &BackendId) -> bool {
+        let has_stopped = self.send_stop_times.get(backend).is_some_and(|at| *at <= now);
         let is_in_flight = self.in_flight.iter().any(|request| request.backend == *backend);
         !self.is_running || (has_stopped && !is_in_flight)
     }
 
     /// A turn of the process: disk, scheduler, measurements and orders. Returns the backends to which it has sent.
-    pub fn turn(&mut self, now: u64, backends: &[BackendId], rng: &mut SmallRng) -> Vec<BackendId> {
+    pub fn run_turn(&mut self, now: u64, backends: &[BackendId], rng: &mut SmallRng) -> Vec<BackendId> {
         self.complete_writes(now, rng);
         self.in_flight.retain(|request| request.ends > now);
         let sent = self.send_requests(now, backends, rng);
@@ -192,13 +195,13 @@
     fn send_requests(&mut self, now: u64, backends: &[BackendId], rng: &mut SmallRng) -> Vec<BackendId> {
         let mut sent = Vec::new();
         for backend in backends {
-            let may_send = self.send_stops.get(backend).is_none_or(|at| now < *at);
+            let may_send = self.send_stop_times.get(backend).is_none_or(|at| now < *at);
             if may_send && rng.random_bool(0.2) {
-                let ordered = self.drain_orders.get(backend);
+                let ordered = self.drain_order_times.get(backend);
                 assert!(ordered.is_none_or(|at| now <= at + DRAIN_DELAY_MS), "later than the drain delay");
                 let ends = now + rng.random_range(0..400);
                 self.in_flight.push(InFlight { backend: backend.clone(), ends });
-                self.last_sends.insert(backend.clone(), now);
+                self.last_send_times.insert(backend.clone(), now);
                 sent.push(backend.clone());
             }
         }
@@ -209,7 +212,7 @@
         for backend in backends {
             let in_flight =
                 self.in_flight.iter().filter(|request| request.backend == *backend).count() as u32;
-            let last_send = self.last_sends.get(backend).map(|at| self.steady_time(*at));
+            let last_send = self.last_send_times.get(backend).map(|at| self.steady_time(*at));
             let measured_at = self.steady_time(now);
             let event = Event::InFlight { backend: backend.clone(), in_flight, last_send, measured_at };
             self.handle(now, event, rng);
--- a/crates/maintenance/tests/support/invariants.rs
+++ b/crates/maintenance/tests/support/invariants.rs
@@ -40,7 +40,7 @@
                     assert_eq!(*grant, after.applied(), "a grant is identified by its log index");
                     assert!(self.granted.insert(*grant, backends.clone()).is_none());
                     self.out.extend(backends.iter().cloned());
-                    let (before, after) = (before.out_backends(), after.out_backends());
+                    let (before, after) = (before.out_of_service(), after.out_of_service());
                     check_bounds(view, rules, &before, &after);
                     check_bounds(view, rules, &BTreeSet::new(), &self.out);
                     check_reservations(view, &before, &after);
@@ -50,7 +50,7 @@
                 _ => {}
             }
         }
-        let counted = after.out_backends();
+        let counted = after.out_of_service();
         let orders = after.orders(&member("any"));
         let is_counted = |backend: &BackendId| counted.contains(backend) && orders.contains_key(backend);
         assert!(self.out.iter().all(is_counted), "out of service and not counted");
--- a/crates/maintenance/tests/support/mod.rs
+++ b/crates/maintenance/tests/support/mod.rs
@@ -146,7 +146,7 @@
     /// Applies what the leader proposes until it proposes nothing.
     pub fn run_leader(&mut self) {
         for _ in 0..200 {
-            self.view.seen = self.state.applied();
+            self.view.min_applied = self.state.applied();
             let commands = self.state.propose(self.now_ms, &self.view);
             if commands.is_empty() {
                 return;
--- a/crates/maintenance/tests/support/samples.rs
+++ b/crates/maintenance/tests/support/samples.rs
@@ -2,7 +2,7 @@
 use super::*;
 use cluster_types::Volume;
 
-pub fn all_rules() -> Rules {
+pub fn sample_rules() -> Rules {
     Rules {
         max_out: 9,
         max_out_per_zone: 2,
@@ -14,13 +14,13 @@
     }
 }
 
-fn observe_command(seen: Index) -> Command {
+fn observe_command(min_applied: Index) -> Command {
     let facts =
         BackendFacts { zone: "hall-a".into(), is_listed: true, has_failed: false, is_warming_up: true };
     let capacities = [(backend("a1"), 300), (backend("b1"), 70_000)].into();
     let volume = VolumeFacts { reserved: 1_000_000, backends: capacities };
     Command::Observe {
-        seen,
+        min_applied,
         is_complete: true,
         backends: [(backend("a1"), facts)].into(),
         volumes: [(Volume::from("00000000000000ff"), volume)].into(),
@@ -49,7 +49,7 @@
     let (name, member_1) = ("rack-7".to_string(), member("front-1"));
     let quotas = BTreeMap::from([(member("front-1"), 150), (member("front-2"), 1000)]);
     let (grant, after, step) = (Index(77), Index(300), Index(70_000));
-    let mut commands = vec![("command-00-rules", Command::SetRules(all_rules()))];
+    let mut commands = vec![("command-00-rules", Command::SetRules(sample_rules()))];
     commands.extend(request_commands());
     commands.extend([
         ("command-02-withdraw", withdraw("rack-7")),
@@ -104,7 +104,7 @@
     let capacities = too_many.map(|n| (backend(&n.to_string()), 1)).collect();
     let oversized = VolumeFacts { reserved: 0, backends: capacities };
     let observe = Command::Observe {
-        seen: Index(harness.state.applied().0),
+        min_applied: Index(harness.state.applied().0),
         is_complete: false,
         backends: BTreeMap::new(),
         volumes: [(Volume::from("x"), oversized)].into(),
