--- a/crates/maintenance/src/admission/mod.rs
+++ b/crates/maintenance/src/admission/mod.rs
@@ -28,7 +28,12 @@
 impl<'a> AdmissionCheck<'a> {
     pub(crate) fn new(state: &'a MaintenanceState) -> AdmissionCheck<'a> {
         let all = OutOfServiceSet::all(state);
-        AdmissionCheck { state, queue: queue(state, &all), granted: OutOfServiceSet::granted(state), all }
+        AdmissionCheck {
+            state,
+            queue: build_queue(state, &all),
+            granted: OutOfServiceSet::granted(state),
+            all,
+        }
     }
 
     /// Whether a batch of the named request may be granted now.
@@ -90,7 +95,7 @@
 /// The batches that wait for backends to return, the longest-waiting first. A batch that could not be granted even after
 /// all temporarily unavailable backends have returned (a backend has failed, or its volume has too little capacity) is left
 /// out and delays no other.
-fn queue<'a>(state: &'a MaintenanceState, all: &OutOfServiceSet) -> Vec<QueuedBatch<'a>> {
+fn build_queue<'a>(state: &'a MaintenanceState, all: &OutOfServiceSet) -> Vec<QueuedBatch<'a>> {
     let mut queue = Vec::new();
     for (name, request) in state.open_requests() {
         for batch in request.waiting_batches() {
--- a/crates/maintenance/src/admission/queue_order.rs
+++ b/crates/maintenance/src/admission/queue_order.rs
@@ -39,9 +39,8 @@
             }
             _ => {
                 let excess = self.count_with_both(bound).saturating_sub(self.out.allowed(bound));
-                let covers = |(other, returns): &(&Bound, usize)| {
-                    self.min_returns_under(bound, other, *returns) >= excess
-                };
+                let covers =
+                    |(other, returns): &(&Bound, usize)| self.min_returns(bound, other, *returns) >= excess;
                 excess > 0 && !due.iter().any(covers)
             }
         })
@@ -85,10 +84,10 @@
         }
     }
 
-    /// The minimum number of the `returns` required under `other` that are under `bound` as well: at most as many as there
-    /// are backends under `other` alone can be missing. Returns required under `bound` itself only free capacity for the
-    /// older batch, so they count as 0.
-    fn min_returns_under(&self, bound: &Bound, other: &Bound, returns: usize) -> usize {
+    /// The minimum number of the `returns` required under `other` that must be under `bound` as well, because there are not
+    /// enough backends under `other` alone. Returns required under `bound` itself count as 0, since they only free capacity
+    /// for the older batch.
+    fn min_returns(&self, bound: &Bound, other: &Bound, returns: usize) -> usize {
         if bound == other {
             return 0;
         }
--- a/crates/maintenance/src/grant.rs
+++ b/crates/maintenance/src/grant.rs
@@ -3,7 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Backends that were taken out of service by one command, whose log index identifies the grant. Stored: the fields keep their order.
+/// Backends that were taken out of service by one command, whose log index identifies the grant.
+///
+/// Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The name of the request.
--- a/crates/maintenance/src/member_agent/action.rs
+++ b/crates/maintenance/src/member_agent/action.rs
@@ -1,9 +1,9 @@
-//! What the agent has the host do.
+//! The outputs of the agent, for the host to carry out.
 use super::tracked::{AppliedOrder, PersistedOrders};
 use crate::order::Quota;
 use cluster_types::{BackendId, Index};
 
-/// A report of this member, to be proposed to the log.
+/// A report of this member for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Report {
     /// All backends of a grant are drained.
@@ -11,7 +11,7 @@
         /// The grant.
         grant: Index,
     },
-    /// The member keeps to its quota.
+    /// The member has put its quota into effect.
     StageAcknowledged {
         /// The backend.
         backend: BackendId,
@@ -23,33 +23,33 @@
 /// An output of the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send nothing new to a backend, from the drain delay on. Repeating it does no harm.
+    /// Stop sending new requests to a backend within the drain delay. Repeating the action is harmless.
     Drain {
         /// The backend.
         backend: BackendId,
-        /// The grant or recovery step; none where only an operator ends the drain.
+        /// The grant or recovery step; `None` if the log that ordered the drain no longer exists.
         order: Option<Index>,
     },
-    /// Send to a backend again.
+    /// Send requests to a backend again.
     Undrain {
         /// The backend.
         backend: BackendId,
-        /// How much.
+        /// How much may be sent.
         quota: Quota,
     },
     /// Propose a report to the log.
     Report(Report),
-    /// Persist the orders, so that they hold from the first moment after a restart; then report [`super::Event::Persisted`].
+    /// Persist the orders, so that they are in effect immediately after a restart; then pass in [`super::Event::Persisted`].
     Persist {
-        /// Numbers these actions.
+        /// The number of this write, in increasing order.
         serial: u64,
-        /// What to persist.
+        /// The orders to persist.
         orders: PersistedOrders,
     },
 }
 
 impl Action {
-    /// What the scheduler has to do to follow an order.
+    /// The action that puts an order into effect.
     pub(super) fn for_order(order: AppliedOrder, backend: &BackendId) -> Action {
         let backend = backend.clone();
         match order {
--- a/crates/maintenance/src/member_agent/event.rs
+++ b/crates/maintenance/src/member_agent/event.rs
@@ -1,4 +1,4 @@
-//! What the host tells the agent.
+//! The inputs of the agent, passed in by the host.
 use crate::order::MemberOrder;
 use cluster_types::{BackendId, Index, Time};
 use std::collections::BTreeMap;
@@ -8,19 +8,19 @@
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// The log was applied up to `index`, or restored.
+    /// The log was applied up to `index`, or the state was restored from a snapshot.
     Orders {
-        /// Where the log stands.
+        /// The index of the last applied entry.
         index: Index,
         /// All orders for this member ([`crate::MaintenanceState::orders`]).
         orders: BTreeMap<BackendId, MemberOrder>,
     },
     /// The lease was renewed.
     LeaseRenewed {
-        /// When it ends, counted from when the host asked for it.
+        /// When the lease expires. Its duration counts from the time at which the host requested it.
         until: Time,
     },
-    /// What the scheduler has in flight at a backend.
+    /// The scheduler's requests in flight at a backend.
     InFlight {
         /// The backend.
         backend: BackendId,
@@ -28,17 +28,17 @@
         in_flight: u32,
         /// When the last request was sent.
         last_send: Option<Time>,
-        /// As of when.
+        /// The time of the measurement.
         measured_at: Time,
     },
-    /// The orders of [`super::Action::Persist`] are on the disk; a host without one says so at once.
+    /// The orders of [`super::Action::Persist`] are on disk. A host without a disk passes this in at once.
     Persisted {
-        /// The serial of the action.
+        /// The serial number of the action.
         serial: u64,
     },
-    /// The log was bootstrapped again and its indices begin again. What was drained stays so.
+    /// The log was bootstrapped again, and its indices start over. Drained backends stay drained.
     LogReplaced,
-    /// An operator ends a drain that the present log knows nothing of.
+    /// An operator ends a drain that was ordered by an earlier log.
     ReleaseOrphan {
         /// The backend.
         backend: BackendId,
--- a/crates/maintenance/src/member_agent/mod.rs
+++ b/crates/maintenance/src/member_agent/mod.rs
@@ -1,8 +1,7 @@
-//! The agent of one member: it carries out the replicated state's orders for as long as the member's lease lasts.
+//! The agent of one member: it carries out the orders of the replicated state while the member's lease is valid.
 //!
-//! Without a lease the member can't know whether its orders still apply, and acts as if they had ended: what is drained
-//! stays drained, nothing new is drained and nothing returns. Once it has a lease again, it takes up what was ordered
-//! meanwhile.
+//! Without a lease the member can't know whether its latest orders still apply, and changes nothing: drained backends stay
+//! drained, no others are drained and none is undrained. Once it has a lease again, it applies the latest orders.
 mod action;
 mod event;
 mod orders;
@@ -19,27 +18,27 @@
 use std::time::Duration;
 use tracked::{AppliedOrder, TrackedBackend};
 
-/// A report that has not reached the log is made again after this time.
+/// A report that is not in the log is sent again after this time.
 const REPORT_RETRY: Duration = Duration::from_secs(1);
 
-/// Orders that have arrived and are not followed yet.
+/// Orders that were received and are not in effect yet.
 #[derive(Clone, Debug)]
 struct PendingOrders {
     index: Index,
     orders: BTreeMap<BackendId, MemberOrder>,
 }
 
-/// The agent. It does no I/O: it takes in events and returns the actions that the host has to carry out.
+/// The agent of one member. It does no I/O: it handles events and returns actions for the host to carry out.
 #[derive(Clone, Debug)]
 pub struct MemberAgent {
-    /// How long after an order the scheduler may still send to a backend.
+    /// How long after an order the scheduler may still send requests to a backend.
     drain_delay: Duration,
-    /// Where the log stood that the present orders come from.
+    /// The log index of the orders in effect.
     orders_index: Index,
     backends: BTreeMap<BackendId, TrackedBackend>,
     pending: Option<PendingOrders>,
     lease_end: Option<Time>,
-    /// The number of the last state that was handed out to be persisted, and of the last that has been.
+    /// The serial numbers of the last [`Action::Persist`], and of the last one that was completed.
     last_serial: u64,
     persisted_serial: u64,
     late_sends: u64,
@@ -47,8 +46,8 @@
 }
 
 impl MemberAgent {
-    /// An agent that goes on from the persisted orders, lease or not. `drain_delay` is how long after an order the
-    /// scheduler may still send to a backend.
+    /// An agent that starts with the persisted orders in effect, with or without a lease. `drain_delay` is how long after an
+    /// order the scheduler may still send requests to a backend.
     pub fn new(
         drain_delay: Duration,
         persisted: Option<PersistedOrders>,
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Takes an event in and appends the actions that follow from it.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Whether the lease lasts.
+    /// Whether the lease is valid.
     pub fn has_lease(&self, now: Time) -> bool {
         self.lease_end.is_some_and(|end| now < end)
     }
@@ -116,18 +115,18 @@
         wakeups.min()
     }
 
-    /// The backends that get no new requests.
+    /// The backends that receive no new requests.
     pub fn drained_backends(&self) -> BTreeSet<BackendId> {
         let drained = self.backends.iter().filter(|(_, tracked)| tracked.order.is_drained());
         drained.map(|(backend, _)| backend.clone()).collect()
     }
 
-    /// How often something was sent to a drained backend later than the drain delay allows.
+    /// How often a request was sent to a drained backend after the end of the drain delay.
     pub fn late_sends(&self) -> u64 {
         self.late_sends
     }
 
-    /// How many orders and measurements were older than known ones.
+    /// How many orders and measurements were ignored as outdated or dated in the future.
     pub fn stale_inputs(&self) -> u64 {
         self.stale_inputs
     }
--- a/crates/maintenance/src/member_agent/orders.rs
+++ b/crates/maintenance/src/member_agent/orders.rs
@@ -1,4 +1,4 @@
-//! How the agent takes up orders and follows them.
+//! How the agent accepts orders and puts them into effect.
 use super::tracked::{AppliedOrder, TrackedBackend};
 use super::{Action, MemberAgent, PendingOrders};
 use crate::order::{MemberOrder, Quota};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 impl MemberAgent {
-    /// Keeps orders until there is a lease to follow them. Returns false for orders older than known ones.
+    /// Keeps orders until a lease allows applying them. Returns false for orders older than known ones.
     pub(super) fn accept_orders(&mut self, index: Index, orders: BTreeMap<BackendId, MemberOrder>) -> bool {
         let newest = self.pending.as_ref().map_or(self.orders_index, |pending| pending.index);
         if index < newest {
@@ -17,7 +17,7 @@
         true
     }
 
-    /// Follows the orders that arrived last.
+    /// Puts the latest received orders into effect.
     pub(super) fn apply_pending_orders(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(PendingOrders { index, orders }) = self.pending.take() else { return };
         self.orders_index = index;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Undrains the backends that have no order any more. Returns whether there were any.
+    /// Undrains the backends that no longer have an order. Returns whether there were any.
     fn end_orders(&mut self, orders: &BTreeMap<BackendId, MemberOrder>, actions: &mut Vec<Action>) -> bool {
         let is_order_ended = |backend: &BackendId, tracked: &TrackedBackend| {
             !orders.contains_key(backend) && tracked.order != AppliedOrder::Orphan
@@ -45,7 +45,7 @@
         has_ended
     }
 
-    /// Follows the order for one backend. Returns whether it is a new one.
+    /// Puts the order for one backend into effect. Returns whether the order is new.
     fn apply_order(
         &mut self,
         now: Time,
@@ -61,10 +61,10 @@
         };
         let next_serial = self.last_serial + 1;
         let known = self.backends.get(&backend);
-        // A backend without an order counts as an orphan here: neither is ordered by the log.
+        // An orphan is treated like a backend without an order, since the current log has no order for it.
         let is_new = known.is_none_or(|tracked| tracked.order != order);
         if is_new {
-            // The drain delay counts from now on.
+            // The drain delay starts now.
             actions.push(Action::for_order(order, &backend));
             self.backends.insert(backend.clone(), TrackedBackend::new(order, now, next_serial));
         }
@@ -74,8 +74,8 @@
         is_new
     }
 
-    /// The log was replaced: everything that is under an order is drained until an operator ends that. The quotas
-    /// of a log that no longer exists are void.
+    /// Handles the replacement of the log: all backends under an order are drained until an operator releases them or the
+    /// new log has an order for them. The quotas of the old log are void.
     pub(super) fn orphan_all(&mut self, actions: &mut Vec<Action>) {
         self.orders_index = Index(0);
         self.pending = None;
--- a/crates/maintenance/src/member_agent/report.rs
+++ b/crates/maintenance/src/member_agent/report.rs
@@ -1,18 +1,18 @@
-//! When the agent reports that it has followed an order.
+//! How the agent reports that it has carried out an order.
 use super::tracked::{AppliedOrder, TrackedBackend};
 use super::{Action, MemberAgent, Report, REPORT_RETRY};
 use cluster_types::{BackendId, Index, Time};
 use std::collections::BTreeSet;
 
 impl TrackedBackend {
-    /// Whether a report is due that the log does not have.
+    /// Whether the report is not in the log and is due to be sent, for the first time or again.
     fn is_report_due(&self, now: Time) -> bool {
         !self.is_reported && self.reported_at.is_none_or(|reported_at| now >= reported_at + REPORT_RETRY)
     }
 }
 
 impl MemberAgent {
-    /// Takes in what is in flight at a drained backend.
+    /// Records the requests in flight at a drained backend.
     pub(super) fn record_in_flight(
         &mut self,
         now: Time,
@@ -30,7 +30,7 @@
         }
         tracked.measured_at = Some(measured_at);
         if last_send.is_some_and(|sent| sent > tracked.ordered_at + self.drain_delay) {
-            // The scheduler has sent too late: it is notified again, and nothing is reported before it complies.
+            // The scheduler has sent a request after the drain delay: it is notified again, and the delay restarts.
             self.late_sends += 1;
             tracked.ordered_at = now;
             actions.push(Action::for_order(tracked.order, backend));
@@ -38,8 +38,8 @@
         tracked.is_idle = in_flight == 0 && measured_at >= tracked.ordered_at + self.drain_delay;
     }
 
-    /// Reports what is done and not in the log yet. A drain counts once it is on the disk, for it must survive a restart,
-    /// and once nothing is in flight at a time at which the scheduler sends nothing new any more.
+    /// Reports the orders that are carried out and whose report is not in the log. A drain is complete once the order is on
+    /// disk, since it must survive a restart, and once no request is in flight after the end of the drain delay.
     pub(super) fn report(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.report_drained_grants(now, actions);
         self.report_stages(now, actions);
--- a/crates/maintenance/src/member_agent/tracked.rs
+++ b/crates/maintenance/src/member_agent/tracked.rs
@@ -1,16 +1,17 @@
-//! What a member does with a backend, and the part of it that survives a restart.
+//! The orders in effect at a member, and the part of them that survives a restart.
 use cluster_types::{BackendId, Index, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a member does with a backend. Stored: the variants keep their order.
+/// The order in effect for a backend. Stored: the variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum AppliedOrder {
-    /// It is drained for this grant.
+    /// The backend is drained for this grant.
     Drain(Index),
-    /// It recovers by this step, with this many thousandths of its cold budget.
+    /// The backend recovers: the recovery step, and the quota in thousandths of the cold budget.
     Ramp(Index, u16),
-    /// It was drained by a log that no longer exists. Only an operator, or an order of the present log, ends that.
+    /// The backend was drained by a log that no longer exists. Only an operator, or an order of the current log, ends the
+    /// drain.
     Orphan,
 }
 
@@ -28,29 +29,29 @@
     }
 }
 
-/// The orders of a member, as they survive a restart. Stored: the fields keep their order.
+/// The orders of a member that survive a restart. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedOrders {
-    /// Where the log stood that the orders come from.
+    /// The log index of the orders.
     pub(super) orders_index: Index,
     pub(super) orders: BTreeMap<BackendId, AppliedOrder>,
 }
 
-/// A backend with an order.
+/// A backend with an order, and the progress of carrying it out.
 #[derive(Clone, Debug)]
 pub(super) struct TrackedBackend {
     pub(super) order: AppliedOrder,
     /// When the scheduler was notified.
     pub(super) ordered_at: Time,
-    /// As of when the requests in flight are known.
+    /// The time of the latest measurement of the requests in flight.
     pub(super) measured_at: Option<Time>,
-    /// Whether nothing is in flight, at a time at which nothing new is sent any more.
+    /// Whether no request was in flight after the end of the drain delay.
     pub(super) is_idle: bool,
     /// Whether the report is in the log.
     pub(super) is_reported: bool,
-    /// When the report was made last.
+    /// When the report was last sent.
     pub(super) reported_at: Option<Time>,
-    /// The persisted state from which on it includes this order.
+    /// The serial number of the first persisted state that includes this order.
     pub(super) serial: u64,
 }
 
--- a/crates/maintenance/src/proposal/mod.rs
+++ b/crates/maintenance/src/proposal/mod.rs
@@ -1,4 +1,4 @@
-//! What the leader proposes next. Nothing depends on its being right: [`MaintenanceState::apply`] checks all of it again.
+//! The leader's proposals. Safety doesn't depend on them: [`MaintenanceState::apply`] checks each command again.
 mod observations;
 mod recovery_step;
 mod view;
@@ -10,16 +10,16 @@
 use crate::state::MaintenanceState;
 
 impl MaintenanceState {
-    /// The commands to append to the log next, given the leader's Unix time and what it has collected. A command that is
-    /// proposed again before it is applied does no harm.
+    /// The commands to append to the log next, given the leader's Unix time and its view of the cluster. Proposing a command
+    /// again before it is applied is harmless.
     pub fn propose(&self, now_ms: u64, view: &ClusterView) -> Vec<Command> {
         let now_ms = self.log_time_ms.max(now_ms);
         let mut commands = self.observations(now_ms, view);
         if commands.is_empty() && self.is_time_due(now_ms) {
             commands.push(Command::Tick);
         }
-        // Observations precede the grant in the log, and it is judged by them. Waiting until nothing changes could mean
-        // waiting for ever in a large cluster.
+        // Observations precede the grant in the log, so that it is checked against them. It is not delayed until no
+        // observations are due, since in a large cluster this may never be the case.
         commands.extend(self.next_grant(now_ms, view));
         let recoveries = self.recoveries();
         commands.extend(
@@ -28,7 +28,7 @@
         commands
     }
 
-    /// Whether the passing of time alone has consequences: a deadline, overdue work or a backend to forget.
+    /// Whether advancing the log time alone has an effect: a missed deadline, overdue work or a backend to remove.
     fn is_time_due(&self, now_ms: u64) -> bool {
         let has_passed = |since_ms: u64, span_ms: u64| since_ms.saturating_add(span_ms) < now_ms;
         let mut requests = self.requests.values();
@@ -44,8 +44,8 @@
         is_deadline_missed || is_overdue || is_forgotten
     }
 
-    /// The first batch that may be granted, the longest-waiting first. One at a time: the next is judged once this one is
-    /// applied.
+    /// A grant of the longest-waiting batch that may be granted now. Only one is proposed at a time: the next batch is
+    /// checked against the state after this grant.
     fn next_grant(&self, now_ms: u64, view: &ClusterView) -> Option<Command> {
         if !view.is_complete || !self.has_waiting_request() {
             return None;
--- a/crates/maintenance/src/proposal/observations.rs
+++ b/crates/maintenance/src/proposal/observations.rs
@@ -1,4 +1,4 @@
-//! Observations: where the leader's view differs from the replicated facts.
+//! Proposes observations: the differences between the leader's view and the replicated facts.
 use super::view::ClusterView;
 use crate::command::Command;
 use crate::facts::{BackendFacts, VolumeFacts};
@@ -7,16 +7,16 @@
 use cluster_types::{BackendId, Volume};
 use std::collections::BTreeSet;
 
-/// Most `Observe` commands of one proposal; the next proposal has the rest.
+/// The maximum number of `Observe` commands in one proposal; the rest is left to later proposals.
 const MAX_COMMANDS: usize = 4;
-/// Capacities that differ by less than this fraction of the larger one count as equal.
+/// Capacities that differ by no more than the larger one divided by this number count as equal.
 const CAPACITY_TOLERANCE_DIVISOR: u64 = 16;
 
 impl MaintenanceState {
-    /// The commands that bring the replicated facts up to the view.
+    /// The commands that update the replicated facts to the view.
     pub(super) fn observations(&self, now_ms: u64, view: &ClusterView) -> Vec<Command> {
         let backends = self.changed_backends(view);
-        // Backends come first: those that store a volume must be known by the time it is observed.
+        // Backends come first: a volume is only observed once the backends that store it are known.
         let are_backends_current = backends.is_empty();
         let volumes = if are_backends_current { self.changed_volumes(now_ms, view) } else { Vec::new() };
         let is_complete = view.is_complete && are_backends_current;
@@ -36,7 +36,7 @@
         (1..=count.min(MAX_COMMANDS)).map(observe).collect()
     }
 
-    /// Whether a request waits for facts that will soon be too old, or were never complete.
+    /// Whether the facts were never complete, or will soon be too old while a request waits.
     fn is_refresh_due(&self, now_ms: u64) -> bool {
         match self.facts.complete_at_ms {
             None => true,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether a measurement has reached half the age at which no grant may rest on it.
+    /// Whether a measurement is older than half the maximum age for grants.
     fn is_past_half_max_age(&self, measured_at_ms: u64, now_ms: u64) -> bool {
         measured_at_ms.saturating_add(self.rules.max_measurement_age_ms / 2) < now_ms
     }
@@ -92,14 +92,14 @@
         changed
     }
 
-    /// The backends of requests that wait: their volumes must be measured.
+    /// The backends of waiting requests, whose volumes need recent measurements.
     fn requested_backends(&self) -> BTreeSet<&BackendId> {
         let waiting = self.requests.values().filter(|request| request.is_waiting());
         waiting.flat_map(|request| request.backends.keys()).collect()
     }
 
-    /// Whether a volume is worth observing: always when its backends or its reservation differ, and its measured
-    /// capacities only while a request depends on them.
+    /// Whether a volume must be observed again. A difference in its backends or its reservation always counts; the age of
+    /// its measurements and a difference in capacity only count while a request depends on the volume.
     fn has_volume_changed(
         &self,
         now_ms: u64,
--- a/crates/maintenance/src/proposal/recovery_step.rs
+++ b/crates/maintenance/src/proposal/recovery_step.rs
@@ -1,4 +1,4 @@
-//! The next step of a recovery.
+//! Proposes the next step of a recovery.
 use super::view::ClusterView;
 use crate::command::Command;
 use crate::quota::{distribute_quotas, Quotas};
@@ -7,7 +7,7 @@
 use cluster_types::BackendId;
 
 impl MaintenanceState {
-    /// The next stage of a backend, other quotas at the same one, or the end of its recovery.
+    /// The next stage of a backend, different quotas within the same stage, or the end of its recovery.
     pub(super) fn next_recovery_step(
         &self,
         backend: &BackendId,
@@ -32,7 +32,7 @@
         Some(Command::SetStage { backend: backend.clone(), after: recovery.step(), stage, quotas })
     }
 
-    /// The quotas to set at a stage; none where the present step may stay.
+    /// The quotas to set at a stage; `None` if the current step needs no change.
     fn next_quotas(
         &self,
         backend: &BackendId,
@@ -66,7 +66,7 @@
     quotas
 }
 
-/// Whether other quotas are worth a step: a member has joined or left, or over a quarter of the stage is unassigned.
+/// Whether different quotas justify a new step: a member has joined or left, or over a quarter of the stage is unassigned.
 fn is_step_justified(current: &Quotas, wanted: &Quotas) -> bool {
     let sum = |quotas: &Quotas| quotas.values().map(|permille| u32::from(*permille)).sum::<u32>();
     let wanted_members = wanted.iter().filter(|(_, permille)| **permille > 0).map(|(member, _)| member);
--- a/crates/maintenance/src/transitions/grants.rs
+++ b/crates/maintenance/src/transitions/grants.rs
@@ -1,4 +1,4 @@
-//! Backends are granted, and members report that they have drained them.
+//! Transitions that grant backends and record members' drain reports.
 use crate::admission::AdmissionCheck;
 use crate::effect::Effect;
 use crate::grant::Grant;
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Reports once each grant that all present members have drained.
+    /// Completes each draining grant that all present members have drained.
     pub(super) fn complete_drains(&mut self, effects: &mut Vec<Effect>) {
         let present: Vec<MemberId> = self.present_members().cloned().collect();
         for (index, grant) in &mut self.grants {
--- a/crates/maintenance/src/transitions/mod.rs
+++ b/crates/maintenance/src/transitions/mod.rs
@@ -1,4 +1,4 @@
-//! Applying commands: the state transitions, the same on every member.
+//! The state transitions: applying a command has the same result on every member.
 mod grants;
 mod observations;
 mod presence;
@@ -15,8 +15,8 @@
 use cluster_types::{Index, MemberId};
 
 impl MaintenanceState {
-    /// Applies an entry of the log and returns what it brings about. `issuer` is the member that reported, that received
-    /// an operator's call, or, for commands that the leader proposes by itself, the leader.
+    /// Applies a log entry and returns its effects. `issuer` is the member that sent the report or received the operator's
+    /// call; for commands that the leader proposes on its own, it is the leader.
     pub fn apply(&mut self, index: Index, time_ms: u64, issuer: &MemberId, command: &Command) -> Vec<Effect> {
         let mut effects = Vec::new();
         if index <= self.applied {
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// Where the entry that is being applied stands.
+    /// Index and time of the entry that is being applied.
     fn position(&self) -> EntryPosition {
         EntryPosition { index: self.applied, time_ms: self.log_time_ms }
     }
--- a/crates/maintenance/src/transitions/observations.rs
+++ b/crates/maintenance/src/transitions/observations.rs
@@ -1,4 +1,4 @@
-//! The leader's observations change the replicated facts.
+//! Transitions that update the replicated facts from the leader's observations.
 use crate::effect::Effect;
 use crate::facts::{BackendFacts, VolumeFacts};
 use crate::limits;
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// Ends the recovery of a backend that is no longer listed, and begins it again where the backend has failed.
+    /// Ends the recovery of a backend that is no longer listed, and restarts it if the backend has failed.
     fn handle_backend_change(
         &mut self,
         backend: &BackendId,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Drops waiting backends that are not listed. One that was never listed goes on waiting until all backends are known.
+    /// Drops waiting backends that are not listed. One that was never listed keeps waiting until all backends are known.
     fn drop_unlisted(&mut self, effects: &mut Vec<Effect>) {
         let are_all_known = self.facts.complete_at_ms.is_some();
         for (name, request) in &mut self.requests {
--- a/crates/maintenance/src/transitions/presence.rs
+++ b/crates/maintenance/src/transitions/presence.rs
@@ -1,4 +1,4 @@
-//! Members join and leave, by their own reports or an operator's.
+//! Transitions by which members join and leave, through their own reports or an operator's command.
 use crate::command::Presence;
 use crate::effect::Effect;
 use crate::limits;
@@ -30,7 +30,7 @@
 
     fn join(&mut self, member: &MemberId, incarnation: u64) -> Result<(), Rejection> {
         let known = self.member_status(member);
-        // A report of an earlier incarnation, or from before it left, comes late.
+        // A report of an earlier incarnation, or from before the member left, is outdated.
         let is_late = match known {
             Some(MemberStatus::Left { incarnation: left }) => incarnation <= left,
             Some(status) => incarnation < status.incarnation(),
@@ -44,7 +44,7 @@
         }
         let status = MemberStatus::Present { incarnation };
         if known != Some(status) {
-            // What it reported in an earlier incarnation is no longer known to hold.
+            // Drain reports of an earlier incarnation are void.
             for grant in self.grants.values_mut().filter(|grant| !grant.is_drained()) {
                 grant.drained_by.remove(member);
             }
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// Nothing waits for the member any more, and its quotas are free for others.
+    /// Marks a member as gone: grants no longer wait for its reports, and its quotas are released.
     fn remove_member(&mut self, member: &MemberId, status: MemberStatus, effects: &mut Vec<Effect>) {
         self.members.insert(member.clone(), status);
         for phase in self.phases.values_mut() {
--- a/crates/maintenance/src/transitions/recovery.rs
+++ b/crates/maintenance/src/transitions/recovery.rs
@@ -1,4 +1,4 @@
-//! Backends recover: the leader sets stages and quotas, and members acknowledge them.
+//! Transitions of a recovery: the leader sets stages and quotas, and members acknowledge them.
 use crate::effect::Effect;
 use crate::quota::Quotas;
 use crate::recovery::Recovery;
@@ -39,8 +39,8 @@
         if stage > last_stage {
             return Err(Rejection::StageExceeded);
         }
-        // Members hear of a step one after another: whatever mixture of old and new quotas they use meanwhile must fit
-        // into the stage. Lowering is always possible.
+        // Members receive a step at different times: any mixture of old and new quotas that they use in the meantime must
+        // fit into the stage. Lowering quotas is always possible.
         let sum: u32 = quotas.values().map(|permille| u32::from(*permille)).sum();
         let is_transition_exceeded =
             recovery.is_raised_by(quotas) && recovery.max_in_use_with(quotas) > capacity;
--- a/crates/maintenance/src/transitions/requests.rs
+++ b/crates/maintenance/src/transitions/requests.rs
@@ -1,4 +1,4 @@
-//! Operators submit requests, withdraw them and report their work finished.
+//! Transitions by which operators submit requests, withdraw them and report that work is finished.
 use crate::effect::Effect;
 use crate::grant::Grant;
 use crate::limits;
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl MaintenanceState {
-    /// A request whose backends all wait, by the entry that is being applied.
+    /// A new request with the index of the entry that is being applied, whose backends all wait.
     pub(super) fn new_request(
         &self,
         backends: &BTreeSet<BackendId>,
@@ -22,7 +22,7 @@
         MaintenanceRequest { index: self.applied, backends, work_ms, deadline_ms, all_at_once }
     }
 
-    /// Takes up a request. Under a known name it reports the status of that request, if it asks for the same.
+    /// Adds a request. If the name is known and the content is the same, only the status of that request is reported.
     pub(super) fn submit_request(
         &mut self,
         name: &str,
@@ -61,12 +61,13 @@
         Ok(())
     }
 
-    /// Withdraws a request: what waits is dropped and what drains recovers; what is open stays out until it is returned.
+    /// Withdraws a request: waiting backends are dropped and draining ones recover; drained ones stay out of service until
+    /// they are returned.
     pub(super) fn withdraw(&mut self, name: &str, effects: &mut Vec<Effect>) -> Result<(), Rejection> {
         self.end_request(name, |grant| !grant.is_drained(), effects)
     }
 
-    /// Ends a request: what waits is dropped and what is out of service recovers.
+    /// Ends a request: waiting backends are dropped and granted ones recover.
     pub(super) fn finish(&mut self, name: &str, effects: &mut Vec<Effect>) -> Result<(), Rejection> {
         self.end_request(name, |_| true, effects)
     }
@@ -125,7 +126,7 @@
             effects.push(Effect::InService { backend: backend.clone() });
             return;
         };
-        // Whatever was measured before, it counts as warming up until it is measured again.
+        // Regardless of earlier measurements, the backend counts as warming up until it is measured again.
         known.facts.is_warming_up = true;
         known.changed = step;
         self.phases.insert(backend.clone(), MaintenancePhase::Recovering(Recovery::new(step)));
--- a/crates/maintenance/src/transitions/time.rs
+++ b/crates/maintenance/src/transitions/time.rs
@@ -1,4 +1,4 @@
-//! What the log's time brings about: missed deadlines, overdue work, forgotten backends and ended requests.
+//! Transitions caused by the log time: missed deadlines, overdue work, the removal of backends and of ended requests.
 use crate::effect::Effect;
 use crate::limits;
 use crate::request::BackendOutcome;
@@ -6,7 +6,7 @@
 use cluster_types::BackendId;
 
 impl MaintenanceState {
-    /// Brings the state up to the log's time, and moves requests to the history that have ended.
+    /// Updates the state to the log time and archives ended requests.
     pub(super) fn advance_time(&mut self, effects: &mut Vec<Effect>) {
         self.end_missed_requests(effects);
         self.report_overdue(effects);
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Reports once each grant that is open for longer than requested. Its backends still count as out of service.
+    /// Reports, once, each grant whose work takes longer than requested. Its backends still count as out of service.
     fn report_overdue(&mut self, effects: &mut Vec<Effect>) {
         for (index, grant) in &mut self.grants {
             let due_ms = grant.drained_at_ms.map(|drained_at_ms| drained_at_ms.saturating_add(grant.work_ms));
--- a/crates/maintenance/tests/admission.rs
+++ b/crates/maintenance/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which batches are granted, and in which order.
+//! Admission of batches: bounds and the order of requests.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
@@ -10,8 +10,8 @@
 
 const BACKENDS: &str = "a1 a2 a3 b1 b2 b3 c1 c2 c3";
 
-/// Requests are submitted in this order; each lists its backends, and ends in `+` where they are granted all at once.
-/// `failed` backends have failed before, those `warming_up` still do so. `granted` are the backends granted in the end.
+/// Submits `requests` in order; each lists its backends, and ends in `+` if they are to be granted all at once. `failed`
+/// and `warming_up` list the backends in these conditions, `granted` the backends that are granted in the end.
 #[rstest]
 #[case::total(rules(2, 2, 2), "", "", &["a1 b1 c1"], "a1 b1")]
 #[case::zone(rules(4, 1, 4), "", "", &["a1 a2 b1"], "a1 b1")]
@@ -25,7 +25,7 @@
 #[case::failed_backend_of_volume_counts(rules(4, 4, 4), "b2", "", &["a2", "a3"], "a3")]
 // c2 would leave volume w without its reservation once a2 is granted, which has waited longer.
 #[case::waits_for_older_by_reservation(rules(3, 1, 3), "", "", &["a1", "a2", "c2", "b3"], "a1 b3")]
-// a1 is out and a2 waits for it. b1 takes nothing that a2 waits for, and is granted.
+// a1 is out and a2 waits for it. b3 does not use anything that a2 waits for, and is granted.
 #[case::passes_older_without_competition(rules(2, 1, 2), "", "", &["a1", "a2", "b3"], "a1 b3")]
 // Two wait in one zone: only one of them could be granted in any case, and b3 and c3 are granted beside it.
 #[case::two_wait_in_one_zone(rules(3, 1, 3), "", "", &["a1", "a2", "a3", "b3", "c3"], "a1 b3 c3")]
@@ -33,7 +33,7 @@
 #[case::waits_for_older_batch(rules(3, 2, 3), "", "b1", &["b2 b3 +", "a1 a3 +"], "")]
 #[case::passes_older_batch(rules(3, 2, 3), "", "b1", &["b2 b3 +", "a3"], "a3")]
 #[case::waits_for_older_in_zone(rules(2, 2, 2), "", "", &["a1", "b1 b3 +", "b2"], "a1")]
-// A batch that can't be granted because of a failed backend holds back no other.
+// A batch that can't be granted because of a failed backend delays no other.
 #[case::passes_older_that_waits_for_failed(rules(2, 1, 2), "b3", "", &["b1", "a1"], "a1")]
 #[case::passes_older_that_is_never_granted(rules(2, 1, 2), "", "", &["a1 a2 +", "a3"], "a3")]
 #[case::waits_for_older_of_same_backend(rules(2, 2, 2), "", "", &["a1", "a1 b3 +", "b3"], "a1")]
@@ -59,7 +59,7 @@
     assert!(harness.are_granted(granted), "{:?} and not {granted}", harness.granted());
 }
 
-/// A proposer may keep to neither order nor bounds: what it proposes is checked again.
+/// A proposer with an outdated state may violate order and bounds, so that each proposal is checked again.
 #[test]
 fn rejects_grant_that_breaks_order_or_bounds() {
     let mut harness = Harness::new(rules(2, 1, 2), view(BACKENDS, &[("v", 200, "a1 b1 c1")]), "f1");
@@ -67,26 +67,30 @@
         harness.run("f1", &request(&format!("w-{name}"), name));
     }
     let grant = |name: &str, names: &str| Command::Grant { name: name.into(), backends: backends(names) };
-    let mut result = |name: &str, names: &str| match harness.run("deposed", &grant(name, names)).pop() {
+    let mut rejection_of = |name: &str, names: &str| match harness.run("deposed", &grant(name, names)).pop() {
         Some(Effect::Rejected { reason, .. }) => Some(reason),
         _ => None,
     };
-    assert_eq!(result("w-a2", "a2"), Some(Rejection::QueuedBehind("w-a1".into())));
-    assert_eq!(result("w-a1", "a1 a2"), Some(Rejection::Superseded));
-    assert_eq!(result("other", "a1"), Some(Rejection::NotFound));
-    assert_eq!(result("w-a1", "a1"), None);
-    assert_eq!(result("w-a1", "a1"), Some(Rejection::Superseded));
-    assert_eq!(result("w-a2", "a2"), Some(Rejection::BoundExceeded(Bound::Zone("a".into()))));
+    assert_eq!(rejection_of("w-a2", "a2"), Some(Rejection::QueuedBehind("w-a1".into())));
+    assert_eq!(rejection_of("w-a1", "a1 a2"), Some(Rejection::Superseded));
+    assert_eq!(rejection_of("other", "a1"), Some(Rejection::NotFound));
+    assert_eq!(rejection_of("w-a1", "a1"), None);
+    assert_eq!(rejection_of("w-a1", "a1"), Some(Rejection::Superseded));
+    assert_eq!(rejection_of("w-a2", "a2"), Some(Rejection::BoundExceeded(Bound::Zone("a".into()))));
     harness.now_ms += 60_000;
     harness.run("f1", &request("w-c2", "c2"));
-    let stale = harness.run("deposed", &grant("w-c2", "c2"));
+    let effects_of_stale_grant = harness.run("deposed", &grant("w-c2", "c2"));
     assert!(
-        matches!(&stale[..], [Effect::Rejected { reason: Rejection::StaleMeasurements, .. }]),
-        "{stale:?}"
+        matches!(
+            &effects_of_stale_grant[..],
+            [Effect::Rejected { reason: Rejection::StaleMeasurements, .. }]
+        ),
+        "{effects_of_stale_grant:?}"
     );
 }
 
-/// An observation from before a backend was returned does not count: the backend warms up until it is measured after that.
+/// An observation from before the return of a backend is ignored: the backend counts as warming up until it is measured
+/// again.
 #[test]
 fn ignores_observation_from_before_change() {
     let mut harness = Harness::new(rules(1, 1, 1), view(BACKENDS, &[]), "f1");
@@ -96,8 +100,9 @@
     let min_applied = harness.state.applied();
     harness.run("f1", &finish("w"));
     let backends = harness.view.backends.clone();
-    let late = Command::Observe { min_applied, is_complete: true, backends, volumes: BTreeMap::new() };
-    harness.run("deposed", &late);
+    let late_observation =
+        Command::Observe { min_applied, is_complete: true, backends, volumes: BTreeMap::new() };
+    harness.run("deposed", &late_observation);
     let step = |harness: &Harness| -> Index { harness.state.recoveries().next().unwrap().1.step() };
     for stage in 0..2 {
         let after = step(&harness);
@@ -115,8 +120,8 @@
     assert!(harness.are_granted("b1"));
 }
 
-/// A volume may be measured as served by other backends alone while one of its backends is out. What that backend serves
-/// does not matter; that it stores the volume does.
+/// While a backend is out, its measured capacity for a volume may be 0. It still counts among the backends that store the
+/// volume.
 #[test]
 fn counts_granted_backend_among_those_of_its_volume() {
     let mut harness = Harness::new(rules(3, 3, 1), view(BACKENDS, &[("v", 100, "a1 b1 c1")]), "f1");
--- a/crates/maintenance/tests/golden.rs
+++ b/crates/maintenance/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The stored and sent forms, held byte for byte by the files in `tests/golden/`.
+//! Compares the stored and sent encodings byte for byte with the files in `tests/golden/`.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
--- a/crates/maintenance/tests/interleavings.rs
+++ b/crates/maintenance/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! All interleavings of a small cluster: two requests over three backends, two proposers that know the log up to different
-//! places, and two members. What a proposer proposes may reach the log at any later time.
+//! Explores all interleavings of a small cluster: two requests for three backends, two proposers that have applied the
+//! log up to different indices, and two members. A proposed command may reach the log at any later time.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
@@ -10,7 +10,7 @@
 use support::invariants::{InvariantChecker, Transition};
 use support::*;
 
-/// How many steps are explored; `EXPLORE_DEPTH=9` is 100 000 states.
+/// The number of steps to explore; `EXPLORE_DEPTH=9` visits 100 000 states.
 const DEPTH: usize = 7;
 const NOW_MS: u64 = 1000;
 
@@ -18,7 +18,7 @@
 struct Node {
     state: Rc<MaintenanceState>,
     checker: InvariantChecker,
-    /// What each proposer knows, and what it has proposed that has not reached the log yet.
+    /// The state that each proposer knows, and its proposed command that is not in the log yet.
     proposers: [(Rc<MaintenanceState>, Option<Command>); 2],
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Explorer {
-    /// The node after a command. One that is rejected changes nothing but a count: there is nothing new behind it.
+    /// The node after a command. A rejected command only changes a counter, so that it leads to no new node.
     fn apply(&mut self, node: &Node, issuer: &str, command: &Command) -> Option<Node> {
         let (mut state, mut checker) = (MaintenanceState::clone(&node.state), node.checker.clone());
         let index = Index(node.state.applied().0 + 1);
@@ -58,8 +58,8 @@
                 successors.push(next);
             }
             if let Some(command) = proposed {
-                let reached = self.apply(node, "leader", command);
-                successors.extend(reached.map(|mut next| {
+                let next = self.apply(node, "leader", command);
+                successors.extend(next.map(|mut next| {
                     next.proposers[proposer].1 = None;
                     next
                 }));
@@ -96,9 +96,9 @@
     checker.set_present(&["f1", "f2"]);
     let state = Rc::new(harness.state);
     let proposer = (state.clone(), None);
-    let first = Node { state, checker, proposers: [proposer.clone(), proposer] };
+    let initial_node = Node { state, checker, proposers: [proposer.clone(), proposer] };
     let mut explorer = Explorer { view, rules, visited: BTreeSet::new(), drained_count: 0, ended_count: 0 };
-    let mut layer = vec![first];
+    let mut layer = vec![initial_node];
     let depth = std::env::var("EXPLORE_DEPTH").ok().and_then(|depth| depth.parse().ok());
     for _ in 0..depth.unwrap_or(DEPTH) {
         let mut next_layer = Vec::new();
--- a/crates/maintenance/tests/invariants.rs
+++ b/crates/maintenance/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Whatever the log holds, in whatever order, repeated and late: the invariants hold.
+//! Checks the invariants with random logs, in which commands are reordered, repeated and late.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
@@ -34,7 +34,7 @@
     (rules, view)
 }
 
-/// Any command.
+/// A random command, valid or not.
 fn random_command(rng: &mut SmallRng, state: &MaintenanceState, view: &ClusterView) -> Command {
     let name = choose_name(rng, &["w1", "w2", "w3", "w4"]).to_string();
     let grants: Vec<Index> = state.grants().map(|(index, _)| index).chain([Index(7)]).collect();
@@ -87,14 +87,14 @@
     Command::Observe { min_applied, is_complete: false, backends, volumes: BTreeMap::new() }
 }
 
-/// The commands that a cluster begins with, and their issuers.
+/// The initial commands of a cluster, and their issuers.
 fn initial_commands(rules: &Rules) -> Vec<(&'static str, Command)> {
     let mut commands = vec![("op", Command::SetRules(rules.clone()))];
     commands.extend(MEMBERS.map(|name| (name, set_presence(name, present(1)))));
     commands
 }
 
-/// Any commands, among them proposals of leaders that know only an earlier state, applied to two replicas.
+/// Applies random commands, among them proposals of leaders with an earlier state, to two replicas.
 fn check_random_commands(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let (rules, view) = random_cluster(&mut rng);
@@ -126,7 +126,7 @@
             &Transition { before: &before, after: &state, issuer, command, effects },
         );
         assert_eq!(effects, replica.apply(index, now_ms, &member(issuer), command));
-        // The same entry once more changes nothing.
+        // Applying the same entry again changes nothing.
         let repeated = state.apply(index, now_ms, &member(issuer), command);
         assert!(matches!(&repeated[..], [Effect::Rejected { .. }]));
         replica.apply(index, now_ms, &member(issuer), command);
@@ -140,7 +140,7 @@
 }
 
 fn is_grantable(backends: &BTreeSet<BackendId>, harness: &Harness) -> bool {
-    let mut empty = harness.clone();
+    let mut trial = harness.clone();
     let command = Command::Request {
         name: "t".into(),
         backends: backends.clone(),
@@ -148,13 +148,13 @@
         deadline_ms: None,
         all_at_once: true,
     };
-    empty.run("f1", &command);
-    empty.run_leader();
-    empty.granted().len() == backends.len()
+    trial.run("f1", &command);
+    trial.run_leader();
+    trial.granted().len() == backends.len()
 }
 
-/// Younger requests arrive all the time, and what they take out never returns. As soon as what was out before an older
-/// request is in service again, the older one is granted.
+/// Younger requests arrive all the time, and their backends are never returned. The older request must be granted as soon
+/// as the backends that were out before it are in service again.
 fn check_older_request_is_granted(seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let (rules, view) = random_cluster(&mut rng);
--- a/crates/maintenance/tests/member_agent.rs
+++ b/crates/maintenance/tests/member_agent.rs
@@ -1,4 +1,4 @@
-//! The agent of one member.
+//! Tests of the agent of one member.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
@@ -74,8 +74,9 @@
     vec![Action::Report(Report::Drained { grant: Index(grant) })]
 }
 
-/// The agent reports once nothing is in flight at a time at which nothing new may be sent, not before the order is
-/// persisted, and again until the log has the report. A scheduler that sends too late is notified again and not reported.
+/// The agent reports a drain once no request is in flight after the drain delay and the order is persisted, and repeats
+/// the report until it is in the log. After a request was sent too late, the scheduler is notified again and the drain is
+/// not reported yet.
 #[test]
 fn reports_drain_once_idle_and_persisted() {
     let (mut host, _) = Host::start(None);
@@ -106,7 +107,7 @@
     assert!(actions.is_empty(), "not persisted yet");
 }
 
-/// Without a lease, what is drained stays so and nothing new is drained; with one again, the last orders count.
+/// Without a lease, drained backends stay drained and no others are drained; with a new lease, the latest orders apply.
 #[test]
 fn follows_no_orders_without_lease() {
     let (mut host, _) = Host::start(None);
@@ -116,27 +117,27 @@
     assert!(host.orders(1200, 8, &[("b1", drain(8))]).is_empty());
     assert_eq!(host.agent.drained_backends(), backends("a1"));
     host.orders(1300, 9, &[("a1", ramp(9, 40)), ("b1", drain(8))]);
-    let regained = host.renew_lease(1400, 9000);
-    assert_eq!(regained[0], undrain_action_of_a1(Quota::Permille(40))[0]);
+    let actions_after_renewal = host.renew_lease(1400, 9000);
+    assert_eq!(actions_after_renewal[0], undrain_action_of_a1(Quota::Permille(40))[0]);
     assert_eq!(host.agent.drained_backends(), backends("b1"));
 }
 
-/// A persisted drain holds from the first moment after a restart, without a lease, and orders from before it are ignored.
-/// One that is lost is learnt from the log.
+/// A persisted drain is in effect immediately after a restart, even without a lease, and older orders are ignored. A drain
+/// that was not persisted is restored from the log.
 #[test]
 fn restores_drains_after_restart() {
     let (mut host, _) = Host::start(None);
     host.renew_lease(0, 1000);
     host.orders(500, 5, &[("a1", drain(5))]);
-    let (mut restarted, first) = Host::start(host.disk);
-    assert_eq!(first, drain_action_of_a1(5));
+    let (mut restarted, initial_actions) = Host::start(host.disk);
+    assert_eq!(initial_actions, drain_action_of_a1(5));
     restarted.renew_lease(0, 9000);
     assert!(restarted.orders(10, 4, &[]).is_empty());
     assert_eq!(restarted.agent.stale_inputs(), 1);
     assert!(restarted.orders(20, 5, &[("a1", drain(5))]).is_empty());
     assert_eq!(restarted.in_flight(300, 0, 0), drained_report(5));
-    let (mut without_disk, first) = Host::start(None);
-    assert!(first.is_empty());
+    let (mut without_disk, initial_actions) = Host::start(None);
+    assert!(initial_actions.is_empty());
     without_disk.renew_lease(0, 9000);
     assert_eq!(without_disk.orders(10, 7, &[("a1", drain(5))]), drain_action_of_a1(5));
 }
@@ -154,7 +155,7 @@
     assert_eq!(host.orders(2000, 12, &[]), undrain_action_of_a1(Quota::Full));
 }
 
-/// A log that was bootstrapped again knows nothing of the drained backends: they stay drained until an operator ends that.
+/// A log that was bootstrapped again has no orders for drained backends: they stay drained until an operator releases them.
 #[test]
 fn keeps_drains_of_replaced_log_until_released() {
     let (mut host, _) = Host::start(None);
--- a/crates/maintenance/tests/operator_text.rs
+++ b/crates/maintenance/tests/operator_text.rs
@@ -1,4 +1,4 @@
-//! The texts that operators read in the replies of the interface, held by `tests/golden/operator-text.txt`.
+//! Compares the texts of the operator interface with `tests/golden/operator-text.txt`.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
@@ -48,7 +48,7 @@
     rejections
 }
 
-/// Each way in which a command is rejected, as `command: reason`.
+/// Rejections of all kinds of commands, as `command: reason`.
 fn rejected_commands(harness: &mut Harness) -> Vec<String> {
     let mut commands = commands();
     let too_many = (0..200).map(|n| (backend(&n.to_string()), BackendFacts::default())).collect();
--- a/crates/maintenance/tests/recovery.rs
+++ b/crates/maintenance/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recoveries: the members' quotas of the cold budget, and what takes a backend from stage to stage.
+//! Recoveries: the members' quotas of the cold budget, and the conditions for the next stage.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
@@ -11,7 +11,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The quotas add up to the total, and a larger weight never gets less, but for rounding.
+    /// The quotas add up to the total, and a member with a larger weight never gets less, except for rounding.
     #[test]
     fn quotas_add_up_to_the_total(total in 0u16..=1000, weights in prop::collection::vec(any::<u64>(), 1..40)) {
         let numbered = (0..).zip(&weights);
@@ -27,8 +27,8 @@
     }
 }
 
-/// A cluster in which `a1` begins to recover.
-fn recovering() -> Harness {
+/// A cluster in which the recovery of `a1` has begun.
+fn recovering_cluster() -> Harness {
     let mut harness = Harness::new(rules(1, 1, 1), view("a1 b1", &[]), "f1 f2 f3");
     harness.run("f1", &request("w", "a1"));
     harness.run_leader();
@@ -55,12 +55,13 @@
 
 #[test]
 fn quotas_follow_traffic_and_grow_by_stages() {
-    let mut harness = recovering();
+    let mut harness = recovering_cluster();
     let quotas = recovery(&harness).quotas();
     assert!(quotas[&member("f1")] > 200 && quotas[&member("f3")] < 40, "{quotas:?}");
     assert_eq!(recovery(&harness).stage(), Some(0));
-    let early = Command::CompleteRecovery { backend: backend("a1"), step: recovery(&harness).step() };
-    let rejected = harness.run("x", &early);
+    let early_completion =
+        Command::CompleteRecovery { backend: backend("a1"), step: recovery(&harness).step() };
+    let rejected = harness.run("x", &early_completion);
     assert!(
         matches!(&rejected[..], [Effect::Rejected { reason: Rejection::NotRecovered, .. }]),
         "{rejected:?}"
@@ -79,35 +80,35 @@
     assert!(harness.state.out_of_service().is_empty());
 }
 
-/// Members hear of a step at different times: old and new quotas together stay within the stage.
+/// Members receive a step at different times: old and new quotas together must stay within the stage.
 #[test]
 fn moves_quota_to_another_member_only_once_it_is_released() {
-    let mut harness = recovering();
-    let first = recovery(&harness).step();
-    let moved = BTreeMap::from([(member("f1"), 30), (member("f2"), 270)]);
-    let mut result = |after: Index, quotas: &Quotas| -> Option<Rejection> {
+    let mut harness = recovering_cluster();
+    let first_step = recovery(&harness).step();
+    let moved_quotas = BTreeMap::from([(member("f1"), 30), (member("f2"), 270)]);
+    let mut rejection_of = |after: Index, quotas: &Quotas| -> Option<Rejection> {
         match &harness.run("x", &set_first_stage(after, quotas))[..] {
             [Effect::Rejected { reason, .. }] => Some(reason.clone()),
             _ => None,
         }
     };
-    assert_eq!(result(first, &moved), Some(Rejection::StageExceeded));
-    let lowered = BTreeMap::from([(member("f1"), 30)]);
-    assert_eq!(result(first, &lowered), None);
-    assert_eq!(result(first, &lowered), Some(Rejection::Superseded));
-    let second = recovery(&harness).step();
-    let rejected = harness.run("x", &set_first_stage(second, &moved));
+    assert_eq!(rejection_of(first_step, &moved_quotas), Some(Rejection::StageExceeded));
+    let lowered_quotas = BTreeMap::from([(member("f1"), 30)]);
+    assert_eq!(rejection_of(first_step, &lowered_quotas), None);
+    assert_eq!(rejection_of(first_step, &lowered_quotas), Some(Rejection::Superseded));
+    let second_step = recovery(&harness).step();
+    let rejected = harness.run("x", &set_first_stage(second_step, &moved_quotas));
     assert_eq!(rejection(&rejected), Some(&Rejection::StageExceeded));
     ["f1", "f2", "f3"].iter().for_each(|name| acknowledge(&mut harness, name));
-    let third = recovery(&harness).step();
-    assert_eq!(rejection(&harness.run("x", &set_first_stage(third, &moved))), None);
+    let third_step = recovery(&harness).step();
+    assert_eq!(rejection(&harness.run("x", &set_first_stage(third_step, &moved_quotas))), None);
     assert!(recovery(&harness).max_in_use() <= 300);
 }
 
-/// A member that leaves gives its quota up, and one that joins gets one.
+/// A member that leaves releases its quota, and one that joins gets a quota.
 #[test]
 fn redistributes_quotas_when_members_join_and_leave() {
-    let mut harness = recovering();
+    let mut harness = recovering_cluster();
     harness.run("f1", &set_presence("f1", Presence::Left));
     harness.run("f4", &set_presence("f4", present(1)));
     for _ in 0..4 {
@@ -119,10 +120,10 @@
     assert_eq!((quotas.len(), quotas.values().sum::<u16>()), (3, 300));
 }
 
-/// A backend that fails while it recovers passes all stages again, and counts as out of service all the time.
+/// A backend that fails during its recovery passes all stages again, and counts as out of service throughout.
 #[test]
 fn restarts_recovery_of_failed_backend() {
-    let mut harness = recovering();
+    let mut harness = recovering_cluster();
     harness.view.healthy_ms.insert(backend("a1"), STAGE_MS);
     harness.view.backends.get_mut(&backend("a1")).unwrap().is_warming_up = true;
     harness.run_leader();
--- a/crates/maintenance/tests/scenarios.rs
+++ b/crates/maintenance/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Failures of members, leaders and clocks in the course of a request.
+//! Failures of members, leaders and clocks while a request is open.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod support;
 
@@ -34,8 +34,8 @@
     harness.state.status(name).unwrap().request.backends[&backend(id)]
 }
 
-/// The grant is in the log, and whoever leads next goes on with it. The dead member is waited for until it reports in a new
-/// incarnation, or an operator declares it dead.
+/// A grant waits for a dead member until the member reports in a new incarnation, or an operator declares it dead. The
+/// grant is in the log, so that any later leader continues it.
 #[test]
 fn grant_waits_for_dead_member_until_it_restarts_or_is_declared_dead() {
     for is_declared_dead in [false, true] {
@@ -50,7 +50,7 @@
         let status = harness.state.status("w").unwrap();
         assert_eq!(status.undrained_members[&grant], missing);
         assert_eq!(status.to_string(), "wish w: a1 drains, not yet at f1, in time");
-        // No other member may report for it, neither its drain nor that it left.
+        // Other members may report neither its drain nor its departure.
         let drained = Command::ReportDrained { grant, member: member("f1") };
         assert_eq!(rejection(&harness.run("f2", &drained)), Some(&Rejection::NotOwnReport));
         let left = set_presence("f1", Presence::Left);
@@ -70,7 +70,7 @@
     }
 }
 
-/// What a member reported in an earlier incarnation is no longer known to hold.
+/// Drain reports of an earlier incarnation are void after a restart.
 #[test]
 fn restarted_member_has_to_report_again() {
     let mut harness = harness();
@@ -88,19 +88,20 @@
     assert_eq!(rejection(&harness.run("f1", &late)), Some(&Rejection::Superseded));
 }
 
-/// Only one side of a partition commits. The other side's request reaches the log after that, and waits.
+/// Only the majority side of a partition commits. The other side's request and grant reach the log later: the grant is
+/// rejected, and the request waits.
 #[test]
 fn rejects_grants_proposed_on_minority_side() {
     let mut harness = harness();
-    let (mut minority, far) = (harness.clone(), request("far", "a2"));
+    let (mut minority, minority_request) = (harness.clone(), request("far", "a2"));
     harness.run("f1", &request("near", "a1"));
     harness.run_leader();
     // A leader on the minority side proposes by its own state; the log receives it only after the other side's grant.
-    minority.run("f3", &far);
+    minority.run("f3", &minority_request);
     minority.view.min_applied = minority.state.applied();
     let late: Vec<Command> = minority.state.propose(minority.now_ms, &minority.view);
     assert!(late.iter().any(|command| matches!(command, Command::Grant { .. })));
-    harness.run("f3", &far);
+    harness.run("f3", &minority_request);
     for command in &late {
         harness.run("f3", command);
     }
@@ -112,7 +113,8 @@
     assert!(harness.are_granted("a2"));
 }
 
-/// Repeated with the same content a request reports its status, also after it has ended; with another it is rejected.
+/// A repeated request with the same content reports the status, even after the request has ended; one with different
+/// content is rejected.
 #[test]
 fn repeated_request_reports_status() {
     let mut harness = harness();
@@ -131,8 +133,8 @@
     assert_eq!(rejection(&harness.run("f2", &request("w", "a2"))), Some(&Rejection::NameTaken));
 }
 
-/// The other backends of the request are granted, and the unlisted one counts as out for a while: discovery also drops
-/// backends that have failed.
+/// An unlisted backend of a request is dropped, and the others are granted. The unlisted one counts as out for a while,
+/// since discovery also drops backends that have failed.
 #[test]
 fn drops_waiting_backend_that_is_unlisted() {
     let mut harness = harness();
@@ -158,8 +160,8 @@
     assert_eq!(rejection(&rejected), Some(&Rejection::NotListed(backend("a2"))));
 }
 
-/// A leader whose clock is behind takes nothing back. One whose clock is ahead has nothing granted or returned early; it
-/// only ends what has a deadline, and reports that.
+/// A leader whose clock is behind reverts nothing. A leader whose clock is ahead grants and returns nothing early; it only
+/// ends requests whose deadline appears to have passed, and reports them.
 #[test]
 fn tolerates_leaders_with_different_clocks() {
     let mut harness = harness();
@@ -182,14 +184,15 @@
     assert!(harness.are_granted("a1"), "overdue, and never returned silently");
     harness.run("f1", &finish("first"));
     harness.run_leader();
-    let stage = |harness: &Harness| harness.state.recoveries().next().map(|(_, recovery)| recovery.stage());
-    assert_eq!(stage(&harness), Some(Some(0)));
+    let current_stage =
+        |harness: &Harness| harness.state.recoveries().next().map(|(_, recovery)| recovery.stage());
+    assert_eq!(current_stage(&harness), Some(Some(0)));
     harness.now_ms += 3_600_000;
     harness.run_leader();
-    assert_eq!(stage(&harness), Some(Some(0)), "stages are timed on the leader's steady clock");
+    assert_eq!(current_stage(&harness), Some(Some(0)), "stages are timed on the leader's steady clock");
 }
 
-/// The state is its own snapshot: restored from it, members drain what was drained before.
+/// After the state is restored from a snapshot, members are ordered to drain the same backends as before.
 #[test]
 fn restores_grants_from_snapshot_after_cluster_restart() {
     let mut harness = harness();
@@ -215,7 +218,7 @@
     assert_eq!(restarted.drained_count(), harness.drained_count(), "what was drained is not reported again");
 }
 
-/// Withdrawing ends what waits or only drains; what is open stays out until it is returned.
+/// Withdrawal drops waiting backends and ends draining grants; drained backends stay out until they are returned.
 #[test]
 fn withdrawal_leaves_open_backends_out() {
     let mut harness = harness();
--- a/crates/maintenance/tests/simulation.rs
+++ b/crates/maintenance/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Five members over an idealised log that splits, delays and loses messages, with deposed proposers, restarts, stalls and
-//! clocks that differ by minutes. `SIM_SEED=N` repeats one run.
+//! Simulates five members with an idealised log, under partitions, delayed and lost messages, deposed leaders, restarts,
+//! stalls and clocks that differ by minutes. `SIM_SEED=N` repeats one run.
 #![allow(clippy::unwrap_used, clippy::panic)]
 #[path = "simulation/calls.rs"]
 mod calls;
@@ -15,17 +15,17 @@
 use std::collections::BTreeSet;
 use support::*;
 
-/// Steps in which members fail.
+/// The number of steps with random faults.
 const FAULTY_STEPS: u64 = 2500;
-/// Steps after that in which all requests have to end.
+/// The number of steps after the faults within which all requests must end.
 const HEALTHY_STEPS: u64 = 40_000;
-/// A new request is submitted every so many steps.
+/// The number of steps between new requests.
 const STEPS_PER_REQUEST: u64 = 250;
-/// Steps without faults in the beginning.
+/// The number of steps at the start without faults.
 const INITIAL_FAULT_FREE_STEPS: u64 = 100;
 
 impl SimulatedCluster {
-    /// Breaks something, or repairs it.
+    /// Injects a random fault, or repairs one.
     fn inject_fault(&mut self) {
         let number = self.rng.random_range(0..MEMBERS);
         let now = self.now;
--- a/crates/maintenance/tests/simulation/calls.rs
+++ b/crates/maintenance/tests/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! What leaders and operators send to the log.
+//! Commands that leaders and operators send to the log.
 use super::cluster::SimulatedCluster;
 use super::support::*;
 use maintenance::{BackendOutcome, ClusterView, Command, MaintenanceRequest};
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Operators repeat a request until it is known, and that a backend is returned until that is known.
+    /// Operators repeat requests and returns of backends until these are in the log.
     pub fn call_as_operators(&mut self) {
         if !self.rng.random_bool(0.1) {
             return;
--- a/crates/maintenance/tests/simulation/cluster.rs
+++ b/crates/maintenance/tests/simulation/cluster.rs
@@ -1,5 +1,5 @@
-//! The simulated world: an idealised log that splits and delays, backends that fail and warm up, and operators that repeat
-//! their calls. Times are in milliseconds.
+//! The simulated cluster: an idealised log with partitions and delays, backends that fail and warm up, and operators that
+//! repeat their calls. Times are in milliseconds.
 use super::simulated_member::{LogEntry, SimulatedMember};
 use super::support::invariants::{InvariantChecker, Transition};
 use super::support::*;
@@ -14,10 +14,10 @@
 pub const MEMBERS: usize = 5;
 const STEP_MS: u64 = 10;
 const LEASE: Duration = Duration::from_millis(800);
-/// How long a backend warms up that has returned.
+/// How long a returned backend warms up.
 const WARM_UP_MS: u64 = 1500;
 
-/// A command on its way to the log.
+/// A command in transit to the log.
 struct Message {
     due: u64,
     sender: usize,
@@ -26,7 +26,7 @@
     command: Command,
 }
 
-/// A backend that operators were told to open.
+/// A drained backend on which operators are working.
 pub struct OpenBackend {
     pub request: String,
     /// When the operators have finished their work.
@@ -44,7 +44,7 @@
     checker: InvariantChecker,
     rules: Rules,
     pub view: ClusterView,
-    /// When a backend that has returned has warmed up.
+    /// When returned backends will have warmed up.
     warm_up_ends: BTreeMap<BackendId, u64>,
     pub open: BTreeMap<BackendId, OpenBackend>,
     pub submitted: BTreeMap<String, Command>,
@@ -82,7 +82,7 @@
         cluster
     }
 
-    /// Whether a member is on the side of a partition that has the log's quorum.
+    /// Whether a member is on the side of a partition that has a quorum.
     fn has_quorum(&self, number: usize) -> bool {
         let group = self.members[number].group;
         let side = self.members.iter().filter(|member| member.group == group).count();
@@ -132,7 +132,7 @@
         self.drained_count += 1;
     }
 
-    /// Sends a command to the log; it may be lost, and arrive late.
+    /// Sends a command to the log. While faults are injected, it may be lost or delayed for longer.
     pub fn send(&mut self, sender: usize, issuer: MemberId, command: Command) {
         let due = self.now + self.rng.random_range(0..if self.is_faulty { 400 } else { 30 });
         if !(self.is_faulty && self.rng.random_bool(0.1)) {
@@ -186,7 +186,7 @@
             assert!(!is_open, "{} sends to {backend}, which is open", self.members[number].name);
         }
         for command in std::mem::take(&mut self.members[number].outbox) {
-            // A member repeats its presence until it is in the log.
+            // A member repeats its presence report until it has applied it.
             if self.is_unconfirmed_presence(number, &command) {
                 self.members[number].outbox.push(command.clone());
                 if !self.rng.random_bool(0.05) {
@@ -196,7 +196,7 @@
             let issuer = self.members[number].name.clone();
             self.send(number, issuer, command);
         }
-        // A member that was deposed, or has never led, also proposes.
+        // Members that are not the leader also propose occasionally, as a deposed leader might.
         if self.rng.random_bool(if leader == Some(number) { 0.2 } else { 0.01 }) {
             self.propose(number);
         }
--- a/crates/maintenance/tests/simulation/member.rs
+++ b/crates/maintenance/tests/simulation/member.rs
@@ -1,4 +1,5 @@
-//! A simulated member: its copy of the state, its agent, and a scheduler that sends to backends. Times are in milliseconds.
+//! A simulated member: its copy of the state, its agent, and a scheduler that sends requests to backends. Times are in
+//! milliseconds unless stated otherwise.
 use super::support::*;
 use cluster_types::{BackendId, Index, MemberId, Time};
 use maintenance::{
@@ -9,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after an order the scheduler may still send to a backend.
+/// How long after an order the scheduler may still send requests to a backend.
 pub const DRAIN_DELAY_MS: u64 = 250;
-/// The members' Unix times at the beginning, give or take their offsets.
+/// The members' Unix time at the start, before their clock offsets.
 const START_UNIX_MS: i64 = 1_000_000;
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Clone)]
 pub struct LogEntry {
     pub index: Index,
@@ -23,14 +24,14 @@
     pub command: Command,
 }
 
-/// Orders on their way to the disk.
+/// Orders that are being written to the disk.
 struct PendingWrite {
     due: u64,
     serial: u64,
     orders: PersistedOrders,
 }
 
-/// A request that is in flight at a backend.
+/// A request in flight at a backend.
 struct InFlight {
     backend: BackendId,
     ends: u64,
@@ -42,22 +43,22 @@
     pub is_running: bool,
     pub stalled_until: u64,
     pub group: u8,
-    /// How far its Unix time is off.
+    /// The error of the member's Unix time.
     pub clock_offset: i64,
-    /// The origin of its steady clock, in microseconds.
+    /// The value of the member's monotonic clock at the start of the simulation, in microseconds.
     steady_clock_origin_us: u64,
     pub state: MaintenanceState,
     pub stage_timer: StageTimer,
     agent: Option<MemberAgent>,
     disk: Option<PersistedOrders>,
     writes: Vec<PendingWrite>,
-    /// From when on the scheduler sends nothing new to a backend.
+    /// The times from which on the scheduler sends no new requests to a backend.
     send_stop_times: BTreeMap<BackendId, u64>,
-    /// When the agent first ordered that.
+    /// The times at which the agent first ordered this.
     drain_order_times: BTreeMap<BackendId, u64>,
     last_send_times: BTreeMap<BackendId, u64>,
     in_flight: Vec<InFlight>,
-    /// Commands that it wants in the log.
+    /// Commands to send to the log.
     pub outbox: Vec<Command>,
 }
 
@@ -98,7 +99,7 @@
         self.is_running && now >= self.stalled_until
     }
 
-    /// Stops the process. What was not written to the disk is lost.
+    /// Stops the process. Unfinished writes to the disk are lost.
     pub fn crash(&mut self) {
         self.is_running = false;
         self.agent = None;
@@ -119,7 +120,7 @@
         let agent = MemberAgent::new(drain_delay, self.disk.clone(), self.steady_time(now), &mut actions);
         self.agent = Some(agent);
         self.carry_out(now, actions, rng);
-        // What was persisted holds from the first moment on.
+        // Persisted drains are in effect immediately.
         self.send_stop_times.values_mut().for_each(|at| *at = now);
         let presence = Presence::Present { incarnation: self.incarnation };
         self.outbox.push(Command::SetPresence { member: self.name.clone(), presence });
@@ -162,14 +163,14 @@
         }
     }
 
-    /// Whether nothing is sent to a backend any more, and nothing is in flight there.
+    /// Whether the member no longer sends requests to a backend, and none is in flight there.
     pub fn is_idle(&self, now: u64, backend: &BackendId) -> bool {
         let has_stopped = self.send_stop_times.get(backend).is_some_and(|at| *at <= now);
         let is_in_flight = self.in_flight.iter().any(|request| request.backend == *backend);
         !self.is_running || (has_stopped && !is_in_flight)
     }
 
-    /// A turn of the process: disk, scheduler, measurements and orders. Returns the backends to which it has sent.
+    /// Runs one step of the process: disk, scheduler, measurements and agent. Returns the backends it sent requests to.
     pub fn run_turn(&mut self, now: u64, backends: &[BackendId], rng: &mut SmallRng) -> Vec<BackendId> {
         self.complete_writes(now, rng);
         self.in_flight.retain(|request| request.ends > now);
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Applies an entry of the log and follows the orders that result.
+    /// Applies a log entry and passes the resulting orders to the agent.
     pub fn apply(&mut self, now: u64, entry: &LogEntry, rng: &mut SmallRng) {
         self.state.apply(entry.index, entry.time_ms, &entry.issuer, &entry.command);
         let orders = self.state.orders(&self.name);
--- a/crates/maintenance/tests/support/invariants.rs
+++ b/crates/maintenance/tests/support/invariants.rs
@@ -1,8 +1,8 @@
-//! Invariants that hold after every log entry, checked against a record of their own.
+//! Invariants that are checked after every log entry, against an independent record of the events.
 use super::*;
 use std::collections::btree_map::Entry;
 
-/// What a log entry changed.
+/// The application of one log entry.
 pub struct Transition<'a> {
     pub before: &'a MaintenanceState,
     pub after: &'a MaintenanceState,
@@ -11,19 +11,19 @@
     pub effects: &'a [Effect],
 }
 
-/// Records what has happened so far. Zones, volumes' backends and rules do not change in these tests.
+/// Records the events so far and checks the invariants. Zones, volumes' backends and rules do not change in these tests.
 #[derive(Clone, Default)]
 pub struct InvariantChecker {
     granted: BTreeMap<Index, BTreeSet<BackendId>>,
     reported: BTreeMap<Index, BTreeSet<MemberId>>,
     drained: BTreeSet<Index>,
     present: BTreeMap<MemberId, u64>,
-    /// Backends that were granted and are not in service again.
+    /// Backends that were granted and are not back in service.
     out: BTreeSet<BackendId>,
 }
 
 impl InvariantChecker {
-    /// These members were present from the beginning.
+    /// Records members as present from the start.
     pub fn set_present(&mut self, members: &[&str]) {
         self.present.extend(members.iter().map(|name| (member(name), 1)));
     }
@@ -105,7 +105,7 @@
     }
 }
 
-/// No more backends are out than the rules allow, except for those that counted before.
+/// Checks that the number of backends out has not grown beyond what the rules allow.
 fn check_bounds(
     view: &ClusterView,
     rules: &Rules,
@@ -126,7 +126,7 @@
     }
 }
 
-/// No volume is left without its reserved capacity, except for one that was before.
+/// Checks that each volume keeps its reserved capacity, unless the entry took none of its capacity out of service.
 fn check_reservations(view: &ClusterView, before: &BTreeSet<BackendId>, after: &BTreeSet<BackendId>) {
     for volume in view.volumes.values() {
         let capacity = |backend: &BackendId| volume.backends.get(backend).copied().unwrap_or(0);
--- a/crates/maintenance/tests/support/mod.rs
+++ b/crates/maintenance/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small cluster with a log of its own, for tests.
+//! Test support: a small cluster with its own log, and constructors for commands.
 #![allow(dead_code)]
 use cluster_types::{BackendId, Index, MemberId};
 use maintenance::{
@@ -9,7 +9,7 @@
 pub mod invariants;
 pub mod samples;
 
-/// The capacity that each backend has for each volume that it stores.
+/// The capacity of each backend for each volume that it stores.
 const CAPACITY: u64 = 100;
 /// The time of the first entries.
 const START_MS: u64 = 1000;
@@ -20,7 +20,7 @@
     name.into()
 }
 
-/// The backends of a list that is separated by spaces.
+/// Parses a list of backends separated by spaces.
 pub fn backends(names: &str) -> BTreeSet<BackendId> {
     names.split_whitespace().map(BackendId::from).collect()
 }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Backends, each in the zone that its first letter names, and volumes with their reservations and backends.
+/// A view with these backends, whose first letter is their zone, and volumes with their reservations and backends.
 pub fn view(names: &str, volumes: &[(&str, u64, &str)]) -> ClusterView {
     let facts = |backend: &BackendId| BackendFacts {
         zone: backend.0[..1].into(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// The request, with another deadline.
+/// Sets the deadline of a request.
 pub fn with_deadline(mut request: Command, at_ms: u64) -> Command {
     if let Command::Request { deadline_ms, .. } = &mut request {
         *deadline_ms = Some(at_ms);
@@ -73,7 +73,7 @@
     request
 }
 
-/// The request, for all its backends at once.
+/// Changes a request so that its backends are granted all at once.
 pub fn all_at_once(mut request: Command) -> Command {
     if let Command::Request { all_at_once, .. } = &mut request {
         *all_at_once = true;
@@ -113,7 +113,7 @@
     })
 }
 
-/// A replicated state, and a leader that proposes to it.
+/// A replicated state, and a leader that proposes commands to it.
 #[derive(Clone)]
 pub struct Harness {
     pub state: MaintenanceState,
@@ -151,7 +151,7 @@
             if commands.is_empty() {
                 return;
             }
-            // No proposal is rejected, except for a grant that an observation just before it speaks against.
+            // No proposal is rejected, except for a grant that a preceding observation no longer allows.
             let has_observed = commands.iter().any(|command| matches!(command, Command::Observe { .. }));
             for command in &commands {
                 let effects = self.run("leader", command);
@@ -162,7 +162,7 @@
         panic!("the leader never stops proposing: {:?}", self.state.propose(self.now_ms, &self.view));
     }
 
-    /// All members drain all that is granted.
+    /// All members report all grants as drained.
     pub fn drain(&mut self) {
         let grants: Vec<Index> = self.state.grants().map(|(index, _)| index).collect();
         let members: Vec<MemberId> = self.state.present_members().cloned().collect();
@@ -173,7 +173,7 @@
         }
     }
 
-    /// All recovering backends pass their stages, with the acknowledgement of all members.
+    /// Takes all recovering backends through their stages, with acknowledgements of all members.
     pub fn recover(&mut self) {
         for _ in 0..4 {
             self.run_leader();
--- a/crates/maintenance/tests/support/samples.rs
+++ b/crates/maintenance/tests/support/samples.rs
@@ -1,4 +1,4 @@
-//! Samples of everything that is stored or sent.
+//! Samples of all stored and sent types.
 use super::*;
 use cluster_types::Volume;
 
@@ -72,7 +72,7 @@
     commands
 }
 
-/// A state in which each map holds something, each backend outcome, placement and member standing occurs.
+/// A state in which no map is empty and each backend outcome, maintenance phase and member status occurs.
 pub fn filled_state() -> Harness {
     let names = "a1 a2 a3 b1 b2 c1 c2 d1 d2";
     let view = view(names, &[("v", 100, "a1 b1 d2"), ("w", 0, "c1 c2")]);
