--- a/crates/maintenance/src/admission/mod.rs
+++ b/crates/maintenance/src/admission/mod.rs
@@ -19,20 +19,22 @@
 /// Checks batches against one state. It only uses replicated data, since the proposer is not trusted.
 pub(crate) struct AdmissionCheck<'a> {
     state: &'a MaintenanceState,
-    all: OutOfServiceSet<'a>,
-    granted: OutOfServiceSet<'a>,
+    /// All backends that count as out of service.
+    all_out: OutOfServiceSet<'a>,
+    /// Only the backends that are granted or recovering.
+    granted_out: OutOfServiceSet<'a>,
     /// Waiting batches, the longest-waiting first.
     queue: Vec<QueuedBatch<'a>>,
 }
 
 impl<'a> AdmissionCheck<'a> {
     pub(crate) fn new(state: &'a MaintenanceState) -> AdmissionCheck<'a> {
-        let all = OutOfServiceSet::all(state);
+        let all_out = OutOfServiceSet::all(state);
         AdmissionCheck {
             state,
-            queue: build_queue(state, &all),
-            granted: OutOfServiceSet::granted(state),
-            all,
+            queue: build_queue(state, &all_out),
+            granted_out: OutOfServiceSet::granted(state),
+            all_out,
         }
     }
 
@@ -46,9 +48,9 @@
         if self.state.present_members().next().is_none() {
             return Err(Rejection::NoMemberPresent);
         }
-        self.all
+        self.all_out
             .admit_now(batch)
-            .and_then(|()| self.granted.admit_now(batch))
+            .and_then(|()| self.granted_out.admit_now(batch))
             .map_err(Rejection::BoundExceeded)?;
         if !self.has_recent_measurements(batch) {
             return Err(Rejection::StaleMeasurements);
@@ -87,19 +89,19 @@
     /// whatever is granted in the meantime, `older` is granted as early as it would have been without it.
     fn must_wait_for(&self, older: &Batch, younger: &Batch) -> bool {
         !older.is_disjoint(younger)
-            || self.all.is_delayed_by(older, younger)
-            || self.granted.is_delayed_by(older, younger)
+            || self.all_out.is_delayed_by(older, younger)
+            || self.granted_out.is_delayed_by(older, younger)
     }
 }
 
 /// The batches that wait for backends to return, the longest-waiting first. A batch that could not be granted even after
 /// all temporarily unavailable backends have returned (a backend has failed, or its volume has too little capacity) is left
 /// out and delays no other.
-fn build_queue<'a>(state: &'a MaintenanceState, all: &OutOfServiceSet) -> Vec<QueuedBatch<'a>> {
+fn build_queue<'a>(state: &'a MaintenanceState, all_out: &OutOfServiceSet) -> Vec<QueuedBatch<'a>> {
     let mut queue = Vec::new();
     for (name, request) in state.open_requests() {
         for batch in request.waiting_batches() {
-            if all.admits_eventually(&batch) {
+            if all_out.admits_eventually(&batch) {
                 queue.push(QueuedBatch { request: request.index, name, batch });
             }
         }
--- a/crates/maintenance/src/admission/out_of_service.rs
+++ b/crates/maintenance/src/admission/out_of_service.rs
@@ -10,7 +10,7 @@
 pub(super) enum OutReason {
     /// It is granted, recovering or warming up, and expected to return.
     Temporary,
-    /// It has failed or is no longer listed, and may never return.
+    /// It has failed or is no longer listed, and it is unknown when it returns.
     Failed,
 }
 
--- a/crates/maintenance/src/command.rs
+++ b/crates/maintenance/src/command.rs
@@ -31,7 +31,7 @@
         name: String,
         /// The backends to take out of service.
         backends: BTreeSet<BackendId>,
-        /// How long each may be out of service, in milliseconds.
+        /// How long work on each backend may take once it is drained, in milliseconds.
         work_ms: u64,
         /// The Unix time in milliseconds after which no backend of the request is granted.
         deadline_ms: Option<u64>,
--- a/crates/maintenance/src/transitions/presence.rs
+++ b/crates/maintenance/src/transitions/presence.rs
@@ -44,7 +44,7 @@
         }
         let status = MemberStatus::Present { incarnation };
         if known != Some(status) {
-            // Drain reports of an earlier incarnation are void.
+            // After a restart, the drain reports of the earlier incarnation may no longer hold.
             for grant in self.grants.values_mut().filter(|grant| !grant.is_drained()) {
                 grant.drained_by.remove(member);
             }
--- a/crates/maintenance/tests/scenarios.rs
+++ b/crates/maintenance/tests/scenarios.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// Drain reports of an earlier incarnation are void after a restart.
+/// After a restart, the drain reports of the earlier incarnation may no longer hold: the member has to report again.
 #[test]
 fn restarted_member_has_to_report_again() {
     let mut harness = harness();
