--- a/crates/maintenance/src/proposal/observations.rs
+++ b/crates/maintenance/src/proposal/observations.rs
@@ -1,4 +1,4 @@
-//! Observations: where the leader's view differs from the replicated facts.
+//! Proposes observations: the differences between the leader's view and the replicated facts.
 use super::view::ClusterView;
 use crate::command::Command;
 use crate::facts::{BackendFacts, VolumeFacts};
@@ -7,16 +7,16 @@
 use cluster_types::{BackendId, Volume};
 use std::collections::BTreeSet;
 
-/// Most `Observe` commands of one proposal; the next proposal has the rest.
+/// The maximum number of `Observe` commands in one proposal; the rest is left to later proposals.
 const MAX_COMMANDS: usize = 4;
-/// Capacities that differ by less than this fraction of the larger one count as equal.
+/// Capacities that differ by no more than the larger one divided by this number count as equal.
 const CAPACITY_TOLERANCE_DIVISOR: u64 = 16;
 
 impl MaintenanceState {
-    /// The commands that bring the replicated facts up to the view.
+    /// The commands that update the replicated facts to the view.
     pub(super) fn observations(&self, now_ms: u64, view: &ClusterView) -> Vec<Command> {
         let backends = self.changed_backends(view);
-        // Backends come first: those that store a volume must be known by the time it is observed.
+        // Backends come first: a volume is only observed once the backends that store it are known.
         let are_backends_current = backends.is_empty();
         let volumes = if are_backends_current { self.changed_volumes(now_ms, view) } else { Vec::new() };
         let is_complete = view.is_complete && are_backends_current;
@@ -28,7 +28,7 @@
         let mut backends = backends.into_iter();
         let mut volumes = volumes.into_iter();
         let observe = |number: usize| Command::Observe {
-            seen: view.seen,
+            min_applied: view.min_applied,
             is_complete: is_complete && count <= MAX_COMMANDS && number == count,
             backends: backends.by_ref().take(limits::FACTS_PER_COMMAND).collect(),
             volumes: volumes.by_ref().take(limits::FACTS_PER_COMMAND).collect(),
@@ -36,35 +36,35 @@
         (1..=count.min(MAX_COMMANDS)).map(observe).collect()
     }
 
-    /// Whether a request waits for facts that will soon be too old, or were never complete.
+    /// Whether the facts were never complete, or will soon be too old while a request waits.
     fn is_refresh_due(&self, now_ms: u64) -> bool {
-        match self.facts.complete_ms {
+        match self.facts.complete_at_ms {
             None => true,
-            Some(at_ms) => self.is_half_aged(at_ms, now_ms) && self.has_waiting_request(),
+            Some(at_ms) => self.is_past_half_max_age(at_ms, now_ms) && self.has_waiting_request(),
         }
     }
 
-    /// Whether a measurement has reached half the age at which no grant may rest on it.
-    fn is_half_aged(&self, measured_ms: u64, now_ms: u64) -> bool {
-        measured_ms.saturating_add(self.rules.max_measurement_age_ms / 2) < now_ms
+    /// Whether a measurement is older than half the maximum age for grants.
+    fn is_past_half_max_age(&self, measured_at_ms: u64, now_ms: u64) -> bool {
+        measured_at_ms.saturating_add(self.rules.max_measurement_age_ms / 2) < now_ms
     }
 
     fn changed_backends(&self, view: &ClusterView) -> Vec<(BackendId, BackendFacts)> {
         let mut changed = Vec::new();
-        let has_room = self.facts.backends.len() < limits::BACKENDS;
+        let is_below_limit = self.facts.backends.len() < limits::BACKENDS;
         for (backend, facts) in &view.backends {
-            let differs = match self.facts.backends.get(backend) {
-                None => facts.is_listed && has_room,
-                Some(known) => known.facts != *facts && known.changed <= view.seen,
+            let has_changed = match self.facts.backends.get(backend) {
+                None => facts.is_listed && is_below_limit,
+                Some(known) => known.facts != *facts && known.changed <= view.min_applied,
             };
-            if differs {
+            if has_changed {
                 changed.push((backend.clone(), facts.clone()));
             }
         }
         if view.is_complete {
             for (backend, known) in &self.facts.backends {
                 let is_in_view = view.backends.contains_key(backend);
-                if !is_in_view && known.facts.is_listed && known.changed <= view.seen {
+                if !is_in_view && known.facts.is_listed && known.changed <= view.min_applied {
                     let facts = BackendFacts { is_listed: false, ..known.facts.clone() };
                     changed.push((backend.clone(), facts));
                 }
@@ -77,14 +77,14 @@
         let mut changed = Vec::new();
         let requested = self.requested_backends();
         for (volume, facts) in &view.volumes {
-            let is_small = facts.backends.len() <= limits::BACKENDS_PER_VOLUME;
-            if is_small && self.has_volume_changed(now_ms, volume, facts, &requested, view) {
+            let is_within_limit = facts.backends.len() <= limits::BACKENDS_PER_VOLUME;
+            if is_within_limit && self.has_volume_changed(now_ms, volume, facts, &requested, view) {
                 changed.push((volume.clone(), facts.clone()));
             }
         }
         if view.is_complete {
             for (volume, known) in &self.facts.volumes {
-                if !view.volumes.contains_key(volume) && known.changed <= view.seen {
+                if !view.volumes.contains_key(volume) && known.changed <= view.min_applied {
                     changed.push((volume.clone(), VolumeFacts::default()));
                 }
             }
@@ -92,14 +92,14 @@
         changed
     }
 
-    /// The backends of requests that wait: their volumes must be measured.
+    /// The backends of waiting requests, whose volumes need recent measurements.
     fn requested_backends(&self) -> BTreeSet<&BackendId> {
         let waiting = self.requests.values().filter(|request| request.is_waiting());
         waiting.flat_map(|request| request.backends.keys()).collect()
     }
 
-    /// Whether a volume is worth observing: always when its backends or its reservation differ, and its measured
-    /// capacities only while a request depends on them.
+    /// Whether a volume must be observed again. A difference in its backends or its reservation always counts; the age of
+    /// its measurements and a difference in capacity only count while a request depends on the volume.
     fn has_volume_changed(
         &self,
         now_ms: u64,
@@ -113,7 +113,7 @@
         let Some(known) = self.facts.volumes.get(volume) else {
             return !facts.backends.is_empty() && self.facts.volumes.len() < limits::VOLUMES;
         };
-        if known.changed > view.seen {
+        if known.changed > view.min_applied {
             return false;
         }
         let has_same_backends = known.facts.backends.keys().eq(facts.backends.keys());
@@ -124,7 +124,7 @@
             return false;
         }
         let mut capacities = known.facts.backends.values().zip(facts.backends.values());
-        self.is_half_aged(known.measured_ms, now_ms)
+        self.is_past_half_max_age(known.measured_at_ms, now_ms)
             || capacities.any(|(known, measured)| has_capacity_changed(*known, *measured))
     }
 }
--- a/crates/maintenance/src/transitions/recovery.rs
+++ b/crates/maintenance/src/transitions/recovery.rs
@@ -1,16 +1,16 @@
-//! Backends recover: the leader sets stages and quotas, and members acknowledge them.
+//! Transitions of a recovery: the leader sets stages and quotas, and members acknowledge them.
 use crate::effect::Effect;
 use crate::quota::Quotas;
 use crate::recovery::Recovery;
 use crate::rejection::Rejection;
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use cluster_types::{BackendId, Index, MemberId};
 
 impl MaintenanceState {
     fn recovery_mut(&mut self, backend: &BackendId) -> Result<&mut Recovery, Rejection> {
-        match self.placements.get_mut(backend) {
-            Some(Placement::Recovering(recovery)) => Ok(recovery),
-            _ => Err(Rejection::Unknown),
+        match self.phases.get_mut(backend) {
+            Some(MaintenancePhase::Recovering(recovery)) => Ok(recovery),
+            _ => Err(Rejection::NotFound),
         }
     }
 
@@ -39,8 +39,8 @@
         if stage > last_stage {
             return Err(Rejection::StageExceeded);
         }
-        // Members hear of a step one after another: whatever mixture of old and new quotas they use meanwhile must fit
-        // into the stage. Lowering is always possible.
+        // Members receive a step at different times: any mixture of old and new quotas that they use in the meantime must
+        // fit into the stage. Lowering quotas is always possible.
         let sum: u32 = quotas.values().map(|permille| u32::from(*permille)).sum();
         let is_transition_exceeded =
             recovery.is_raised_by(quotas) && recovery.max_in_use_with(quotas) > capacity;
@@ -69,7 +69,7 @@
         if recovery.acknowledge(member) {
             Ok(())
         } else {
-            Err(Rejection::Unknown)
+            Err(Rejection::NotFound)
         }
     }
 
@@ -89,7 +89,7 @@
         if !has_warmed_up || recovery.stage().is_none_or(|stage| stage < last_stage) {
             return Err(Rejection::NotRecovered);
         }
-        self.placements.remove(backend);
+        self.phases.remove(backend);
         effects.push(Effect::InService { backend: backend.clone() });
         Ok(())
     }
--- a/crates/maintenance/src/transitions/requests.rs
+++ b/crates/maintenance/src/transitions/requests.rs
@@ -1,16 +1,16 @@
-//! Operators submit requests, withdraw them and report their work finished.
+//! Transitions by which operators submit requests, withdraw them and report that work is finished.
 use crate::effect::Effect;
 use crate::grant::Grant;
 use crate::limits;
 use crate::recovery::Recovery;
 use crate::rejection::Rejection;
 use crate::request::{BackendOutcome, MaintenanceRequest};
-use crate::state::{MaintenanceState, Placement};
+use crate::state::{MaintenancePhase, MaintenanceState};
 use cluster_types::{BackendId, Index};
 use std::collections::BTreeSet;
 
 impl MaintenanceState {
-    /// A request whose backends all wait, by the entry that is being applied.
+    /// A new request with the index of the entry that is being applied, whose backends all wait.
     pub(super) fn new_request(
         &self,
         backends: &BTreeSet<BackendId>,
@@ -22,7 +22,7 @@
         MaintenanceRequest { index: self.applied, backends, work_ms, deadline_ms, all_at_once }
     }
 
-    /// Takes up a request. Under a known name it reports the status of that request, if it asks for the same.
+    /// Adds a request. If the name is known and the content is the same, only the status of that request is reported.
     pub(super) fn submit_request(
         &mut self,
         name: &str,
@@ -45,9 +45,9 @@
         let is_name_valid = (1..=limits::NAME_BYTES).contains(&name.len());
         let is_size_valid = (1..=limits::BACKENDS_PER_REQUEST).contains(&request.backends.len());
         if !is_name_valid || !is_size_valid {
-            return Err(Rejection::Malformed);
+            return Err(Rejection::InvalidSize);
         }
-        if self.facts.complete_ms.is_some() {
+        if self.facts.complete_at_ms.is_some() {
             let unlisted = request.backends.keys().find(|backend| !self.facts.is_listed(backend));
             if let Some(backend) = unlisted {
                 return Err(Rejection::NotListed(backend.clone()));
@@ -61,12 +61,13 @@
         Ok(())
     }
 
-    /// Withdraws a request: what waits is dropped and what drains recovers; what is open stays out until it is returned.
+    /// Withdraws a request: waiting backends are dropped and draining ones recover; drained ones stay out of service until
+    /// they are returned.
     pub(super) fn withdraw(&mut self, name: &str, effects: &mut Vec<Effect>) -> Result<(), Rejection> {
         self.end_request(name, |grant| !grant.is_drained(), effects)
     }
 
-    /// Ends a request: what waits is dropped and what is out of service recovers.
+    /// Ends a request: waiting backends are dropped and granted ones recover.
     pub(super) fn finish(&mut self, name: &str, effects: &mut Vec<Effect>) -> Result<(), Rejection> {
         self.end_request(name, |_| true, effects)
     }
@@ -86,7 +87,7 @@
                 }
             }
         }
-        let status = self.status(name).ok_or(Rejection::Unknown)?;
+        let status = self.status(name).ok_or(Rejection::NotFound)?;
         effects.push(Effect::Status(status));
         Ok(())
     }
@@ -98,7 +99,7 @@
         backend: &BackendId,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Rejection> {
-        let known = self.request(name).ok_or(Rejection::Unknown)?;
+        let known = self.request(name).ok_or(Rejection::NotFound)?;
         let Some(BackendOutcome::Granted(grant)) = known.backends.get(backend).copied() else {
             return Err(Rejection::Superseded);
         };
@@ -121,14 +122,14 @@
         let step = self.applied;
         let listed = self.facts.backends.get_mut(backend).filter(|known| known.facts.is_listed);
         let Some(known) = listed else {
-            self.placements.remove(backend);
+            self.phases.remove(backend);
             effects.push(Effect::InService { backend: backend.clone() });
             return;
         };
-        // Whatever was measured before, it counts as warming up until it is measured again.
+        // Regardless of earlier measurements, the backend counts as warming up until it is measured again.
         known.facts.is_warming_up = true;
         known.changed = step;
-        self.placements.insert(backend.clone(), Placement::Recovering(Recovery::new(step)));
+        self.phases.insert(backend.clone(), MaintenancePhase::Recovering(Recovery::new(step)));
         effects.push(Effect::Recovering { backend: backend.clone(), step, stage: None });
     }
 }
