--- a/crates/consensus/src/action.rs
+++ b/crates/consensus/src/action.rs
@@ -1,4 +1,4 @@
-//! What a member asks its host to do.
+//! Actions: what a member requests of its host.
 use crate::message::Message;
 use crate::role::Role;
 use crate::write_batch::WriteBatch;
@@ -10,11 +10,11 @@
 pub enum Rejection {
     /// This member does not lead; the leader is named where it is known.
     NotLeader(Option<MemberId>),
-    /// The log, the queue of proposals or the write queue is at its bound; a later attempt may succeed.
+    /// The log, the proposal queue or the write queue is full; a later attempt may succeed.
     AtCapacity,
-    /// The proposal is larger than a message may be.
+    /// The proposal exceeds the maximum message size.
     TooLarge,
-    /// The leader stepped down: the proposal may or may not be committed.
+    /// The leader stepped down; the proposal may still be committed.
     LeadershipLost,
     /// This member's storage has failed.
     StorageFailed,
@@ -32,7 +32,7 @@
     },
     /// Write a batch to disk, then report `Persisted` or `PersistFailed`.
     Persist(WriteBatch),
-    /// Apply a committed entry of the host. Indices grow, with gaps where the log's own entries are.
+    /// Apply a committed data entry. Indices increase, with gaps at the log's internal entries.
     Apply {
         /// The index of the entry.
         index: Index,
@@ -41,21 +41,21 @@
         /// The proposed bytes.
         data: Arc<[u8]>,
     },
-    /// Replace the applied state by a snapshot.
+    /// Replace the applied state with a snapshot.
     Restore {
         /// The index of the last entry in the snapshot.
         index: Index,
         /// The host's bytes.
         data: Arc<[u8]>,
     },
-    /// A proposal of this host is committed; follows its `Apply`.
+    /// A proposal of this host is committed. Follows the `Apply` of its entry.
     Committed {
         /// The host's id of the proposal.
         ticket: u64,
         /// The index of the entry.
         index: Index,
     },
-    /// Everything that was committed when the read barrier was requested is applied.
+    /// Everything that was committed when the read barrier was requested has been applied.
     Readable {
         /// The host's id of the read barrier.
         ticket: u64,
@@ -80,7 +80,7 @@
     },
     /// The log has grown long: take a snapshot and report it as `SnapshotTaken`.
     SnapshotRequested {
-        /// The snapshot is to contain the entries up to this one at least.
+        /// The snapshot must contain the entries up to at least this one.
         last_index: Index,
     },
 }
--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Bootstrapping the group: the one entry that needs all members.
+//! Bootstrapping the group. The bootstrap entry is the only one that needs all members.
 use crate::bootstrap_hello::BootstrapHello;
 use crate::entry::{Incarnations, Payload};
 use crate::message::Message;
@@ -7,12 +7,12 @@
 use cluster_types::MemberId;
 
 impl Node {
-    /// The one member that bootstraps the group. All members are needed anyway, and two that ask would split the votes.
+    /// The only member that may bootstrap the group. Bootstrap needs all members anyway, and two candidates would split the votes.
     fn bootstrap_member(&self) -> Option<&MemberId> {
         self.config.members.first()
     }
 
-    /// Reports an empty store to the member that bootstraps, or, at that member, tries to bootstrap.
+    /// Tries to bootstrap if this is the bootstrap member; otherwise reports an empty store to that member.
     pub(crate) fn join_bootstrap(&mut self) {
         if self.bootstrap_member() == Some(&self.config.me) {
             self.try_bootstrap();
@@ -31,7 +31,7 @@
         self.try_bootstrap();
     }
 
-    /// Asks for all votes once all members have lately reported empty stores.
+    /// Requests the votes of all members once all of them have recently reported empty stores.
     fn try_bootstrap(&mut self) {
         let max_age = self.config.min_election_timeout * 2;
         let recent = self.hellos.values().filter(|hello| self.now.since(hello.received_at) < max_age).count();
@@ -52,9 +52,9 @@
         self.become_candidate(&Message::BootstrapRequest { term, incarnations });
     }
 
-    /// Whether a bootstrap under these incarnations may replace the one that this store holds, if any. A log under the earlier
-    /// one can have committed something only by a quorum of its incarnations. Where a quorum of them votes and none has a
-    /// second entry, it has not.
+    /// Whether a bootstrap with these incarnations may replace the one that this store holds, if any. The earlier bootstrap can
+    /// have led to further commits only through a quorum of its incarnations. If a quorum of them votes and none has a second
+    /// entry, nothing further was committed.
     fn may_replace_bootstrap(&self, incarnations: &Incarnations) -> bool {
         let Some(Payload::Bootstrap(earlier)) = self.log.get(1).map(|entry| &entry.payload) else {
             return true;
--- a/crates/consensus/src/bootstrap_hello.rs
+++ b/crates/consensus/src/bootstrap_hello.rs
@@ -1,4 +1,4 @@
-//! What a member that bootstraps knows of the others.
+//! The reports that the bootstrapping member receives from the others.
 use cluster_types::Time;
 
 /// A member's report that its store holds no bootstrapped log.
--- a/crates/consensus/src/compaction.rs
+++ b/crates/consensus/src/compaction.rs
@@ -1,4 +1,4 @@
-//! Log compaction: snapshots of the applied state take the place of entries.
+//! Log compaction: replacing entries with snapshots of the applied state.
 use crate::action::Action;
 use crate::node::Node;
 use crate::progress::ReplicationMode;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 impl Node {
-    /// Takes over a snapshot that the host has taken of its applied state.
+    /// Installs a snapshot that the host has taken of its applied state.
     pub(crate) fn on_snapshot_taken(&mut self, last_index: u64, data: Arc<[u8]>) {
         let snapshot_index = self.log.snapshot.last.index;
         let is_valid = last_index > snapshot_index
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Requests a snapshot where the log has grown long; repeats the request from time to time until there is one.
+    /// Requests a snapshot if the log has grown long. Repeats the request after `max_election_timeout` until one is taken.
     pub(crate) fn request_snapshot_if_due(&mut self, out: &mut Vec<Action>) {
         let is_half_full_by_bytes = self.log.memory_bytes() >= self.config.max_log_bytes / 2;
         let is_long = self.log.len() >= self.config.snapshot_threshold_entries || is_half_full_by_bytes;
@@ -34,7 +34,7 @@
         if !is_long || !is_due || self.applied_index <= self.log.snapshot.last.index {
             return;
         }
-        // A snapshot that is being sent is not replaced under its receiver, unless the log gets near its bound.
+        // A snapshot that is being sent is not replaced during the transfer, unless the log approaches its limit.
         let is_half_full = self.log.len() * 2 >= self.config.max_log_entries || is_half_full_by_bytes;
         if is_half_full || !self.is_sending_snapshot() {
             self.snapshot_requested_at = Some(self.now);
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -1,55 +1,55 @@
-//! The configuration of a member: the group, its timeouts and its bounds.
+//! The configuration of a member: the group, its timeouts and its limits.
 use crate::error::StartError;
 use cluster_types::MemberId;
 use std::time::Duration;
 
-/// Parts per million of a whole.
+/// The number of millionths in a whole, for values in parts per million.
 const MILLION: u64 = 1_000_000;
 
-/// The largest clock drift that can be configured, in parts per million.
+/// The configured clock drift must be below this, in parts per million.
 const CLOCK_DRIFT_BOUND_PPM: u32 = 500_000;
 
-/// The group, its timeouts and its bounds. Members and timeouts must be the same at all members.
+/// The group, its timeouts and its limits. Members and timeouts must be the same on all members.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The name of this member.
+    /// The id of this member.
     pub me: MemberId,
     /// All configured members, including this one.
     pub members: Vec<MemberId>,
     /// The interval of a leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// A follower that heard its leader less than this ago neither campaigns nor votes.
+    /// A follower that heard from its leader less than this ago neither campaigns nor votes.
     pub min_election_timeout: Duration,
-    /// A follower that has not heard its leader for this long campaigns.
+    /// A follower that has not heard from its leader for this long campaigns.
     pub max_election_timeout: Duration,
-    /// The bound of how fast or slow a clock may run, in parts per million.
+    /// The maximum deviation of a clock's rate, in parts per million.
     pub max_clock_drift_ppm: u32,
-    /// The most entries in a message.
+    /// The maximum number of entries in a message.
     pub max_message_entries: usize,
-    /// The approximate bound of a message, in bytes; a larger entry is rejected.
+    /// The approximate maximum size of a message, in bytes; a larger entry is rejected.
     pub max_message_bytes: usize,
-    /// The most messages with entries that a follower has not answered.
+    /// The maximum number of unanswered messages with entries per follower.
     pub max_inflight_messages: usize,
-    /// The most entries kept beyond the snapshot; further proposals are rejected.
+    /// The maximum number of entries kept after the snapshot; further proposals are rejected.
     pub max_log_entries: usize,
-    /// The most bytes of entries kept beyond the snapshot.
+    /// The maximum size of the entries kept after the snapshot, in bytes; further proposals are rejected.
     pub max_log_bytes: usize,
     /// A snapshot is requested after this many entries.
     pub snapshot_threshold_entries: usize,
-    /// The largest snapshot, in bytes.
+    /// The maximum size of a snapshot, in bytes.
     pub max_snapshot_bytes: usize,
-    /// The size of the chunks in which a snapshot is sent, in bytes.
+    /// The size of a snapshot chunk, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// The most proposals that wait to be committed.
+    /// The maximum number of proposals that wait to be committed.
     pub max_pending_proposals: usize,
-    /// The most read barriers that wait.
+    /// The maximum number of pending read barriers.
     pub max_pending_read_barriers: usize,
-    /// The most batches that wait for the disk.
+    /// The maximum number of batches that wait to be written.
     pub max_pending_writes: usize,
 }
 
 impl Config {
-    /// A configuration with the default timeouts and bounds.
+    /// A configuration with the default timeouts and limits.
     pub fn new(me: MemberId, members: Vec<MemberId>) -> Config {
         Config {
             me,
@@ -77,8 +77,8 @@
         self.members.len() / 2 + 1
     }
 
-    /// How long a lease lasts from the start of its heartbeat round: the followers' least election timeout by the fastest
-    /// clock, measured by the slowest.
+    /// How long a lease lasts from the start of its heartbeat round: the followers' minimum election timeout on the fastest
+    /// permitted clock, measured on the slowest.
     pub fn lease_span(&self) -> Duration {
         let drift = u64::from(self.max_clock_drift_ppm);
         let micros = u64::try_from(self.min_election_timeout.as_micros()).unwrap_or(u64::MAX);
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who may ask for votes, who may give them, and which votes count.
+//! Elections: which members may request votes, which may grant them, and which votes count.
 use crate::entry::LogPosition;
 use crate::message::{Message, VoteResponse};
 use crate::node::Node;
@@ -8,13 +8,13 @@
 use cluster_types::MemberId;
 
 impl Node {
-    /// Whether the group is known to be bootstrapped for good.
+    /// Whether this member knows that the group's bootstrap is committed.
     pub(crate) fn is_bootstrapped(&self) -> bool {
         self.commit_index > 0 || self.log.last().index > 1
     }
 
-    /// Whether the incarnation of this store is admitted: by the bootstrap entry, or by an entry known to be committed. What is
-    /// promised on the strength of that waits until the knowledge is on disk.
+    /// Whether the incarnation of this store is admitted: by the bootstrap entry, or by an entry known to be committed. Votes and
+    /// acknowledgements that rely on this are held back until that commit index is on disk.
     pub(crate) fn is_admitted(&self) -> bool {
         let admitted = self.log.incarnations_at(self.commit_index.max(1));
         admitted.get(&self.config.me) == Some(&self.incarnation)
@@ -24,7 +24,7 @@
         self.is_bootstrapped() && self.is_admitted() && self.storage.is_healthy()
     }
 
-    /// Asks whether this member would be elected, so that a hopeless election disturbs no other member.
+    /// Asks whether this member would be elected, so that an election without a chance does not raise the term of other members.
     pub(crate) fn start_pre_vote(&mut self) {
         self.become_follower(self.term, None);
         self.role = Role::PreCandidate;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Whether this member may vote at all now; counts the reason where it may not. Guards the lease of a leader, and what a
-    /// lost or failing disk has forgotten.
+    /// Whether this member may vote at all now; if not, the reason is counted. Protects the lease of a leader, and prevents a
+    /// second vote after the first was lost with a lost or failing disk.
     fn can_vote(&mut self) -> bool {
         if !self.is_admitted() {
             self.counters.unadmitted_incarnation += 1;
@@ -132,7 +132,7 @@
         self.answer_vote_request(from, incarnation, term, is_up_to_date);
     }
 
-    /// Answers a candidate of that term. The vote is given at most once, to one incarnation of one member.
+    /// Answers a candidate in `term`. At most one vote is granted per term, to one incarnation of one member.
     pub(crate) fn answer_vote_request(
         &mut self,
         from: &MemberId,
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -10,18 +10,18 @@
 /// Terms and indices at or above this bound are rejected, so that additions to them cannot overflow.
 pub(crate) const TERM_AND_INDEX_BOUND: u64 = u64::MAX / 2;
 
-/// Memory that an entry takes beside its payload, in bytes.
+/// Memory that an entry takes in addition to its payload, in bytes.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 64;
 
 /// Memory that one member takes in a bootstrap entry, in bytes.
 const MEMBER_BYTES: usize = 32;
 
-/// A place in a log. Ordered by term, then index: of two logs, the one with the greater end is more up to date.
+/// A position in a log. Ordered by term, then index: of two logs, the one with the greater last position is more up to date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
     /// The term of the entry.
     pub term: u64,
-    /// The index of the entry; 0 is the place before the first.
+    /// The index of the entry; 0 is the position before the first entry.
     pub index: u64,
 }
 
@@ -32,7 +32,7 @@
     Bootstrap(Incarnations),
     /// The first entry of a leader in its term.
     Noop,
-    /// The store of a member was lost; from here on its new incarnation counts.
+    /// The store of a member was lost; from this entry on, its new incarnation counts.
     Readmit {
         /// The member.
         member: MemberId,
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,29 +1,29 @@
-//! Why a member cannot start.
+//! Errors that prevent a member from starting.
 use cluster_types::{Index, MemberId};
 
-/// A fault of the configuration or of the stored state. Nothing is guessed or repaired: an operator has to look.
+/// An error in the configuration or the stored state. Nothing is guessed or repaired: an operator must investigate.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    /// The members are not each named once with this one among them.
-    #[error("the members must each be named once, and this one must be among them")]
+    /// A member is listed twice, or this member is not listed.
+    #[error("each member must be listed exactly once, and this member must be among them")]
     Members,
-    /// The intervals and timeouts contradict each other.
-    #[error("two heartbeats must fit into the least election timeout, and that must be below the greatest")]
+    /// The intervals and timeouts are inconsistent.
+    #[error("the heartbeat interval must be at most half the minimum election timeout, which must be below the maximum")]
     Timeouts,
-    /// A bound is zero, or too small for another.
-    #[error("a bound is zero, or the log's bound is not above the snapshots' or the messages'")]
+    /// A limit is zero, or too small compared with another.
+    #[error("a limit is zero, or a log limit is too small for the snapshot threshold or the message size")]
     Bounds,
     /// An entry does not follow the one before it.
-    #[error("the stored log has entry {} where {} is due", found.0, expected.0)]
+    #[error("the stored log has entry {} where entry {} was expected", found.0, expected.0)]
     Gap {
-        /// The index that was due.
+        /// The index that was expected.
         expected: Index,
         /// The index that was found.
         found: Index,
     },
     /// The log has entries that the snapshot already contains.
     #[error(
-        "the stored log begins with entry {} though the snapshot goes up to {}: one of them is of another time",
+        "the stored log begins with entry {} although the snapshot covers entries up to {}: they do not belong together",
         first.0, snapshot.0
     )]
     Overlap {
@@ -33,12 +33,12 @@
         first: Index,
     },
     /// The term decreases at this entry.
-    #[error("the stored log's term goes back at entry {}", .0.0)]
+    #[error("the term in the stored log decreases at entry {}", .0.0)]
     TermDecreases(Index),
-    /// The log or the snapshot is of a later term than the stored one.
-    #[error("the stored log or snapshot is of a later term than the stored term")]
+    /// The log or the snapshot has a later term than the stored current term.
+    #[error("the stored log or snapshot has a later term than the stored current term")]
     TermAhead,
-    /// More is marked as committed than the log holds.
+    /// The stored commit index is beyond the end of the log.
     #[error("entry {} is marked as committed but the stored log ends at {}", commit.0, last.0)]
     CommitAhead {
         /// The stored commit index.
@@ -46,16 +46,16 @@
         /// The last index of the log.
         last: Index,
     },
-    /// The log does not begin with a bootstrap entry, or has one later.
-    #[error("the stored log is not bootstrapped by its first entry alone (entry {})", .0.0)]
+    /// The log does not begin with a bootstrap entry, or has another one later.
+    #[error("the stored log must have a bootstrap entry as its first entry and nowhere else (entry {})", .0.0)]
     Bootstrap(Index),
-    /// The log was bootstrapped by other members than the configured ones.
-    #[error("the stored log was bootstrapped by other members than the configured ones")]
+    /// The log was bootstrapped with members other than the configured ones.
+    #[error("the stored log was bootstrapped with members other than the configured ones")]
     OtherMembers,
     /// The vote is for a candidate that is not a member.
     #[error("the stored vote is for {0}, which is not a member")]
     Vote(MemberId),
-    /// The snapshot has data but no position in the log, or the reverse.
+    /// The snapshot's position in the log is out of range, or it has data but no position.
     #[error("the stored snapshot has no position in the log, or no members")]
     Snapshot,
 }
--- a/crates/consensus/src/event.rs
+++ b/crates/consensus/src/event.rs
@@ -1,9 +1,9 @@
-//! What a host reports to a member.
+//! Events: what a host reports to a member.
 use crate::message::Message;
 use cluster_types::{Index, MemberId};
 use std::sync::Arc;
 
-/// An input of the state machine.
+/// An input to the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
@@ -24,22 +24,22 @@
         /// The bytes of the entry.
         data: Arc<[u8]>,
     },
-    /// The host wants to read everything that is committed by now.
+    /// The host wants to read a state that includes everything committed so far.
     ReadBarrier {
         /// The host's id of the read barrier; returned with its outcome.
         ticket: u64,
     },
-    /// A batch and all batches before it are on disk.
+    /// This batch and all earlier ones are on disk.
     Persisted {
         /// The id of the batch.
         batch_id: u64,
     },
-    /// A batch could not be written, or it is not known whether it was. No later batch was written.
+    /// A batch could not be written, or may not have been. No later batch was written.
     PersistFailed {
         /// The id of the batch.
         batch_id: u64,
     },
-    /// The disk can be written again.
+    /// The disk is writable again.
     StorageRecovered,
     /// The host has taken a snapshot of the applied state.
     SnapshotTaken {
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -1,16 +1,16 @@
-//! A follower's log: taking over the entries of a leader.
+//! The follower's side of replication: appending and committing the leader's entries.
 use crate::entry::{Entry, LogPosition, Payload, TERM_AND_INDEX_BOUND};
 use crate::message::{AppendOutcome, AppendRequest, AppendResponse, Message};
 use crate::node::Node;
 use crate::role::Role;
 use cluster_types::MemberId;
 
-/// How many times what a leader may hold a follower takes, whose host takes no snapshots.
+/// A follower whose host takes no snapshots accepts this multiple of a leader's log limits.
 const FOLLOWER_LOG_FACTOR: usize = 2;
 
 impl Node {
-    /// Follows the sender of a leader's message in a term that is not past, and withholds this member's vote for the least election
-    /// timeout. Returns false where another member is known to lead in that term.
+    /// Follows the sender of a leader's message whose term is not stale, and withholds this member's vote for the minimum election
+    /// timeout. Returns false if another member is known to lead in that term.
     pub(crate) fn accept_leader(&mut self, from: &MemberId, term: u64) -> bool {
         let follows_other = self.leader.as_ref().is_some_and(|leader| leader != from);
         if term == self.term && (self.role == Role::Leader || follows_other) {
@@ -27,7 +27,8 @@
         true
     }
 
-    /// Answers a leader: as a promise, or, where this member may promise nothing, at once, so that the leader can go on.
+    /// Answers a leader once everything is on disk. If the storage has failed, the answer is sent at once and does not count for
+    /// the quorum, so that the leader can continue sending.
     pub(crate) fn respond_to_leader(&mut self, to: &MemberId, round: u64, outcome: AppendOutcome) {
         let is_healthy = self.storage.is_healthy();
         let counts_for_quorum = self.is_admitted() && is_healthy;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Tells the leader of an earlier term that its message at `previous_index` is not accepted.
+    /// Rejects a message of a leader of an earlier term, at `previous_index`.
     pub(crate) fn reject_stale_leader(&mut self, to: &MemberId, round: u64, previous_index: u64) {
         self.counters.stale += 1;
         let retry_index = self.log.last().index + 1;
@@ -72,7 +73,7 @@
         self.respond_to_leader(from, round, outcome);
     }
 
-    /// Whether the entries are such that a correct leader may send them.
+    /// Whether a correct leader could have sent these entries.
     fn is_well_formed(&self, term: u64, previous: LogPosition, entries: &[Entry]) -> bool {
         if previous.index >= TERM_AND_INDEX_BOUND
             || previous.term > term
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Whether the payload may stand at the index of the entry, and names configured members only.
+    /// Whether the payload is allowed at the index of the entry and names only configured members.
     fn is_payload_in_place(&self, entry: &Entry) -> bool {
         let is_first = entry.index.0 == 1;
         match &entry.payload {
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Adds entries that follow `previous`, in place of those that differ.
+    /// Appends the entries after `previous`, replacing entries that conflict with them.
     fn append_entries(&mut self, previous: LogPosition, entries: Vec<Entry>) -> AppendOutcome {
         let previous_index = previous.index;
         let last_index = self.log.last().index;
@@ -145,21 +146,21 @@
         AppendOutcome::Matched(matched_index)
     }
 
-    /// Guards the memory of a follower whose host takes no snapshots.
+    /// Whether the log may take the entry. Limits the memory of a follower whose host takes no snapshots.
     fn has_log_capacity(&self, entry: &Entry) -> bool {
         let max_bytes = self.config.max_log_bytes.saturating_mul(FOLLOWER_LOG_FACTOR);
         self.log.len() < self.config.max_log_entries * FOLLOWER_LOG_FACTOR
             && self.log.memory_bytes() + entry.memory_bytes() <= max_bytes
     }
 
-    /// Removes the entries from an index on, which are not committed.
+    /// Removes the entries from an index on. They must not be committed.
     pub(crate) fn truncate_log(&mut self, from: u64) {
         self.log.truncate(from);
         self.storage.note_truncated(from);
     }
 
-    /// Learns that the log is committed up to an index. Where that bootstraps the group or admits this member, it is written to
-    /// disk before anything is promised on the strength of it.
+    /// Advances the commit index. If that bootstraps the group or admits this member, the commit index is written to disk
+    /// before any vote or acknowledgement that relies on it is sent.
     pub(crate) fn commit_up_to(&mut self, index: u64) {
         let index = index.min(self.log.last().index);
         if index <= self.commit_index {
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's own log: its entries, and when they are committed.
+//! The leader's own log: adding entries and committing them.
 use crate::action::{Action, Rejection};
 use crate::entry::{Entry, Payload, ENTRY_OVERHEAD_BYTES};
 use crate::leader_state::LeaderState;
@@ -30,7 +30,8 @@
         self.start_round();
     }
 
-    /// Adds an entry of the current term to the leader's log and returns its index. It counts once it is on disk.
+    /// Appends an entry of the current term to the leader's log and returns its index. The leader's own acknowledgement counts
+    /// once the entry is on disk.
     pub(crate) fn append_entry(&mut self, payload: Payload) -> u64 {
         let index = self.log.next_index();
         self.log.push(Entry { index, term: self.term, payload });
@@ -38,7 +39,7 @@
         index.0
     }
 
-    /// Starts the next heartbeat round, or steps down where no quorum answers (check-quorum) or the bootstrap takes too long.
+    /// Starts the next heartbeat round, or steps down if no quorum answers (check-quorum) or the bootstrap takes too long.
     pub(crate) fn tick_leader(&mut self) {
         if self.now < self.heartbeat_at {
             return;
@@ -86,8 +87,8 @@
         Ok(())
     }
 
-    /// Commits what a quorum has on disk. Only an entry of the leader's own term is counted, the earlier ones are committed with it
-    /// (section 5.4.2 of the Raft paper). The bootstrap entry needs all members.
+    /// Commits the entries that a quorum has on disk. Only an entry of the leader's own term is committed by counting; earlier ones
+    /// are committed along with it (section 5.4.2 of the Raft paper). The bootstrap entry needs all members.
     pub(crate) fn advance_leader_commit(&mut self) {
         let durable_index = self.storage.durable_index;
         let reached_by = |count| {
--- a/crates/consensus/src/leader_state.rs
+++ b/crates/consensus/src/leader_state.rs
@@ -1,13 +1,13 @@
-//! The state that only a leader has.
+//! State that only a leader keeps.
 use crate::entry::Incarnations;
 use crate::progress::Progress;
 use cluster_types::{MemberId, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The start of this many heartbeat rounds is remembered.
+/// The number of heartbeat rounds whose start time is kept.
 const REMEMBERED_ROUNDS: usize = 256;
 
-/// A read barrier that waits.
+/// A pending read barrier.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct ReadBarrier {
     pub(crate) ticket: u64,
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaderState {
     pub(crate) progress: BTreeMap<MemberId, Progress>,
-    /// The first entry of the leader's term; once it is committed, the leader knows everything that is.
+    /// The index of the leader's first entry in its term. Once it is committed, the leader knows everything that is committed.
     pub(crate) noop_index: Option<u64>,
     /// The tickets of proposals, by the index of their entry.
     pub(crate) proposals: BTreeMap<u64, u64>,
@@ -49,7 +49,7 @@
         LeaderState { progress, elected_at, ..LeaderState::default() }
     }
 
-    /// Starts a heartbeat round. `commit_index` is given where read barriers may be confirmed by it.
+    /// Starts a heartbeat round. `commit_index` is given if the round may confirm read barriers.
     pub(crate) fn start_round(&mut self, now: Time, commit_index: Option<u64>) {
         self.round += 1;
         self.round_starts.push_back(RoundStart { round: self.round, at: now });
@@ -63,13 +63,13 @@
         }
     }
 
-    /// When a round started, if that is remembered; a round that is forgotten gives no lease.
+    /// When a round started, if that is still known; a round whose start is no longer kept gives no lease.
     pub(crate) fn round_start(&self, round: u64) -> Option<Time> {
         self.round_starts.iter().find(|start| start.round == round).map(|start| start.at)
     }
 
-    /// The greatest value that a quorum reaches, among the leader's own and those of the followers that answer under an admitted
-    /// incarnation.
+    /// The greatest value reached by a quorum, considering the leader's own value and those of followers whose incarnation is
+    /// admitted.
     pub(crate) fn quorum_value(
         &self,
         incarnations: &Incarnations,
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's lease, and read barriers: both rest on heartbeat rounds that a quorum has answered.
+//! The leader's lease and read barriers. Both are based on heartbeat rounds that a quorum has answered.
 use crate::action::{Action, Rejection};
 use crate::leader_state::ReadBarrier;
 use crate::node::Node;
@@ -19,14 +19,14 @@
         self.role == Role::Leader && noop_index.is_some_and(|noop| self.commit_index >= noop)
     }
 
-    /// The end of the lease that the latest answered round gives, whether it has passed or not.
+    /// The expiry of the lease given by the latest answered round, even if it has passed.
     pub(crate) fn latest_lease_expiry(&self) -> Option<Time> {
         let started_at = self.leader_state.round_start(self.quorum_round())?;
         Some(started_at + self.config.lease_span())
     }
 
-    /// Returns until when no other member can lead, where this member leads and knows everything that is committed; `None` where it
-    /// holds no lease at `now`. Who acts on it must check the time again right before.
+    /// Returns the time until which no other member can lead, or `None` if this member holds no lease at `now`. A lease requires
+    /// that this member leads and knows everything that is committed. Callers must check the time again right before acting on it.
     pub fn lease_expiry(&self, now: Time) -> Option<Time> {
         if !self.has_committed_in_term() || !self.storage.is_healthy() {
             return None;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Answers the read barriers whose round a quorum has answered; starts a round for the others unless one is pending.
+    /// Answers the read barriers whose heartbeat round a quorum has answered. Starts a round for the others unless one is pending.
     pub(crate) fn answer_read_barriers(&mut self) {
         if !self.has_committed_in_term() || self.leader_state.read_barriers.is_empty() {
             return;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory: a snapshot, the entries after it, and the incarnations that they admit.
+//! The in-memory log: a snapshot, the entries after it, and the incarnations that they admit.
 use crate::entry::{Entry, Incarnations, LogPosition, Payload};
 use crate::snapshot::Snapshot;
 use cluster_types::Index;
@@ -17,7 +17,7 @@
     pub(crate) snapshot: Snapshot,
     entries: VecDeque<Entry>,
     memory_bytes: usize,
-    /// In the order of their indices; the first is the snapshot's.
+    /// Ordered by index; the first one belongs to the snapshot.
     admissions: Vec<Admission>,
 }
 
@@ -55,7 +55,7 @@
         self.entries.get(self.offset(index)?)
     }
 
-    /// The term of the entry at an index, if that is known.
+    /// The term of the entry at an index, if known.
     pub(crate) fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.snapshot.last.index {
             return Some(self.snapshot.last.term);
@@ -68,7 +68,7 @@
         Some(LogPosition { term: self.term_at(index)?, index })
     }
 
-    /// The first index of the term that the entry at an index has.
+    /// The index of the first entry with the same term as the entry at `index`.
     pub(crate) fn first_index_of_term_at(&self, mut index: u64) -> u64 {
         let term = self.term_at(index);
         while index > self.snapshot.last.index + 1 && self.term_at(index - 1) == term {
@@ -77,7 +77,7 @@
         index
     }
 
-    /// The last index, `index` at most, whose term is not above `term`.
+    /// The greatest index up to `index` whose term is at most `term`.
     pub(crate) fn last_index_up_to_term(&self, mut index: u64, term: u64) -> u64 {
         while index > self.snapshot.last.index && self.term_at(index).is_some_and(|known| known > term) {
             index -= 1;
@@ -85,7 +85,7 @@
         index
     }
 
-    /// The entries from an index on within bounds; at least one, if there is any.
+    /// The entries from an index on, within both limits; at least one if there is any.
     pub(crate) fn slice(&self, from: u64, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
         let Some(offset) = self.offset(from) else { return Vec::new() };
         let mut taken_bytes = 0;
@@ -97,18 +97,18 @@
         candidates.enumerate().take_while(fits).map(|(_, entry)| entry.clone()).collect()
     }
 
-    /// The incarnations that all entries admit, committed or not.
+    /// The incarnations admitted by all entries, committed or not.
     pub(crate) fn incarnations(&self) -> &Incarnations {
         &self.admissions[self.admissions.len() - 1].incarnations
     }
 
-    /// The incarnations that are admitted as of an index; those of the snapshot where that is later.
+    /// The incarnations admitted as of an index; those of the snapshot if it is later.
     pub(crate) fn incarnations_at(&self, index: u64) -> &Incarnations {
         let following = self.admissions.partition_point(|admission| admission.index <= index);
         &self.admissions[following.saturating_sub(1)].incarnations
     }
 
-    /// Adds an entry that follows the last one.
+    /// Appends an entry.
     pub(crate) fn push(&mut self, entry: Entry) {
         let index = entry.index.0;
         match &entry.payload {
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Replaces the entries up to the end of a snapshot by it. What follows that end in this log is kept; where this log does not
-    /// contain that end, nothing is kept.
+    /// Replaces the entries up to the last one in the snapshot with the snapshot. Later entries are kept if this log contains the
+    /// snapshot's last position; otherwise nothing is kept.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         let last = snapshot.last;
         if self.term_at(last.index) != Some(last.term) {
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between members. The sender and the incarnation of its store come with each message from outside.
+//! The messages between members. The transport supplies the sender and the incarnation of its store with each message.
 use crate::entry::{Entry, Incarnations, LogPosition};
 use serde::{Deserialize, Serialize};
 
@@ -11,11 +11,11 @@
     pub is_pre_vote: bool,
     /// Whether the vote is granted.
     pub is_granted: bool,
-    /// The incarnation under which the candidate asked: a vote is given to an incarnation, not to a name.
+    /// The incarnation under which the candidate asked: a vote is given to an incarnation, not to a member name.
     pub candidate_incarnation: u64,
 }
 
-/// Entries of a leader; without entries, a heartbeat.
+/// Log entries from the leader; a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AppendRequest {
     /// The leader's term.
@@ -39,7 +39,7 @@
     Rejected {
         /// The index at which the logs differ.
         previous_index: u64,
-        /// The follower's entries from this index on may all differ: the place to try next.
+        /// The index to try next: the follower's entries from here on may all differ.
         retry_index: u64,
         /// The term of the follower's entry at `previous_index`, if it has one.
         conflict_term: Option<u64>,
@@ -60,7 +60,7 @@
     pub term: u64,
     /// The heartbeat round that is answered.
     pub round: u64,
-    /// Whether the leader may count the answer: the follower's incarnation is admitted and what it reports is on its disk.
+    /// Whether the leader may count the answer: the follower's incarnation is admitted, and what it reports is on its disk.
     pub counts_for_quorum: bool,
     /// The outcome.
     pub outcome: AppendOutcome,
@@ -88,7 +88,7 @@
 /// A message between members. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To the member that bootstraps the group: the sender's store holds no bootstrapped log.
+    /// Sent to the member that bootstraps the group: the sender's store holds no bootstrapped log.
     BootstrapHello {
         /// The sender's term.
         term: u64,
@@ -100,23 +100,23 @@
         /// The incarnations that the bootstrap entry would name.
         incarnations: Incarnations,
     },
-    /// Asks whether a vote would be given.
+    /// Asks whether a vote would be granted.
     PreVoteRequest {
         /// The term that the election would have.
         term: u64,
-        /// The end of the sender's log.
+        /// The position of the last entry in the sender's log.
         last: LogPosition,
     },
     /// Asks for a vote.
     VoteRequest {
         /// The candidate's term.
         term: u64,
-        /// The end of the candidate's log.
+        /// The position of the last entry in the candidate's log.
         last: LogPosition,
     },
-    /// Answers one of the three requests for votes.
+    /// Answers a bootstrap, pre-vote or vote request.
     VoteResponse(VoteResponse),
-    /// Entries of a leader, or a heartbeat.
+    /// Log entries from the leader, or a heartbeat.
     AppendRequest(AppendRequest),
     /// Answers an `AppendRequest` or a `SnapshotChunk`.
     AppendResponse(AppendResponse),
@@ -125,7 +125,7 @@
 }
 
 impl Message {
-    /// The term that the message states.
+    /// The term stated in the message.
     pub fn term(&self) -> u64 {
         match self {
             Message::BootstrapHello { term }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! A member of the group: its state, and where events are handled.
+//! A member of the group: its state and the dispatch of events.
 use crate::action::{Action, Rejection};
 use crate::bootstrap_hello::BootstrapHello;
 use crate::config::Config;
@@ -35,23 +35,23 @@
     pub(crate) storage: WriteQueue,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
-    /// The members that gave their vote, or would.
+    /// The members that granted their vote or pre-vote.
     pub(crate) votes: BTreeSet<MemberId>,
-    /// The incarnations under which this member proposes to bootstrap.
+    /// The incarnations in the bootstrap that this member proposes.
     pub(crate) proposed_bootstrap: Option<Incarnations>,
     /// The members that reported an empty store.
     pub(crate) hellos: BTreeMap<MemberId, BootstrapHello>,
     pub(crate) leader_state: LeaderState,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
-    /// No vote is given before: a leader that was heard, or this member itself, may hold a lease.
+    /// No vote is granted before this time: the last known leader, or this member itself, may hold a lease.
     pub(crate) vote_withheld_until: Time,
     pub(crate) election_at: Time,
     pub(crate) heartbeat_at: Time,
     pub(crate) hello_at: Time,
-    /// When a snapshot was requested that the host has not taken yet.
+    /// When the pending snapshot was requested, if the host has not taken it yet.
     pub(crate) snapshot_requested_at: Option<Time>,
     pub(crate) outbox: Vec<(MemberId, Message)>,
-    /// Actions that follow the writes, messages and applied entries of the event.
+    /// Actions to return after the writes, messages and applied entries of the current event.
     pub(crate) deferred_actions: Vec<Action>,
     reported_role: RoleState,
     is_restore_due: bool,
@@ -59,11 +59,11 @@
 }
 
 impl Node {
-    /// Creates a member as it starts, with what its host read from disk. The seed only spreads the election timeouts.
+    /// Creates a member from the state that its host read from disk. The seed only randomizes the election timeouts.
     ///
     /// # Errors
     ///
-    /// Returns the first fault of the configuration or of the stored state.
+    /// Returns the first error found in the configuration or the stored state.
     pub fn new(mut config: Config, stored: StoredState, now: Time, seed: u64) -> Result<Node, StartError> {
         config.validate()?;
         config.members.sort();
@@ -103,7 +103,7 @@
         Ok(node)
     }
 
-    /// Handles an event. What the host is to do is added to `out`, in the order in which it is to be done.
+    /// Handles an event. The resulting actions are added to `out`, in the order in which the host must carry them out.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns the writes, messages and committed entries that an event has led to.
+    /// Adds the actions that result from an event to `out`: writes, messages, role changes, committed entries, deferred actions.
     fn emit_actions(&mut self, out: &mut Vec<Action>) {
         while self.flush_changes(out) {}
         out.extend(self.outbox.drain(..).map(|(to, message)| Action::Send { to, message }));
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Becomes a follower in `term`, of `leader` or of none yet. A leader's pending proposals and read barriers are rejected.
+    /// Becomes a follower in `term`, of `leader` if known. A leader that steps down rejects its pending proposals and read barriers.
     pub(crate) fn become_follower(&mut self, term: u64, leader: Option<MemberId>) {
         if self.role == Role::Leader {
             let state = std::mem::take(&mut self.leader_state);
@@ -236,14 +236,14 @@
         self.reset_election_timer();
     }
 
-    /// Draws the next election timeout, spread so that members rarely campaign at the same time.
+    /// Draws the next election timeout, randomized so that members rarely campaign at the same time.
     pub(crate) fn reset_election_timer(&mut self) {
         let (min, max) = (self.config.min_election_timeout, self.config.max_election_timeout);
         let spread = u64::try_from((max - min).as_micros()).unwrap_or(u64::MAX);
         self.election_at = self.now + min + Duration::from_micros(self.rng.random_range(1..=spread));
     }
 
-    /// Lets the host replace its applied state by the log's snapshot.
+    /// Schedules the host's applied state to be replaced with the log's snapshot.
     pub(crate) fn schedule_restore(&mut self) {
         self.is_restore_due = true;
     }
--- a/crates/consensus/src/observe.rs
+++ b/crates/consensus/src/observe.rs
@@ -1,4 +1,4 @@
-//! What a host can see of a member.
+//! Read access to a member's state for its host.
 use crate::counters::Counters;
 use crate::entry::{Incarnations, LogPosition};
 use crate::node::Node;
@@ -17,7 +17,7 @@
         self.term
     }
 
-    /// The leader that this member follows; itself where it leads.
+    /// The leader that this member follows; itself if it leads.
     pub fn leader(&self) -> Option<&MemberId> {
         self.leader.as_ref()
     }
@@ -32,7 +32,7 @@
         Index(self.commit_index)
     }
 
-    /// The incarnations that are admitted by what is committed.
+    /// The incarnations admitted by committed entries.
     pub fn incarnations(&self) -> &Incarnations {
         self.log.incarnations_at(self.commit_index)
     }
@@ -42,7 +42,7 @@
         self.counters
     }
 
-    /// Hashes everything that decides what this member does next, apart from time and chance. For searches over states.
+    /// Hashes everything that determines what this member does next, except time and randomness. For model checkers.
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         (self.incarnation, self.term, &self.vote, self.commit_index, self.role, &self.leader).hash(hasher);
         (&self.log, &self.votes, &self.proposed_bootstrap, &self.incoming_snapshot).hash(hasher);
--- a/crates/consensus/src/persistence.rs
+++ b/crates/consensus/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Writing the state to disk, and what takes effect once it is there.
+//! Writing the state to disk, and the effects that are held back until it is durable.
 use crate::action::Action;
 use crate::message::Message;
 use crate::node::Node;
@@ -7,24 +7,24 @@
 use crate::write_queue::{DurableEffect, PendingWrite, StorageHealth, UnwrittenChanges};
 use cluster_types::{Index, MemberId};
 
-/// Bound of the effects that wait for one batch, for each member.
+/// The maximum number of effects held back by one batch, per member.
 const EFFECTS_PER_MEMBER: usize = 4;
 
 impl Node {
-    /// Sends a message once everything known by now is on disk; never if the storage has failed.
+    /// Sends a message once the current state is on disk; never if the storage has failed.
     pub(crate) fn send_when_durable(&mut self, to: &MemberId, message: Message) {
         self.storage.defer(DurableEffect::Send(to.clone(), message));
     }
 
-    /// Whether another batch may be queued; counts where it may not. Guards against a disk that is too slow.
+    /// Whether another batch may be queued; if not, that is counted. Limits the queue when the disk is too slow.
     pub(crate) fn has_write_capacity(&mut self) -> bool {
         let has_capacity = self.storage.pending.len() < self.config.max_pending_writes;
         self.counters.over_capacity += u64::from(!has_capacity);
         has_capacity
     }
 
-    /// Queues a batch of what has changed, with the effects that wait for it. Returns whether effects took place at once,
-    /// which may have changed something again.
+    /// Queues a batch with all unwritten changes and the effects that wait for it. Returns whether effects were released
+    /// immediately, which may have caused further changes.
     pub(crate) fn flush_changes(&mut self, out: &mut Vec<Action>) -> bool {
         let changes = std::mem::take(&mut self.storage.unwritten);
         let mut effects = std::mem::take(&mut self.storage.effects);
@@ -65,7 +65,7 @@
         WriteBatch { id, hard_state, truncate_from: truncate_from.map(Index), snapshot, append }
     }
 
-    /// Carries out effects that were held back; those of an earlier term are of no use any more.
+    /// Carries out effects that were held back, except those of an earlier term, which are stale.
     fn release(&mut self, effects: Vec<DurableEffect>) -> bool {
         let has_effects = !effects.is_empty();
         for effect in effects {
@@ -73,7 +73,7 @@
                 DurableEffect::Send(to, message) if message.term() == self.term => {
                     self.outbox.push((to, message));
                 }
-                // A pre-vote request states the term that the election would have, and promises nothing.
+                // A pre-vote request states the term that the election would have, and commits its sender to nothing.
                 DurableEffect::Send(to, message @ Message::PreVoteRequest { .. }) => {
                     self.outbox.push((to, message));
                 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,12 +1,12 @@
-//! What a leader knows of each follower.
+//! The leader's view of each follower's replication state.
 use std::collections::VecDeque;
 
 /// How entries are sent to a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ReplicationMode {
-    /// It is not known where the logs diverge: one message at a time.
+    /// Where the logs diverge is unknown: one message at a time.
     Probe { awaits_response: bool },
-    /// Messages are sent without waiting for the answers.
+    /// Messages are pipelined, without waiting for the answers.
     Replicate,
     /// Chunks of the snapshot that ends at `last_index`, one at a time.
     Snapshot { last_index: u64, offset: u64, awaits_response: bool },
@@ -19,16 +19,16 @@
     pub(crate) incarnation: Option<u64>,
     /// The index up to which the logs agree.
     pub(crate) matched_index: u64,
-    /// The index up to which the follower has promised that, under that incarnation.
+    /// The index up to which the follower has acknowledged entries as durable, under that incarnation.
     pub(crate) durable_index: u64,
     /// The next entry to send.
     pub(crate) next_index: u64,
     pub(crate) mode: ReplicationMode,
-    /// The last index of each message that is not answered.
+    /// The last index of each unanswered message.
     pub(crate) inflight: VecDeque<u64>,
-    /// The latest heartbeat round that the follower has answered with a promise.
+    /// The latest heartbeat round that the follower has answered in a way that counts for the quorum.
     pub(crate) round: u64,
-    /// The commit index that the follower was last sent.
+    /// The commit index last sent to the follower.
     pub(crate) sent_commit_index: u64,
 }
 
--- a/crates/consensus/src/readmission.rs
+++ b/crates/consensus/src/readmission.rs
@@ -1,12 +1,11 @@
-//! Admitting members again whose disk was lost.
+//! Readmission of members that have lost their disk.
 use crate::entry::Payload;
 use crate::node::Node;
 use cluster_types::MemberId;
 
 impl Node {
-    /// Proposes to admit a follower's new incarnation once it holds everything that is committed. The follower's own
-    /// acknowledgement cannot commit that entry: its incarnation counts only where it is admitted, and it acknowledges
-    /// only once it knows that the entry is committed.
+    /// Proposes to admit a follower's new incarnation once the follower holds everything that is committed. The follower's own
+    /// acknowledgement cannot commit that entry: it sets `counts_for_quorum` only once it knows that the entry is committed.
     pub(crate) fn readmit_if_caught_up(&mut self, from: &MemberId) {
         let Some(progress) = self.leader_state.progress.get(from) else { return };
         let Some(incarnation) = progress.incarnation else { return };
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! What a leader sends to its followers, and their answers.
+//! Replication from the leader to its followers, and the handling of their answers.
 use crate::entry::{Entry, LogPosition};
 use crate::message::{AppendOutcome, AppendRequest, AppendResponse, Message};
 use crate::node::Node;
@@ -7,7 +7,7 @@
 use cluster_types::MemberId;
 
 impl Node {
-    /// Starts a heartbeat round: each follower gets entries, a chunk of the snapshot, or a heartbeat.
+    /// Starts a heartbeat round: each follower is sent entries, a snapshot chunk, or a heartbeat.
     pub(crate) fn start_round(&mut self) {
         self.heartbeat_at = self.now + self.config.heartbeat_interval;
         let commit_index = self.has_committed_in_term().then_some(self.commit_index);
@@ -22,19 +22,19 @@
         });
     }
 
-    /// Sends new entries to all followers that can take more.
+    /// Sends new entries to all followers that can accept more.
     pub(crate) fn replicate_to_all(&mut self) {
         self.for_each_follower(|node, to, progress| {
             node.replicate_to(to, progress);
         });
     }
 
-    /// Sends the commit index to the followers, so that they need not wait for a heartbeat.
+    /// Sends the commit index to the followers, so that they do not have to wait for a heartbeat.
     pub(crate) fn announce_commit(&mut self) {
         self.for_each_follower(|node, to, progress| node.replicate_or_announce(to, progress));
     }
 
-    /// Sends a follower new entries or, where everything sent has arrived, the commit index.
+    /// Sends new entries to a follower or, if it has acknowledged everything sent, the commit index.
     fn replicate_or_announce(&mut self, to: &MemberId, progress: &mut Progress) {
         let has_sent = self.replicate_to(to, progress);
         let is_idle =
@@ -52,12 +52,12 @@
         self.leader_state.progress = all;
     }
 
-    /// The position before the follower's next entry, if this log still has it.
+    /// The position before the follower's next entry, if this log still contains it.
     fn previous_position(&self, progress: &Progress) -> Option<LogPosition> {
         self.log.position_at(progress.next_index.saturating_sub(1))
     }
 
-    /// Sends an empty request, which shows whether everything sent has arrived.
+    /// Sends an append request without entries. The answer shows whether the follower holds everything sent before.
     fn send_heartbeat(&mut self, to: &MemberId, progress: &mut Progress) {
         let Some(previous) = self.previous_position(progress) else { return };
         if !matches!(progress.mode, ReplicationMode::Snapshot { .. }) {
@@ -78,7 +78,7 @@
         self.outbox.push((to.clone(), Message::AppendRequest(request)));
     }
 
-    /// Sends what the follower can take now; returns whether that was anything.
+    /// Sends what the follower can accept now; returns whether anything was sent.
     fn replicate_to(&mut self, to: &MemberId, progress: &mut Progress) -> bool {
         let mut has_sent = false;
         loop {
@@ -87,7 +87,7 @@
             };
             let has_entries = progress.next_index <= self.log.last().index;
             match &mut progress.mode {
-                // The log reaches back far enough again: no snapshot is needed.
+                // The log contains the follower's next entry: no snapshot is needed any more.
                 ReplicationMode::Snapshot { .. } => {
                     progress.probe(progress.next_index);
                     continue;
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Goes back to where the logs may agree, past all entries of a term that this log does not have. What was acknowledged
-    /// without a promise may be gone after a restart of a follower whose disk had failed.
+    /// Moves back to where the logs may agree, skipping all entries of a term that this log does not have. Entries that were
+    /// acknowledged without `counts_for_quorum` may be gone after the restart of a follower whose disk had failed.
     fn record_rejection(
         &mut self,
         progress: &mut Progress,
@@ -220,7 +220,7 @@
     }
 }
 
-/// The progress of a follower that answers under another incarnation than before, or for the first time.
+/// The initial progress of a follower that answers under a different incarnation than before, or for the first time.
 fn restart_progress(earlier: &Progress, incarnation: u64, last_index: u64) -> Progress {
     let next_index = if earlier.incarnation.is_none() { earlier.next_index } else { last_index + 1 };
     let mut progress = Progress::new(Some(incarnation), next_index);
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -6,7 +6,7 @@
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks the others whether they would vote for it, without a new term.
+    /// Asks the other members whether they would vote for it, without starting a new term.
     PreCandidate,
     /// Asks for votes in a new term.
     Candidate,
@@ -14,7 +14,7 @@
     Leader,
 }
 
-/// What a member last told its host of its role.
+/// The role, term and leader that a member last reported to its host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RoleState {
     pub(crate) role: Role,
--- a/crates/consensus/src/snapshot_transfer.rs
+++ b/crates/consensus/src/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Sending a snapshot to a follower in chunks, and receiving one.
+//! Sending and receiving snapshots in chunks.
 use crate::entry::{LogPosition, TERM_AND_INDEX_BOUND};
 use crate::incoming_snapshot::IncomingSnapshot;
 use crate::message::{AppendOutcome, Message, SnapshotChunk};
@@ -8,7 +8,7 @@
 use cluster_types::MemberId;
 
 impl Node {
-    /// Sends the chunk that is due, unless its answer is awaited; returns whether it was sent.
+    /// Sends the next chunk unless an answer is pending; returns whether it was sent.
     pub(crate) fn send_chunk(&mut self, to: &MemberId, progress: &mut Progress) -> bool {
         let snapshot = &self.log.snapshot;
         let snapshot_index = snapshot.last.index;
@@ -43,7 +43,7 @@
         true
     }
 
-    /// Notes that the follower expects the chunk at `next_offset`.
+    /// Records that the follower expects the chunk at `next_offset`.
     pub(crate) fn record_chunk(&mut self, progress: &mut Progress, snapshot_index: u64, next_offset: u64) {
         match &mut progress.mode {
             ReplicationMode::Snapshot { last_index, offset, awaits_response }
@@ -80,7 +80,7 @@
         self.respond_to_leader(from, round, outcome);
     }
 
-    /// Whether a correct leader may send the chunk, and the snapshot is within its bound.
+    /// Whether a correct leader could have sent the chunk and the snapshot is within the size limit.
     fn is_chunk_well_formed(&self, chunk: &SnapshotChunk) -> bool {
         let SnapshotChunk { term, last, .. } = *chunk;
         let total_bytes = as_length(chunk.total_bytes);
@@ -92,7 +92,7 @@
             && is_position_valid(last, term)
     }
 
-    /// Adds a chunk to what was received; installs the snapshot once it is complete.
+    /// Adds a chunk to the incoming snapshot; installs the snapshot once it is complete.
     fn assemble_snapshot(&mut self, chunk: SnapshotChunk) -> AppendOutcome {
         let (last, total_bytes) = (chunk.last, as_length(chunk.total_bytes));
         let earlier = self.incoming_snapshot.take();
@@ -121,12 +121,12 @@
     }
 }
 
-/// A length from the wire; one that cannot be addressed is longer than any bound.
+/// Converts a length from the wire. A length beyond the address space becomes `usize::MAX`, which exceeds every limit.
 fn as_length(bytes: u64) -> usize {
     usize::try_from(bytes).unwrap_or(usize::MAX)
 }
 
-/// Whether a snapshot of a leader in `term` may end at this position.
+/// Whether a snapshot sent by a leader in `term` may end at this position.
 fn is_position_valid(last: LogPosition, term: u64) -> bool {
     last.index > 0 && last.index < TERM_AND_INDEX_BOUND && last.term > 0 && last.term <= term
 }
--- a/crates/consensus/src/stored_state.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! What the host read from disk at start, and whether it can be trusted.
+//! The state that the host reads from disk at start, and its validation.
 use crate::config::Config;
 use crate::entry::{Entry, Incarnations, Payload, TERM_AND_INDEX_BOUND};
 use crate::error::StartError;
@@ -27,7 +27,7 @@
         StoredState { incarnation, ..StoredState::default() }
     }
 
-    /// Carries out a batch, for hosts and tests that keep the state in memory.
+    /// Applies a batch, for hosts and tests that keep the state in memory.
     pub fn apply_batch(&mut self, batch: &WriteBatch) {
         self.hard_state = batch.hard_state.clone();
         if let Some(from) = batch.truncate_from {
@@ -40,7 +40,7 @@
         self.entries.extend(batch.append.iter().cloned());
     }
 
-    /// Checks the state and builds the log from it. Guards a start from a disk that returns wrong data or was edited.
+    /// Checks the state and builds the log from it. Protects against a disk that returns wrong data or was edited.
     pub(crate) fn into_log(self, config: &Config) -> Result<Log, StartError> {
         let snapshot = self.snapshot.unwrap_or_default();
         check_snapshot(&snapshot, config)?;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Whether these are the incarnations of exactly the configured members.
+/// Whether the incarnations are those of exactly the configured members.
 fn names_all_members(incarnations: &Incarnations, config: &Config) -> bool {
     incarnations.len() == config.members.len()
         && config.members.iter().all(|member| incarnations.contains_key(member))
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Checks an entry that is to follow the last one of the log.
+/// Checks that an entry may follow the last one in the log.
 fn check_entry(entry: &Entry, log: &Log, config: &Config) -> Result<(), StartError> {
     if entry.index != log.next_index() {
         return Err(StartError::Gap { expected: log.next_index(), found: entry.index });
--- a/crates/consensus/src/write_queue.rs
+++ b/crates/consensus/src/write_queue.rs
@@ -1,13 +1,13 @@
-//! The batches that wait for the disk, and the effects that each of them holds back.
+//! The queue of batches to be written to disk, and the effects that each of them holds back.
 use crate::message::Message;
 use cluster_types::MemberId;
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
 
-/// What takes effect once a batch is on disk.
+/// An effect that is held back until a batch is on disk.
 #[derive(Clone, Debug, Hash)]
 pub(crate) enum DurableEffect {
-    /// A message that promises something.
+    /// A message that relies on the state in the batch, such as a vote or an acknowledgement.
     Send(MemberId, Message),
     /// The candidate's vote for itself in this term.
     OwnVote { term: u64 },
@@ -20,7 +20,7 @@
     pub(crate) truncate_from: Option<u64>,
     pub(crate) append_from: Option<u64>,
     pub(crate) snapshot: bool,
-    /// The whole state is to be written again.
+    /// Whether the whole state must be written again.
     pub(crate) rewrite_all: bool,
 }
 
@@ -34,11 +34,11 @@
     }
 }
 
-/// A batch that was handed to the host and is not reported as written.
+/// A batch that was passed to the host and has not been reported as written.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct PendingWrite {
     pub(crate) batch_id: u64,
-    /// The last index on disk once the batch is written.
+    /// The index of the last entry on disk once the batch is written.
     pub(crate) last_index: u64,
     pub(crate) effects: Vec<DurableEffect>,
 }
@@ -60,7 +60,7 @@
     pub(crate) unwritten: UnwrittenChanges,
     pub(crate) next_batch_id: u64,
     pub(crate) pending: VecDeque<PendingWrite>,
-    /// The last index that is on disk and in the log.
+    /// The greatest index up to which the log is on disk.
     pub(crate) durable_index: u64,
     pub(crate) health: StorageHealth,
     /// Effects that wait for the next batch.
@@ -88,7 +88,7 @@
         self.pending.iter().any(|write| write.batch_id == batch_id)
     }
 
-    /// Notes that the entries from `from` on were removed from the log.
+    /// Records that the entries from `from` on were removed from the log.
     pub(crate) fn note_truncated(&mut self, from: u64) {
         let last = from.saturating_sub(1);
         self.durable_index = self.durable_index.min(last);
@@ -100,23 +100,23 @@
         unwritten.append_from = unwritten.append_from.filter(|append| *append < from);
     }
 
-    /// Notes that an entry was added at `index`.
+    /// Records that an entry was added at `index`.
     pub(crate) fn note_appended(&mut self, index: u64) {
         let append_from = &mut self.unwritten.append_from;
         *append_from = Some(append_from.map_or(index, |known| known.min(index)));
     }
 
-    /// Notes that the log has another snapshot. Where the log did not continue behind it, the entries are gone.
+    /// Records that the log has a new snapshot. If the log did not continue beyond it, the log's entries are gone.
     pub(crate) fn note_snapshot(&mut self) {
         self.unwritten.snapshot = true;
     }
 
-    /// Notes that the hard state has changed.
+    /// Records that the hard state has changed.
     pub(crate) fn note_hard_state(&mut self) {
         self.unwritten.hard_state = true;
     }
 
-    /// Lets something take effect once everything known by now is on disk.
+    /// Holds back an effect until the current state is on disk.
     pub(crate) fn defer(&mut self, effect: DurableEffect) {
         self.effects.push(effect);
     }
