--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -14,7 +14,7 @@
 
     /// Tries to bootstrap if this is the bootstrap member; otherwise reports an empty store to that member.
     pub(crate) fn join_bootstrap(&mut self) {
-        if self.bootstrap_member() == Some(&self.config.me) {
+        if self.bootstrap_member() == Some(&self.config.own_id) {
             self.try_bootstrap();
         } else if let Some(member) = self.bootstrap_member().cloned() {
             self.send_when_durable(&member, Message::BootstrapHello { term: self.term });
@@ -22,31 +22,36 @@
     }
 
     pub(crate) fn on_bootstrap_hello(&mut self, from: &MemberId, incarnation: u64, term: u64) {
-        if self.bootstrap_member() != Some(&self.config.me) || self.is_bootstrapped() {
+        if self.bootstrap_member() != Some(&self.config.own_id) || self.is_bootstrapped() {
             self.counters.stale += 1;
             return;
         }
         let hello = BootstrapHello { incarnation, term, received_at: self.now };
-        self.hellos.insert(from.clone(), hello);
+        self.bootstrap_hellos.insert(from.clone(), hello);
         self.try_bootstrap();
     }
 
     /// Requests the votes of all members once all of them have recently reported empty stores.
     fn try_bootstrap(&mut self) {
         let max_age = self.config.min_election_timeout * 2;
-        let recent = self.hellos.values().filter(|hello| self.now.since(hello.received_at) < max_age).count();
+        let recent = self
+            .bootstrap_hellos
+            .values()
+            .filter(|hello| self.now.since(hello.received_at) < max_age)
+            .count();
         let is_ready = recent + 1 == self.config.members.len() && self.role == Role::Follower;
         if !is_ready || !self.storage.is_healthy() || !self.has_write_capacity() {
             return;
         }
-        let reported = self.hellos.iter().map(|(member, hello)| (member.clone(), hello.incarnation));
+        let reported =
+            self.bootstrap_hellos.iter().map(|(member, hello)| (member.clone(), hello.incarnation));
         let mut incarnations: Incarnations = reported.collect();
-        incarnations.insert(self.config.me.clone(), self.incarnation);
-        let term = self.hellos.values().map(|hello| hello.term).fold(self.term, u64::max) + 1;
+        incarnations.insert(self.config.own_id.clone(), self.incarnation);
+        let term = self.bootstrap_hellos.values().map(|hello| hello.term).fold(self.term, u64::max) + 1;
         if !self.may_replace_bootstrap(&incarnations) {
             return;
         }
-        self.hellos.clear();
+        self.bootstrap_hellos.clear();
         self.become_follower(term, None);
         self.proposed_bootstrap = Some(incarnations.clone());
         self.become_candidate(&Message::BootstrapRequest { term, incarnations });
@@ -79,7 +84,7 @@
             self.counters.malformed += 1;
             return;
         }
-        let names_this_store = incarnations.get(&self.config.me) == Some(&self.incarnation);
+        let names_this_store = incarnations.get(&self.config.own_id) == Some(&self.incarnation);
         let is_willing = names_this_store && self.may_replace_bootstrap(incarnations);
         if self.is_bootstrapped() || !is_willing || !self.storage.is_healthy() || !self.has_write_capacity() {
             self.counters.stale += 1;
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The id of this member.
-    pub me: MemberId,
+    pub own_id: MemberId,
     /// All configured members, including this one.
     pub members: Vec<MemberId>,
     /// The interval of a leader's heartbeats.
@@ -50,9 +50,9 @@
 
 impl Config {
     /// A configuration with the default timeouts and limits.
-    pub fn new(me: MemberId, members: Vec<MemberId>) -> Config {
+    pub fn new(own_id: MemberId, members: Vec<MemberId>) -> Config {
         Config {
-            me,
+            own_id,
             members,
             heartbeat_interval: Duration::from_millis(100),
             min_election_timeout: Duration::from_millis(1_000),
@@ -89,7 +89,7 @@
         let mut sorted = self.members.clone();
         sorted.sort();
         sorted.dedup();
-        if sorted.len() != self.members.len() || !sorted.contains(&self.me) {
+        if sorted.len() != self.members.len() || !sorted.contains(&self.own_id) {
             return Err(StartError::Members);
         }
         let timeouts_fit = self.heartbeat_interval > Duration::ZERO
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -10,14 +10,14 @@
 impl Node {
     /// Whether this member knows that the group's bootstrap is committed.
     pub(crate) fn is_bootstrapped(&self) -> bool {
-        self.commit_index > 0 || self.log.last().index > 1
+        self.commit_index > 0 || self.log.last_position().index > 1
     }
 
     /// Whether the incarnation of this store is admitted: by the bootstrap entry, or by an entry known to be committed. Votes and
     /// acknowledgements that rely on this are held back until that commit index is on disk.
     pub(crate) fn is_admitted(&self) -> bool {
         let admitted = self.log.incarnations_at(self.commit_index.max(1));
-        admitted.get(&self.config.me) == Some(&self.incarnation)
+        admitted.get(&self.config.own_id) == Some(&self.incarnation)
     }
 
     pub(crate) fn can_campaign(&self) -> bool {
@@ -28,14 +28,17 @@
     pub(crate) fn start_pre_vote(&mut self) {
         self.become_follower(self.term, None);
         self.role = Role::PreCandidate;
-        self.votes.insert(self.config.me.clone());
-        self.broadcast_when_durable(&Message::PreVoteRequest { term: self.term + 1, last: self.log.last() });
+        self.votes.insert(self.config.own_id.clone());
+        self.broadcast_when_durable(&Message::PreVoteRequest {
+            term: self.term + 1,
+            last: self.log.last_position(),
+        });
         self.tally_votes();
     }
 
     fn broadcast_when_durable(&mut self, message: &Message) {
         for member in self.config.members.clone() {
-            if member != self.config.me {
+            if member != self.config.own_id {
                 self.send_when_durable(&member, message.clone());
             }
         }
@@ -47,20 +50,20 @@
             return;
         }
         self.become_follower(self.term + 1, None);
-        self.become_candidate(&Message::VoteRequest { term: self.term, last: self.log.last() });
+        self.become_candidate(&Message::VoteRequest { term: self.term, last: self.log.last_position() });
     }
 
     /// Votes for itself in the current term and sends the request to all others.
     pub(crate) fn become_candidate(&mut self, request: &Message) {
         self.role = Role::Candidate;
-        self.vote = Some(Vote { candidate: self.config.me.clone(), incarnation: self.incarnation });
+        self.vote = Some(Vote { candidate: self.config.own_id.clone(), incarnation: self.incarnation });
         self.storage.note_hard_state();
         self.storage.defer(DurableEffect::OwnVote { term: self.term });
         self.broadcast_when_durable(request);
     }
 
     pub(crate) fn count_own_vote(&mut self) {
-        self.votes.insert(self.config.me.clone());
+        self.votes.insert(self.config.own_id.clone());
         self.tally_votes();
     }
 
@@ -105,7 +108,7 @@
         if !self.can_vote() {
             return;
         }
-        let is_granted = term > self.term && last >= self.log.last();
+        let is_granted = term > self.term && last >= self.log.last_position();
         let response = VoteResponse {
             term: if is_granted { term } else { self.term },
             is_pre_vote: true,
@@ -128,7 +131,7 @@
         if term > self.term {
             self.become_follower(term, None);
         }
-        let is_up_to_date = last >= self.log.last();
+        let is_up_to_date = last >= self.log.last_position();
         self.answer_vote_request(from, incarnation, term, is_up_to_date);
     }
 
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -44,7 +44,7 @@
     /// Rejects a message of a leader of an earlier term, at `previous_index`.
     pub(crate) fn reject_stale_leader(&mut self, to: &MemberId, round: u64, previous_index: u64) {
         self.counters.stale += 1;
-        let retry_index = self.log.last().index + 1;
+        let retry_index = self.log.last_position().index + 1;
         let outcome = AppendOutcome::Rejected { previous_index, retry_index, conflict_term: None };
         self.respond_to_leader(to, round, outcome);
     }
@@ -116,7 +116,7 @@
     /// Appends the entries after `previous`, replacing entries that conflict with them.
     fn append_entries(&mut self, previous: LogPosition, entries: Vec<Entry>) -> AppendOutcome {
         let previous_index = previous.index;
-        let last_index = self.log.last().index;
+        let last_index = self.log.last_position().index;
         if previous_index > last_index {
             let retry_index = last_index + 1;
             return AppendOutcome::Rejected { previous_index, retry_index, conflict_term: None };
@@ -131,7 +131,7 @@
         for entry in entries {
             let index = entry.index.0;
             if index > self.commit_index && self.log.term_at(index) != Some(entry.term) {
-                if index <= self.log.last().index {
+                if index <= self.log.last_position().index {
                     self.truncate_log(index);
                 }
                 if !self.has_log_capacity(&entry) {
@@ -162,7 +162,7 @@
     /// Advances the commit index. If that bootstraps the group or admits this member, the commit index is written to disk
     /// before any vote or acknowledgement that relies on it is sent.
     pub(crate) fn commit_up_to(&mut self, index: u64) {
-        let index = index.min(self.log.last().index);
+        let index = index.min(self.log.last_position().index);
         if index <= self.commit_index {
             return;
         }
@@ -176,6 +176,6 @@
 
     /// The incarnation of this member that is admitted as of an index.
     fn own_incarnation_at(&self, index: u64) -> Option<u64> {
-        self.log.incarnations_at(index).get(&self.config.me).copied()
+        self.log.incarnations_at(index).get(&self.config.own_id).copied()
     }
 }
--- a/crates/consensus/src/leader.rs
+++ b/crates/consensus/src/leader.rs
@@ -12,13 +12,13 @@
     pub(crate) fn become_leader(&mut self) {
         let bootstrap = self.proposed_bootstrap.take();
         self.role = Role::Leader;
-        self.leader = Some(self.config.me.clone());
+        self.leader = Some(self.config.own_id.clone());
         self.votes.clear();
-        if bootstrap.is_some() && self.log.last().index > 0 {
+        if bootstrap.is_some() && self.log.last_position().index > 0 {
             self.truncate_log(1);
         }
-        let next_index = self.log.last().index + 1;
-        let followers = self.config.members.iter().filter(|member| **member != self.config.me);
+        let next_index = self.log.last_position().index + 1;
+        let followers = self.config.members.iter().filter(|member| **member != self.config.own_id);
         let progress = followers.map(|member| (member.clone(), Progress::new(None, next_index))).collect();
         self.leader_state = LeaderState::new(progress, self.now);
         self.election_at = self.now + self.config.max_election_timeout;
@@ -71,7 +71,7 @@
             return Err(Rejection::StorageFailed);
         }
         if self.role != Role::Leader || !self.is_bootstrapped() {
-            let leader = self.leader.clone().filter(|leader| *leader != self.config.me);
+            let leader = self.leader.clone().filter(|leader| *leader != self.config.own_id);
             return Err(Rejection::NotLeader(leader));
         }
         if memory_bytes > self.config.max_message_bytes {
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -28,13 +28,13 @@
     }
 
     /// The position of the last entry.
-    pub(crate) fn last(&self) -> LogPosition {
+    pub(crate) fn last_position(&self) -> LogPosition {
         self.entries.back().map_or(self.snapshot.last, Entry::position)
     }
 
     /// The index that follows the last entry.
     pub(crate) fn next_index(&self) -> Index {
-        Index(self.last().index + 1)
+        Index(self.last_position().index + 1)
     }
 
     /// The number of entries after the snapshot.
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -40,14 +40,14 @@
     /// The incarnations in the bootstrap that this member proposes.
     pub(crate) proposed_bootstrap: Option<Incarnations>,
     /// The members that reported an empty store.
-    pub(crate) hellos: BTreeMap<MemberId, BootstrapHello>,
+    pub(crate) bootstrap_hellos: BTreeMap<MemberId, BootstrapHello>,
     pub(crate) leader_state: LeaderState,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
     /// No vote is granted before this time: the last known leader, or this member itself, may hold a lease.
     pub(crate) vote_withheld_until: Time,
     pub(crate) election_at: Time,
     pub(crate) heartbeat_at: Time,
-    pub(crate) hello_at: Time,
+    pub(crate) next_hello_at: Time,
     /// When the pending snapshot was requested, if the host has not taken it yet.
     pub(crate) snapshot_requested_at: Option<Time>,
     pub(crate) outbox: Vec<(MemberId, Message)>,
@@ -78,19 +78,19 @@
             vote: hard_state.vote,
             commit_index: hard_state.commit.0.max(snapshot_index),
             applied_index: snapshot_index,
-            storage: WriteQueue::new(log.last().index),
+            storage: WriteQueue::new(log.last_position().index),
             log,
             role: Role::Follower,
             leader: None,
             votes: BTreeSet::new(),
             proposed_bootstrap: None,
-            hellos: BTreeMap::new(),
+            bootstrap_hellos: BTreeMap::new(),
             leader_state: LeaderState::default(),
             incoming_snapshot: None,
             vote_withheld_until: now + config.min_election_timeout,
             election_at: now,
             heartbeat_at: now,
-            hello_at: now,
+            next_hello_at: now,
             snapshot_requested_at: None,
             outbox: Vec::new(),
             deferred_actions: Vec::new(),
@@ -129,7 +129,7 @@
             Role::Follower if !self.can_campaign() => self.leader.as_ref().map(|_| self.election_at),
             Role::Follower | Role::PreCandidate | Role::Candidate => Some(self.election_at),
         };
-        let hello_timer = self.awaits_bootstrap().then_some(self.hello_at);
+        let hello_timer = self.awaits_bootstrap().then_some(self.next_hello_at);
         role_timer.into_iter().chain(hello_timer).min()
     }
 
@@ -148,14 +148,14 @@
                 self.leader = None;
             }
         }
-        if self.awaits_bootstrap() && self.now >= self.hello_at {
-            self.hello_at = self.now + self.config.min_election_timeout / 2;
+        if self.awaits_bootstrap() && self.now >= self.next_hello_at {
+            self.next_hello_at = self.now + self.config.min_election_timeout / 2;
             self.join_bootstrap();
         }
     }
 
     fn on_message(&mut self, from: &MemberId, incarnation: u64, message: Message) {
-        if *from == self.config.me || !self.config.members.contains(from) {
+        if *from == self.config.own_id || !self.config.members.contains(from) {
             self.counters.unknown_sender += 1;
             return;
         }
--- a/crates/consensus/src/observe.rs
+++ b/crates/consensus/src/observe.rs
@@ -24,7 +24,7 @@
 
     /// The position of the last entry in the log.
     pub fn last_position(&self) -> LogPosition {
-        self.log.last()
+        self.log.last_position()
     }
 
     /// The index up to which this member knows the log to be committed.
@@ -46,7 +46,7 @@
     pub fn fingerprint(&self, hasher: &mut impl Hasher) {
         (self.incarnation, self.term, &self.vote, self.commit_index, self.role, &self.leader).hash(hasher);
         (&self.log, &self.votes, &self.proposed_bootstrap, &self.incoming_snapshot).hash(hasher);
-        for (member, hello) in &self.hellos {
+        for (member, hello) in &self.bootstrap_hellos {
             (member, hello.incarnation, hello.term).hash(hasher);
         }
         let state = &self.leader_state;
--- a/crates/consensus/src/persistence.rs
+++ b/crates/consensus/src/persistence.rs
@@ -35,7 +35,7 @@
         let may_write = changes.rewrite_all || self.storage.health != StorageHealth::Failed;
         if !changes.is_empty() && may_write {
             let batch = self.build_batch(&changes);
-            let last_index = self.log.last().index;
+            let last_index = self.log.last_position().index;
             self.storage.pending.push_back(PendingWrite { batch_id: batch.id, last_index, effects });
             out.push(Action::Persist(batch));
             return false;
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -85,7 +85,7 @@
             let Some(previous) = self.previous_position(progress) else {
                 return self.send_chunk(to, progress) || has_sent;
             };
-            let has_entries = progress.next_index <= self.log.last().index;
+            let has_entries = progress.next_index <= self.log.last_position().index;
             match &mut progress.mode {
                 // The log contains the follower's next entry: no snapshot is needed any more.
                 ReplicationMode::Snapshot { .. } => {
@@ -127,7 +127,7 @@
             self.counters.stale += 1;
             return;
         }
-        let last_index = self.log.last().index;
+        let last_index = self.log.last_position().index;
         let matches_beyond_log =
             matches!(response.outcome, AppendOutcome::Matched(index) if index > last_index);
         if response.round > self.leader_state.round || matches_beyond_log {
--- a/crates/consensus/src/stored_state.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -58,10 +58,10 @@
             check_entry(&entry, &log, config)?;
             log.push(entry);
         }
-        if log.last().term > self.hard_state.term || self.hard_state.term >= TERM_AND_INDEX_BOUND {
+        if log.last_position().term > self.hard_state.term || self.hard_state.term >= TERM_AND_INDEX_BOUND {
             return Err(StartError::TermAhead);
         }
-        let (commit, last) = (self.hard_state.commit, Index(log.last().index));
+        let (commit, last) = (self.hard_state.commit, Index(log.last_position().index));
         if commit > last {
             return Err(StartError::CommitAhead { commit, last });
         }
@@ -94,7 +94,7 @@
     if entry.index != log.next_index() {
         return Err(StartError::Gap { expected: log.next_index(), found: entry.index });
     }
-    if entry.term < log.last().term || entry.term == 0 {
+    if entry.term < log.last_position().term || entry.term == 0 {
         return Err(StartError::TermDecreases(entry.index));
     }
     let is_first = entry.index.0 == 1;
--- a/crates/consensus/tests/golden.rs
+++ b/crates/consensus/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Holds the bytes of everything that members store or send: messages, hard state, log entries, snapshots.
+//! Pins the encoding of everything that members store or send: messages, hard state, log entries, snapshots.
 //!
 //! Each file below `tests/golden/` is one value in postcard's encoding. Members of different versions run side by side and open
 //! stores of earlier versions, so neither the encoding nor the meaning of these bytes may change.
--- a/crates/consensus/tests/model_check/model.rs
+++ b/crates/consensus/tests/model_check/model.rs
@@ -1,36 +1,36 @@
-//! The steps that may happen next, within a budget.
+//! The model's possible steps, limited by a budget.
 use crate::group::Group;
 use consensus::Role;
 use stateright::{Model, Property};
 
-/// How often each kind of step happens in all.
+/// How often each kind of step may happen in total.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub timeouts: u32,
     pub heartbeats: u32,
     pub crashes: u32,
-    pub losses: u32,
+    pub disk_losses: u32,
     pub proposals: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Deliver(usize),
-    /// The message is handled and answered, and nothing of it reaches the disk.
-    DeliverAndDie(usize),
+    /// The message is handled and answered, but the member crashes before anything is written to disk.
+    DeliverAndCrash(usize),
     Persist(usize),
     Timeout(usize),
     Heartbeat(usize),
     Propose(usize),
     Crash {
-        nth: usize,
+        member: usize,
         written: usize,
     },
-    Lose(usize),
+    LoseDisk(usize),
 }
 
 pub struct Search {
-    pub from: Group,
+    pub initial: Group,
     pub budget: Budget,
 }
 
@@ -39,33 +39,35 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<Group> {
-        vec![self.from.clone()]
+        vec![self.initial.clone()]
     }
 
     fn actions(&self, state: &Group, actions: &mut Vec<Step>) {
         actions.extend((0..state.network.len()).map(Step::Deliver));
-        if state.writes_at_once && state.spent.crashes < self.budget.crashes {
-            actions.extend((0..state.network.len()).map(Step::DeliverAndDie));
+        if state.writes_immediately && state.used.crashes < self.budget.crashes {
+            actions.extend((0..state.network.len()).map(Step::DeliverAndCrash));
         }
-        for (nth, node) in state.nodes.iter().enumerate() {
-            let (most, spent) = (&self.budget, &state.spent);
-            if !state.queues[nth].is_empty() {
-                actions.push(Step::Persist(nth));
+        for (member, node) in state.nodes.iter().enumerate() {
+            let (budget, used) = (&self.budget, &state.used);
+            if !state.write_queues[member].is_empty() {
+                actions.push(Step::Persist(member));
             }
-            if spent.timeouts < most.timeouts {
-                actions.push(Step::Timeout(nth));
+            if used.timeouts < budget.timeouts {
+                actions.push(Step::Timeout(member));
             }
-            if spent.crashes < most.crashes && !state.writes_at_once {
-                actions.extend((0..=state.queues[nth].len()).map(|written| Step::Crash { nth, written }));
+            if used.crashes < budget.crashes && !state.writes_immediately {
+                actions.extend(
+                    (0..=state.write_queues[member].len()).map(|written| Step::Crash { member, written }),
+                );
             }
-            if spent.losses < most.losses {
-                actions.push(Step::Lose(nth));
+            if used.disk_losses < budget.disk_losses {
+                actions.push(Step::LoseDisk(member));
             }
-            if node.role() == Role::Leader && spent.proposals < most.proposals {
-                actions.push(Step::Propose(nth));
+            if node.role() == Role::Leader && used.proposals < budget.proposals {
+                actions.push(Step::Propose(member));
             }
-            if node.role() == Role::Leader && spent.heartbeats < most.heartbeats {
-                actions.push(Step::Heartbeat(nth));
+            if node.role() == Role::Leader && used.heartbeats < budget.heartbeats {
+                actions.push(Step::Heartbeat(member));
             }
         }
     }
@@ -73,31 +75,31 @@
     fn next_state(&self, last: &Group, step: Step) -> Option<Group> {
         let mut next = last.clone();
         match step {
-            Step::Deliver(place) => next.deliver(place),
-            Step::DeliverAndDie(place) => {
-                next.spent.crashes += 1;
-                next.deliver_and_die(place);
+            Step::Deliver(position) => next.deliver(position),
+            Step::DeliverAndCrash(position) => {
+                next.used.crashes += 1;
+                next.deliver_and_crash(position);
             }
-            Step::Persist(nth) => next.persist(nth),
-            Step::Timeout(nth) => {
-                next.spent.timeouts += 1;
-                next.timeout(nth);
+            Step::Persist(member) => next.persist(member),
+            Step::Timeout(member) => {
+                next.used.timeouts += 1;
+                next.expire_timeouts(member);
             }
-            Step::Heartbeat(nth) => {
-                next.spent.heartbeats += 1;
-                next.heartbeat(nth);
+            Step::Heartbeat(member) => {
+                next.used.heartbeats += 1;
+                next.heartbeat(member);
             }
-            Step::Propose(nth) => {
-                next.spent.proposals += 1;
-                next.propose(nth);
+            Step::Propose(member) => {
+                next.used.proposals += 1;
+                next.propose(member);
             }
-            Step::Crash { nth, written } => {
-                next.spent.crashes += 1;
-                next.crash(nth, written, false);
+            Step::Crash { member, written } => {
+                next.used.crashes += 1;
+                next.crash(member, written, false);
             }
-            Step::Lose(nth) => {
-                next.spent.losses += 1;
-                next.crash(nth, 0, true);
+            Step::LoseDisk(member) => {
+                next.used.disk_losses += 1;
+                next.crash(member, 0, true);
             }
         }
         Some(next)
--- a/crates/consensus/tests/simulation/main.rs
+++ b/crates/consensus/tests/simulation/main.rs
@@ -1,5 +1,5 @@
-//! Seeded schedules of faults over whole groups in simulated time. `CONSENSUS_SCHEDULES` is how many are run for each size,
-//! `CONSENSUS_SEED` runs one seed alone.
+//! Simulation of whole groups under seeded fault schedules, in simulated time. `CONSENSUS_SCHEDULES` sets how many schedules are
+//! run per group size, `CONSENSUS_SEED` runs a single seed.
 #![allow(clippy::unwrap_used, clippy::panic)]
 mod actions;
 mod check;
@@ -9,35 +9,35 @@
 mod world;
 
 use report::Report;
-use schedule::{Fault, Kind, Limits, Schedule};
+use schedule::{Fault, FaultKind, Limits, Schedule};
 use world::World;
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Drops faults one by one while it still fails.
-fn shrink(mut schedule: Schedule, mut why: String) -> (Schedule, String) {
-    let mut place = 0;
-    while place < schedule.faults.len() {
+/// Shrinks a failing schedule: removes each fault without which it still fails.
+fn shrink(mut schedule: Schedule, mut error: String) -> (Schedule, String) {
+    let mut position = 0;
+    while position < schedule.faults.len() {
         let mut fewer = schedule.clone();
-        fewer.faults.remove(place);
+        fewer.faults.remove(position);
         match World::run(&fewer) {
-            Err(still) => (schedule, why) = (fewer, still),
-            Ok(_) => place += 1,
+            Err(remaining_error) => (schedule, error) = (fewer, remaining_error),
+            Ok(_) => position += 1,
         }
     }
-    (schedule, why)
+    (schedule, error)
 }
 
 fn run(schedule: Schedule) -> Report {
     match World::run(&schedule) {
         Ok(report) => report,
-        Err(why) => {
-            let (least, still) = shrink(schedule.clone(), why.clone());
-            let faults: Vec<String> = least.faults.iter().map(|f| format!("  {f:?}")).collect();
+        Err(error) => {
+            let (shrunk, remaining_error) = shrink(schedule.clone(), error.clone());
+            let faults: Vec<String> = shrunk.faults.iter().map(|f| format!("  {f:?}")).collect();
             panic!(
-                "{} members, seed {}: {why}\nwith {} faults still: {still}\n{}",
+                "{} members, seed {}: {error}\nwith {} faults left after shrinking: {remaining_error}\n{}",
                 schedule.members,
                 schedule.seed,
                 faults.len(),
@@ -47,76 +47,82 @@
     }
 }
 
-fn many(members: usize, default_count: u64, limits: Limits) {
-    let (from, count) = match number("CONSENSUS_SEED") {
+fn run_seeds(members: usize, default_count: u64, limits: Limits) {
+    let (first_seed, count) = match env_number("CONSENSUS_SEED") {
         Some(seed) => (seed, 1),
-        None => (0, number("CONSENSUS_SCHEDULES").unwrap_or(default_count)),
+        None => (0, env_number("CONSENSUS_SCHEDULES").unwrap_or(default_count)),
     };
     let mut total = Report::default();
-    for seed in from..from + count {
-        total.add(&run(Schedule::draw(members, seed, limits)));
+    for seed in first_seed..first_seed + count {
+        total.add(&run(Schedule::random(members, seed, limits)));
     }
     println!("{members} members: {total:?}");
-    // Guards against schedules that prove nothing since nothing happened in them.
+    // Schedules in which almost nothing is committed would show nothing.
     assert!(count == 1 || total.commits > count * 5);
 }
 
 #[test]
-fn three_members() {
-    many(3, 30, Limits::standard());
+fn three_members_are_safe_under_random_faults() {
+    run_seeds(3, 30, Limits::standard());
 }
 
 #[test]
-fn five_members() {
-    many(5, 12, Limits::standard());
+fn five_members_are_safe_under_random_faults() {
+    run_seeds(5, 12, Limits::standard());
 }
 
 #[test]
-fn four_members_and_one_member() {
-    many(4, 6, Limits::standard());
-    many(1, 5, Limits::standard());
+fn four_members_and_one_member_are_safe_under_random_faults() {
+    run_seeds(4, 6, Limits::standard());
+    run_seeds(1, 5, Limits::standard());
 }
 
 #[test]
-fn seven_members() {
-    many(7, 6, Limits::standard());
+fn seven_members_are_safe_under_random_faults() {
+    run_seeds(7, 6, Limits::standard());
 }
 
-/// Leaders that reach some members only, and followers that forget their leader by a restart.
+/// Leaders that reach only some members, and followers that forget their leader through a restart.
 #[test]
-fn partitions_and_restarts() {
-    many(3, 80, Limits { kinds: schedule::PARTITIONS, faults: 60, ..Limits::standard() });
+fn leases_are_safe_under_partitions_and_restarts() {
+    run_seeds(3, 80, Limits { fault_kinds: schedule::PARTITIONS, faults: 60, ..Limits::standard() });
 }
 
 #[test]
-fn large_groups() {
-    many(25, 2, Limits { span_ms: 3_000, ..Limits::standard() });
-    many(100, 1, Limits { span_ms: 2_000, ..Limits::standard() });
+fn large_groups_are_safe_under_random_faults() {
+    run_seeds(25, 2, Limits { span_ms: 3_000, ..Limits::standard() });
+    run_seeds(100, 1, Limits { span_ms: 2_000, ..Limits::standard() });
 }
 
-/// Faults while the group is bootstrapped.
+/// Faults that occur while the group bootstraps.
 #[test]
-fn faults_during_bootstrap() {
-    many(3, 40, Limits { span_ms: 1_500, ..Limits::standard() });
-    many(5, 15, Limits { span_ms: 1_500, ..Limits::standard() });
+fn bootstrap_is_safe_under_random_faults() {
+    run_seeds(3, 40, Limits { span_ms: 1_500, ..Limits::standard() });
+    run_seeds(5, 15, Limits { span_ms: 1_500, ..Limits::standard() });
 }
 
-/// More disks are lost than a quorum can spare, but not all: no promise is broken.
+/// Safety holds even if a majority of the disks, but not all, are lost.
 #[test]
-fn majority_of_lost_disks_is_safe() {
-    many(3, 20, Limits { disks: Some(2), ..Limits::standard() });
-    many(5, 8, Limits { disks: Some(4), ..Limits::standard() });
+fn losing_a_majority_of_disks_is_safe() {
+    run_seeds(3, 20, Limits { max_lost_disks: Some(2), ..Limits::standard() });
+    run_seeds(5, 8, Limits { max_lost_disks: Some(4), ..Limits::standard() });
 }
 
-/// A majority of disks lost at once leaves the group without a leader, for good.
+/// A group that loses a majority of its disks at once never elects a leader again.
 #[test]
-fn majority_of_lost_disks_leaves_no_leader() {
+fn losing_a_majority_of_disks_leaves_no_leader() {
     for seed in 0..10 {
-        let lose =
-            |host, at_ms| Fault { at_ms, kind: Kind::Kill { host, down_ms: 50, lose: true, written: 0 } };
-        let faults = vec![lose(1, 6_000), lose(2, 6_000)];
-        let schedule =
-            Schedule { members: 3, seed, faults, limits: Limits { disks: Some(2), ..Limits::standard() } };
+        let kill_and_lose_disk = |host, at_ms| Fault {
+            at_ms,
+            kind: FaultKind::Kill { host, down_ms: 50, loses_disk: true, written: 0 },
+        };
+        let faults = vec![kill_and_lose_disk(1, 6_000), kill_and_lose_disk(2, 6_000)];
+        let schedule = Schedule {
+            members: 3,
+            seed,
+            faults,
+            limits: Limits { max_lost_disks: Some(2), ..Limits::standard() },
+        };
         let report = run(schedule);
         assert!(report.stuck == 1, "seed {seed}: {report:?}");
     }
--- a/crates/consensus/tests/simulation/report.rs
+++ b/crates/consensus/tests/simulation/report.rs
@@ -1,4 +1,4 @@
-//! What happened in a schedule.
+//! Counts of what happened in a simulated schedule.
 
 #[derive(Debug, Default)]
 pub struct Report {
