--- a/crates/consensus/src/bootstrap.rs
+++ b/crates/consensus/src/bootstrap.rs
@@ -34,12 +34,12 @@
     /// Requests the votes of all members once all of them have recently reported empty stores.
     fn try_bootstrap(&mut self) {
         let max_age = self.config.min_election_timeout * 2;
-        let recent = self
+        let recent_count = self
             .bootstrap_hellos
             .values()
             .filter(|hello| self.now.since(hello.received_at) < max_age)
             .count();
-        let is_ready = recent + 1 == self.config.members.len() && self.role == Role::Follower;
+        let is_ready = recent_count + 1 == self.config.members.len() && self.role == Role::Follower;
         if !is_ready || !self.storage.is_healthy() || !self.has_write_capacity() {
             return;
         }
--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -3,8 +3,8 @@
 use cluster_types::MemberId;
 use std::time::Duration;
 
-/// The number of millionths in a whole, for values in parts per million.
-const MILLION: u64 = 1_000_000;
+/// Parts per million in a whole.
+const PPM_PER_WHOLE: u64 = 1_000_000;
 
 /// The configured clock drift must be below this, in parts per million.
 const CLOCK_DRIFT_BOUND_PPM: u32 = 500_000;
@@ -82,7 +82,9 @@
     pub fn lease_span(&self) -> Duration {
         let drift = u64::from(self.max_clock_drift_ppm);
         let micros = u64::try_from(self.min_election_timeout.as_micros()).unwrap_or(u64::MAX);
-        Duration::from_micros(micros.saturating_mul(MILLION.saturating_sub(drift)) / (MILLION + drift))
+        Duration::from_micros(
+            micros.saturating_mul(PPM_PER_WHOLE.saturating_sub(drift)) / (PPM_PER_WHOLE + drift),
+        )
     }
 
     pub(crate) fn validate(&self) -> Result<(), StartError> {
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -145,8 +145,9 @@
     ) {
         let vote = Some(Vote { candidate: from.clone(), incarnation });
         let is_undecided = matches!(self.role, Role::Follower | Role::PreCandidate);
-        let is_free = is_undecided && self.leader.is_none() && self.vote.is_none();
-        let is_granted = is_willing && term == self.term && (is_free || (is_undecided && self.vote == vote));
+        let has_uncast_vote = is_undecided && self.leader.is_none() && self.vote.is_none();
+        let is_granted =
+            is_willing && term == self.term && (has_uncast_vote || (is_undecided && self.vote == vote));
         if is_granted {
             self.become_follower(term, self.leader.clone());
             if self.vote != vote {
--- a/crates/consensus/src/leader_state.rs
+++ b/crates/consensus/src/leader_state.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// The number of heartbeat rounds whose start time is kept.
-const REMEMBERED_ROUNDS: usize = 256;
+const MAX_ROUND_STARTS: usize = 256;
 
 /// A pending read barrier.
 #[derive(Clone, Debug, Hash)]
@@ -53,7 +53,7 @@
     pub(crate) fn start_round(&mut self, now: Time, commit_index: Option<u64>) {
         self.round += 1;
         self.round_starts.push_back(RoundStart { round: self.round, at: now });
-        if self.round_starts.len() > REMEMBERED_ROUNDS {
+        if self.round_starts.len() > MAX_ROUND_STARTS {
             self.round_starts.pop_front();
         }
         let Some(commit_index) = commit_index else { return };
