--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! A member of the group: its state, and where events are handled.
+//! A member of the group: its state and the dispatch of events.
 use crate::action::{Action, Rejection};
 use crate::bootstrap_hello::BootstrapHello;
 use crate::config::Config;
@@ -35,23 +35,23 @@
     pub(crate) storage: WriteQueue,
     pub(crate) role: Role,
     pub(crate) leader: Option<MemberId>,
-    /// The members that gave their vote, or would.
+    /// The members that granted their vote or pre-vote.
     pub(crate) votes: BTreeSet<MemberId>,
-    /// The incarnations under which this member proposes to bootstrap.
+    /// The incarnations in the bootstrap that this member proposes.
     pub(crate) proposed_bootstrap: Option<Incarnations>,
     /// The members that reported an empty store.
-    pub(crate) hellos: BTreeMap<MemberId, BootstrapHello>,
+    pub(crate) bootstrap_hellos: BTreeMap<MemberId, BootstrapHello>,
     pub(crate) leader_state: LeaderState,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
-    /// No vote is given before: a leader that was heard, or this member itself, may hold a lease.
+    /// No vote is granted before this time: the last known leader, or this member itself, may hold a lease.
     pub(crate) vote_withheld_until: Time,
     pub(crate) election_at: Time,
     pub(crate) heartbeat_at: Time,
-    pub(crate) hello_at: Time,
-    /// When a snapshot was requested that the host has not taken yet.
+    pub(crate) next_hello_at: Time,
+    /// When the pending snapshot was requested, if the host has not taken it yet.
     pub(crate) snapshot_requested_at: Option<Time>,
     pub(crate) outbox: Vec<(MemberId, Message)>,
-    /// Actions that follow the writes, messages and applied entries of the event.
+    /// Actions to return after the writes, messages and applied entries of the current event.
     pub(crate) deferred_actions: Vec<Action>,
     reported_role: RoleState,
     is_restore_due: bool,
@@ -59,11 +59,11 @@
 }
 
 impl Node {
-    /// Creates a member as it starts, with what its host read from disk. The seed only spreads the election timeouts.
+    /// Creates a member from the state that its host read from disk. The seed only randomizes the election timeouts.
     ///
     /// # Errors
     ///
-    /// Returns the first fault of the configuration or of the stored state.
+    /// Returns the first error found in the configuration or the stored state.
     pub fn new(mut config: Config, stored: StoredState, now: Time, seed: u64) -> Result<Node, StartError> {
         config.validate()?;
         config.members.sort();
@@ -78,19 +78,19 @@
             vote: hard_state.vote,
             commit_index: hard_state.commit.0.max(snapshot_index),
             applied_index: snapshot_index,
-            storage: WriteQueue::new(log.last().index),
+            storage: WriteQueue::new(log.last_position().index),
             log,
             role: Role::Follower,
             leader: None,
             votes: BTreeSet::new(),
             proposed_bootstrap: None,
-            hellos: BTreeMap::new(),
+            bootstrap_hellos: BTreeMap::new(),
             leader_state: LeaderState::default(),
             incoming_snapshot: None,
             vote_withheld_until: now + config.min_election_timeout,
             election_at: now,
             heartbeat_at: now,
-            hello_at: now,
+            next_hello_at: now,
             snapshot_requested_at: None,
             outbox: Vec::new(),
             deferred_actions: Vec::new(),
@@ -103,7 +103,7 @@
         Ok(node)
     }
 
-    /// Handles an event. What the host is to do is added to `out`, in the order in which it is to be done.
+    /// Handles an event. The resulting actions are added to `out`, in the order in which the host must carry them out.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -129,7 +129,7 @@
             Role::Follower if !self.can_campaign() => self.leader.as_ref().map(|_| self.election_at),
             Role::Follower | Role::PreCandidate | Role::Candidate => Some(self.election_at),
         };
-        let hello_timer = self.awaits_bootstrap().then_some(self.hello_at);
+        let hello_timer = self.awaits_bootstrap().then_some(self.next_hello_at);
         role_timer.into_iter().chain(hello_timer).min()
     }
 
@@ -148,14 +148,14 @@
                 self.leader = None;
             }
         }
-        if self.awaits_bootstrap() && self.now >= self.hello_at {
-            self.hello_at = self.now + self.config.min_election_timeout / 2;
+        if self.awaits_bootstrap() && self.now >= self.next_hello_at {
+            self.next_hello_at = self.now + self.config.min_election_timeout / 2;
             self.join_bootstrap();
         }
     }
 
     fn on_message(&mut self, from: &MemberId, incarnation: u64, message: Message) {
-        if *from == self.config.me || !self.config.members.contains(from) {
+        if *from == self.config.own_id || !self.config.members.contains(from) {
             self.counters.unknown_sender += 1;
             return;
         }
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns the writes, messages and committed entries that an event has led to.
+    /// Adds the actions that result from an event to `out`: writes, messages, role changes, committed entries, deferred actions.
     fn emit_actions(&mut self, out: &mut Vec<Action>) {
         while self.flush_changes(out) {}
         out.extend(self.outbox.drain(..).map(|(to, message)| Action::Send { to, message }));
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Becomes a follower in `term`, of `leader` or of none yet. A leader's pending proposals and read barriers are rejected.
+    /// Becomes a follower in `term`, of `leader` if known. A leader that steps down rejects its pending proposals and read barriers.
     pub(crate) fn become_follower(&mut self, term: u64, leader: Option<MemberId>) {
         if self.role == Role::Leader {
             let state = std::mem::take(&mut self.leader_state);
@@ -236,14 +236,14 @@
         self.reset_election_timer();
     }
 
-    /// Draws the next election timeout, spread so that members rarely campaign at the same time.
+    /// Draws the next election timeout, randomized so that members rarely campaign at the same time.
     pub(crate) fn reset_election_timer(&mut self) {
         let (min, max) = (self.config.min_election_timeout, self.config.max_election_timeout);
         let spread = u64::try_from((max - min).as_micros()).unwrap_or(u64::MAX);
         self.election_at = self.now + min + Duration::from_micros(self.rng.random_range(1..=spread));
     }
 
-    /// Lets the host replace its applied state by the log's snapshot.
+    /// Schedules the host's applied state to be replaced with the log's snapshot.
     pub(crate) fn schedule_restore(&mut self) {
         self.is_restore_due = true;
     }
--- a/crates/consensus/src/stored_state.rs
+++ b/crates/consensus/src/stored_state.rs
@@ -1,4 +1,4 @@
-//! What the host read from disk at start, and whether it can be trusted.
+//! The state that the host reads from disk at start, and its validation.
 use crate::config::Config;
 use crate::entry::{Entry, Incarnations, Payload, TERM_AND_INDEX_BOUND};
 use crate::error::StartError;
@@ -27,7 +27,7 @@
         StoredState { incarnation, ..StoredState::default() }
     }
 
-    /// Carries out a batch, for hosts and tests that keep the state in memory.
+    /// Applies a batch, for hosts and tests that keep the state in memory.
     pub fn apply_batch(&mut self, batch: &WriteBatch) {
         self.hard_state = batch.hard_state.clone();
         if let Some(from) = batch.truncate_from {
@@ -40,7 +40,7 @@
         self.entries.extend(batch.append.iter().cloned());
     }
 
-    /// Checks the state and builds the log from it. Guards a start from a disk that returns wrong data or was edited.
+    /// Checks the state and builds the log from it. Protects against a disk that returns wrong data or was edited.
     pub(crate) fn into_log(self, config: &Config) -> Result<Log, StartError> {
         let snapshot = self.snapshot.unwrap_or_default();
         check_snapshot(&snapshot, config)?;
@@ -58,10 +58,10 @@
             check_entry(&entry, &log, config)?;
             log.push(entry);
         }
-        if log.last().term > self.hard_state.term || self.hard_state.term >= TERM_AND_INDEX_BOUND {
+        if log.last_position().term > self.hard_state.term || self.hard_state.term >= TERM_AND_INDEX_BOUND {
             return Err(StartError::TermAhead);
         }
-        let (commit, last) = (self.hard_state.commit, Index(log.last().index));
+        let (commit, last) = (self.hard_state.commit, Index(log.last_position().index));
         if commit > last {
             return Err(StartError::CommitAhead { commit, last });
         }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Whether these are the incarnations of exactly the configured members.
+/// Whether the incarnations are those of exactly the configured members.
 fn names_all_members(incarnations: &Incarnations, config: &Config) -> bool {
     incarnations.len() == config.members.len()
         && config.members.iter().all(|member| incarnations.contains_key(member))
@@ -89,12 +89,12 @@
     Ok(())
 }
 
-/// Checks an entry that is to follow the last one of the log.
+/// Checks that an entry may follow the last one in the log.
 fn check_entry(entry: &Entry, log: &Log, config: &Config) -> Result<(), StartError> {
     if entry.index != log.next_index() {
         return Err(StartError::Gap { expected: log.next_index(), found: entry.index });
     }
-    if entry.term < log.last().term || entry.term == 0 {
+    if entry.term < log.last_position().term || entry.term == 0 {
         return Err(StartError::TermDecreases(entry.index));
     }
     let is_first = entry.index.0 == 1;
