--- a/crates/coordination/src/distribution/connection.rs
+++ b/crates/coordination/src/distribution/connection.rs
@@ -87,7 +87,7 @@
     async fn read_message<T: DeserializeOwned>(&mut self) -> Result<T, CloseReason> {
         let opened = self.read_frame().await?;
         let counters = &self.context.counters;
-        if !opened.fresh {
+        if !opened.is_fresh {
             self.state.frames -= 1;
             counters.rejected_frames.fetch_add(1, Ordering::Relaxed);
             return Err(CloseReason::StaleIncarnation);
--- a/crates/coordination/src/distribution/relay_host.rs
+++ b/crates/coordination/src/distribution/relay_host.rs
@@ -46,8 +46,8 @@
         self.handle_relay_event(RelayEvent::Disconnected { connection: link });
         // No link of that name is left: its keys may be forgotten where there are too many.
         if let Some(name) = name.filter(|name| !self.links.values().any(|link| link.name == *name)) {
-            self.context.opener.borrow_mut().release(&name);
-            self.context.sealer.borrow_mut().forget(&name);
+            self.context.opener.borrow_mut().allow_eviction(&name);
+            self.context.sealer.borrow_mut().forget_incarnation(&name);
         }
     }
 
--- a/crates/membership/src/protocol/merging.rs
+++ b/crates/membership/src/protocol/merging.rs
@@ -88,8 +88,8 @@
     /// Forgets a member wherever it is known.
     pub(super) fn forget(&mut self, member: &MemberId) {
         self.table.remove(member);
-        self.sealer.forget(member);
-        self.opener.release(member);
+        self.sealer.forget_incarnation(member);
+        self.opener.allow_eviction(member);
         self.update_queue.remove(&UpdateKey::Member(member.clone()));
     }
 }
--- a/crates/membership/src/protocol/receiving.rs
+++ b/crates/membership/src/protocol/receiving.rs
@@ -35,7 +35,7 @@
         let sender = record_of_sender(&opened, &packet);
         if opened.incarnation == 0 || sender.incarnation() == u64::MAX {
             self.counters.malformed += 1;
-        } else if opened.fresh {
+        } else if opened.is_fresh {
             self.receive_packet(sender, packet);
         } else {
             self.answer_without_trust(&sender, &packet.message);
@@ -73,7 +73,7 @@
         }
         if !self.merge(sender, Reporter::Itself) {
             // A sender that isn't in the table mustn't occupy a replay window.
-            self.opener.release(&from);
+            self.opener.allow_eviction(&from);
             return;
         }
         // The member itself knows its incarnation best, whatever others reported.
--- a/crates/membership/tests/dishonest_member.rs
+++ b/crates/membership/tests/dishonest_member.rs
@@ -48,7 +48,7 @@
 #[test]
 fn packet_for_any_incarnation_changes_nothing() {
     let mut harness = Harness::new(256);
-    harness.liar.forget(&name(0));
+    harness.liar.forget_incarnation(&name(0));
     let updates = vec![member_update(3, 7, MemberState::Left), claim_update(1, 5, ClaimKind::Slow)];
     harness.report(updates);
     let not_fresh = harness.victim.counters().not_fresh;
--- a/crates/membership/tests/security.rs
+++ b/crates/membership/tests/security.rs
@@ -106,7 +106,7 @@
 
 #[test]
 fn key_rotation_loses_no_member() {
-    let steps: [fn(&Keys) -> Keys; 3] = [|keys| keys.expect(NEXT_KEY), Keys::rotate, Keys::retire];
+    let steps: [fn(&Keys) -> Keys; 3] = [|keys| keys.accept_next(NEXT_KEY), Keys::rotate, Keys::retire];
     seeds(4, |seed| {
         let mut sim = Sim::started(25, seed);
         sim.loss = 0.01;
--- a/crates/message-auth/src/header.rs
+++ b/crates/message-auth/src/header.rs
@@ -1,25 +1,25 @@
-//! The header of a message. On the wire: magic, version, header, body, signature.
+//! The header of a message. The wire format is: magic, version, header, body, signature.
 //!
-//! The header is encoded with postcard: the order of the fields is part of the form.
+//! The header is encoded with postcard, so the order of its fields is part of the wire format.
 use crate::{MAX_CHANNELS, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 
 /// The first bytes of each message.
 pub const MAGIC: [u8; 2] = *b"LR";
 
-/// The version of this layout.
+/// The version of the wire format.
 pub const VERSION: u8 = 1;
 
-/// Magic and version, in bytes.
+/// The length of magic and version, in bytes.
 pub const PREFIX_BYTES: usize = 3;
 
 /// Why a header can't be sent or accepted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// The bytes are no header.
+    /// The bytes are not a valid header, or the header can't be encoded.
     #[error("the header can't be encoded or decoded: {0}")]
     Encoding(#[from] postcard::Error),
-    /// The channel's number is out of bounds.
+    /// The channel number is out of bounds.
     #[error("channel {0} is not below {MAX_CHANNELS}")]
     Channel(u8),
     /// The sender's name is empty or too long.
@@ -28,7 +28,7 @@
     /// The recipient's name is empty or too long.
     #[error("the recipient's name has {0} bytes, not 1 to {MAX_NAME_BYTES}")]
     RecipientName(usize),
-    /// Sequence numbers begin at 1.
+    /// The sequence number is 0; valid ones begin at 1.
     #[error("the sequence number is 0")]
     ZeroSequence,
 }
@@ -38,22 +38,22 @@
 pub struct Recipient<'a> {
     /// Its name.
     pub member: &'a str,
-    /// Its incarnation, as far as the sender knows it.
+    /// Its incarnation, or `None` if the sender doesn't know it.
     pub incarnation: Option<u64>,
 }
 
-/// What is signed along with the body.
+/// The metadata that is signed together with the body.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header<'a> {
-    /// The channel of the sender.
+    /// The sender's channel.
     pub channel: u8,
     /// The sender's name.
     pub from: &'a str,
     /// The sender's incarnation.
     pub incarnation: u64,
-    /// The number of the message within the sender's incarnation and channel.
+    /// The sequence number of the message within the sender's incarnation and channel.
     pub sequence: u64,
-    /// The addressee; none: every member.
+    /// The recipient; `None` for a broadcast to every member.
     #[serde(borrow)]
     pub to: Option<Recipient<'a>>,
 }
@@ -63,7 +63,7 @@
 }
 
 impl<'a> Header<'a> {
-    /// Checks the bounds of each field.
+    /// Checks that each field is within its bounds.
     pub fn validate(&self) -> Result<(), HeaderError> {
         if self.channel >= MAX_CHANNELS {
             return Err(HeaderError::Channel(self.channel));
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Decodes the header of a message without its signature, and returns it with the body.
+    /// Decodes the header of a message whose signature was cut off, and returns the header and the body.
     pub fn decode(signed: &'a [u8]) -> Result<(Header<'a>, &'a [u8]), HeaderError> {
         let encoded = signed.get(PREFIX_BYTES..).unwrap_or_default();
         let (header, body) = postcard::take_from_bytes::<Header<'a>>(encoded)?;
--- a/crates/message-auth/src/keys.rs
+++ b/crates/message-auth/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys that messages are signed and verified with.
+//! The shared keys for signing and verifying messages.
 use crate::SIGNATURE_BYTES;
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
@@ -11,7 +11,7 @@
 /// The block size of SHA-256, in bytes: HMAC pads shorter keys with zeros up to it.
 const BLOCK_BYTES: usize = 64;
 
-/// A key, prepared for signing.
+/// A key with its HMAC state precomputed.
 #[derive(Clone)]
 struct Key(Arc<Hmac<Sha256>>);
 
@@ -26,25 +26,25 @@
         Hmac::clone(&self.0).chain_update(message).finalize().into_bytes().into()
     }
 
-    /// Takes the same time whichever byte differs.
+    /// Compares in constant time.
     fn verify(&self, message: &[u8], signature: &[u8]) -> bool {
         Hmac::clone(&self.0).chain_update(message).verify_slice(signature).is_ok()
     }
 }
 
-/// Which of the two keys a message is signed with.
+/// Which of the two accepted keys a message is signed with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeySlot {
     /// The key that this member signs with.
     Current,
-    /// The key that is accepted besides.
+    /// The additional key that is accepted during a rotation.
     Other,
 }
 
-/// The key to sign with, and another that is accepted besides while keys are rotated.
+/// The signing key, and an additional key that is accepted while keys are rotated.
 ///
-/// A rotation takes three steps, each done at all members before the next: all `expect` the new key, all `rotate` to it,
-/// all `retire` the old one.
+/// A rotation takes three steps; all members must complete one before any starts the next: accept the new key
+/// ([`Keys::accept_next`]), sign with it ([`Keys::rotate`]), reject the old one ([`Keys::retire`]).
 #[derive(Clone)]
 pub struct Keys {
     current: Key,
@@ -52,17 +52,18 @@
 }
 
 impl Keys {
-    /// Signs with `current`, and accepts messages under either key.
+    /// Keys that sign with `current` and accept signatures under either key.
     pub fn new(current: [u8; SECRET_BYTES], other: Option<[u8; SECRET_BYTES]>) -> Keys {
         Keys { current: Key::new(current), other: other.map(Key::new) }
     }
 
-    /// Accepts `next` besides the current key, in place of the other one.
-    pub fn expect(&self, next: [u8; SECRET_BYTES]) -> Keys {
+    /// Also accepts `next`, instead of any other additional key. Still signs with the current key.
+    pub fn accept_next(&self, next: [u8; SECRET_BYTES]) -> Keys {
         Keys { current: self.current.clone(), other: Some(Key::new(next)) }
     }
 
-    /// Signs with the other key, and still accepts the current one. Without another key nothing changes.
+    /// Swaps the two keys: signs with the additional key, and still accepts the current one. Does nothing without an
+    /// additional key.
     pub fn rotate(&self) -> Keys {
         match &self.other {
             Some(other) => Keys { current: other.clone(), other: Some(self.current.clone()) },
@@ -70,17 +71,17 @@
         }
     }
 
-    /// Accepts the current key only.
+    /// Drops the additional key: only the current one is accepted.
     pub fn retire(&self) -> Keys {
         Keys { current: self.current.clone(), other: None }
     }
 
-    /// The signature of a message under the current key.
+    /// Signs a message with the current key.
     pub fn sign(&self, message: &[u8]) -> [u8; SIGNATURE_BYTES] {
         self.current.sign(message)
     }
 
-    /// The key that a message is signed with, or `None` if it is signed with neither.
+    /// Returns the key that a message is signed with, or `None` if the signature matches neither.
     pub fn verify(&self, message: &[u8], signature: &[u8]) -> Option<KeySlot> {
         if self.current.verify(message, signature) {
             return Some(KeySlot::Current);
@@ -91,7 +92,7 @@
 }
 
 impl fmt::Debug for Keys {
-    /// Never shows a key, so that none reaches a log.
+    /// Omits the keys, so that they can't leak into logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Keys").field("two", &self.other.is_some()).finish_non_exhaustive()
     }
--- a/crates/message-auth/src/rejection.rs
+++ b/crates/message-auth/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Why a message is rejected, and how often each reason occurred.
+//! The reasons for rejecting a message, and their counters.
 
 /// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
@@ -6,24 +6,24 @@
 pub enum Rejection {
     /// Addressed to another member, sent on another channel, or sent by this member itself.
     Foreign,
-    /// Signed with neither key.
+    /// The signature matches neither key.
     Forged,
-    /// Accepted before, or older than the replay window.
+    /// Already accepted, or older than the replay window.
     Replayed,
-    /// From an earlier incarnation of its sender, or addressed to an earlier one of this member.
+    /// From an earlier incarnation of its sender, or addressed to another incarnation of this member.
     Stale,
-    /// Larger than the bound.
+    /// Larger than the maximum message size.
     Oversized,
-    /// Of a version that this member doesn't know.
+    /// The wire format's version is unknown to this member.
     UnsupportedVersion,
-    /// Not a message, or a field out of bounds.
+    /// Not a valid message, or a field is out of bounds.
     Malformed,
-    /// From a new sender, while as many as allowed are known.
+    /// From an unknown sender while the sender table is full.
     TooManySenders,
 }
 
 impl Rejection {
-    /// All reasons, in the order of their numbers.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [Rejection; 8] = [
         Rejection::Foreign,
         Rejection::Forged,
@@ -35,7 +35,7 @@
         Rejection::TooManySenders,
     ];
 
-    /// The name of its counter, and its reason in log lines.
+    /// The name of the reason in counters and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Rejection::Foreign => "foreign",
@@ -50,12 +50,12 @@
     }
 }
 
-/// How many messages were accepted, and how many rejected for each reason.
+/// The number of accepted messages, and of rejected ones by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpenCounters {
-    /// Messages accepted.
+    /// Accepted messages.
     pub opened: u64,
-    /// Of these, the ones under the other key: once this stands still, the old key can be retired.
+    /// Those of them signed with the other key: once this no longer increases, the old key can be retired.
     pub under_other_key: u64,
     rejected: [u64; Rejection::ALL.len()],
 }
@@ -66,7 +66,7 @@
         self.rejected[reason as usize] += 1;
     }
 
-    /// How many messages were rejected for that reason.
+    /// The number of messages rejected for `reason`.
     pub fn rejected(&self, reason: Rejection) -> u64 {
         self.rejected[reason as usize]
     }
--- a/crates/message-auth/src/replay_window.rs
+++ b/crates/message-auth/src/replay_window.rs
@@ -1,25 +1,25 @@
-//! The sequence numbers that were accepted from one sender on one channel: a sliding window, as in IPsec (RFC 4303).
+//! The sliding window of sequence numbers accepted from one sender on one channel, as in IPsec (RFC 4303).
 
-/// How many of the latest sequence numbers are distinguished; older ones are rejected.
+/// The number of latest sequence numbers that are tracked; older ones are rejected.
 pub const WINDOW_SIZE: u64 = 1_024;
 
 const WORD_BITS: u64 = 64;
 const BITMAP_LEN: usize = (WINDOW_SIZE / WORD_BITS) as usize;
 
-/// One bit for each of the last [`WINDOW_SIZE`] sequence numbers up to the highest.
+/// A bitmap of the last [`WINDOW_SIZE`] sequence numbers up to the highest accepted one.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayWindow {
     highest: u64,
     bits: [u64; BITMAP_LEN],
 }
 
-/// The word of a sequence number's bit, and the bit within it.
+/// The index of the word that holds a sequence number's bit, and the mask of the bit within it.
 fn bit_of(sequence: u64) -> (usize, u64) {
     ((sequence % WINDOW_SIZE / WORD_BITS) as usize, 1 << (sequence % WORD_BITS))
 }
 
 impl ReplayWindow {
-    /// Accepts a sequence number once, and none that is older than the window.
+    /// Marks a sequence number as accepted. Returns false if it was accepted before or is older than the window.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             self.advance(sequence);
@@ -36,7 +36,7 @@
         self.bits[word] & bit != 0
     }
 
-    /// Moves the window up to a higher sequence number, and clears the bits of those that were skipped.
+    /// Advances the window to a higher sequence number, and clears the bits of the skipped ones.
     fn advance(&mut self, highest: u64) {
         if highest - self.highest >= WINDOW_SIZE {
             self.bits = [0; BITMAP_LEN];
--- a/crates/message-auth/src/sealer.rs
+++ b/crates/message-auth/src/sealer.rs
@@ -4,11 +4,11 @@
 use cluster_types::MemberId;
 use std::collections::BTreeMap;
 
-/// The header's numbers at their longest: 1 byte of channel, 10 each of incarnation and sequence number, 1 each of the
-/// length of the sender's name and of the mark whether there is a recipient.
+/// The maximum encoded size of the header without names and recipient: 1 byte for the channel, 10 each for incarnation and
+/// sequence number, 1 each for the length of the sender's name and the tag of the optional recipient.
 const MAX_HEADER_NUMBERS_BYTES: usize = 23;
 
-/// A recipient besides its name at its longest: 1 byte of the name's length, 11 of the optional incarnation.
+/// The maximum encoded size of a recipient without its name: 1 byte for the name's length, 11 for the optional incarnation.
 const MAX_RECIPIENT_NUMBERS_BYTES: usize = 12;
 
 /// Why a message can't be signed.
@@ -17,88 +17,96 @@
     /// A field of the header is out of bounds.
     #[error(transparent)]
     Header(#[from] HeaderError),
-    /// The message is larger than the sealer's bound.
+    /// The message exceeds the sealer's maximum size.
     #[error("a message of {bytes} bytes is larger than {max_bytes}")]
     Oversized {
-        /// Its size with header and signature, in bytes.
+        /// Its size including header and signature, in bytes.
         bytes: usize,
-        /// The bound, in bytes.
+        /// The maximum size, in bytes.
         max_bytes: usize,
     },
-    /// This incarnation has used up its sequence numbers.
+    /// All sequence numbers of this incarnation are used.
     #[error("no sequence number is left")]
     SequenceExhausted,
 }
 
 /// Signs the messages of one incarnation on one channel.
 ///
-/// The sequence numbers are counted here: a member has one sealer for each of its channels.
+/// It counts the sequence numbers, so a member must have exactly one sealer for each of its channels.
 #[derive(Clone, Debug)]
 pub struct Sealer {
     keys: Keys,
-    me: MemberId,
+    local_member: MemberId,
     incarnation: u64,
     channel: u8,
     max_bytes: usize,
     sequence: u64,
-    /// The incarnations of other members, as far as they are known.
+    /// The known incarnations of other members.
     incarnations: BTreeMap<MemberId, u64>,
 }
 
 impl Sealer {
     /// A sealer for datagrams on channel 0.
-    pub fn new(keys: Keys, me: MemberId, incarnation: u64) -> Sealer {
+    pub fn new(keys: Keys, local_member: MemberId, incarnation: u64) -> Sealer {
         let (channel, max_bytes, sequence) = (0, MAX_DATAGRAM_BYTES, 0);
-        Sealer { keys, me, incarnation, channel, max_bytes, sequence, incarnations: BTreeMap::new() }
+        Sealer {
+            keys,
+            local_member,
+            incarnation,
+            channel,
+            max_bytes,
+            sequence,
+            incarnations: BTreeMap::new(),
+        }
     }
 
-    /// Signs for another channel.
+    /// Sets the channel.
     pub fn on_channel(mut self, channel: u8) -> Sealer {
         self.channel = channel;
         self
     }
 
-    /// Sets the bound of a message with header and signature, in bytes.
+    /// Sets the maximum size of a message including header and signature, in bytes.
     pub fn with_max_bytes(mut self, max_bytes: usize) -> Sealer {
         self.max_bytes = max_bytes;
         self
     }
 
-    /// Signs with other keys from now on.
+    /// Replaces the keys.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Addresses messages to `member` to this incarnation of it only, from now on.
+    /// Records the incarnation of `member`: from now on, messages to it are addressed to that incarnation only.
     ///
-    /// The caller takes the incarnation from a message that was addressed to its own one ([`Opened::fresh`]): any other may
-    /// be a recorded message of an earlier incarnation. Beyond [`MAX_SENDERS`] members nothing is recorded.
+    /// The incarnation must come from a message addressed to the caller's own incarnation ([`Opened::is_fresh`]): any other
+    /// message may be a replay from an earlier incarnation. At most [`MAX_SENDERS`] members are recorded.
     ///
-    /// [`Opened::fresh`]: crate::Opened::fresh
+    /// [`Opened::is_fresh`]: crate::Opened::is_fresh
     pub fn learn_incarnation(&mut self, member: &MemberId, incarnation: u64) {
         if self.incarnations.len() < MAX_SENDERS || self.incarnations.contains_key(member) {
             self.incarnations.insert(member.clone(), incarnation);
         }
     }
 
-    /// The incarnation that messages to `member` are addressed to, if one is known.
+    /// The known incarnation of `member`, to which messages to it are addressed.
     pub fn incarnation_of(&self, member: &MemberId) -> Option<u64> {
         self.incarnations.get(member).copied()
     }
 
-    /// Addresses messages to `member` to any incarnation of it again.
-    pub fn forget(&mut self, member: &MemberId) {
+    /// Removes the recorded incarnation of `member`: messages to it are addressed to any incarnation again.
+    pub fn forget_incarnation(&mut self, member: &MemberId) {
         self.incarnations.remove(member);
     }
 
-    /// The length of the longest body that fits in any case, in bytes.
+    /// The length of the longest body that is guaranteed to fit, in bytes.
     pub fn max_body_bytes(&self, to: Option<&MemberId>) -> usize {
         let recipient = to.map_or(0, |to| to.0.len() + MAX_RECIPIENT_NUMBERS_BYTES);
-        let sender = self.me.0.len() + MAX_HEADER_NUMBERS_BYTES;
+        let sender = self.local_member.0.len() + MAX_HEADER_NUMBERS_BYTES;
         self.max_bytes.saturating_sub(PREFIX_BYTES + SIGNATURE_BYTES + sender + recipient)
     }
 
-    /// Signs a message to every member, or to one member in the incarnation that is known of it.
+    /// Signs a message to every member, or to one member at its known incarnation.
     ///
     /// # Errors
     /// When the message is too large, a name or the channel is out of bounds, or no sequence number is left.
@@ -107,7 +115,7 @@
         self.sign(to, incarnation, body)
     }
 
-    /// Signs a message to one member in that incarnation, or in any.
+    /// Signs a message to one member at `incarnation`, or at any if `None`.
     ///
     /// # Errors
     /// As [`Sealer::seal`].
@@ -129,7 +137,7 @@
         let sequence = self.sequence.checked_add(1).ok_or(SealError::SequenceExhausted)?;
         let header = Header {
             channel: self.channel,
-            from: &self.me.0,
+            from: &self.local_member.0,
             incarnation: self.incarnation,
             sequence,
             to: to.map(|to| Recipient { member: &to.0, incarnation }),
@@ -150,7 +158,7 @@
         Ok(message)
     }
 
-    /// Enough for the message, so that its buffer needn't grow.
+    /// An upper bound of the message's size, so that its buffer is allocated once.
     fn capacity_for(&self, body: &[u8]) -> usize {
         let numbers = MAX_HEADER_NUMBERS_BYTES + MAX_RECIPIENT_NUMBERS_BYTES;
         PREFIX_BYTES + SIGNATURE_BYTES + 2 * MAX_NAME_BYTES + numbers + body.len().min(self.max_bytes)
--- a/crates/message-auth/tests/golden.rs
+++ b/crates/message-auth/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Holds the bytes of signed messages: each file under `golden/` is one message under a fixed key.
+//! Tests that the wire format doesn't change: each file under `golden/` is one message signed with a fixed key.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::MemberId;
 use golden_files::GoldenFiles;
@@ -28,14 +28,14 @@
     Opener::new(keys(), receiver()).with_incarnation(RECEIVER_INCARNATION)
 }
 
-/// What the receiver reads from a file.
-fn opened(sequence: u64, fresh: bool, body: &[u8]) -> Opened {
+/// The message that the receiver is expected to decode.
+fn opened(sequence: u64, is_fresh: bool, body: &[u8]) -> Opened {
     let from = "front-1".into();
-    Opened { from, incarnation: SENDER_INCARNATION, sequence, fresh, body: body.to_vec() }
+    Opened { from, incarnation: SENDER_INCARNATION, sequence, is_fresh, body: body.to_vec() }
 }
 
 #[test]
-fn holds_bytes_of_broadcast() {
+fn broadcast_matches_golden_file() {
     let bytes = GOLDEN.bytes("broadcast.bin");
     assert_eq!(sealer().seal(None, b"body").unwrap(), bytes);
     assert_eq!(opener().open(&bytes), Ok(opened(1, false, b"body")));
@@ -45,19 +45,23 @@
 #[rstest]
 #[case("addressed_any_incarnation.bin", None, false)]
 #[case("addressed_known_incarnation.bin", Some(RECEIVER_INCARNATION), true)]
-fn holds_bytes_of_addressed_message(#[case] name: &str, #[case] to: Option<u64>, #[case] fresh: bool) {
+fn addressed_message_matches_golden_file(
+    #[case] name: &str,
+    #[case] to: Option<u64>,
+    #[case] is_fresh: bool,
+) {
     let bytes = GOLDEN.bytes(name);
     assert_eq!(sealer().seal_to(&receiver(), to, b"body").unwrap(), bytes);
-    let mut learnt = sealer();
+    let mut informed_sealer = sealer();
     if let Some(incarnation) = to {
-        learnt.learn_incarnation(&receiver(), incarnation);
+        informed_sealer.learn_incarnation(&receiver(), incarnation);
     }
-    assert_eq!(learnt.seal(Some(&receiver()), b"body").unwrap(), bytes);
-    assert_eq!(opener().open(&bytes), Ok(opened(1, fresh, b"body")));
+    assert_eq!(informed_sealer.seal(Some(&receiver()), b"body").unwrap(), bytes);
+    assert_eq!(opener().open(&bytes), Ok(opened(1, is_fresh, b"body")));
 }
 
 #[test]
-fn holds_bytes_of_frame_on_each_end_of_the_channels() {
+fn frames_on_lowest_and_highest_stream_channel_match_golden_files() {
     for (name, channel) in [("stream_channel_1.bin", 1), ("stream_channel_15.bin", 15)] {
         let bytes = GOLDEN.bytes(name);
         let mut sealer = sealer().on_channel(channel).with_max_bytes(MAX_FRAME_BYTES);
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn holds_bytes_of_empty_body_and_of_a_number_of_two_bytes() {
+fn empty_body_with_two_byte_sequence_number_matches_golden_file() {
     let bytes = GOLDEN.bytes("empty_body_number_200.bin");
     let mut sealer = sealer();
     let sealed = (0..200).map(|_| sealer.seal(Some(&receiver()), b"").unwrap()).last().unwrap();
@@ -78,14 +82,14 @@
 }
 
 #[test]
-fn holds_bytes_under_each_key_of_a_rotation() {
-    let expecting = keys().expect(NEXT_KEY);
-    let rotated = expecting.rotate();
-    for (name, keys) in [("broadcast.bin", &expecting), ("rotated_key.bin", &rotated)] {
+fn messages_under_each_rotation_key_match_golden_files() {
+    let accepting_next = keys().accept_next(NEXT_KEY);
+    let rotated = accepting_next.rotate();
+    for (name, keys) in [("broadcast.bin", &accepting_next), ("rotated_key.bin", &rotated)] {
         let bytes = GOLDEN.bytes(name);
         let mut sealer = Sealer::new(keys.clone(), "front-1".into(), SENDER_INCARNATION);
         assert_eq!(sealer.seal(None, b"body").unwrap(), bytes);
-        for keys in [&expecting, &rotated] {
+        for keys in [&accepting_next, &rotated] {
             let mut opener = Opener::new(keys.clone(), receiver());
             assert_eq!(opener.open(&bytes), Ok(opened(1, false, b"body")));
         }
@@ -95,14 +99,14 @@
 }
 
 #[test]
-fn holds_layout_of_an_incarnation() {
+fn incarnation_has_documented_layout() {
     assert_eq!(new_incarnation(Duration::from_millis(1_800_000_000_123), 0), 1_800_000_000_123 << 20);
     assert_eq!(new_incarnation(Duration::from_secs(1), SENDER_INCARNATION), SENDER_INCARNATION + 1);
     assert_eq!(new_incarnation(Duration::MAX, 0), (u64::MAX >> 20) << 20);
 }
 
 #[test]
-fn holds_names_of_rejection_counters() {
+fn rejection_counters_keep_their_names() {
     let names: Vec<&str> = Rejection::ALL.iter().map(|reason| reason.name()).collect();
     let expected = ["foreign", "forged", "replayed", "stale", "oversized", "version", "malformed", "crowded"];
     assert_eq!(names, expected);
--- a/crates/message-auth/tests/keys.rs
+++ b/crates/message-auth/tests/keys.rs
@@ -1,10 +1,10 @@
-//! Signatures under the two keys, and their rotation.
+//! Tests signatures under the two keys, and key rotation.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use message_auth::{KeySlot, Keys};
 
 #[test]
-fn signs_as_published_examples() {
-    // RFC 4231, test case 1: a key shorter than the block is padded with zeros.
+fn signature_matches_published_test_vector() {
+    // RFC 4231, test case 1. Its key of 20 bytes is padded with zeros here, as HMAC does up to the block size.
     let mut secret = [0; 32];
     secret[..20].copy_from_slice(&[0x0b; 20]);
     let signature = Keys::new(secret, None).sign(b"Hi There");
@@ -13,16 +13,16 @@
 }
 
 #[test]
-fn debug_form_shows_no_key() {
+fn debug_output_omits_keys() {
     assert_eq!(format!("{:?}", Keys::new([7; 32], None)), "Keys { two: false, .. }");
 }
 
 #[test]
 fn rotation_accepts_both_keys_until_old_one_is_retired() {
     let old = Keys::new([1; 32], None);
-    let (expecting, message) = (old.expect([2; 32]), b"message");
-    let rotated = expecting.rotate();
-    assert_eq!(expecting.verify(message, &rotated.sign(message)), Some(KeySlot::Other));
+    let (accepting_next, message) = (old.accept_next([2; 32]), b"message");
+    let rotated = accepting_next.rotate();
+    assert_eq!(accepting_next.verify(message, &rotated.sign(message)), Some(KeySlot::Other));
     assert_eq!(rotated.verify(message, &old.sign(message)), Some(KeySlot::Other));
     assert_eq!(rotated.verify(message, &rotated.sign(message)), Some(KeySlot::Current));
     assert_eq!(rotated.retire().verify(message, &old.sign(message)), None);
