--- a/crates/membership/src/claim.rs
+++ b/crates/membership/src/claim.rs
@@ -1,4 +1,4 @@
-//! Claims of members about backends and zones, and what follows from them.
+//! Claims of members about the health of backends and zones, and the decisions derived from them.
 use cluster_types::{BackendId, Zone};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     }
 }
 
-/// The form in which the operators' status text shows it. Scripts may read it: it is independent of the type's names.
+/// The format of the operators' status text. Scripts may parse it, so it doesn't depend on the names of the Rust types.
 impl fmt::Display for Subject {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -47,23 +47,23 @@
     Healthy,
 }
 
-/// What this member observed itself.
+/// An observation that this member made itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// Of what.
-    pub subject: Subject,
     /// What was observed.
+    pub subject: Subject,
+    /// The observed condition.
     pub kind: ClaimKind,
-    /// How certain it is, from 0 to 1.
+    /// The confidence, from 0 to 1.
     pub confidence: f32,
-    /// How long the claim counts.
+    /// How long the resulting claim is valid.
     pub valid_for: Duration,
 }
 
-/// What the live members claim of a subject.
+/// The aggregated claims of the live members about a subject.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// The sum of the claims' confidence over the number of live members: 0 to 1.
+    /// The sum of the claims' confidences, divided by the number of live members: 0 to 1.
     pub score: f32,
     /// The number of live members that claim it is not healthy.
     pub sources: usize,
@@ -73,13 +73,13 @@
     pub kinds: BTreeMap<ClaimKind, usize>,
 }
 
-/// A backend that should get a small share of its usual traffic only.
+/// A backend that should receive only a small share of its usual traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ejection {
     /// The backend.
     pub backend: BackendId,
     /// The score of its verdict.
     pub score: f32,
-    /// The share of its usual traffic that it still gets, so that a recovery is noticed.
+    /// The share of its usual traffic that it still receives, so that a recovery is detected.
     pub traffic_share: f32,
 }
--- a/crates/membership/src/claim_table.rs
+++ b/crates/membership/src/claim_table.rs
@@ -1,6 +1,6 @@
-//! The claims that this member holds: the newest of each source about each subject.
+//! The table of known claims: the newest one of each source about each subject.
 //!
-//! Clocks of different processes aren't compared: a claim carries its age, which grows with each hop.
+//! Clocks of different processes are never compared: a claim carries its age, which increases with each hop.
 use crate::claim::{ClaimKind, Subject};
 use crate::digest::Digest;
 use crate::wire::ClaimRecord;
@@ -8,19 +8,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long a claim is remembered after its end, so that a late copy doesn't bring it back.
-const RETENTION_AFTER_END: Duration = Duration::from_secs(30);
+/// How long an expired claim is retained, so that a delayed copy doesn't restore it.
+const RETENTION_AFTER_EXPIRY: Duration = Duration::from_secs(30);
 
-/// The least that each hop adds to a claim's age, in milliseconds.
+/// The minimum that each hop adds to a claim's age, in milliseconds.
 const MIN_HOP_MS: u32 = 1;
 
-/// Claims whose confidence differs by no more than this are alike.
+/// Claims whose confidences differ by at most this are considered equal.
 const CONFIDENCE_TOLERANCE: u8 = 16;
 
 /// A claim of one source about one subject.
 #[derive(Clone, Debug)]
-pub struct HeldClaim {
-    /// The source's number of the claim.
+pub struct StoredClaim {
+    /// The number that the source gave the claim.
     pub number: u64,
     /// What is claimed.
     pub kind: ClaimKind,
@@ -29,58 +29,59 @@
     valid_for: Duration,
     age_on_arrival: Duration,
     arrived_at: Time,
-    ends_at: Time,
+    expires_at: Time,
 }
 
-impl HeldClaim {
-    /// The time since the source made it.
+impl StoredClaim {
+    /// The time since the source made the claim.
     pub fn age(&self, now: Time) -> Duration {
         self.age_on_arrival + now.since(self.arrived_at)
     }
 
-    /// Whether it still counts, and claims that its subject is not healthy.
+    /// Whether it is valid and claims that its subject is not healthy.
     pub fn is_negative(&self, now: Time) -> bool {
-        self.kind != ClaimKind::Healthy && self.confidence > 0 && now < self.ends_at
+        self.kind != ClaimKind::Healthy && self.confidence > 0 && now < self.expires_at
     }
 
-    /// How long it still counts.
+    /// How long it is still valid.
     pub fn remaining(&self, now: Time) -> Duration {
-        self.ends_at.since(now)
+        self.expires_at.since(now)
     }
 
-    /// Whether it makes another claim unnecessary: it claims the same, with more than half of that one's time left.
+    /// Whether it makes a new claim unnecessary: it claims the same, and remains valid for more than half as long as the new
+    /// claim would.
     pub fn covers(&self, kind: ClaimKind, confidence: u8, valid_for: Duration, now: Time) -> bool {
-        let alike = self.confidence.abs_diff(confidence) <= CONFIDENCE_TOLERANCE;
-        self.kind == kind && alike && self.remaining(now) * 2 > valid_for && now < self.ends_at
+        let is_similar = self.confidence.abs_diff(confidence) <= CONFIDENCE_TOLERANCE;
+        self.kind == kind && is_similar && self.remaining(now) * 2 > valid_for && now < self.expires_at
     }
 }
 
-/// What became of a claim that was received.
+/// The result of adding a received claim to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptOutcome {
-    /// It was held already, was replaced already, or has ended.
+    /// The claim has expired, or the table has it or a newer one already.
     Outdated,
-    /// It is held now.
+    /// The claim was added.
     Adopted,
-    /// It is out of bounds, or one too many of its source.
+    /// The claim is out of bounds, or its source has too many claims.
     Rejected,
 }
 
 /// The claims of all sources.
 #[derive(Clone, Debug)]
 pub struct ClaimTable {
-    claims: BTreeMap<(Subject, MemberId), HeldClaim>,
+    claims: BTreeMap<(Subject, MemberId), StoredClaim>,
     by_source: BTreeMap<MemberId, BTreeSet<Subject>>,
-    /// When a claim ends, and after that when it is removed.
+    /// When each claim expires or, once expired, when it is removed.
     deadlines: BTreeSet<(Time, Subject, MemberId)>,
     max_per_source: usize,
     max_validity: Duration,
-    /// Of the claims that have not ended.
+    /// The digest of the claims that have not expired.
     digest: Digest,
 }
 
 impl ClaimTable {
-    /// An empty table for at most `max_per_source` claims of each source, none valid for longer than `max_validity`.
+    /// An empty table for at most `max_per_source` claims per source, each valid for at most `max_validity`.
     pub fn new(max_per_source: usize, max_validity: Duration) -> ClaimTable {
         ClaimTable {
             claims: BTreeMap::new(),
@@ -93,15 +94,15 @@
     }
 
     /// The claim of a source about a subject.
-    pub fn get(&self, subject: &Subject, source: &MemberId) -> Option<&HeldClaim> {
+    pub fn get(&self, subject: &Subject, source: &MemberId) -> Option<&StoredClaim> {
         self.claims.get(&(subject.clone(), source.clone()))
     }
 
     /// All claims about a subject, by source.
-    pub fn about<'a>(
+    pub fn claims_about<'a>(
         &'a self,
         subject: &'a Subject,
-    ) -> impl Iterator<Item = (&'a MemberId, &'a HeldClaim)> + 'a {
+    ) -> impl Iterator<Item = (&'a MemberId, &'a StoredClaim)> + 'a {
         let first = (subject.clone(), MemberId::default());
         self.claims
             .range(first..)
@@ -109,22 +110,22 @@
             .map(|((_, source), claim)| (source, claim))
     }
 
-    /// The digest of the claims that have not ended.
+    /// The digest of the claims that have not expired.
     pub fn digest(&self) -> &Digest {
         &self.digest
     }
 
-    /// The keys of all claims, beginning with the one at the position `first` and then from the start.
+    /// The keys of all claims, beginning at position `first` and wrapping around.
     pub fn keys_from(&self, first: usize) -> impl Iterator<Item = &(Subject, MemberId)> {
         self.claims.keys().skip(first).chain(self.claims.keys().take(first))
     }
 
-    /// The number of claims, ended ones included.
+    /// The number of claims, including expired ones.
     pub fn count(&self) -> usize {
         self.claims.len()
     }
 
-    /// The number of a source's claims, ended ones included.
+    /// The number of a source's claims, including expired ones.
     pub fn count_of(&self, source: &MemberId) -> usize {
         self.by_source.get(source).map_or(0, BTreeSet::len)
     }
@@ -137,17 +138,17 @@
         subjects
     }
 
-    /// Takes in a claim that is newer than the held one of the same source and subject.
+    /// Adds a claim if it is valid and newer than the known one of the same source about the same subject.
     pub fn adopt(&mut self, record: &ClaimRecord, now: Time) -> AdoptOutcome {
         let (age, valid_for) = (millis(record.age_ms), millis(record.valid_for_ms));
         if valid_for > self.max_validity || valid_for.is_zero() {
             return AdoptOutcome::Rejected;
         }
-        let held = self.get(&record.subject, &record.source);
-        if age >= valid_for || held.is_some_and(|claim| record.number <= claim.number) {
+        let existing = self.get(&record.subject, &record.source);
+        if age >= valid_for || existing.is_some_and(|claim| record.number <= claim.number) {
             return AdoptOutcome::Outdated;
         }
-        if held.is_none() && !self.ensure_capacity(&record.source, now) {
+        if existing.is_none() && !self.ensure_capacity(&record.source, now) {
             return AdoptOutcome::Rejected;
         }
         self.remove(&record.subject, &record.source);
@@ -155,33 +156,33 @@
         AdoptOutcome::Adopted
     }
 
-    fn insert(&mut self, record: &ClaimRecord, now: Time, ends_at: Time) {
+    fn insert(&mut self, record: &ClaimRecord, now: Time, expires_at: Time) {
         let (subject, source) = (record.subject.clone(), record.source.clone());
-        let claim = HeldClaim {
+        let claim = StoredClaim {
             number: record.number,
             kind: record.kind,
             confidence: record.confidence,
             valid_for: millis(record.valid_for_ms),
             age_on_arrival: millis(record.age_ms),
             arrived_at: now,
-            ends_at,
+            expires_at,
         };
         self.by_source.entry(source.clone()).or_default().insert(subject.clone());
-        self.deadlines.insert((ends_at, subject.clone(), source.clone()));
+        self.deadlines.insert((expires_at, subject.clone(), source.clone()));
         self.digest.add_claim(&subject, &source, record.number);
         self.claims.insert((subject, source), claim);
     }
 
-    /// Makes sure that one more claim of a source fits: removes the one that ends first of those that aren't negative. Returns
-    /// false if all are.
+    /// Ensures space for one more claim of a source: if it has the maximum, removes its non-negative claim that expires first.
+    /// Returns false if all of its claims are negative.
     fn ensure_capacity(&mut self, source: &MemberId, now: Time) -> bool {
         let Some(subjects) = self.by_source.get(source) else { return self.max_per_source > 0 };
         if subjects.len() < self.max_per_source {
             return true;
         }
-        let held = subjects.iter().filter_map(|subject| Some((self.get(subject, source)?, subject)));
-        let removable = held.filter(|(claim, _)| !claim.is_negative(now));
-        let first = removable.min_by_key(|(claim, _)| claim.ends_at);
+        let claims = subjects.iter().filter_map(|subject| Some((self.get(subject, source)?, subject)));
+        let removable = claims.filter(|(claim, _)| !claim.is_negative(now));
+        let first = removable.min_by_key(|(claim, _)| claim.expires_at);
         let Some(subject) = first.map(|(_, subject)| subject.clone()) else { return false };
         self.remove(&subject, source);
         true
@@ -189,10 +190,10 @@
 
     fn remove(&mut self, subject: &Subject, source: &MemberId) {
         let Some(claim) = self.claims.remove(&(subject.clone(), source.clone())) else { return };
-        if self.deadlines.remove(&(claim.ends_at, subject.clone(), source.clone())) {
+        if self.deadlines.remove(&(claim.expires_at, subject.clone(), source.clone())) {
             self.digest.remove_claim(subject, source, claim.number);
         }
-        self.deadlines.remove(&(claim.ends_at + RETENTION_AFTER_END, subject.clone(), source.clone()));
+        self.deadlines.remove(&(claim.expires_at + RETENTION_AFTER_EXPIRY, subject.clone(), source.clone()));
         if let Some(subjects) = self.by_source.get_mut(source) {
             subjects.remove(subject);
             if subjects.is_empty() {
@@ -201,25 +202,26 @@
         }
     }
 
-    /// When the next claim ends or is removed.
+    /// When the next claim expires or is removed.
     pub fn next_deadline(&self) -> Option<Time> {
         self.deadlines.first().map(|(at, _, _)| *at)
     }
 
-    /// Ends and removes the claims whose time has come, and returns the subjects and sources of those that ended.
+    /// Expires the claims that are due, and removes those whose retention is over. Returns the subjects and sources of the
+    /// expired ones.
     pub fn expire(&mut self, now: Time) -> Vec<(Subject, MemberId)> {
-        let mut ended = Vec::new();
+        let mut expired = Vec::new();
         while let Some((at, subject, source)) = self.pop_due(now) {
             let Some(claim) = self.get(&subject, &source) else { continue };
-            if at == claim.ends_at {
+            if at == claim.expires_at {
                 self.digest.remove_claim(&subject, &source, claim.number);
-                self.deadlines.insert((at + RETENTION_AFTER_END, subject.clone(), source.clone()));
-                ended.push((subject, source));
+                self.deadlines.insert((at + RETENTION_AFTER_EXPIRY, subject.clone(), source.clone()));
+                expired.push((subject, source));
             } else {
                 self.remove(&subject, &source);
             }
         }
-        ended
+        expired
     }
 
     fn pop_due(&mut self, now: Time) -> Option<(Time, Subject, MemberId)> {
@@ -227,9 +229,9 @@
         self.deadlines.pop_first()
     }
 
-    /// A claim in the form in which it is passed on now, or `None` once it has ended.
+    /// A claim as it would be sent to other members now, or `None` if it has expired.
     pub fn record(&self, subject: &Subject, source: &MemberId, now: Time) -> Option<ClaimRecord> {
-        let claim = self.get(subject, source).filter(|claim| now < claim.ends_at)?;
+        let claim = self.get(subject, source).filter(|claim| now < claim.expires_at)?;
         let age_ms = u32::try_from(claim.age(now).as_millis()).ok()?;
         Some(ClaimRecord {
             source: source.clone(),
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,42 +1,42 @@
-//! Counters of what was done and rejected.
+//! Counters of protocol activity and rejections.
 use std::fmt;
 
-/// What was done and rejected since the start.
+/// Protocol activity and rejections since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Probes started.
     pub probes_started: u64,
-    /// Probes without an answer, direct or indirect.
+    /// Probes with neither a direct nor an indirect answer.
     pub probes_failed: u64,
-    /// Reports of this member's suspicion, death or leaving that it refuted.
+    /// Reports of this member as suspect, dead or left that it refuted.
     pub refutations: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Their bytes, with IP and UDP headers.
+    /// Bytes sent, including IP and UDP headers.
     pub bytes_sent: u64,
-    /// Messages deferred, since the bound of bytes was reached.
+    /// Messages deferred because the send budget was exhausted.
     pub messages_deferred: u64,
-    /// Messages dropped: too many were deferred, or one for too long.
+    /// Messages dropped: too many were deferred, one was deferred for too long, or one couldn't be sent.
     pub messages_dropped: u64,
-    /// Packets without enough space for all the members and claims in which two views differed.
+    /// Packets without space for all members and claims in which two views differ.
     pub syncs_truncated: u64,
-    /// Signed messages that were malformed.
+    /// Validly signed but malformed messages, and invalid lists of seeds.
     pub malformed: u64,
-    /// Messages that are answered at most, since they may be older than this incarnation.
+    /// Messages that may predate this incarnation: pings among them are answered, otherwise they are ignored.
     pub not_fresh: u64,
-    /// Members and messages from addresses that are not allowed.
+    /// Members and messages with disallowed addresses.
     pub disallowed_addresses: u64,
-    /// Members beyond the bound of the table.
+    /// Members rejected because the member table was full.
     pub members_over_limit: u64,
-    /// Claims and observations rejected: out of bounds, of an unknown source, or one too many.
+    /// Claims and observations rejected: out of bounds, of an unknown source, or over the limit of their source.
     pub claims_rejected: u64,
-    /// Claims in this member's name that it never made, and replaced.
+    /// Claims in this member's name that it didn't make in this incarnation, and replaced.
     pub claims_refuted: u64,
-    /// Times at which this process was found to have been stalled.
+    /// Detected stalls of this process.
     pub stalls: u64,
 }
 
-/// The form in which the operators' status text shows them. Scripts may read it: it is independent of the fields' names.
+/// The format of the operators' status text. Scripts may parse it, so it doesn't depend on the names of the Rust fields.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Figures")
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,13 +1,13 @@
-//! A digest of what a member knows: where two digests differ, they tell in which part.
+//! A digest of a member's view, in buckets: comparing two digests shows in which buckets the views differ.
 use crate::claim::Subject;
 use crate::wire::MemberRecord;
 use cluster_types::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Members fall into this many parts by their names, claims by their subjects.
-const PARTS: usize = 4;
+/// The number of buckets. Members are assigned to them by name, claims by subject.
+const BUCKET_COUNT: usize = 4;
 
-/// A wrapping sum of hashes: it doesn't depend on their order.
+/// A wrapping sum of hashes, which is independent of their order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct HashSum([u8; 4]);
 
@@ -21,13 +21,13 @@
     }
 }
 
-/// The digest of the live members and of the claims that count.
+/// The digest of the live members and the valid claims.
 ///
-/// It is sent to other members: the hashes are part of the wire form.
+/// It is sent to other members, so the hash function is part of the wire format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Digest {
-    members: [HashSum; PARTS],
-    claims: [HashSum; PARTS],
+    members: [HashSum; BUCKET_COUNT],
+    claims: [HashSum; BUCKET_COUNT],
 }
 
 /// FNV-1a with 64 bits, folded to 32.
@@ -38,12 +38,12 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-fn part_of_member(member: &MemberId) -> usize {
-    fnv1a(member.0.bytes()) as usize % PARTS
+fn bucket_of_member(member: &MemberId) -> usize {
+    fnv1a(member.0.bytes()) as usize % BUCKET_COUNT
 }
 
-fn part_of_subject(subject: &Subject) -> usize {
-    fnv1a(subject_bytes(subject)) as usize % PARTS
+fn bucket_of_subject(subject: &Subject) -> usize {
+    fnv1a(subject_bytes(subject)) as usize % BUCKET_COUNT
 }
 
 fn subject_bytes(subject: &Subject) -> impl Iterator<Item = u8> + '_ {
@@ -64,32 +64,32 @@
 }
 
 impl Digest {
-    /// Adds a member if it is live.
+    /// Adds a member if it is live; does nothing otherwise.
     pub fn add_member(&mut self, record: &MemberRecord) {
         if record.state.is_live() {
-            self.members[part_of_member(&record.member)].add(hash_of_member(record));
+            self.members[bucket_of_member(&record.member)].add(hash_of_member(record));
         }
     }
 
     /// Adds a claim.
     pub fn add_claim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
-        self.claims[part_of_subject(subject)].add(hash_of_claim(subject, source, number));
+        self.claims[bucket_of_subject(subject)].add(hash_of_claim(subject, source, number));
     }
 
     /// Removes a claim that was added.
     pub(crate) fn remove_claim(&mut self, subject: &Subject, source: &MemberId, number: u64) {
-        self.claims[part_of_subject(subject)].subtract(hash_of_claim(subject, source, number));
+        self.claims[bucket_of_subject(subject)].subtract(hash_of_claim(subject, source, number));
     }
 
-    /// The members of this digest with the claims of another.
+    /// Combines the members of this digest with the claims of another.
     pub(crate) fn with_claims_of(self, other: &Digest) -> Digest {
         Digest { members: self.members, claims: other.claims }
     }
 
-    /// Whether the two differ in the part that a member falls into.
+    /// Whether the two differ in the bucket of a member.
     pub(crate) fn differs_for_member(&self, other: &Digest, member: &MemberId) -> bool {
-        let part = part_of_member(member);
-        self.members[part] != other.members[part]
+        let bucket = bucket_of_member(member);
+        self.members[bucket] != other.members[bucket]
     }
 
     /// Whether the two differ in any claims.
@@ -97,9 +97,9 @@
         self.claims != other.claims
     }
 
-    /// Whether the two differ in the part that the claims about a subject fall into.
+    /// Whether the two differ in the bucket of the claims about a subject.
     pub(crate) fn differs_for_subject(&self, other: &Digest, subject: &Subject) -> bool {
-        let part = part_of_subject(subject);
-        self.claims[part] != other.claims[part]
+        let bucket = bucket_of_subject(subject);
+        self.claims[bucket] != other.claims[bucket]
     }
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -8,22 +8,22 @@
 /// An input.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed.
+    /// Nothing happened but that time passed.
     Tick,
-    /// A datagram arrived.
+    /// A datagram was received.
     Datagram {
         /// Its source address.
         from: SocketAddr,
         /// Its payload.
         bytes: Vec<u8>,
     },
-    /// This process is about to end: the others are to be notified.
+    /// This process is about to stop; the other members must be notified.
     Leave,
-    /// This member observed something.
+    /// This member made an observation about a backend or zone.
     Observed(Observation),
-    /// The configured members changed to these.
+    /// The new list of configured members.
     SeedsChanged(Vec<Seed>),
-    /// The keys to sign and verify with changed to these.
+    /// The new keys for signing and verifying.
     KeysChanged(Keys),
 }
 
@@ -37,7 +37,7 @@
         /// Its payload.
         bytes: Vec<u8>,
     },
-    /// The state of a member changed, or its process was restarted.
+    /// The state of a member changed, or its process restarted.
     MemberChanged {
         /// Its name.
         member: MemberId,
--- a/crates/membership/src/leave_announcement.rs
+++ b/crates/membership/src/leave_announcement.rs
@@ -1,14 +1,14 @@
-//! The announcement of this member that it leaves, repeated a few times.
+//! The repeated announcement that this member leaves.
 use cluster_types::Time;
 use std::time::Duration;
 
 /// How many times the announcement is sent.
 const REPEATS: u32 = 4;
 
-/// The span between two of them.
+/// The interval between two announcements.
 const INTERVAL: Duration = Duration::from_millis(200);
 
-/// How far the announcement has got.
+/// The progress of the announcement.
 #[derive(Clone, Debug)]
 pub struct LeaveAnnouncement {
     remaining: u32,
@@ -16,12 +16,12 @@
 }
 
 impl LeaveAnnouncement {
-    /// One that begins now.
+    /// An announcement that begins now.
     pub fn new(now: Time) -> LeaveAnnouncement {
         LeaveAnnouncement { remaining: REPEATS, next_at: now }
     }
 
-    /// When it is to be sent next, unless it was sent often enough.
+    /// When it is due next, or `None` if it is finished.
     pub fn next_at(&self) -> Option<Time> {
         (!self.is_finished()).then_some(self.next_at)
     }
@@ -30,7 +30,7 @@
         self.remaining == 0
     }
 
-    /// Whether it is to be sent now; counts it as sent then.
+    /// Returns whether it is due now and, if so, counts it as sent.
     pub fn take_due(&mut self, now: Time) -> bool {
         let due = self.next_at().is_some_and(|at| at <= now);
         if due {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,20 +1,20 @@
-//! Group membership of the gateways, after SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2017),
-//! and claims about backends and zones in the same datagrams.
+//! Group membership of the gateways, based on SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2017).
+//! The same datagrams disseminate claims about the health of backends and zones.
 //!
-//! The crate is free of I/O: [`Membership`] takes datagrams, the time and a seed for its random choices, and returns
-//! datagrams and changes. Each period a member probes one other, in rounds of random order. A member that doesn't answer is
-//! probed through others, then suspected and, after a time that grows with the logarithm of the number of members, held dead.
-//! A member that receives its own suspicion refutes it with a higher incarnation. What is known of a member is ordered by
-//! incarnation, then alive, suspect, dead, left; merging takes the higher, so that the order in which updates arrive doesn't
-//! matter.
+//! The crate does no I/O: [`Membership`] takes datagrams, the time and a seed for its random choices, and returns datagrams
+//! and membership changes. In each period a member probes one other member, in rounds of random order. A member that doesn't
+//! answer is probed through other members, then marked as suspect and, after a timeout that grows with the logarithm of the
+//! number of members, as dead. A member that receives a suspicion of itself refutes it with a higher incarnation. Records of
+//! a member are ordered by incarnation, then by state: alive, suspect, dead, left. Merging keeps the higher one, so that the
+//! result is independent of the order in which updates arrive.
 //!
-//! Three things depart from the published protocols:
-//! - No member is held dead because others report it: a report only starts a suspicion at the receiver.
-//! - Each packet carries a digest of what its sender knows. Where two members differ, the remaining space of their next
-//!   packets carries the members and claims of the differing parts (anti-entropy).
-//! - Dead members and silent seeds are contacted from time to time, so that the parts of a healed partition merge again.
+//! It differs from the published protocols in three ways:
+//! - Reports alone never mark a member as dead: a reported death only starts a suspicion at the receiver.
+//! - Each packet carries a digest of its sender's view. Where two views differ, the remaining space of the next packets
+//!   carries the members and claims of the differing buckets (anti-entropy).
+//! - Dead members and unreachable seeds are contacted periodically, so that the sides of a healed partition merge again.
 //!
-//! From Lifeguard it takes the local health multiplier and the nacks of indirect probes.
+//! Of Lifeguard, it implements the local health multiplier and the nacks of indirect probes.
 mod claim;
 pub mod claim_table;
 mod counters;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,14 +1,14 @@
-//! The local health multiplier of Lifeguard: a member whose own probes fail without nacks from the members it asked doubts
-//! itself first, and gives the others more time.
+//! The local health multiplier of Lifeguard: a member whose probes fail without nacks from the helpers assumes that it may
+//! be faulty itself, and extends its timeouts for other members.
 use std::time::Duration;
 
-/// The highest score: at it, all spans are one more than this many times as long.
+/// The maximum score. Timeouts are multiplied by the score plus 1.
 const MAX_SCORE: u32 = 3;
 
-/// How far this member doubts itself.
+/// The health of this member, as estimated by itself.
 #[derive(Clone, Debug, Default)]
 pub struct LocalHealth {
-    /// 0: healthy.
+    /// 0 is healthy; higher is worse.
     score: u32,
 }
 
@@ -21,7 +21,7 @@
         self.score = self.score.saturating_sub(1);
     }
 
-    /// The span, multiplied by the current health.
+    /// Multiplies a timeout by the current local health multiplier.
     pub fn scale(&self, span: Duration) -> Duration {
         span * (self.score + 1)
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! Members as they are configured, and as they are known.
+//! Configured members (seeds), and members as other members know them.
 use cluster_types::{MemberId, Zone};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
     pub member: MemberId,
     /// The zone it runs in.
     pub zone: Zone,
-    /// The address it receives datagrams at.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
 }
 
-/// The state of a member; at the same incarnation the later one wins.
+/// The state of a member. At equal incarnations, the later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It didn't answer, and may still refute the suspicion.
+    /// It failed a probe, and may still refute the suspicion.
     Suspect,
     /// It didn't refute the suspicion in time, or never answered.
     Dead,
-    /// It announced that it leaves.
+    /// It announced that it left.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member is probed and counted: alive or suspect.
+    /// Whether the member is probed and counted as live: alive or suspect.
     pub fn is_live(self) -> bool {
         self <= MemberState::Suspect
     }
 }
 
-/// A member as it is known.
+/// A member as this one knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its name.
     pub member: MemberId,
     /// Its zone.
     pub zone: Zone,
-    /// The address it receives datagrams at.
+    /// The address at which it receives datagrams.
     pub address: SocketAddr,
-    /// The incarnation that its process started with; 0: it never answered.
+    /// The incarnation that its process started with; 0 if it never answered.
     pub base_incarnation: u64,
     /// Its current incarnation.
     pub incarnation: u64,
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -1,28 +1,28 @@
-//! What is known of one member, and who reported it.
+//! The entry of one member in the member table, and the source of a record.
 use crate::member::Member;
 use crate::wire::MemberRecord;
 use cluster_types::Time;
 
-/// What is known of a member, and since when.
+/// The record of a member, with what this member knows locally about it.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub record: MemberRecord,
-    /// Whether it is configured: then its zone and address are the configured ones, and it is never forgotten.
+    /// Whether it is configured. If so, its zone and address are the configured ones, and it is never removed.
     pub is_seed: bool,
-    /// Since when it is in its state.
+    /// When it entered its current state.
     pub state_since: Time,
-    /// When its suspicion ends, if it is suspect.
+    /// When its suspicion times out, if it is suspect.
     pub suspect_until: Option<Time>,
 }
 
 impl Entry {
     pub fn to_member(&self) -> Member {
-        member_of(&self.record)
+        member_from_record(&self.record)
     }
 }
 
-/// A member in the form in which it is shown outside of the crate.
-pub fn member_of(record: &MemberRecord) -> Member {
+/// Converts a record to the public representation of a member.
+pub fn member_from_record(record: &MemberRecord) -> Member {
     Member {
         member: record.member.clone(),
         zone: record.zone.clone(),
@@ -33,12 +33,12 @@
     }
 }
 
-/// Who a record of a member is from.
+/// The source of a member's record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Reporter {
     /// The member itself.
     Itself,
-    /// This member, by its own probes.
+    /// This member, based on its own probes.
     Local,
     /// Another member.
     Other,
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The other members as this one knows them.
+//! The table of the other members.
 use crate::digest::Digest;
 use crate::member::{MemberState, Seed};
 use crate::member_entry::{Entry, Reporter};
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What merging a record did.
+/// The result of merging a record into the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing: as much was known already.
+    /// The record was ignored: the table has the same or a newer one.
     Outdated,
-    /// The record was taken over.
+    /// The record was stored.
     Updated {
-        /// Whether the state changed, or the process was restarted.
+        /// Whether the state changed, or the process restarted.
         changed: bool,
     },
     /// The member is unknown, and the table is full.
@@ -27,14 +27,14 @@
     entries: BTreeMap<MemberId, Entry>,
     max_members: usize,
     forget_after: Duration,
-    /// The rest follows from the entries, and is computed with each change.
+    // The fields below are derived from the entries, and recomputed with each change.
     digest: Digest,
     live_count: usize,
     next_deadline: Option<(Time, MemberId)>,
 }
 
 impl MemberTable {
-    /// A table of at most `max_members`; those that are neither live nor configured are forgotten after `forget_after`.
+    /// A table of at most `max_members`. Those that are neither live nor configured are removed after `forget_after`.
     pub fn new(max_members: usize, forget_after: Duration) -> MemberTable {
         let (entries, digest) = (BTreeMap::new(), Digest::default());
         MemberTable { entries, max_members, forget_after, digest, live_count: 0, next_deadline: None }
@@ -48,7 +48,7 @@
         self.entries.iter()
     }
 
-    /// All entries, beginning with the one at the position `first` and then from the start.
+    /// All entries, beginning at position `first` and wrapping around.
     pub fn entries_from(&self, first: usize) -> impl Iterator<Item = &Entry> {
         self.entries.values().skip(first).chain(self.entries.values().take(first))
     }
@@ -66,7 +66,7 @@
         self.get(member).is_some_and(|entry| entry.record.state.is_live())
     }
 
-    /// The number of members that didn't announce that they leave.
+    /// The number of members in any state except left.
     pub fn count_without_left(&self) -> usize {
         self.entries.values().filter(|entry| entry.record.state != MemberState::Left).count()
     }
@@ -80,7 +80,7 @@
         self.live_count
     }
 
-    /// The member whose suspicion ends next, or that is forgotten next.
+    /// The next time at which a suspicion times out or a member is to be removed, and the member.
     pub fn next_deadline(&self) -> Option<&(Time, MemberId)> {
         self.next_deadline.as_ref()
     }
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Makes sure that one more member fits: forgets the one that is longest not live and isn't configured. Returns false if none is.
+    /// Ensures space for one more member: if the table is full, removes the member that has not been live for longest, except
+    /// for seeds. Returns false if there is none.
     fn ensure_capacity(&mut self) -> bool {
         if self.entries.len() < self.max_members {
             return true;
@@ -115,8 +116,8 @@
         true
     }
 
-    /// Takes over a record that is newer than what is known. A death that others report is a suspicion here. `suspect_until`
-    /// is when a suspicion that begins now ends.
+    /// Stores a record if it is newer than the known one. A death reported by other members is stored as a suspicion.
+    /// `suspect_until` is when a suspicion that begins now times out.
     pub fn merge(
         &mut self,
         mut record: MemberRecord,
@@ -127,7 +128,7 @@
         let Some(entry) = self.entries.get_mut(&record.member) else {
             return self.insert(record, now, suspect_until);
         };
-        // A member that receives nothing must not end the others by its reports.
+        // A member that receives nothing regards all others as dead; its reports must not remove them from the group.
         let reported_dead = reporter == Reporter::Other && record.state == MemberState::Dead;
         if reported_dead && entry.record.state.is_live() {
             record.state = MemberState::Suspect;
@@ -151,7 +152,7 @@
         MergeOutcome::Updated { changed }
     }
 
-    /// Adds a member that isn't known, unless it isn't live.
+    /// Adds an unknown member if it is live.
     fn insert(&mut self, record: MemberRecord, now: Time, suspect_until: Time) -> MergeOutcome {
         if !record.state.is_live() {
             return MergeOutcome::Outdated;
@@ -167,10 +168,10 @@
         MergeOutcome::Updated { changed: true }
     }
 
-    /// Marks a member as configured, and gives it the configured zone and address. One that isn't known is added as dead.
+    /// Marks a member as configured, and sets its zone and address. An unknown member is added as dead.
     pub fn add_seed(&mut self, seed: &Seed, now: Time) {
         if !self.entries.contains_key(&seed.member) {
-            // A seed is added even if the table stays one above its bound.
+            // Seeds are added even if the table is full and nothing can be removed.
             self.ensure_capacity();
         }
         let entry = self.entries.entry(seed.member.clone()).or_insert_with(|| Entry {
@@ -192,7 +193,7 @@
         self.update_derived();
     }
 
-    /// Marks a member as not configured any more.
+    /// Marks a member as no longer configured.
     pub fn remove_seed(&mut self, member: &MemberId, now: Time) {
         if let Some(entry) = self.entries.get_mut(member) {
             entry.is_seed = false;
@@ -201,13 +202,13 @@
         self.update_derived();
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub fn remove(&mut self, member: &MemberId) {
         self.entries.remove(member);
         self.update_derived();
     }
 
-    /// Postpones the ends of all suspicions.
+    /// Extends all suspicions by `span`.
     pub fn postpone_suspicions(&mut self, span: Duration) {
         for entry in self.entries.values_mut() {
             entry.suspect_until = entry.suspect_until.map(|until| until + span);
--- a/crates/membership/src/outgoing.rs
+++ b/crates/membership/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! Messages that are to be sent.
+//! Outgoing messages before they are encoded.
 use crate::digest::Digest;
 use crate::wire::Message;
 use cluster_types::{MemberId, Time};
@@ -6,18 +6,18 @@
 /// Which incarnation of the receiver a message is addressed to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Addressing {
-    /// The one that is known.
+    /// The known one.
     KnownIncarnation,
-    /// Any: the receiver may have been restarted.
+    /// Any, since the receiver may have restarted.
     AnyIncarnation,
 }
 
-/// What a message may use of the send budget.
+/// Which part of the send budget a message may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Priority {
-    /// It is sent before all others, or deferred, and carries updates where there are bytes for them.
+    /// Sent at once or deferred; carries updates as far as the budget allows.
     Probe,
-    /// It is sent only if there are bytes to spare.
+    /// Sent only if the budget for updates allows it; dropped otherwise.
     Background,
 }
 
@@ -26,14 +26,14 @@
 pub struct Outgoing {
     /// The receiver.
     pub to: MemberId,
-    /// What it is sent for.
+    /// The message.
     pub message: Message,
     /// Which incarnation of the receiver it is addressed to.
     pub addressing: Addressing,
-    /// What it may use of the send budget.
+    /// Which part of the send budget it may use.
     pub priority: Priority,
-    /// The receiver's digest where it differs from this member's: the remaining space is filled with the members and claims of
-    /// the differing parts.
+    /// The receiver's digest, if it differs from this member's: the remaining space is filled with the members and claims of
+    /// the differing buckets.
     pub sync_against: Option<Digest>,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// A message that waits for the send budget.
+/// A message that is waiting for the send budget.
 #[derive(Clone, Debug)]
 pub struct Deferred {
     /// The message.
--- a/crates/membership/src/pings.rs
+++ b/crates/membership/src/pings.rs
@@ -1,38 +1,38 @@
-//! The pings that may still be answered.
+//! The pings that are waiting for an answer.
 use cluster_types::{MemberId, Time};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The bound of unanswered pings.
+/// The maximum number of pending pings.
 const MAX_PENDING: usize = 128;
 
 /// Why a ping was sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PingReason {
-    /// The probe of this period.
+    /// It is the direct probe of this period.
     Probe,
-    /// Another member asked for an indirect probe.
+    /// Another member requested an indirect probe.
     Requested {
-        /// The asking member.
+        /// The requesting member.
         by: MemberId,
-        /// Its sequence number of the probe.
+        /// The sequence number of the request.
         sequence: u32,
     },
-    /// To reach a member again that was held dead.
+    /// It is an attempt to reach a dead member.
     Reconnect,
 }
 
-/// A ping that may still be answered.
+/// A ping that is waiting for an answer.
 #[derive(Clone, Debug)]
 pub struct Ping {
-    /// The member that was pinged.
+    /// The pinged member.
     pub target: MemberId,
-    /// Why it was pinged.
+    /// Why the ping was sent.
     pub reason: PingReason,
     deadline: Time,
 }
 
-/// The unanswered pings by sequence number.
+/// The pending pings by sequence number.
 #[derive(Clone, Debug, Default)]
 pub struct PendingPings {
     pings: BTreeMap<u32, Ping>,
@@ -50,7 +50,8 @@
         Some(self.last_sequence)
     }
 
-    /// Ends a ping that was answered, and returns why it was sent; `None` if none of that number to that member is pending.
+    /// Removes an answered ping, and returns why it was sent. Returns `None` if there is no pending ping with this sequence
+    /// number to this member.
     pub fn finish(&mut self, sequence: u32, answered_by: &MemberId) -> Option<PingReason> {
         self.pings.get(&sequence).filter(|ping| ping.target == *answered_by)?;
         self.pings.remove(&sequence).map(|ping| ping.reason)
@@ -65,7 +66,7 @@
         self.pings.values_mut().for_each(|ping| ping.deadline = ping.deadline + span);
     }
 
-    /// Removes the pings whose deadline has passed, and returns them by sequence number.
+    /// Removes the pings whose deadline has passed, and returns them in the order of their sequence numbers.
     pub fn take_expired(&mut self, now: Time) -> Vec<Ping> {
         let expired = self.pings.iter().filter(|(_, ping)| ping.deadline <= now);
         let expired: Vec<u32> = expired.map(|(sequence, _)| *sequence).collect();
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A probe that wasn't answered yet.
+/// A probe that is waiting for an answer.
 #[derive(Clone, Debug)]
 pub struct Probe {
     /// The sequence number of its pings.
     pub sequence: u32,
-    /// The member that is probed.
+    /// The probed member.
     pub target: MemberId,
-    /// When other members are asked to probe the target; none: they were.
+    /// When other members are to be asked for an indirect probe; `None` once they were asked.
     pub indirect_at: Option<Time>,
-    /// The members that were asked.
+    /// The members that were asked for an indirect probe.
     pub helpers: BTreeSet<MemberId>,
-    /// Those of them that answered that the target didn't answer.
+    /// The helpers that reported that the target didn't answer them.
     pub nacks: BTreeSet<MemberId>,
-    /// When it fails.
+    /// When the probe fails.
     pub deadline: Time,
 }
 
@@ -27,22 +27,22 @@
         Probe { sequence, target, indirect_at: Some(indirect_at), helpers, nacks, deadline }
     }
 
-    /// When it needs attention next.
+    /// When the next step of the probe is due.
     pub fn next_deadline(&self) -> Time {
         self.indirect_at.unwrap_or(self.deadline)
     }
 
-    /// Whether other members are to be asked now.
+    /// Whether the indirect probe is due.
     pub fn is_indirect_due(&self, now: Time) -> bool {
         self.indirect_at.is_some_and(|at| at <= now)
     }
 
-    /// Whether it failed, direct and indirect.
+    /// Whether both the direct and the indirect probe have failed.
     pub fn has_failed(&self, now: Time) -> bool {
         self.indirect_at.is_none() && self.deadline <= now
     }
 
-    /// Whether so few of the helpers sent a nack that this member itself may be cut off.
+    /// Whether so few helpers sent a nack that this member itself may be isolated.
     pub fn suggests_local_fault(&self) -> bool {
         self.nacks.len() * 2 < self.helpers.len() || self.helpers.is_empty()
     }
--- a/crates/membership/src/protocol/claims.rs
+++ b/crates/membership/src/protocol/claims.rs
@@ -1,4 +1,4 @@
-//! Making and receiving of claims about backends and zones.
+//! Making and receiving claims about backends and zones.
 use super::Membership;
 use crate::claim::{ClaimKind, Observation, Subject};
 use crate::claim_table::AdoptOutcome;
@@ -8,11 +8,11 @@
 use cluster_types::MemberId;
 use std::time::Duration;
 
-/// The confidence of a claim that is certain.
-const CERTAIN: u8 = u8::MAX;
+/// The highest confidence of a claim.
+const MAX_CONFIDENCE: u8 = u8::MAX;
 
 impl Membership {
-    /// Claims what this member observed, unless a claim of its own covers it already.
+    /// Makes a claim of what this member observed, unless its previous claim already covers it.
     pub(super) fn observe(&mut self, observation: Observation) {
         let name_bytes = observation.subject.name().len();
         let valid_for = observation.valid_for.min(self.settings.max_claim_validity);
@@ -24,12 +24,12 @@
             return;
         }
         let Observation { subject, kind, .. } = observation;
-        let confidence = (observation.confidence.clamp(0.0, 1.0) * f32::from(CERTAIN)) as u8;
-        let held = self.claims.get(&subject, &self.settings.me.member);
-        let is_covered = held.is_some_and(|claim| claim.covers(kind, confidence, valid_for, self.now));
-        // That a subject is healthy is the default, and needs no claim where nothing is to be withdrawn.
-        let has_negative = held.is_some_and(|claim| claim.is_negative(self.now));
-        let is_default = kind == ClaimKind::Healthy && !has_negative;
+        let confidence = (observation.confidence.clamp(0.0, 1.0) * f32::from(MAX_CONFIDENCE)) as u8;
+        let existing = self.claims.get(&subject, &self.settings.me.member);
+        let is_covered = existing.is_some_and(|claim| claim.covers(kind, confidence, valid_for, self.now));
+        // Subjects are healthy by default, so a healthy claim is needed only to withdraw a negative one.
+        let is_claimed_negative = existing.is_some_and(|claim| claim.is_negative(self.now));
+        let is_default = kind == ClaimKind::Healthy && !is_claimed_negative;
         if !is_covered && !is_default {
             self.make_claim(subject, kind, confidence, valid_for);
         }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Receives a claim that another member made or passed on.
+    /// Handles a claim that another member made or forwarded.
     pub(super) fn receive_claim(&mut self, record: &ClaimRecord) {
         if record.source == self.settings.me.member {
             self.refute_claim(record);
@@ -75,29 +75,29 @@
         self.table.get(member).is_some_and(|entry| entry.record.base_incarnation > 0)
     }
 
-    /// Replaces a claim in this member's name that it never made, or made in an earlier incarnation, by its own one.
+    /// Replaces a claim in this member's name that it didn't make, or made in an earlier incarnation, with its own claim.
     fn refute_claim(&mut self, record: &ClaimRecord) {
         let valid_for = Duration::from_millis(u64::from(record.valid_for_ms));
         if record.age_ms >= record.valid_for_ms || valid_for > self.settings.max_claim_validity {
             return;
         }
-        let held = self.claims.get(&record.subject, &record.source);
-        let is_own = held.is_some_and(|own| {
+        let existing = self.claims.get(&record.subject, &record.source);
+        let is_own = existing.is_some_and(|own| {
             let same = own.kind == record.kind && own.confidence == record.confidence;
             own.number > record.number || own.number == record.number && same
         });
         if is_own {
             return;
         }
-        let own = held.filter(|own| own.is_negative(self.now));
+        let own = existing.filter(|own| own.is_negative(self.now));
         let own = own.map(|own| (own.kind, own.confidence, own.remaining(self.now)));
         self.counters.claims_refuted += 1;
         self.last_claim_number = self.last_claim_number.max(record.number);
-        let (kind, confidence, valid_for) = own.unwrap_or((ClaimKind::Healthy, CERTAIN, valid_for));
+        let (kind, confidence, valid_for) = own.unwrap_or((ClaimKind::Healthy, MAX_CONFIDENCE, valid_for));
         self.make_claim(record.subject.clone(), kind, confidence, valid_for);
     }
 
-    /// Ends the claims whose time has passed.
+    /// Expires the claims that are due.
     pub(super) fn expire_claims(&mut self) {
         for (subject, source) in self.claims.expire(self.now) {
             self.update_queue.remove(&UpdateKey::Claim(subject.clone(), source));
--- a/crates/membership/src/protocol/ejection.rs
+++ b/crates/membership/src/protocol/ejection.rs
@@ -1,17 +1,17 @@
-//! What follows from the claims: verdicts, and the backends to eject.
+//! Decisions derived from the claims: verdicts, and the backends to eject.
 use super::Membership;
 use crate::claim::{Ejection, Subject, Verdict};
 use cluster_types::{BackendId, MemberId, Time, Zone};
 use std::collections::BTreeMap;
 
-/// The least number of members that must agree, however few there are.
+/// The minimum number of members that must agree, independent of the size of the group.
 const MIN_QUORUM: usize = 2;
 
 impl Membership {
-    /// What the live members claim of a subject. Each member counts once.
+    /// Aggregates the claims of the live members about a subject. Each member counts once.
     pub fn verdict(&self, subject: &Subject, now: Time) -> Verdict {
         let mut verdict = Verdict::default();
-        for (source, claim) in self.claims.about(subject) {
+        for (source, claim) in self.claims.claims_about(subject) {
             if !self.is_me_or_live(source) || !claim.is_negative(now) {
                 continue;
             }
@@ -29,15 +29,15 @@
         *member == self.settings.me.member || self.table.is_live(member)
     }
 
-    /// How many live members must claim that a backend is not healthy before it is ejected: more than half of all members that
-    /// didn't leave, live or not, and at least two. So the smaller part of a partition ejects nothing, and neither does a single
-    /// member.
+    /// The number of live members that must claim that a backend is not healthy before it is ejected: more than half of all
+    /// members that didn't leave, live or not, and at least two. Thus neither the minority side of a partition nor a single
+    /// member can eject a backend.
     pub fn quorum(&self) -> usize {
         (self.table.count_without_left().div_ceil(2) + 1).max(MIN_QUORUM)
     }
 
-    /// The backends to eject out of `backends`, which are all backends with their zones: those of the highest score first, then
-    /// by name. They are at most the configured share of all, and never all of a zone.
+    /// The backends to eject, by descending score, then by name. `backends` contains all backends with their zones. At most
+    /// the configured share of all backends is ejected, and never all backends of a zone.
     pub fn ejections(&self, backends: &BTreeMap<BackendId, Zone>, now: Time) -> Vec<Ejection> {
         let mut remaining: BTreeMap<&Zone, usize> = BTreeMap::new();
         backends.values().for_each(|zone| *remaining.entry(zone).or_default() += 1);
@@ -54,7 +54,7 @@
         ejections
     }
 
-    /// The backends that a quorum claims not to be healthy, in the order in which they are ejected.
+    /// The backends that a quorum claims not to be healthy, in the order in which they are to be ejected.
     fn ejection_candidates(&self, backends: &BTreeMap<BackendId, Zone>, now: Time) -> Vec<Ejection> {
         let quorum = self.quorum();
         let mut candidates = Vec::new();
--- a/crates/membership/src/protocol/leaving.rs
+++ b/crates/membership/src/protocol/leaving.rs
@@ -6,11 +6,11 @@
 use crate::outgoing::Outgoing;
 use crate::wire::Message;
 
-/// How many members each announcement is sent to.
+/// The number of members to which each announcement is sent.
 const ANNOUNCEMENT_FANOUT: usize = 5;
 
 impl Membership {
-    /// Begins to leave: other members are notified a few times, then this one is silent.
+    /// Starts to leave the group: announces it to other members a few times, then sends nothing more.
     pub(super) fn start_leaving(&mut self) {
         if self.leave.is_some() {
             return;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether the leave was announced as often as it is to be: the process may end.
+    /// Whether all announcements were sent, so that the process may stop.
     pub fn has_left(&self) -> bool {
         self.leave.as_ref().is_some_and(LeaveAnnouncement::is_finished)
     }
--- a/crates/membership/src/protocol/merging.rs
+++ b/crates/membership/src/protocol/merging.rs
@@ -1,4 +1,4 @@
-//! Merging of what is reported about members, and refutation of what is reported about this one.
+//! Merging of received records of other members, and refutation of those about this member.
 use super::Membership;
 use crate::event::Action;
 use crate::member::MemberState;
@@ -9,7 +9,8 @@
 use cluster_types::MemberId;
 
 impl Membership {
-    /// Merges a record of a member, and disseminates it if it is new. Returns false for a member that isn't taken into the table.
+    /// Merges a record of a member, and disseminates it if it is newer. Returns false if the member was not admitted to the
+    /// table.
     pub(super) fn merge(&mut self, record: MemberRecord, reporter: Reporter) -> bool {
         if record.member == self.me.member {
             self.refute(&record);
@@ -20,7 +21,7 @@
             self.counters.disallowed_addresses += 1;
             return false;
         }
-        let suspect_until = self.now + self.suspicion_span();
+        let suspect_until = self.now + self.suspicion_timeout();
         let (member, base_incarnation) = (record.member.clone(), record.base_incarnation);
         match self.table.merge(record, reporter, self.now, suspect_until) {
             MergeOutcome::Outdated => true,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Raises the own incarnation above a report that this member is not alive.
+    /// Refutes a report that this member is not alive, or of a higher incarnation, by incrementing its own incarnation.
     fn refute(&mut self, report: &MemberRecord) {
         let own = (self.me.incarnation(), self.me.state);
         if (report.incarnation(), report.state) <= own || self.me.state == MemberState::Left {
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Holds members dead whose suspicion has ended, and forgets those that were dead for long.
-    pub(super) fn end_suspicions(&mut self) {
+    /// Marks the members as dead whose suspicion timed out, and removes those that haven't been live for long.
+    pub(super) fn expire_members(&mut self) {
         loop {
             let due = self.table.next_deadline().filter(|(at, _)| *at <= self.now).cloned();
             let Some((_, member)) = due else { return };
@@ -80,13 +81,13 @@
                     record.state = MemberState::Dead;
                     self.merge(record, Reporter::Local);
                 }
-                _ => self.forget(&member),
+                _ => self.remove_member(&member),
             }
         }
     }
 
-    /// Forgets a member wherever it is known.
-    pub(super) fn forget(&mut self, member: &MemberId) {
+    /// Removes all state about a member. Its replay window stays until its place is needed.
+    pub(super) fn remove_member(&mut self, member: &MemberId) {
         self.table.remove(member);
         self.sealer.forget_incarnation(member);
         self.opener.allow_eviction(member);
--- a/crates/membership/src/protocol/mod.rs
+++ b/crates/membership/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The membership protocol of one member: its state, and the order in which things are done.
+//! The membership protocol of one member: its state and its event handler.
 use crate::claim::Subject;
 use crate::claim_table::ClaimTable;
 use crate::counters::Counters;
@@ -7,7 +7,7 @@
 use crate::leave_announcement::LeaveAnnouncement;
 use crate::local_health::LocalHealth;
 use crate::member::{Member, MemberState};
-use crate::member_entry::{member_of, Entry};
+use crate::member_entry::{member_from_record, Entry};
 use crate::member_table::MemberTable;
 use crate::outgoing::Deferred;
 use crate::pings::PendingPings;
@@ -34,11 +34,11 @@
 mod sending;
 mod updates;
 
-/// The membership of one gateway.
+/// The state machine of the membership protocol for one gateway.
 #[derive(Debug)]
 pub struct Membership {
     settings: Settings,
-    /// This member as the others are to know it.
+    /// The record of this member that is sent to others.
     me: MemberRecord,
     sealer: Sealer,
     opener: Opener,
@@ -51,7 +51,7 @@
     budget: SendBudget,
     health: LocalHealth,
     deferred: VecDeque<Deferred>,
-    /// The members that are still to be probed in this round, the next one last.
+    /// The members that remain to be probed in this round, in reverse order.
     probe_round: Vec<MemberId>,
     probe: Option<Probe>,
     pings: PendingPings,
@@ -60,16 +60,16 @@
     next_gossip: Time,
     leave: Option<LeaveAnnouncement>,
     counters: Counters,
-    /// The wake-up time after the last event.
+    /// The wake-up time requested after the last event.
     requested_wake: Option<Time>,
     /// The time of the event that is being handled.
     now: Time,
-    /// What that event has led to so far.
+    /// The actions that result from that event.
     actions: Vec<Action>,
 }
 
 impl Membership {
-    /// A member that knows its seeds only, and contacts them at once. `seed` is the one of its random choices.
+    /// Creates a member that only knows its seeds and contacts them at once. `seed` initializes its random number generator.
     ///
     /// # Errors
     /// When a setting is out of bounds.
@@ -110,10 +110,10 @@
         Ok(membership)
     }
 
-    /// Handles an event, does whatever is due at `now`, and appends the actions to `out`.
+    /// Handles an event, executes the steps that are due at `now`, and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = now;
-        self.forgive_stall();
+        self.compensate_for_stall();
         match event {
             Event::Tick => {}
             Event::Datagram { from, bytes } => self.receive_datagram(from, &bytes),
@@ -130,7 +130,7 @@
             self.announce_leave();
         } else {
             self.expire_pings();
-            self.end_suspicions();
+            self.expire_members();
             self.continue_probing();
             self.reconnect();
             self.gossip();
@@ -140,7 +140,7 @@
         out.append(&mut self.actions);
     }
 
-    /// When it wants an event next, at the latest.
+    /// When the host must deliver the next event at the latest; an [`Event::Tick`] if there is no other.
     pub fn wake(&self) -> Option<Time> {
         let next_deferred = self.next_deferred_at();
         let next_protocol_step = match &self.leave {
@@ -164,8 +164,8 @@
         steps.into_iter().flatten().min()
     }
 
-    /// Postpones all deadlines if this process was stalled: the others' answers can't have been received meanwhile.
-    fn forgive_stall(&mut self) {
+    /// Extends all deadlines if this process was stalled, since it couldn't receive answers during the stall.
+    fn compensate_for_stall(&mut self) {
         let late_by = self.requested_wake.map(|wake| self.now.since(wake));
         let Some(stall) = late_by.filter(|span| *span > self.settings.probe_timeout) else { return };
         self.counters.stalls += 1;
@@ -176,30 +176,30 @@
         self.next_probe = self.next_probe + stall;
     }
 
-    /// This member and all others that are known, by name.
+    /// This member and all other known members, sorted by name.
     pub fn view(&self) -> Vec<Member> {
         let others = self.table.iter().map(|(_, entry)| Entry::to_member(entry));
-        let mut members: Vec<Member> = others.chain([member_of(&self.me)]).collect();
+        let mut members: Vec<Member> = others.chain([member_from_record(&self.me)]).collect();
         members.sort_by(|one, other| one.member.cmp(&other.member));
         members
     }
 
-    /// What was done and rejected since the start.
+    /// Counters of protocol activity and rejections since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// How many datagrams were accepted and rejected by their signed header.
+    /// Counters of datagrams that were accepted or rejected by signature and header.
     pub fn open_counters(&self) -> &OpenCounters {
         self.opener.counters()
     }
 
-    /// The claims that are held.
+    /// The known claims.
     pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
-    /// Equal at two members that have the same view and hold the same claims.
+    /// The digest of the live members and valid claims. It is equal at two members with the same view.
     pub fn digest(&self) -> Digest {
         let mut digest = self.table.digest();
         digest.add_member(&self.me);
@@ -212,7 +212,7 @@
     }
 
     /// How long a suspicion that begins now lasts.
-    fn suspicion_span(&self) -> Duration {
+    fn suspicion_timeout(&self) -> Duration {
         let live = (self.table.live_count() + 1) as f64;
         let base = self.settings.probe_period * self.settings.suspicion_multiplier;
         self.health.scale(base.mul_f64(live.log10().max(1.0)))
--- a/crates/membership/src/protocol/probing.rs
+++ b/crates/membership/src/protocol/probing.rs
@@ -10,14 +10,14 @@
 use rand::seq::SliceRandom;
 
 impl Membership {
-    /// Up to `count` live members at random, without `except`.
+    /// Selects up to `count` random live members other than `except`.
     pub(super) fn random_live_members(&mut self, count: usize, except: Option<&MemberId>) -> Vec<MemberId> {
         let live = self.table.live_members().filter(|member| Some(*member) != except);
         let mut members: Vec<MemberId> = live.cloned().collect();
         members.partial_shuffle(&mut self.rng, count).0.to_vec()
     }
 
-    /// The next member to probe. Each round has all live members once, in a random order of its own.
+    /// The next member to probe. Each round contains all live members once, in a new random order.
     fn next_target(&mut self) -> Option<MemberId> {
         for _ in 0..2 {
             while let Some(member) = self.probe_round.pop() {
@@ -31,7 +31,7 @@
         None
     }
 
-    /// Does what is due for the current probe, or starts the next one.
+    /// Executes the due step of the current probe, or starts the next probe.
     pub(super) fn continue_probing(&mut self) {
         let now = self.now;
         if self.probe.as_ref().is_some_and(|probe| probe.is_indirect_due(now)) {
@@ -46,7 +46,7 @@
     }
 
     fn start_probe(&mut self) {
-        // A probe must not fail because this member may not send.
+        // A probe must not fail because this member's send budget is exhausted.
         if let Some(ready_at) = self.budget_available_at() {
             self.next_probe = ready_at;
             return;
@@ -66,7 +66,7 @@
         let Some(probe) = &self.probe else { return };
         let (sequence, target) = (probe.sequence, probe.target.clone());
         let helpers = self.random_live_members(self.settings.indirect_probes, Some(&target));
-        // Pings the target once more, in any incarnation: it may have been restarted.
+        // Pings the target again, at any incarnation, since it may have restarted.
         self.send(Outgoing::new(&target, Message::Ping { sequence }).for_any_incarnation());
         for helper in &helpers {
             let request = Message::PingRequest { sequence, target: target.clone() };
@@ -80,7 +80,7 @@
 
     fn fail_probe(&mut self, probe: &Probe) {
         self.counters.probes_failed += 1;
-        // Helpers that are healthy send a nack in time: if most of them are silent, this member may be cut off.
+        // Healthy helpers send a nack in time. If most of them don't answer, this member may be isolated.
         if probe.suggests_local_fault() {
             self.health.degrade();
         }
@@ -92,14 +92,14 @@
         }
     }
 
-    /// Ends the current probe if it has this number: its target answered, by itself or through others.
+    /// Completes the current probe if it has this sequence number: its target answered, directly or through a helper.
     pub(super) fn finish_probe(&mut self, sequence: u32) {
         if self.probe.take_if(|probe| probe.sequence == sequence).is_some() {
             self.health.improve();
         }
     }
 
-    /// Drops the pings without an answer, and sends nacks to the members that asked for them.
+    /// Removes the pings that timed out, and sends nacks to the members that requested them.
     pub(super) fn expire_pings(&mut self) {
         for ping in self.pings.take_expired(self.now) {
             if let PingReason::Requested { by, sequence } = ping.reason {
--- a/crates/membership/src/protocol/reconnecting.rs
+++ b/crates/membership/src/protocol/reconnecting.rs
@@ -1,4 +1,4 @@
-//! Contacting members that are held dead.
+//! Reconnecting to members that are marked as dead.
 use super::Membership;
 use crate::member::MemberState;
 use crate::outgoing::Outgoing;
@@ -7,12 +7,12 @@
 use cluster_types::MemberId;
 use rand::seq::SliceRandom;
 
-/// How many members are contacted at once while no live one is known.
+/// The number of members contacted at once while no live member is known.
 const CONTACTS_WITHOUT_LIVE_MEMBERS: usize = 3;
 
 impl Membership {
-    /// Pings a member that is held dead, or some while no live one is known: it merges the parts of a healed partition, and lets a
-    /// member that starts reach its seeds.
+    /// Pings a random dead member, or several while no live member is known. Thus the sides of a healed partition merge again,
+    /// and a starting member reaches its seeds.
     pub(super) fn reconnect(&mut self) {
         if self.next_reconnect > self.now {
             return;
--- a/crates/membership/src/protocol/seeds.rs
+++ b/crates/membership/src/protocol/seeds.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl Membership {
-    /// The configured members without this one.
+    /// The configured members except this one.
     pub(super) fn other_seeds(&self) -> Vec<Seed> {
         let me = &self.settings.me.member;
         self.settings.seeds.iter().filter(|seed| seed.member != *me).cloned().collect()
@@ -28,7 +28,7 @@
             self.table.remove_seed(member, self.now);
             let entry = self.table.get(member);
             if !entry.is_some_and(|entry| self.is_allowed(entry.record.address.ip())) {
-                self.expel(member);
+                self.remove_disallowed_member(member);
             }
         }
         for seed in &seeds {
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Forgets a member that may not be one any more, and reports it as dead.
-    fn expel(&mut self, member: &MemberId) {
+    /// Removes a member that is no longer allowed in the group, and reports it as dead if it was live.
+    fn remove_disallowed_member(&mut self, member: &MemberId) {
         if let Some(entry) = self.table.get(member).filter(|entry| entry.record.state.is_live()) {
             let incarnation = entry.record.incarnation();
             let state = MemberState::Dead;
             self.actions.push(Action::MemberChanged { member: member.clone(), state, incarnation });
         }
-        self.forget(member);
+        self.remove_member(member);
     }
 }
--- a/crates/membership/src/protocol/sending.rs
+++ b/crates/membership/src/protocol/sending.rs
@@ -1,4 +1,4 @@
-//! Sending of messages within the bound of bytes a second.
+//! Sending messages within the send budget.
 use super::Membership;
 use crate::event::Action;
 use crate::outgoing::{Addressing, Deferred, Outgoing, Priority};
@@ -8,39 +8,39 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The bound of deferred messages.
+/// The maximum number of deferred messages.
 const MAX_DEFERRED: usize = 64;
 
-/// The bound of a message without updates, with signature and IP and UDP headers and the longest names.
-const PLAIN_MESSAGE_BYTES: u64 = 448;
+/// An upper bound of the size of a message without updates, with the longest names, signature, and IP and UDP headers.
+const BARE_MESSAGE_BYTES: u64 = 448;
 
-/// How much the length of a packet's list of updates may grow.
+/// The bytes reserved for the encoded length of a packet's list of updates, in addition to that of an empty list.
 const UPDATE_COUNT_BYTES: usize = 4;
 
 impl Membership {
     /// When a message without updates may be sent, or `None` if that is now.
     pub(super) fn budget_available_at(&mut self) -> Option<Time> {
-        if self.deferred.is_empty() && self.budget.available(self.now) >= PLAIN_MESSAGE_BYTES {
+        if self.deferred.is_empty() && self.budget.available(self.now) >= BARE_MESSAGE_BYTES {
             return None;
         }
-        let bytes = (self.deferred.len() as u64 + 1) * PLAIN_MESSAGE_BYTES;
-        // Later than now in any case, so that the host isn't woken at once again.
+        let bytes = (self.deferred.len() as u64 + 1) * BARE_MESSAGE_BYTES;
+        // Always later than now, so that the host isn't woken up again immediately.
         Some(self.budget.available_at(bytes).max(self.now + Duration::from_millis(1)))
     }
 
-    /// When the first deferred message may be sent.
+    /// When the first deferred message may be sent, or `None` if there is none.
     pub(super) fn next_deferred_at(&self) -> Option<Time> {
-        (!self.deferred.is_empty()).then(|| self.budget.available_at(PLAIN_MESSAGE_BYTES))
+        (!self.deferred.is_empty()).then(|| self.budget.available_at(BARE_MESSAGE_BYTES))
     }
 
-    /// Sends a message now, or defers it until the budget allows it; one of background priority is dropped then.
+    /// Sends a message now if the budget allows it. Otherwise defers it or, if it has background priority, drops it.
     pub(super) fn send(&mut self, outgoing: Outgoing) {
         let full_datagram = self.settings.max_datagram_bytes as u64 + IP_UDP_HEADER_BYTES;
         let can_spare = self.budget.available_for_updates(self.now) >= full_datagram;
-        let must_wait = !self.deferred.is_empty();
+        let has_deferred = !self.deferred.is_empty();
         match outgoing.priority {
-            Priority::Background if must_wait || !can_spare => {}
-            _ if must_wait || self.budget.available(self.now) < PLAIN_MESSAGE_BYTES => self.defer(outgoing),
+            Priority::Background if has_deferred || !can_spare => {}
+            _ if has_deferred || self.budget.available(self.now) < BARE_MESSAGE_BYTES => self.defer(outgoing),
             _ => self.send_now(&outgoing),
         }
     }
@@ -54,11 +54,11 @@
         self.deferred.push_back(Deferred { outgoing, since: self.now });
     }
 
-    /// Sends the deferred messages as far as the budget allows, and drops those that are too old to be of use.
+    /// Sends deferred messages as far as the budget allows, and drops those deferred for longer than a protocol period.
     pub(super) fn send_deferred(&mut self) {
         while let Some(first) = self.deferred.front() {
             let expired = self.now.since(first.since) > self.settings.probe_period;
-            if !expired && self.budget.available(self.now) < PLAIN_MESSAGE_BYTES {
+            if !expired && self.budget.available(self.now) < BARE_MESSAGE_BYTES {
                 return;
             }
             let Some(first) = self.deferred.pop_front() else { return };
@@ -88,7 +88,7 @@
         let mut packet = self.packet(outgoing.message.clone());
         let known = self.sealer.incarnation_of(to);
         let incarnation = known.filter(|_| outgoing.addressing == Addressing::KnownIncarnation);
-        // The receiver uses updates only if its incarnation is addressed.
+        // The receiver ignores updates in packets that are not addressed to its incarnation.
         if incarnation.is_some() {
             let space = self.space_for_updates(to, &packet);
             packet.updates = self.collect_updates(to, space, outgoing.sync_against);
@@ -104,7 +104,7 @@
         self.transmit(address, bytes, update_bytes);
     }
 
-    /// How many bytes of updates fit into a datagram with this packet, and into the budget.
+    /// The bytes of updates that fit into both the datagram of this packet and the send budget.
     fn space_for_updates(&mut self, to: &MemberId, packet: &Packet) -> usize {
         let header = IP_UDP_HEADER_BYTES as usize;
         let max_datagram = self.settings.max_datagram_bytes;
@@ -115,7 +115,7 @@
         (max_datagram + header).min(allowed).saturating_sub(without_updates + UPDATE_COUNT_BYTES)
     }
 
-    /// Sends an ack without updates to a member that may be unknown, addressed to the incarnation that it stated.
+    /// Sends an ack without updates to a possibly unknown member, addressed to the incarnation that it stated.
     pub(super) fn send_bare_ack(
         &mut self,
         to: &MemberId,
@@ -123,18 +123,18 @@
         incarnation: u64,
         sequence: u32,
     ) {
-        if self.budget.available(self.now) < PLAIN_MESSAGE_BYTES {
+        if self.budget.available(self.now) < BARE_MESSAGE_BYTES {
             self.counters.messages_dropped += 1;
             return;
         }
         let packet = self.packet(Message::Ack { sequence });
-        // An answer that can't be signed is lost, as it might be on the network: the other member asks again.
+        // An ack that can't be signed is dropped, as if lost on the network: the other member will ping again.
         if let Ok(bytes) = self.sealer.seal_to(to, Some(incarnation), &packet.encode()) {
             self.transmit(address, bytes, 0);
         }
     }
 
-    /// Outputs a datagram, `update_bytes` of which are updates.
+    /// Outputs a datagram that contains `update_bytes` bytes of updates.
     fn transmit(&mut self, to: SocketAddr, bytes: Vec<u8>, update_bytes: u64) {
         let size = bytes.len() as u64 + IP_UDP_HEADER_BYTES;
         let update_bytes = update_bytes.min(size);
@@ -147,7 +147,7 @@
         self.actions.push(Action::Send { to, bytes });
     }
 
-    /// Sends updates besides those on probes, while there are some and bytes to spare.
+    /// Sends queued updates in addition to those on probes, as far as the send budget allows.
     pub(super) fn gossip(&mut self) {
         if self.update_queue.is_empty() || self.next_gossip > self.now {
             return;
--- a/crates/membership/src/protocol/updates.rs
+++ b/crates/membership/src/protocol/updates.rs
@@ -1,16 +1,16 @@
-//! Choice of the updates that a packet carries.
+//! Selection of the updates that a packet carries.
 use super::Membership;
 use crate::digest::Digest;
 use crate::member::MemberState;
 use crate::update_batch::UpdateBatch;
-use crate::update_queue::{Offer, UpdateKey};
+use crate::update_queue::{OfferOutcome, UpdateKey};
 use crate::wire::Update;
 use cluster_types::MemberId;
 use rand::Rng;
 
 impl Membership {
-    /// The updates for a packet, up to `max_bytes`: first what the receiver has to refute, then what is to be disseminated, then
-    /// what the receiver may lack.
+    /// Selects the updates for a packet, up to `max_bytes`: first a report that the receiver has to refute, then queued
+    /// updates, then those that the receiver may lack.
     pub(super) fn collect_updates(
         &mut self,
         to: &MemberId,
@@ -28,11 +28,11 @@
         batch.into_updates()
     }
 
-    /// Adds what is known of the receiver, if it isn't held alive: it refutes that.
+    /// Adds the record of the receiver if it is not alive, so that the receiver can refute it.
     fn add_report_of_receiver(&self, to: &MemberId, batch: &mut UpdateBatch) {
         let Some(record) = self.table.get(to).map(|entry| &entry.record) else { return };
         if record.state != MemberState::Alive && record.base_incarnation > 0 {
-            // Without space for it, a later packet carries it.
+            // If it doesn't fit, a later packet carries it.
             batch.push(Update::Member(record.clone()));
         }
     }
@@ -49,13 +49,14 @@
                 UpdateKey::Claim(subject, source) => claims.record(subject, source, now).map(Update::Claim),
             };
             match update {
-                Some(update) => Offer::from_fit(batch.push(update)),
-                None => Offer::Gone,
+                Some(update) => OfferOutcome::from_fit(batch.push(update)),
+                None => OfferOutcome::Obsolete,
             }
         });
     }
 
-    /// Adds the members of the parts in which the digests differ, from a random one on. Returns whether all of them fitted.
+    /// Adds the members of the buckets in which the digests differ, starting at a random one. Returns whether all of them
+    /// fitted.
     fn add_differing_members(&mut self, theirs: &Digest, batch: &mut UpdateBatch) -> bool {
         let ours = self.digest();
         let first = self.rng.random_range(0..self.table.len().max(1));
@@ -65,7 +66,8 @@
         differing.all(|record| batch.push(Update::Member(record.clone())))
     }
 
-    /// Adds the claims of the parts in which the digests differ, from a random one on. Returns whether all of them fitted.
+    /// Adds the claims of the buckets in which the digests differ, starting at a random one. Returns whether all of them
+    /// fitted.
     fn add_differing_claims(&mut self, theirs: &Digest, batch: &mut UpdateBatch) -> bool {
         let ours = self.digest();
         if !ours.claims_differ(theirs) {
--- a/crates/membership/src/send_budget.rs
+++ b/crates/membership/src/send_budget.rs
@@ -1,11 +1,11 @@
-//! The bound of bytes sent a second: token buckets.
+//! The limit of the sending rate: token buckets.
 use cluster_types::Time;
 use std::time::Duration;
 
-/// What a datagram takes on the wire besides its payload: IPv6 and UDP headers. It is counted for IPv4 too, where it is 28.
+/// The size of the IPv6 and UDP headers of a datagram. It is used for IPv4 too, where the actual size is 28.
 pub const IP_UDP_HEADER_BYTES: u64 = 48;
 
-/// The buckets count in millionths of a byte, so that a microsecond's refill is a whole number.
+/// Bucket levels are in millionths of a byte, so that the refill for one microsecond is an integer.
 const MICROBYTES_PER_BYTE: u64 = 1_000_000;
 
 /// One token bucket.
@@ -17,7 +17,7 @@
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     fn new(bytes_per_second: u64, burst_bytes: u64) -> Bucket {
         Bucket { bytes_per_second, burst_bytes, level_microbytes: burst_bytes * MICROBYTES_PER_BYTE }
     }
@@ -37,15 +37,15 @@
         self.level_microbytes = self.level_microbytes.saturating_sub(microbytes);
     }
 
-    /// How many bytes it holds beyond half of its burst.
+    /// The level in excess of half of the burst size, in bytes.
     fn level_above_half(&self) -> u64 {
         self.level_bytes().saturating_sub(self.burst_bytes / 2)
     }
 }
 
-/// Two buckets: a quarter of the rate is reserved for updates, so that they spread even if probes alone would take all, as at a
-/// seed that every member knows and that knows none. The rest is for probes and their answers, and for updates too while
-/// that bucket is more than half full.
+/// Two token buckets. A quarter of the rate is reserved for updates, so that they are disseminated even if probes alone would
+/// exhaust the budget, as at a restarted seed that every member probes while it knows none of them. The rest is for probes
+/// and their answers; updates may use it too while that bucket is more than half full.
 #[derive(Clone, Debug)]
 pub struct SendBudget {
     probes: Bucket,
@@ -54,7 +54,7 @@
 }
 
 impl SendBudget {
-    /// A full budget, refilled from `now` on.
+    /// Creates a full budget, refilled from `now` on.
     pub fn new(bytes_per_second: u64, burst_bytes: u64, now: Time) -> SendBudget {
         let (update_rate, update_burst) = (bytes_per_second / 4, burst_bytes / 4);
         SendBudget {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Adds what the time since the last call allows.
+    /// Refills the buckets for the time since the last refill.
     pub fn refill(&mut self, now: Time) {
         let micros = u64::try_from(now.since(self.refilled_at).as_micros()).unwrap_or(u64::MAX);
         self.probes.refill(micros);
@@ -72,19 +72,19 @@
         self.refilled_at = self.refilled_at.max(now);
     }
 
-    /// How many bytes a message may take now, apart from its updates.
+    /// The bytes available now for a message, excluding its updates.
     pub fn available(&mut self, now: Time) -> u64 {
         self.refill(now);
         self.probes.level_bytes()
     }
 
-    /// How many bytes updates may take now.
+    /// The bytes available now for updates.
     pub fn available_for_updates(&mut self, now: Time) -> u64 {
         self.refill(now);
         self.updates.level_bytes() + self.probes.level_above_half()
     }
 
-    /// Takes the bytes of a message and of the updates on it. Returns false, and takes nothing, if there are not enough.
+    /// Takes the bytes of a message and of its updates. If the budget doesn't suffice, takes nothing and returns false.
     pub fn take(&mut self, now: Time, message_bytes: u64, update_bytes: u64) -> bool {
         let allowed = update_bytes.min(self.available_for_updates(now));
         let from_updates = allowed.min(self.updates.level_bytes());
@@ -97,7 +97,7 @@
         enough
     }
 
-    /// When a message of that many bytes may be sent, as seen from the last refill.
+    /// When `bytes` will be available for a message, computed from the last refill.
     pub fn available_at(&self, bytes: u64) -> Time {
         let needed = bytes.saturating_mul(MICROBYTES_PER_BYTE);
         let missing = needed.saturating_sub(self.probes.level_microbytes);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -14,17 +14,17 @@
 const MAX_SEND_BYTES: u64 = 1 << 30;
 const MIN_BURST_DATAGRAMS: u64 = 4;
 
-/// What is wrong with settings. The text begins with the field.
+/// An invalid setting. The text begins with the name of the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// A seed's name, zone or port is out of bounds.
-    #[error("seeds: {0}: a name of 1 to {MAX_NAME_BYTES} bytes, a zone of no more, a port")]
+    #[error("seeds: {0}: must have a name of 1 to {MAX_NAME_BYTES} bytes, a zone of at most as many, and a port above 0")]
     Seed(MemberId),
     /// Two seeds have the same name.
-    #[error("seeds: two of one name")]
+    #[error("seeds: names must be unique")]
     DuplicateSeed,
-    /// There are more seeds than members may be known.
-    #[error("seeds: more than may be known at once")]
+    /// There are more seeds than `max_members` allows.
+    #[error("seeds: must be no more than max_members")]
     TooManySeeds,
     /// The process has no incarnation.
     #[error("incarnation: must be above 0")]
@@ -32,29 +32,33 @@
     /// `max_members` is out of bounds.
     #[error("max_members: must be 1 to {MAX_MEMBERS}")]
     MaxMembers,
-    /// An interval or a validity is 0.
-    #[error("probe_period: spans must be above 0")]
+    /// An interval or the maximum validity of claims is 0.
+    #[error("probe_period: all intervals and max_claim_validity must be above 0")]
     ZeroSpan,
     /// `probe_timeout` is out of bounds.
-    #[error("probe_timeout: must be at most a third of the period, so that an answer through others fits")]
+    #[error(
+        "probe_timeout: must be above 0 and at most a third of probe_period, so that an indirect probe fits"
+    )]
     ProbeTimeout,
     /// `max_claim_validity` is too long.
     #[error("max_claim_validity: must be at most an hour")]
     MaxClaimValidity,
     /// A multiplier or the fanout is 0.
-    #[error("suspicion_multiplier: suspicion, retransmit and fanout must be above 0")]
+    #[error("suspicion_multiplier: must be above 0, as must retransmit_multiplier and gossip_fanout")]
     ZeroMultiplier,
     /// `max_datagram_bytes` is out of bounds.
     #[error("max_datagram_bytes: must be {} to {}", DATAGRAM_BYTES.start(), DATAGRAM_BYTES.end())]
     MaxDatagramBytes,
     /// `bytes_per_second` or `burst_bytes` is out of bounds.
-    #[error("bytes_per_second: at least {MIN_BYTES_PER_SECOND} a second and a burst of four datagrams")]
+    #[error(
+        "bytes_per_second: must be at least {MIN_BYTES_PER_SECOND}, and burst_bytes at least four datagrams"
+    )]
     SendBudget,
     /// `max_claims_per_source` is 0.
     #[error("max_claims_per_source: must be above 0")]
     ZeroClaims,
-    /// A share isn't one.
-    #[error("max_ejected_share: shares must be 0 to 1")]
+    /// A share is not in the range 0 to 1.
+    #[error("max_ejected_share: must be 0 to 1, as must ejected_traffic_share")]
     Share,
 }
 
@@ -65,43 +69,43 @@
     pub me: Seed,
     /// The incarnation of this process, see [`message_auth::new_incarnation`].
     pub incarnation: u64,
-    /// The configured members; this one may be among them.
+    /// The configured members, with or without this one.
     pub seeds: Vec<Seed>,
-    /// Members that aren't configured may join from addresses in these networks.
+    /// The networks from which members that are not configured may join.
     pub allowed_networks: Vec<IpNet>,
-    /// How many other members are known at once.
+    /// The maximum number of other members in the member table.
     pub max_members: usize,
-    /// SWIM's protocol period: one probe is started in each.
+    /// SWIM's protocol period, in which one probe is started.
     pub probe_period: Duration,
-    /// How long a direct answer may take before other members are asked to probe.
+    /// How long to wait for a direct answer before other members are asked for an indirect probe.
     pub probe_timeout: Duration,
-    /// How many members are asked.
+    /// How many members are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// A suspicion lasts this many periods, times the logarithm (base 10, at least 1) of the number of live members.
+    /// A suspicion lasts this many protocol periods, times the logarithm (base 10, at least 1) of the number of live members.
     pub suspicion_multiplier: u32,
     /// Each update is sent this many times the natural logarithm of the number of live members.
     pub retransmit_multiplier: u32,
-    /// How often updates are sent besides those on probes.
+    /// The interval at which updates are sent in addition to those on probes.
     pub gossip_interval: Duration,
-    /// To how many members they are sent then.
+    /// The number of members to which these additional updates are sent.
     pub gossip_fanout: usize,
-    /// How often a dead member or silent seed is contacted.
+    /// The interval at which a dead member or unreachable seed is contacted.
     pub reconnect_interval: Duration,
-    /// How long a dead member that isn't configured is remembered.
+    /// How long a member that is neither live nor configured is kept in the member table.
     pub forget_after: Duration,
-    /// The bound of bytes sent a second, with IP and UDP headers.
+    /// The maximum number of bytes sent per second, including IP and UDP headers.
     pub bytes_per_second: u64,
-    /// How many of them may be sent at once.
+    /// The maximum burst, in bytes.
     pub burst_bytes: u64,
-    /// The bound of a datagram's payload, in bytes.
+    /// The maximum size of a datagram's payload, in bytes.
     pub max_datagram_bytes: usize,
-    /// How many claims of one source are held.
+    /// The maximum number of claims per source.
     pub max_claims_per_source: usize,
-    /// How long a claim may count.
+    /// The maximum validity of a claim.
     pub max_claim_validity: Duration,
     /// The share of all backends that may be ejected, from 0 to 1.
     pub max_ejected_share: f32,
-    /// The share of its usual traffic that an ejected backend still gets, from 0 to 1.
+    /// The share of its usual traffic that an ejected backend still receives, from 0 to 1.
     pub ejected_traffic_share: f32,
 }
 
@@ -136,7 +140,7 @@
     /// Checks that all fields are within their bounds.
     ///
     /// # Errors
-    /// The first field that isn't.
+    /// The first field that is out of bounds.
     pub fn validate(&self) -> Result<(), SettingsError> {
         validate_seeds(&self.me, &self.seeds, self.max_members)?;
         if self.incarnation == 0 {
@@ -189,7 +193,7 @@
     }
 }
 
-/// Checks the configured members.
+/// Checks the configured members and this one.
 pub(crate) fn validate_seeds(me: &Seed, seeds: &[Seed], max_members: usize) -> Result<(), SettingsError> {
     for seed in seeds.iter().chain([me]) {
         let (name, zone) = (seed.member.0.len(), seed.zone.0.len());
--- a/crates/membership/src/update_batch.rs
+++ b/crates/membership/src/update_batch.rs
@@ -1,7 +1,7 @@
 //! The updates of one packet.
 use crate::wire::Update;
 
-/// Updates up to a bound of their encoded size.
+/// A list of updates with a maximum encoded size.
 pub struct UpdateBatch {
     updates: Vec<Update>,
     remaining_bytes: usize,
--- a/crates/membership/tests/claim_table.rs
+++ b/crates/membership/tests/claim_table.rs
@@ -1,4 +1,4 @@
-//! Claims of one source replace each other, end, and are bounded.
+//! Tests replacement, expiry and limits of the claims of one source.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::Time;
 use membership::claim_table::{AdoptOutcome, ClaimTable};
@@ -16,33 +16,33 @@
     Time(ms * 1_000)
 }
 
-/// The number of claims by either index; all are of one source.
+/// The total number of claims, and the number by source. All are of one source, so both must be equal.
 fn counts(claims: &ClaimTable) -> (usize, usize) {
     (claims.count(), claims.count_of(&"a".into()))
 }
 
 #[test]
-fn newest_claim_of_source_counts_and_ages_add_up() {
+fn newest_claim_replaces_older_and_ages_accumulate_over_hops() {
     let x = Subject::Backend("x".into());
     let mut first = ClaimTable::new(4, Duration::from_secs(60));
     let adopted = first.adopt(&claim(5, "x", ClaimKind::Unresponsive, 3_000), at(100));
     assert_eq!(adopted, AdoptOutcome::Adopted);
-    let passed_on = first.record(&x, &"a".into(), at(2_100)).unwrap();
-    assert_eq!(passed_on.age_ms, 5_001);
-    // On another process's clock it ends no later than here.
+    let forwarded = first.record(&x, &"a".into(), at(2_100)).unwrap();
+    assert_eq!(forwarded.age_ms, 5_001);
+    // By the clock of another process, the claim doesn't expire later than in the first table.
     let mut second = ClaimTable::new(4, Duration::from_secs(60));
-    assert_eq!(second.adopt(&passed_on, at(900_000)), AdoptOutcome::Adopted);
+    assert_eq!(second.adopt(&forwarded, at(900_000)), AdoptOutcome::Adopted);
     assert_eq!(second.next_deadline(), Some(at(904_999)));
     let same_number = claim(5, "x", ClaimKind::Healthy, 0);
     assert_eq!(first.adopt(&same_number, at(2_200)), AdoptOutcome::Outdated);
     let next_number = claim(6, "x", ClaimKind::Healthy, 0);
     assert_eq!(first.adopt(&next_number, at(2_200)), AdoptOutcome::Adopted);
-    assert!(!first.about(&x).any(|(_, claim)| claim.is_negative(at(2_300))));
+    assert!(!first.claims_about(&x).any(|(_, claim)| claim.is_negative(at(2_300))));
     assert_eq!(counts(&first), (1, 1));
 }
 
 #[test]
-fn ended_claim_is_not_brought_back_and_leaves_nothing_behind() {
+fn expired_claim_is_not_restored_by_late_copy_and_is_removed() {
     let mut claims = ClaimTable::new(4, Duration::from_secs(60));
     claims.adopt(&claim(5, "x", ClaimKind::Unresponsive, 0), at(0));
     assert_eq!(claims.expire(at(9_999)), []);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn source_is_bounded_and_only_claims_that_do_not_count_are_evicted() {
+fn limits_claims_per_source_and_evicts_only_non_negative_ones() {
     let mut claims = ClaimTable::new(2, Duration::from_secs(60));
     for (number, of) in [(1, "x"), (2, "y")] {
         assert_eq!(claims.adopt(&claim(number, of, ClaimKind::Slow, 0), at(0)), AdoptOutcome::Adopted);
--- a/crates/membership/tests/convergence.rs
+++ b/crates/membership/tests/convergence.rs
@@ -1,27 +1,27 @@
-//! All members converge on one view, whatever the network and the processes did before.
+//! Tests that all members converge on one view after network and process faults.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod sim;
 
 use membership::{Event, MemberState};
 use rand::Rng;
-use sim::{name, seeds, Sim, INCARNATION_STEP};
+use sim::{name, run_with_seeds, Sim, INCARNATION_STEP};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// After healing, all have one view within this time. The longest way to it: a probe fails at a member with bad local health (4 s),
-/// its suspicion ends (16 s at 5 members, 32 s at 100), and what was reported wrongly meanwhile is refuted.
-const CONVERGENCE: Duration = Duration::from_secs(40);
+/// The maximum time to converge once all faults have ended. In the worst case a probe fails at a member with bad local health
+/// (4 s), its suspicion times out (16 s with 5 members, 32 s with 100), and false reports made meanwhile are refuted.
+const MAX_CONVERGENCE: Duration = Duration::from_secs(40);
 
 fn secs(secs: u64) -> Duration {
     Duration::from_secs(secs)
 }
 
-/// Whether some member put `other` into that state, from the change of that number on.
-fn was_held(sim: &Sim, from: usize, other: usize, state: MemberState) -> bool {
-    sim.changes[from..].iter().any(|(_, _, member, held)| *member == name(other) && *held == state)
+/// Whether any member marked `other` with that state, in the changes from index `from` on.
+fn was_marked(sim: &Sim, from: usize, other: usize, state: MemberState) -> bool {
+    sim.changes[from..].iter().any(|(_, _, member, marked)| *member == name(other) && *marked == state)
 }
 
-/// A random fault of links, processes or clocks, or the end of all faults.
+/// Injects a random link or process fault, or ends all link faults and stalls.
 fn inject_fault(sim: &mut Sim) {
     let count = sim.nodes.len();
     let index = sim.rng.random_range(0..count);
@@ -46,8 +46,8 @@
     }
 }
 
-/// Faults for a while, then none: all that run converge on one view, and keep it.
-fn converges_after_faults(count: usize, seed: u64, faults: usize) {
+/// Injects faults, ends them, and asserts that all running members converge on one view and keep it.
+fn assert_converges_after_faults(count: usize, seed: u64, faults: usize) {
     let mut sim = Sim::started(count, seed);
     sim.delay_ms = (1, sim.rng.random_range(2..200));
     sim.duplication = 0.1;
@@ -60,26 +60,26 @@
     sim.loss = 0.01;
     sim.delay_ms = (1, 20);
     let stopped: Vec<usize> = (0..count).filter(|index| sim.nodes[*index].membership.is_none()).collect();
-    // Some that were killed stay so; most are started again.
+    // Most of the killed members are restarted; the others stay stopped.
     let restarted = stopped.iter().filter(|index| **index % 4 != 3);
     restarted.for_each(|index| sim.start(*index));
-    sim.converge(CONVERGENCE);
+    sim.converge(MAX_CONVERGENCE);
     let from = sim.changes.len();
     sim.run(secs(5));
-    let held_dead = |index: &usize| {
-        sim.nodes[*index].membership.is_some() && was_held(&sim, from, *index, MemberState::Dead)
+    let was_marked_dead = |index: &usize| {
+        sim.nodes[*index].membership.is_some() && was_marked(&sim, from, *index, MemberState::Dead)
     };
-    assert_eq!((0..count).find(held_dead), None, "held dead without a fault");
+    assert_eq!((0..count).find(was_marked_dead), None, "a running member was marked as dead without a fault");
 }
 
 #[test]
 fn five_members_converge_after_faults() {
-    seeds(200, |seed| converges_after_faults(5, seed, 8));
+    run_with_seeds(200, |seed| assert_converges_after_faults(5, seed, 8));
 }
 
 #[test]
 fn twenty_five_members_converge_after_faults() {
-    seeds(4, |seed| converges_after_faults(25, seed + 1_000, 10));
+    run_with_seeds(4, |seed| assert_converges_after_faults(25, seed + 1_000, 10));
 }
 
 #[test]
@@ -91,37 +91,37 @@
     sim.run(secs(11));
     let views = (0..100).flat_map(|index| sim.view(index));
     let dead = views.filter(|member| member.state == MemberState::Dead).count();
-    assert!(dead > 1_000, "the partition was noticed: {dead}");
+    assert!(dead > 1_000, "the partition was not detected: {dead}");
     sim.heal();
-    sim.converge(CONVERGENCE);
+    sim.converge(MAX_CONVERGENCE);
 }
 
 #[test]
 #[ignore = "long: MEMBERS_TIMES=4 cargo test -p membership --release -- --ignored"]
 fn many_seeds_converge_after_faults() {
-    seeds(500, |seed| converges_after_faults(5, seed + 10_000, 25));
-    seeds(20, |seed| converges_after_faults(25, seed + 20_000, 25));
-    seeds(4, |seed| converges_after_faults(100, seed + 30_000, 12));
+    run_with_seeds(500, |seed| assert_converges_after_faults(5, seed + 10_000, 25));
+    run_with_seeds(20, |seed| assert_converges_after_faults(25, seed + 20_000, 25));
+    run_with_seeds(4, |seed| assert_converges_after_faults(100, seed + 30_000, 12));
 }
 
 #[test]
-fn detects_dead_member_and_accepts_its_return() {
-    seeds(8, |seed| {
+fn detects_dead_member_and_readmits_it_after_restart() {
+    run_with_seeds(8, |seed| {
         let mut sim = Sim::started(5, seed);
         sim.converge(secs(5));
         sim.kill(4);
-        // A period until it is probed by one of four, another for the probe, four of suspicion, one to disseminate.
+        // One period until one of the four probes it, one for the probe, four of suspicion, one for dissemination.
         sim.run(secs(10));
         assert!((0..4).all(|index| sim.state(index, 4) == Some(MemberState::Dead)));
         sim.start(4);
         sim.converge(secs(5));
-        // Restarted at once: the new incarnation is known though the old one was never held dead.
+        // After an immediate restart, the new incarnation is known though the old one was never marked as dead.
         let (from, incarnation) = (sim.changes.len(), sim.nodes[4].settings.incarnation);
         sim.kill(4);
         sim.start(4);
         sim.converge(secs(5));
         sim.run(secs(8));
-        assert!(!was_held(&sim, from, 4, MemberState::Dead));
+        assert!(!was_marked(&sim, from, 4, MemberState::Dead));
         let known = (0..4).map(|index| sim.view(index)[4].base_incarnation);
         assert!(known.into_iter().all(|known| known == incarnation + INCARNATION_STEP));
     });
@@ -129,7 +129,7 @@
 
 #[test]
 fn leaving_member_is_never_suspected() {
-    seeds(8, |seed| {
+    run_with_seeds(8, |seed| {
         let mut sim = Sim::started(25, seed);
         sim.converge(secs(10));
         sim.event(7, Event::Leave);
@@ -138,23 +138,26 @@
         sim.kill(7);
         sim.run(secs(10));
         assert!(sim.running().iter().all(|index| sim.state(*index, 7) == Some(MemberState::Left)));
-        assert!(!was_held(&sim, 0, 7, MemberState::Suspect) && !was_held(&sim, 0, 7, MemberState::Dead));
+        assert!(!was_marked(&sim, 0, 7, MemberState::Suspect) && !was_marked(&sim, 0, 7, MemberState::Dead));
         sim.start(7);
         sim.converge(secs(10));
     });
 }
 
 #[test]
-fn broken_links_and_deaf_member_cause_no_false_deaths() {
-    seeds(8, |seed| {
+fn failed_links_and_member_without_incoming_traffic_cause_no_false_deaths() {
+    run_with_seeds(8, |seed| {
         let mut sim = Sim::started(5, seed);
         sim.converge(secs(5));
         let from = sim.changes.len();
         sim.blocked.extend([(0, 1), (1, 0), (2, 3)]);
         sim.run(secs(20));
-        assert!((0..5).all(|index| !was_held(&sim, from, index, MemberState::Dead)), "others reach them");
+        assert!(
+            (0..5).all(|index| !was_marked(&sim, from, index, MemberState::Dead)),
+            "indirect probes must reach the members"
+        );
         sim.heal();
-        // The last member receives nothing, but sends.
+        // The last member can send but receives nothing, so it regards all others as dead.
         sim.blocked = (0..4).map(|from| (from, 4)).collect();
         let from = sim.changes.len();
         sim.run(secs(40));
@@ -164,13 +167,13 @@
         assert_eq!(wrong, None);
         assert!((0..4).all(|index| sim.state(index, 4) == Some(MemberState::Dead)));
         sim.heal();
-        sim.converge(CONVERGENCE);
+        sim.converge(MAX_CONVERGENCE);
     });
 }
 
 #[test]
-fn stalled_process_holds_no_member_dead() {
-    seeds(8, |seed| {
+fn stalled_process_marks_no_member_as_dead() {
+    run_with_seeds(8, |seed| {
         let mut sim = Sim::started(5, seed);
         sim.converge(secs(5));
         let from = sim.changes.len();
@@ -189,18 +192,18 @@
 
 #[test]
 fn converges_on_smallest_send_budget() {
-    seeds(2, |seed| {
+    run_with_seeds(2, |seed| {
         let mut sim = Sim::new(25, seed);
         for node in &mut sim.nodes {
             (node.settings.bytes_per_second, node.settings.burst_bytes) = (1_024, 4_800);
         }
         (0..25).for_each(|index| sim.start(index));
         sim.loss = 0.01;
-        // `run` checks each member's bytes.
+        // `run` checks that no member exceeds its send budget.
         sim.converge(secs(60));
         let from = sim.changes.len();
         sim.run(secs(30));
-        assert!((0..25).all(|index| !was_held(&sim, from, index, MemberState::Dead)));
+        assert!((0..25).all(|index| !was_marked(&sim, from, index, MemberState::Dead)));
         sim.kill(24);
         sim.run(secs(30));
         assert!((0..24).all(|index| sim.state(index, 24) == Some(MemberState::Dead)));
@@ -208,9 +211,9 @@
 }
 
 #[test]
-fn reachable_member_is_soon_held_alive() {
-    // After a partition, a member that is held dead is alive again within a contact and what it takes to disseminate it.
-    seeds(8, |seed| {
+fn members_marked_dead_during_partition_are_alive_again_soon() {
+    // After a partition, a dead member is alive again within one reconnect interval plus the time for dissemination.
+    run_with_seeds(8, |seed| {
         let mut sim = Sim::started(5, seed);
         sim.converge(secs(5));
         sim.partition(&BTreeSet::from([0, 3]));
--- a/crates/membership/tests/ejection.rs
+++ b/crates/membership/tests/ejection.rs
@@ -1,10 +1,10 @@
-//! What members claim of backends and zones, and which backends are ejected for it.
+//! Tests which backends are ejected because of the members' claims.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod sim;
 
 use cluster_types::{BackendId, Zone};
 use membership::{ClaimKind, Event, Observation, Subject};
-use sim::{seeds, Sim};
+use sim::{run_with_seeds, Sim};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -39,13 +39,13 @@
     ejections.iter().map(|ejection| ejection.backend.to_string()).collect()
 }
 
-/// Whatever is claimed: at most the configured share is ejected, and never all of a zone.
+/// Asserts that at most the configured share is ejected, and never all backends of a zone.
 fn assert_bounds(sim: &Sim, by: usize) {
     let ejected: BTreeSet<String> = ejected(sim, by).into_iter().collect();
     assert!(ejected.len() <= BACKENDS / 5);
-    let left = backends().into_iter().filter(|(backend, _)| !ejected.contains(&*backend.0));
-    let zones: BTreeSet<Zone> = left.map(|(_, zone)| zone).collect();
-    assert_eq!(zones.len(), 3, "each zone has a backend left");
+    let remaining = backends().into_iter().filter(|(backend, _)| !ejected.contains(&*backend.0));
+    let zones: BTreeSet<Zone> = remaining.map(|(_, zone)| zone).collect();
+    assert_eq!(zones.len(), 3, "each zone must keep a backend");
 }
 
 fn started(count: usize, seed: u64) -> Sim {
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn single_accuser_ejects_no_backend() {
-    seeds(4, |seed| {
+fn claims_of_single_member_eject_no_backend() {
+    run_with_seeds(4, |seed| {
         for count in [1, 2, 3, 5, 25] {
             let mut sim = started(count, seed);
             for _ in 0..4 {
@@ -72,8 +72,8 @@
 }
 
 #[test]
-fn quorum_ejects_at_all_members_in_one_order_until_withdrawn() {
-    seeds(4, |seed| {
+fn quorum_ejects_in_same_order_at_all_members_until_claims_end() {
+    run_with_seeds(4, |seed| {
         let mut sim = started(5, seed);
         for by in 0..3 {
             observe(&mut sim, by, 7, ClaimKind::Failing, 0.6);
@@ -83,7 +83,7 @@
         observe(&mut sim, 4, 9, ClaimKind::Unresponsive, 1.0);
         observe(&mut sim, 3, 9, ClaimKind::Unresponsive, 1.0);
         sim.run(secs(5));
-        // By score, then by name; what two of five claim doesn't count.
+        // Ordered by score, then by name. Claims of two of five members are no quorum.
         (0..5).for_each(|by| assert_eq!(ejected(&sim, by), ["box-03", "box-04", "box-07"]));
         let clock = sim.nodes[4].clock(sim.now);
         let verdict = sim.membership(4).verdict(&Subject::Backend(backend(7)), clock);
@@ -93,7 +93,7 @@
         observe(&mut sim, 0, 4, ClaimKind::Healthy, 1.0);
         sim.run(secs(5));
         (0..5).for_each(|by| assert_eq!(ejected(&sim, by), ["box-03", "box-07"]));
-        // No claim counts longer than its validity, however often it was passed on.
+        // No claim outlives its validity, no matter how often it was forwarded.
         sim.run(secs(21));
         (0..5).for_each(|by| assert_eq!(ejected(&sim, by), [""; 0]));
         let clock = |by: usize| sim.nodes[by].clock(sim.now);
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn ejects_no_more_than_share_and_never_all_of_zone() {
-    seeds(4, |seed| {
+fn ejects_at_most_configured_share_and_never_whole_zone() {
+    run_with_seeds(4, |seed| {
         let mut sim = started(5, seed);
         for by in 0..5 {
             for of in 0..BACKENDS {
@@ -121,11 +121,11 @@
 
 #[test]
 fn minority_partition_ejects_nothing() {
-    seeds(4, |seed| {
+    run_with_seeds(4, |seed| {
         let mut sim = started(5, seed);
         sim.partition(&BTreeSet::from([0, 1]));
         for _ in 0..6 {
-            // Each side misses the backends of the other's zones.
+            // Each side observes other backends as unresponsive.
             for by in 0..2 {
                 (0..10).for_each(|of| observe(&mut sim, by, of, ClaimKind::Unresponsive, 1.0));
             }
@@ -145,13 +145,13 @@
 
 #[test]
 fn claims_of_dead_member_do_not_count() {
-    seeds(4, |seed| {
+    run_with_seeds(4, |seed| {
         let mut sim = started(5, seed);
         (2..5).for_each(|by| observe(&mut sim, by, 3, ClaimKind::Slow, 1.0));
         sim.run(secs(5));
         assert_eq!(ejected(&sim, 0), ["box-03"]);
         sim.kill(4);
         sim.run(secs(10));
-        assert_eq!(ejected(&sim, 0), [""; 0], "two of five are no more than half");
+        assert_eq!(ejected(&sim, 0), [""; 0], "claims of two of five members are no quorum");
     });
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Holds the bytes of membership datagrams, and the text that operators read: each `.bin` file under `golden/` is one packet
-//! as it is sent before signing.
+//! Tests that the wire format of datagrams and the operators' status text don't change: each `.bin` file under `golden/` is
+//! one packet before signing.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use golden_files::GoldenFiles;
 use membership::wire::{ClaimRecord, MemberRecord, Message, Packet, Update};
@@ -57,7 +57,7 @@
     }
 }
 
-/// Checks that encoding gives the file, and that decoding and encoding the file gives it again.
+/// Asserts that the encoded packet equals the file, and that the file decodes to the packet and back.
 fn assert_golden(name: &str, packet: &Packet) {
     let bytes = GOLDEN.bytes(name);
     assert_eq!(packet.encode(), bytes, "{name}");
@@ -74,7 +74,7 @@
 #[case("indirect_nack.bin", Message::IndirectNack { sequence: 5 })]
 #[case("gossip.bin", Message::Gossip)]
 #[case("leave.bin", Message::Leave)]
-fn holds_bytes_of_each_message(#[case] name: &str, #[case] message: Message) {
+fn each_message_matches_golden_file(#[case] name: &str, #[case] message: Message) {
     assert_golden(name, &packet(message, Vec::new()));
 }
 
@@ -83,7 +83,7 @@
 #[case("member_suspect.bin", MemberState::Suspect)]
 #[case("member_dead.bin", MemberState::Dead)]
 #[case("member_left.bin", MemberState::Left)]
-fn holds_bytes_of_each_member_state(#[case] name: &str, #[case] state: MemberState) {
+fn each_member_state_matches_golden_file(#[case] name: &str, #[case] state: MemberState) {
     assert_golden(name, &packet(Message::Gossip, vec![Update::Member(record(state))]));
 }
 
@@ -92,18 +92,18 @@
 #[case("claim_slow.bin", ClaimKind::Slow)]
 #[case("claim_failing.bin", ClaimKind::Failing)]
 #[case("claim_healthy.bin", ClaimKind::Healthy)]
-fn holds_bytes_of_each_claim_kind(#[case] name: &str, #[case] kind: ClaimKind) {
+fn each_claim_kind_matches_golden_file(#[case] name: &str, #[case] kind: ClaimKind) {
     assert_golden(name, &packet(Message::Gossip, vec![backend_claim(kind)]));
 }
 
 #[test]
-fn holds_bytes_of_claim_about_zone() {
+fn claim_about_zone_matches_golden_file() {
     let update = Update::Claim(claim(Subject::Zone("hall-b".into()), ClaimKind::Slow));
     assert_golden("claim_about_zone.bin", &packet(Message::Gossip, vec![update]));
 }
 
 #[test]
-fn holds_bytes_of_ipv6_addresses_and_several_updates() {
+fn ipv6_addresses_and_several_updates_match_golden_file() {
     let address = SocketAddr::from((Ipv6Addr::new(0x2001, 0xdb8, 0, 0, 0, 0, 0, 9), 7_946));
     let own = MemberRecord { address, ..record(MemberState::Suspect) };
     let mut packet =
@@ -113,13 +113,13 @@
 }
 
 #[test]
-fn holds_size_of_updates() {
+fn updates_keep_their_encoded_size() {
     assert_eq!(Update::Member(record(MemberState::Alive)).encoded_size(), 34);
     assert_eq!(backend_claim(ClaimKind::Slow).encoded_size(), 33);
 }
 
 #[test]
-fn holds_operators_text() {
+fn operators_text_matches_golden_file() {
     let counters = Counters {
         probes_started: 1,
         probes_failed: 2,
--- a/crates/membership/tests/harness/mod.rs
+++ b/crates/membership/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! One member under test, and another whose messages are made up.
+//! A harness with one member under test, and a Byzantine member whose messages are forged by the tests.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::{MemberId, Time};
 use membership::wire::{ClaimRecord, MemberRecord, Message, Packet, Update};
@@ -25,12 +25,12 @@
     Keys::new([1; 32], None)
 }
 
-/// Member 0, which knows four others, and member 1, whose messages are made up.
+/// Member 0, which is under test and knows four others, and the sealer of member 1, which is Byzantine.
 pub struct Harness {
-    pub victim: Membership,
-    pub liar: Sealer,
+    pub membership: Membership,
+    pub byzantine_sealer: Sealer,
     pub now: Time,
-    /// What the last message led to.
+    /// The actions that resulted from the last message.
     pub actions: Vec<Action>,
 }
 
@@ -39,24 +39,24 @@
         let mut settings = Settings::new(seed(0), INCARNATION, vec![seed(0), seed(1), seed(2)]);
         settings.allowed_networks = vec!["10.0.0.0/24".parse().unwrap()];
         settings.max_members = max_members;
-        let mut liar = Sealer::new(keys(), name(1), INCARNATION);
-        liar.learn_incarnation(&name(0), INCARNATION);
-        let victim = Membership::new(settings, keys(), Time(0), 1).unwrap();
-        let mut harness = Harness { victim, liar, now: Time(0), actions: Vec::new() };
+        let mut byzantine_sealer = Sealer::new(keys(), name(1), INCARNATION);
+        byzantine_sealer.learn_incarnation(&name(0), INCARNATION);
+        let membership = Membership::new(settings, keys(), Time(0), 1).unwrap();
+        let mut harness = Harness { membership, byzantine_sealer, now: Time(0), actions: Vec::new() };
         harness.report((2..5).map(|index| member_update(index, 0, MemberState::Alive)).collect());
         harness
     }
 
-    /// The victim receives a signed message with that body.
+    /// Delivers a signed message with this body to the member under test.
     pub fn receive(&mut self, body: &[u8]) {
-        let bytes = self.liar.seal(Some(&name(0)), body).unwrap();
+        let bytes = self.byzantine_sealer.seal(Some(&name(0)), body).unwrap();
         self.now = self.now + Duration::from_millis(1);
         self.actions.clear();
         let event = Event::Datagram { from: address(1), bytes };
-        self.victim.handle(self.now, event, &mut self.actions);
+        self.membership.handle(self.now, event, &mut self.actions);
     }
 
-    /// The victim receives these updates.
+    /// Delivers a packet with these updates to the member under test.
     pub fn report(&mut self, updates: Vec<Update>) {
         let packet = Packet {
             message: Message::Gossip,
@@ -70,7 +70,7 @@
     }
 
     pub fn state(&self, index: u8) -> Option<MemberState> {
-        let view = self.victim.view();
+        let view = self.membership.view();
         view.into_iter().find(|member| member.member == name(index)).map(|member| member.state)
     }
 }
--- a/crates/membership/tests/security.rs
+++ b/crates/membership/tests/security.rs
@@ -1,4 +1,4 @@
-//! Forged and replayed messages, and the rotation of keys.
+//! Tests forged and replayed messages, and key rotation.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod sim;
 
@@ -7,7 +7,7 @@
 use message_auth::Keys;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use sim::{seeds, Sim, KEY};
+use sim::{run_with_seeds, Sim, KEY};
 use std::time::Duration;
 
 const NEXT_KEY: [u8; 32] = [77; 32];
@@ -16,7 +16,7 @@
     Duration::from_secs(secs)
 }
 
-/// All that a run led to, except for the counts of rejected messages.
+/// The result of a run, without the counters of rejected messages.
 #[derive(Debug, PartialEq)]
 struct Outcome {
     views: Vec<Vec<Member>>,
@@ -33,8 +33,8 @@
     }
 }
 
-/// A run with a death and some loss, with or without an attacker who copies, changes and resends datagrams. Returns the
-/// number of rejected messages too.
+/// Runs a group with packet loss and the death of a member, with or without an attacker who captures, modifies and replays
+/// datagrams. Also returns the number of rejected messages.
 fn run(seed: u64, attacked: bool) -> (Outcome, u64) {
     let mut sim = Sim::started(5, seed);
     (sim.loss, sim.tap) = (0.05, Some(Vec::new()));
@@ -47,7 +47,8 @@
         let seen = sim.tap.as_mut().map(std::mem::take).unwrap_or_default();
         for (from, to, bytes) in seen.into_iter().filter(|_| attacked) {
             let after = Duration::from_micros(attacker.random_range(500_000..5_000_000));
-            // A lost datagram may arrive late: that is no attack. One that arrived is replayed, forged, or sent to another member.
+            // Replays only datagrams that were delivered: the late arrival of a lost one is legitimate. Each datagram is also
+            // forged, and sent to another member.
             let mut forged = bytes.clone();
             let at = attacker.random_range(0..forged.len());
             forged[at] ^= 1 << attacker.random_range(0..8);
@@ -65,8 +66,8 @@
 }
 
 #[test]
-fn forged_and_replayed_messages_change_nothing() {
-    seeds(8, |seed| {
+fn forged_and_replayed_messages_change_no_state() {
+    run_with_seeds(8, |seed| {
         let ((undisturbed, _), (attacked, rejected)) = (run(seed, false), run(seed, true));
         assert!(rejected > 300, "{rejected}");
         assert_eq!(undisturbed, attacked);
@@ -74,12 +75,12 @@
 }
 
 #[test]
-fn messages_recorded_before_restart_change_nothing_after_it() {
-    seeds(8, |seed| {
+fn messages_recorded_before_restart_change_no_state_after_it() {
+    run_with_seeds(8, |seed| {
         let mut sim = Sim::started(5, seed);
         sim.tap = Some(Vec::new());
         sim.converge(secs(5));
-        // The record has a time when 3 was held dead, and 4 had another incarnation.
+        // The recording covers a time when member 3 was marked as dead and member 4 had another incarnation.
         sim.kill(3);
         sim.run(secs(10));
         sim.kill(4);
@@ -87,14 +88,14 @@
         sim.run(secs(1));
         sim.start(4);
         sim.converge(secs(20));
-        let record = sim.tap.take().unwrap();
+        let recording = sim.tap.take().unwrap();
         for index in 0..3 {
             sim.kill(index);
             sim.start(index);
         }
         sim.converge(secs(20));
         let (before, views) = (sim.changes.len(), outcome(&sim).views);
-        for (from, to, bytes) in record {
+        for (from, to, bytes) in recording {
             let after = Duration::from_micros(sim.rng.random_range(0..3_000_000));
             sim.inject(from, to, bytes, after);
         }
@@ -107,7 +108,7 @@
 #[test]
 fn key_rotation_loses_no_member() {
     let steps: [fn(&Keys) -> Keys; 3] = [|keys| keys.accept_next(NEXT_KEY), Keys::rotate, Keys::retire];
-    seeds(4, |seed| {
+    run_with_seeds(4, |seed| {
         let mut sim = Sim::started(25, seed);
         sim.loss = 0.01;
         sim.converge(secs(10));
@@ -124,7 +125,8 @@
         let dead = sim.changes[before..].iter().find(|(_, _, _, state)| *state == MemberState::Dead);
         assert_eq!(dead, None);
         assert_eq!(sim.converge(secs(5)), Duration::ZERO);
-        // A member that was forgotten, and still signs with the old key, is held dead and its messages are rejected.
+        // A member that was missed by the rotation still signs with the old key: its messages are rejected, and it is
+        // marked as dead.
         sim.nodes[9].keys = Keys::new(KEY, None);
         sim.kill(9);
         sim.start(9);
--- a/crates/membership/tests/send_budget.rs
+++ b/crates/membership/tests/send_budget.rs
@@ -1,4 +1,4 @@
-//! The bound of bytes a second, and how probes and updates share it.
+//! Tests the limit of the sending rate, and how probes and updates share it.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::Time;
 use membership::send_budget::SendBudget;
@@ -10,9 +10,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is asked for and when, no more is sent than the burst and the rate over the time.
+    /// For any sequence of requests, no more is sent than the burst plus the rate times the elapsed time.
     #[test]
-    fn allows_no_more_than_burst_and_rate(requests in prop::collection::vec((0u64..400_000, 1u64..1_500, 0u64..900), 1..200)) {
+    fn never_exceeds_burst_and_rate(requests in prop::collection::vec((0u64..400_000, 1u64..1_500, 0u64..900), 1..200)) {
         let (mut budget, mut now, mut sent) = (SendBudget::new(4_096, 8_192, START), START, 0);
         for (pause, bytes, updates) in requests {
             now = now + Duration::from_micros(pause);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn probes_leave_quarter_to_updates_and_updates_leave_half_to_probes() {
+fn reserves_quarter_for_updates_and_half_of_probe_bucket_for_probes() {
     let mut budget = SendBudget::new(4_096, 8_192, Time(0));
     while budget.take(Time(0), 100, 0) {}
     assert_eq!(budget.available_for_updates(Time(0)), 2_048);
--- a/crates/membership/tests/sim/check.rs
+++ b/crates/membership/tests/sim/check.rs
@@ -1,4 +1,4 @@
-//! The names and addresses of simulated members, what is checked in a network of them, and runs under many seeds.
+//! Names and addresses of simulated members, queries and assertions on a simulated network, and runs with many seeds.
 use super::Sim;
 use cluster_types::MemberId;
 use membership::{Member, MemberState, Membership, Seed};
@@ -24,8 +24,8 @@
 }
 
 impl Sim {
-    /// No member ever sends more than its bound, whatever happens.
-    pub fn assert_bytes_bounded(&self, index: usize) {
+    /// Asserts that a member has not exceeded its send budget.
+    pub fn assert_within_send_budget(&self, index: usize) {
         let node = &self.nodes[index];
         let Some(membership) = &node.membership else { return };
         let span = self.now.since(node.started).as_secs_f64();
@@ -34,7 +34,7 @@
         assert!(sent as f64 <= bound + 1.0, "{index} sent {sent}");
     }
 
-    /// The members that run.
+    /// The indexes of the running members.
     pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|index| self.nodes[*index].membership.is_some()).collect()
     }
@@ -47,12 +47,13 @@
         self.membership(index).view()
     }
 
-    /// The state of `other` as the member knows it.
+    /// The state of `other` in the view of a member.
     pub fn state(&self, index: usize, other: usize) -> Option<MemberState> {
         self.view(index).into_iter().find(|member| member.member == name(other)).map(|member| member.state)
     }
 
-    /// Why not all that run know exactly those that run as alive, if so.
+    /// Describes how the views of the running members differ, or returns `None` if each has exactly the running members as
+    /// alive and all digests are equal.
     pub fn disagreement(&self) -> Option<String> {
         let running = self.running();
         let names: BTreeSet<MemberId> = running.iter().map(|index| name(*index)).collect();
@@ -62,14 +63,14 @@
             let alive = view.iter().filter(|member| member.state == MemberState::Alive);
             let alive: BTreeSet<MemberId> = alive.map(|member| member.member.clone()).collect();
             if alive != names {
-                let odd: Vec<_> = alive.symmetric_difference(&names).map(ToString::to_string).collect();
-                return Some(format!("{} differs in {odd:?}", name(*index)));
+                let differing: Vec<_> = alive.symmetric_difference(&names).map(ToString::to_string).collect();
+                return Some(format!("{} differs in {differing:?}", name(*index)));
             }
         }
         (digests.len() > 1).then(|| "digests differ".into())
     }
 
-    /// Runs until all have one view, which must take no longer than `within`; returns how long it took.
+    /// Runs until all members have the same view, which must take less than `within`. Returns how long it took.
     pub fn converge(&mut self, within: Duration) -> Duration {
         let from = self.now;
         while let Some(reason) = self.disagreement() {
@@ -80,11 +81,11 @@
     }
 }
 
-/// Runs under many seeds on a few threads: `usual` ones, MEMBERS_TIMES as many if that is set. Prints the seed of a run that
-/// fails.
-pub fn seeds(usual: u64, run: impl Fn(u64) + Sync) {
+/// Runs a test with `default_count` seeds on four threads, or MEMBERS_TIMES as many if that is set. Prints the seed of a
+/// failed run.
+pub fn run_with_seeds(default_count: u64, run: impl Fn(u64) + Sync) {
     let times: u64 = std::env::var("MEMBERS_TIMES").ok().and_then(|text| text.parse().ok()).unwrap_or(1);
-    let count = usual * times;
+    let count = default_count * times;
     std::thread::scope(|scope| {
         for thread in 0..4 {
             let run = &run;
--- a/crates/membership/tests/sim/mod.rs
+++ b/crates/membership/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network of members under one seed: loss, duplication, delay and with it reordering, blocked directions, and
-//! processes that are stalled, killed and started again. Each process has a clock of its own origin.
+//! A deterministic simulation of a network of members: loss, duplication, delay (and thus reordering), blocked directions,
+//! and stalled, killed and restarted processes. The clock of each process has its own origin.
 #![allow(dead_code, unused_imports, clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::{MemberId, Time};
 use membership::{Action, Event, MemberState, Membership, Settings};
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 mod check;
-pub use check::{address, name, seed, seeds};
+pub use check::{address, name, run_with_seeds, seed};
 
 pub const KEY: [u8; 32] = [9; 32];
 
-/// How many members are configured; the others join.
-pub const SEEDS: usize = 3;
+/// The number of configured members; the others join.
+pub const SEED_MEMBER_COUNT: usize = 3;
 
-/// The incarnations of a process that is started again are this far apart.
+/// The difference between the incarnations of a process before and after a restart.
 pub const INCARNATION_STEP: u64 = 1 << 20;
 
 pub struct Node {
@@ -46,18 +46,18 @@
     pub now: Time,
     pub nodes: Vec<Node>,
     pub rng: SmallRng,
-    /// The share of datagrams that is lost.
+    /// The probability that a datagram is lost.
     pub loss: f64,
-    /// The share of datagrams that is duplicated.
+    /// The probability that a datagram is duplicated.
     pub duplication: f64,
     pub delay_ms: (u64, u64),
-    /// From whom to whom nothing is delivered.
+    /// The pairs of sender and receiver between which nothing is delivered.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// Every datagram that was sent, if wanted.
+    /// Every datagram that was sent, with its sender and receiver, while recording is enabled.
     pub tap: Option<Vec<(usize, usize, Vec<u8>)>>,
-    /// When a member changed its view of another, and to which state.
+    /// The changes of the members' views: the time, the observing member, the observed one and its new state.
     pub changes: Vec<(Time, usize, MemberId, MemberState)>,
-    /// The datagrams that were delivered, as long as there is a tap.
+    /// The delivered datagrams, with their receivers, while recording is enabled.
     delivered: BTreeSet<(usize, Vec<u8>)>,
     in_flight: BTreeMap<(Time, u64), (usize, SocketAddr, Vec<u8>)>,
     sent: u64,
@@ -65,7 +65,7 @@
 }
 
 impl Sim {
-    /// Members that aren't started yet.
+    /// A network of `count` members that are not started.
     pub fn new(count: usize, seed_of_run: u64) -> Sim {
         let mut sim = Sim {
             now: Time(0),
@@ -83,7 +83,7 @@
             wakes: vec![None; count],
         };
         for index in 0..count {
-            let seeds = (0..SEEDS.min(count)).map(seed).collect();
+            let seeds = (0..SEED_MEMBER_COUNT.min(count)).map(seed).collect();
             let mut settings = Settings::new(seed(index), INCARNATION_STEP, seeds);
             settings.allowed_networks = vec!["10.0.0.0/16".parse().unwrap()];
             sim.nodes.push(Node {
@@ -98,7 +98,7 @@
         sim
     }
 
-    /// Members that are started at about the same time.
+    /// A network of `count` members that start at the same time.
     pub fn started(count: usize, seed_of_run: u64) -> Sim {
         let mut sim = Sim::new(count, seed_of_run);
         (0..count).for_each(|index| sim.start(index));
@@ -117,7 +117,7 @@
     }
 
     pub fn kill(&mut self, index: usize) {
-        self.assert_bytes_bounded(index);
+        self.assert_within_send_budget(index);
         self.nodes[index].membership = None;
         self.wakes[index] = None;
     }
@@ -127,11 +127,11 @@
         self.wakes[index] = self.nodes[index].wake();
     }
 
-    /// Blocks everything between `left` and the others.
-    pub fn partition(&mut self, left: &BTreeSet<usize>) {
+    /// Blocks all traffic between the members in `side` and the others.
+    pub fn partition(&mut self, side: &BTreeSet<usize>) {
         for one in 0..self.nodes.len() {
             for other in 0..self.nodes.len() {
-                if left.contains(&one) != left.contains(&other) {
+                if side.contains(&one) != side.contains(&other) {
                     self.blocked.insert((one, other));
                 }
             }
@@ -210,14 +210,14 @@
             }
         }
         self.now = end;
-        (0..self.nodes.len()).for_each(|index| self.assert_bytes_bounded(index));
+        (0..self.nodes.len()).for_each(|index| self.assert_within_send_budget(index));
     }
 
     fn deliver_next(&mut self) {
         let (_, (to, from, bytes)) = self.in_flight.pop_first().unwrap();
         let stalled_until = self.nodes[to].stalled_until;
         if stalled_until > self.now {
-            // It waits in the socket's buffer.
+            // The datagram stays in the socket's receive buffer.
             self.sent += 1;
             self.in_flight.insert((stalled_until, self.sent), (to, from, bytes));
         } else {
--- a/crates/membership/tests/update_queue.rs
+++ b/crates/membership/tests/update_queue.rs
@@ -1,16 +1,16 @@
-//! Updates are sent a bounded number of times, the least sent first.
+//! Tests that updates are sent a limited number of times, those sent least often first.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-use membership::update_queue::{Offer, UpdateKey, UpdateQueue};
+use membership::update_queue::{OfferOutcome, UpdateKey, UpdateQueue};
 use std::collections::BTreeMap;
 
-/// The queue offers nothing any more.
+/// Asserts that the queue is empty and offers no updates.
 fn assert_offers_nothing(queue: &mut UpdateQueue) {
     assert!(queue.is_empty());
     queue.fill_packet(4, |key| panic!("{key:?} is still in the order"));
 }
 
 #[test]
-fn sends_each_update_as_often_and_least_sent_first() {
+fn sends_each_update_equally_often_and_least_sent_first() {
     let mut queue = UpdateQueue::default();
     for index in 0..10 {
         queue.push(UpdateKey::Member(format!("m{index}").as_str().into()));
@@ -24,7 +24,7 @@
                 space -= 1;
                 *times.entry(key.clone()).or_default() += 1;
             }
-            Offer::from_fit(fits)
+            OfferOutcome::from_fit(fits)
         });
         let (low, high) = (times.values().min(), times.values().max());
         assert!(times.len() < 10 || high.unwrap() - low.unwrap() <= 1);
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn drops_update_that_is_gone() {
+fn removes_obsolete_update() {
     let mut queue = UpdateQueue::default();
     queue.push(UpdateKey::Member("m".into()));
-    queue.fill_packet(4, |_| Offer::Gone);
+    queue.fill_packet(4, |_| OfferOutcome::Obsolete);
     assert_offers_nothing(&mut queue);
 }
