--- a/crates/scheduler/src/bin/simulator-adapter.rs
+++ b/crates/scheduler/src/bin/simulator-adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts schedulers on the simulator's wire, from standard input to standard output.
+//! Runs scheduler instances for the simulator, over standard input and output.
 #![forbid(unsafe_code)]
 use std::io::{stdin, stdout, BufWriter};
 use std::process::ExitCode;
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -1,6 +1,6 @@
-//! The interface of the scheduler: settings, the events it is notified of and the actions it returns.
+//! The interface of the scheduler: settings, the events that it handles and the actions that it returns.
 //!
-//! Types only. Every decision is made in `scheduler.rs` and the files under `scheduler/`.
+//! Types only: all decisions are made in `scheduler.rs` and the files under `scheduler/`.
 mod action;
 mod event;
 mod ids;
--- a/crates/scheduler/src/interface/action.rs
+++ b/crates/scheduler/src/interface/action.rs
@@ -1,39 +1,39 @@
-//! The actions that the scheduler asks its caller to take.
+//! The actions that the scheduler returns to its caller.
 use super::ids::{BackendId, Micros, RequestId};
 
-/// What to do.
+/// An action for the caller to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Send an attempt to a backend.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The backend to send it to.
         backend: BackendId,
-        /// How long to wait for the response; none: until the client gives up.
+        /// How long to wait for the response; `None` to wait until the client times out.
         timeout: Option<Micros>,
-        /// When the attempt must have begun; after that it must not be executed.
+        /// When the attempt must have begun; it must not be executed after that.
         begin_by: Micros,
     },
-    /// Final response: rejected; it is safe to try again.
+    /// Send the final response "rejected": the client can safely try again.
     Reject {
         /// The request.
         id: RequestId,
         /// How long the client should wait before it tries again.
         retry_after: Option<Micros>,
     },
-    /// Final response: failed; the request may or may not have been executed.
+    /// Send the final response "failed": the request may or may not have been executed.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Ask for a timer event.
+    /// Set a timer, whose expiry is reported as an event.
     SetTimer {
-        /// From now.
+        /// The time from now until the timer expires.
         after: Micros,
-        /// Returned with the event.
+        /// Passed back in [`Event::TimerFired`](super::Event::TimerFired).
         token: u64,
     },
-    /// Subscribe to updates of the list of backends.
+    /// Subscribe to updates of the backend list.
     Watch,
 }
--- a/crates/scheduler/src/interface/event.rs
+++ b/crates/scheduler/src/interface/event.rs
@@ -1,120 +1,120 @@
-//! The events that the scheduler is notified of.
+//! The events that the scheduler handles.
 use super::ids::{BackendId, KeyId, Micros, RequestId, ShardId, VolumeId};
 
 /// The state of a backend, as discovery reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// Accepts requests.
+    /// The backend accepts requests.
     #[default]
     Ready,
-    /// Finishes its requests and must not be sent new ones.
+    /// The backend completes its requests and must not be sent new ones.
     Draining,
-    /// Removed.
+    /// The backend was removed.
     Gone,
 }
 
-/// One entry of the list of backends.
+/// An entry of the backend list.
 #[derive(Clone, Debug, Default)]
 pub struct BackendEntry {
     /// The backend.
     pub backend: BackendId,
     /// Its state.
     pub state: BackendState,
-    /// When it last started, unless that is long ago.
+    /// When the backend last started; `None` if that was long ago.
     pub started_at: Option<Micros>,
-    /// The shard that it holds.
+    /// The shard that the backend holds.
     pub shard: ShardId,
-    /// Index of the zone that it is in.
+    /// Index of the backend's zone.
     pub zone: u32,
 }
 
-/// An update of the list of backends.
+/// An update of the backend list.
 #[derive(Clone, Debug)]
 pub enum EndpointUpdate {
-    /// The complete list, as this gateway last knew it; it may be stale.
+    /// The complete list as last known to this gateway; it may be stale.
     Cached(Vec<BackendEntry>),
     /// The complete list.
     Full(Vec<BackendEntry>),
-    /// Changed entries.
+    /// Only the changed entries.
     Delta(Vec<BackendEntry>),
-    /// A call to discovery failed, or the watch broke.
+    /// A discovery call failed, or the watch was interrupted.
     Failed,
 }
 
-/// A request of a client.
+/// A client request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its number.
+    /// The request's number.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its volume's plan.
+    /// Index of the plan of the volume.
     pub plan: usize,
-    /// Its volume.
+    /// The volume.
     pub volume: VolumeId,
-    /// The piece of data.
+    /// The key of the data, if any.
     pub key: Option<KeyId>,
-    /// The shard that holds the data; none for a new object, which any backend may take.
+    /// The shard that holds the data; `None` for a new object, which any backend may store.
     pub shard: Option<ShardId>,
-    /// Its size, in units.
+    /// Size of the request, in units.
     pub units: f64,
     /// Number of gateways through which the volume's requests arrive.
     pub volume_gateways: u32,
-    /// Time until the client gives up this try.
+    /// Time until the client times out this try.
     pub timeout: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The backend served the request.
     Ok,
-    /// The backend answered with an error; the request may have been executed.
+    /// The backend responded with an error; the request may have been executed.
     Error,
-    /// The backend rejected it unseen: its queue is full, or it drains.
+    /// The backend rejected the request without executing it: its queue is full, or it is draining.
     Rejected,
-    /// No response in time; the request may have been executed, or still run.
+    /// No response arrived in time; the request may have been executed, or may still be running.
     Timeout,
-    /// No connection; the request was not executed.
+    /// No connection could be established; the request was not executed.
     ConnectFailed,
-    /// The connection broke; the request may have been executed.
+    /// The connection was lost; the request may have been executed.
     Reset,
-    /// Cancelled after it was sent; the request may have been executed.
+    /// The attempt was cancelled after it was sent; the request may have been executed.
     Cancelled,
-    /// Cancelled before dispatch.
+    /// The attempt was cancelled before it was sent.
     NotSent,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptReport {
     /// The request.
     pub id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt, starting from 0.
     pub attempt: u32,
     /// The backend.
     pub backend: BackendId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// The request has had its final response.
+    /// Whether the request has had its final response.
     pub request_finished: bool,
     /// Units that the shard served for the volume through other gateways since its last response to this
-    /// one.
+    /// gateway.
     pub remote_units: f64,
 }
 
-/// What happened.
+/// Something that happened, for the scheduler to handle.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of backends was updated.
+    /// The backend list was updated.
     Endpoints(EndpointUpdate),
     /// A request arrived.
     RequestArrived(Request),
     /// An attempt ended.
     AttemptEnded(AttemptReport),
-    /// The client left, or got its response otherwise; the request is over.
+    /// The client disconnected, or got its response otherwise; the request is over.
     ClientLeft(RequestId),
     /// The timer with this token expired.
     TimerFired(u64),
--- a/crates/scheduler/src/interface/settings.rs
+++ b/crates/scheduler/src/interface/settings.rs
@@ -1,98 +1,98 @@
-//! The scheduler's settings, and the error that names an invalid one.
+//! The scheduler's settings, and the error for an invalid one.
 use super::ids::Micros;
 use thiserror::Error;
 
-/// Whether a request may be attempted again once an attempt may have been executed.
+/// Whether a request may be retried after an attempt that may have been executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Executing it twice does no harm.
+    /// The request can be executed more than once without harm.
     Idempotent,
-    /// Backends drop repeats that carry the same idempotency key, within a scope and for a limited time.
+    /// Backends discard retries with the same idempotency key, within a scope and for a limited time.
     Deduplicated(DeduplicationScope),
-    /// Must not be executed twice.
+    /// The request must not be executed more than once.
     #[default]
     AtMostOnce,
 }
 
-/// The backends among which repeats of a deduplicated request are dropped.
+/// The scope within which backends recognize retries of a deduplicated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All backends.
     All,
-    /// Backends of the same zone.
+    /// Backends in the same zone.
     Zone,
     /// Backends that hold the same shard.
     Shard,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Latency objective: a response within this time has its full value.
+    /// Latency objective: a response within this time has full value.
     pub latency_objective: Micros,
-    /// How long a client waits in all, over all of its tries.
+    /// How long a client waits in total, over all of its tries.
     pub deadline: Micros,
-    /// Relative value of one request; a low one marks background work.
+    /// Relative value of a request; classes below the highest value may be treated as background work.
     pub priority_weight: f64,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub idempotency: Idempotency,
-    /// For deduplicated classes: how long repeats are dropped, from the first attempt that may have been
-    /// executed.
+    /// For deduplicated classes: how long backends discard retries, counted from the first attempt that may
+    /// have been executed.
     pub deduplication_window: Micros,
-    /// Requests with the same key are executed one at a time, in the order of their arrival.
+    /// Whether requests with the same key are executed one at a time, in the order of their arrival.
     pub in_order: bool,
 }
 
-/// A tenant's plan. Its rates apply to each volume, summed over all gateways and backends.
+/// A tenant's plan. Its rates apply to each volume, totalled over all gateways and backends.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Reservation, in units per second.
+    /// Reserved rate, in units per second.
     pub reservation: f64,
-    /// Weight in the weighted round robin for capacity beyond reservations.
+    /// Weight in the weighted round robin, for capacity beyond the reservations.
     pub weight: f64,
-    /// Rate limit, in units per second; 0 for none.
+    /// Rate limit, in units per second; 0 for no limit.
     pub limit_rate: f64,
-    /// Capacity of the limit's token bucket, in units.
+    /// Capacity of the rate limit's token bucket, in units.
     pub limit_burst: f64,
 }
 
-/// How the list of backends reaches this gateway.
+/// How the backend list reaches this gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Updates arrive by themselves.
+    /// Updates are pushed without a subscription.
     #[default]
     Push,
     /// Updates arrive only after [`Action::Watch`](super::Action::Watch).
     Subscribe,
 }
 
-/// Bounds the retries of one gateway.
+/// Limits the retries of one gateway.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Retries allowed in one window regardless of traffic.
+    /// Retries allowed per window regardless of traffic.
     pub min_retries: f64,
-    /// Retries allowed for each request that arrived in the window.
+    /// Additional retries allowed per request that arrived in the window.
     pub retry_ratio: f64,
-    /// The sliding window over which retries and requests are counted.
+    /// Length of the sliding window over which retries and requests are counted.
     pub window: Micros,
 }
 
 /// Limits the load on a backend that has just started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Units in one window, from all gateways together, that a backend always sustains.
+    /// Units per window, from all gateways together, that a backend always sustains.
     pub safe_units: f64,
-    /// The window over which load is counted; zero turns slow start off.
+    /// The window over which load is counted; zero disables slow start.
     pub window: Micros,
-    /// Lower bound of the fraction of its capacity that a backend starts with.
+    /// Lower bound of the fraction of its full capacity with which a backend starts.
     pub initial_capacity: f64,
-    /// Longest time until a backend has its full capacity.
+    /// Maximum time until a backend reaches its full capacity.
     pub duration: Micros,
-    /// A backend fails when sent more than this multiple of its current capacity during one window.
+    /// A backend fails when sent more than this multiple of its current capacity within one window.
     pub overload_factor: f64,
 }
 
-/// Settings of one scheduler.
+/// Settings of a scheduler.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Number of gateways that share the backends.
@@ -109,31 +109,30 @@
     pub reports_remote_units: bool,
     /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The longest Retry-After that clients honour; zero where they get none.
+    /// The longest Retry-After that clients honour; zero if they get none.
     pub max_retry_after: Micros,
-    /// A connection that is not established by then has failed.
+    /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
-    /// Least time between two batches of events.
+    /// Minimum time between two batches of events.
     pub tick: Micros,
-    /// How the list of backends arrives.
+    /// How the backend list arrives.
     pub discovery_mode: DiscoveryMode,
-    /// Without a watch, the list must be requested at least this often; zero for never.
+    /// Without a watch, the list must be requested at least this often; zero for no such requirement.
     pub max_poll_interval: Micros,
-    /// Limits for backends that have just started.
+    /// Limits on the load on backends that have just started.
     pub slow_start: SlowStart,
-    /// How long a key is blocked after an attempt that may still be running.
+    /// How long requests with a key are held back after an attempt with that key that may still be running.
     pub ordering_pause: Micros,
-    /// Bound on retries, where there is one.
+    /// Limit on retries, if any.
     pub retry_budget: Option<RetryBudget>,
 }
 
-/// A setting with an invalid value.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("setting {field}: {reason}")]
 pub struct SettingsError {
-    /// The name under which operators know the setting; it doesn't follow renames of the fields of
-    /// [`Settings`].
+    /// The setting's key as operators know it; it doesn't follow renames of the fields of [`Settings`].
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: &'static str,
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
-//! Admission, pacing and ordering of the I/O of many volumes, for one gateway.
+//! Admission control, pacing and ordering of the I/O of many volumes, for one gateway.
 //!
-//! [`Scheduler`] is sans-I/O: its caller notifies it of events with the time at which they happened, and it
-//! returns the actions to take. See the README for a complete example and `docs/design.md` for the
+//! [`Scheduler`] is sans-I/O: its caller passes it events, each with the time at which it happened, and
+//! receives the actions to take. See the README for a complete example and `docs/design.md` for the
 //! mechanism.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/scheduler/src/rng.rs
+++ b/crates/scheduler/src/rng.rs
@@ -1,11 +1,12 @@
-//! The scheduler's source of random numbers.
+//! The scheduler's random number generator.
 use rand::{rngs::SmallRng, SeedableRng};
 
-/// Random numbers that depend on a seed alone, so that the same events lead to the same actions.
+/// A random number generator that depends on its seed alone, so that the same events lead to the same
+/// actions.
 pub(crate) struct SeededRng(pub SmallRng);
 
 impl SeededRng {
-    /// The sequence of a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng(SmallRng::seed_from_u64(seed))
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,9 +1,9 @@
 //! The scheduler of one gateway. Its types, events and actions are in `interface.rs`.
 //!
 //! It follows the DAOS QoS design: each volume is a session that holds credits, requests wait in one queue
-//! for each volume and shard, and a request is sent only while its session can pay. Beyond the design: a
-//! window for each backend decides how many requests are in flight there, and a weighted round robin with
-//! reservations first decides which is next. `docs/design.md` lists what is taken over and what is added.
+//! per volume and shard, and a request is sent only while its session has enough credits. Beyond that design,
+//! a window per backend limits the requests in flight there, and a weighted round robin that serves
+//! reservations first selects the next request. `docs/design.md` lists what was adopted and what was added.
 mod admission;
 mod arrival;
 mod backend;
@@ -11,7 +11,7 @@
 mod completion;
 mod constants;
 mod endpoints;
-mod forgetting;
+mod eviction;
 mod outcome;
 mod round_robin;
 mod send;
@@ -34,18 +34,19 @@
     settings: Settings,
     rng: SeededRng,
     now: Micros,
-    /// When the first event came.
+    /// When the first event was handled.
     started_at: Option<Micros>,
-    /// Since when rate limits have been filling for volumes that are not known: the start, or their last
-    /// change.
-    limits_filled_from: Option<Micros>,
-    /// Which classes are background, by index.
+    /// The time from which the rate limit of an unknown volume counts as refilling: the start, or the last
+    /// change of the limits.
+    rate_limits_refill_from: Option<Micros>,
+    /// Whether each class is background work, by class index.
     is_background: Vec<bool>,
-    /// The shortest latency objective of all classes.
+    /// The shortest latency objective of any class.
     shortest_objective_us: f64,
-    /// Gateways per slot of a backend's full window: the higher, the less one gateway sees of a backend.
-    sharing: f64,
-    /// Requests that were not served, until their clients give up.
+    /// Number of gateways per slot of a backend's full window: the higher it is, the less of a backend's
+    /// traffic each gateway observes.
+    gateways_per_slot: f64,
+    /// Requests that were not served, kept until their clients time out.
     unserved: BTreeSet<UnservedRequest>,
     sessions: Sessions,
     backends: Backends,
@@ -53,21 +54,21 @@
     requests: BTreeMap<RequestId, OpenRequest>,
     keys: BTreeMap<KeyId, KeyQueue>,
     alarms: BTreeSet<(Micros, Alarm)>,
-    /// When the timer that was asked for last expires.
+    /// When the last timer that was set expires.
     timer_at: Option<Micros>,
     timer_token: u64,
-    /// Whether a list of backends has arrived.
-    has_list: bool,
-    /// Latencies of the ready backends that have responded.
+    /// Whether a backend list has arrived.
+    has_backend_list: bool,
+    /// Latencies of the ready backends with at least one response.
     latencies: LatencySum,
-    /// Failed calls to discovery in a row.
+    /// Consecutive failed discovery calls.
     discovery_failures: i32,
-    /// Requests and retries in the window of the retry budget.
+    /// Arrival times of requests, and send times of retries, within the window of the retry budget.
     arrivals: VecDeque<Micros>,
     retries: VecDeque<Micros>,
 }
 
-/// How much the scheduler knows of.
+/// Number of objects known to the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownCounts {
     /// Backends.
@@ -77,11 +78,11 @@
 }
 
 impl Scheduler {
-    /// A scheduler that knows no backend yet. The same seed and events lead to the same actions.
+    /// Creates a scheduler without backends. The same seed and events lead to the same actions.
     ///
     /// # Errors
     ///
-    /// Names the first setting with an invalid value.
+    /// Returns an error that names the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let mut scheduler = Scheduler { rng: SeededRng::new(seed), ..Scheduler::default() };
@@ -93,16 +94,16 @@
     ///
     /// # Errors
     ///
-    /// Names the first setting with an invalid value; the settings stay as they were then.
+    /// Returns an error that names the first invalid setting, and leaves the settings unchanged.
     pub fn reload(&mut self, now: Micros, settings: Settings) -> Result<(), SettingsError> {
         validate(&settings)?;
-        // The time until now refills the token buckets at the old rates.
+        // Refill the token buckets at the old rates for the time up to now.
         self.now = self.now.max(now);
         for session in &mut self.sessions.all {
             session.refill(&self.settings, self.now);
         }
         if rate_limits(&settings) != rate_limits(&self.settings) {
-            self.limits_filled_from = Some(self.now);
+            self.rate_limits_refill_from = Some(self.now);
         }
         self.apply_settings(settings);
         Ok(())
@@ -117,16 +118,16 @@
             objective_us(class) > least_objective_us && class.priority_weight < highest_weight
         };
         self.is_background = settings.classes.iter().map(is_background).collect();
-        self.sharing = f64::from(settings.gateways) / MAX_WINDOW;
+        self.gateways_per_slot = f64::from(settings.gateways) / MAX_WINDOW;
         self.settings = settings;
     }
 
-    /// Handles one event and appends the actions to be taken, in order.
+    /// Handles an event and appends the resulting actions, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        // All gateways may start at once, and discovery is small: spread the first calls.
+        // All gateways may start at once, and discovery has little capacity: spread out their first calls.
         if self.started_at.is_none() && self.settings.discovery_mode == DiscoveryMode::Subscribe {
-            self.watch_later();
+            self.schedule_watch();
         }
         self.started_at.get_or_insert(self.now);
         match event {
@@ -150,15 +151,15 @@
             Alarm::Dispatch(shard) => self.dispatch(shard, actions),
             Alarm::Unblock(key) => self.advance_key(&key, actions),
             Alarm::Watch => {
-                // No response at all counts as a failure: the next call is made after a longer wait.
+                // A call without any response counts as a failure, so the next call waits longer.
                 actions.push(Action::Watch);
                 self.discovery_failures += 1;
-                self.watch_later();
+                self.schedule_watch();
             }
         }
     }
 
-    /// Asks for a timer unless one is set that expires before the next alarm.
+    /// Sets a timer, unless one is already set that expires before the next alarm.
     fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let Some((at, _)) = self.alarms.first() else { return };
         if self.timer_at.is_none_or(|timer_at| *at < timer_at) {
@@ -168,13 +169,13 @@
         }
     }
 
-    /// Number of backends and volumes that are known.
+    /// Returns the number of known backends and volumes.
     pub fn known(&self) -> KnownCounts {
         KnownCounts { backends: self.backends.by_id.len(), volumes: self.sessions.by_volume.len() }
     }
 }
 
-/// The rates and bursts of all plans' limits.
+/// Returns the rate limits of all plans, as rates and bursts.
 fn rate_limits(settings: &Settings) -> Vec<(f64, f64)> {
     settings.plans.iter().map(|plan| (plan.limit_rate, plan.limit_burst)).collect()
 }
--- a/crates/scheduler/src/scheduler/arrival.rs
+++ b/crates/scheduler/src/scheduler/arrival.rs
@@ -1,15 +1,15 @@
-//! Arrivals: admits a request, or rejects it at once.
+//! Arrivals of requests: admits or rejects each.
 use super::constants::RESPONSE_MARGIN_TICKS;
-use super::state::{Lane, OpenRequest, UnservedRequest};
+use super::state::{OpenRequest, QueueId, UnservedRequest};
 use super::Scheduler;
 use crate::interface::{Action, Micros, Request};
 use crate::time::{prune_until, span_us};
 
-/// Maximum number of known shards, including those that only clients name.
+/// Maximum number of known shards, including those known only from requests.
 const MAX_SHARDS: usize = 1024;
 
 impl Scheduler {
-    /// Admits a request to its queue or sends it; rejects it where it can't be served within its objective.
+    /// Queues or sends a request, or rejects it if it can't be served within its objective.
     pub(super) fn request_arrived(&mut self, request: Request, actions: &mut Vec<Action>) {
         let id = request.id;
         if self.requests.contains_key(&id) {
@@ -26,16 +26,16 @@
             let objective = self.settings.classes[request.class].latency_objective;
             return actions.push(Action::Reject { id, retry_after: self.retry_after(None, objective) });
         };
-        let lane = Lane { background: self.is_background[request.class], session };
-        let open = self.open_request(request, lane);
-        let expected_us = self.expected_response_us(open.shard, lane, open.request.units);
+        let queue_id = QueueId { background: self.is_background[request.class], session };
+        let open = self.open_request(request, queue_id);
+        let expected_us = self.expected_response_us(open.shard, queue_id, open.request.units);
         if let Some(expected_us) = expected_us.filter(|us| *us > span_us(self.now, open.due_at)) {
             return self.reject_on_arrival(open, expected_us, actions);
         }
         self.admit(open, actions);
     }
 
-    /// Whether the request names a known class and plan, and its size and timeout make sense.
+    /// Whether the request has a known class and plan, and a valid size and timeout.
     fn is_well_formed(&self, request: &Request) -> bool {
         request.class < self.settings.classes.len()
             && request.plan < self.settings.plans.len()
@@ -44,8 +44,8 @@
             && request.timeout.0 > 0
     }
 
-    /// The session of the request's volume, refilled up to now. None where too many shards or volumes are
-    /// known.
+    /// Returns the session of the request's volume, refilled up to now. `None` if there are too many known
+    /// shards or volumes.
     fn session_of(&mut self, request: &Request) -> Option<usize> {
         let gateways = f64::from(request.volume_gateways.clamp(1, self.settings.gateways));
         let is_new_shard = request.shard.is_some_and(|shard| !self.shards.contains_key(&shard));
@@ -57,15 +57,15 @@
         Some(index)
     }
 
-    /// The record of an admissible request: its shard, and its times.
+    /// Creates the record of a request that may be admitted, with its shard and its deadlines.
     ///
-    /// The objective of a client's further try runs from the first one.
-    fn open_request(&mut self, request: Request, lane: Lane) -> OpenRequest {
-        let session = lane.session;
-        let shard = request.shard.unwrap_or_else(|| self.place(lane, request.units));
-        let gives_up_at = Micros(self.now.0 + request.timeout.0);
-        let first_try = self.find_first_try(&request, session, gives_up_at);
-        self.count_demand(session, shard, request.units, first_try.is_none());
+    /// When a client retries, the objective counts from the arrival of its first try.
+    fn open_request(&mut self, request: Request, queue_id: QueueId) -> OpenRequest {
+        let session = queue_id.session;
+        let shard = request.shard.unwrap_or_else(|| self.place(queue_id, request.units));
+        let client_timeout_at = Micros(self.now.0 + request.timeout.0);
+        let first_try = self.find_original_try(&request, session, client_timeout_at);
+        self.record_reserved_demand(session, shard, request.units, first_try.is_none());
         let first_try = first_try.filter(|first_try| self.unserved.remove(first_try));
         let arrived_at = first_try.map_or(self.now, |first_try| first_try.arrived_at);
         let class = self.settings.classes[request.class].clone();
@@ -73,34 +73,34 @@
         OpenRequest {
             request,
             class,
-            background: lane.background,
+            background: queue_id.background,
             session,
             shard,
             arrived_at,
-            due_at: objective_at.min(gives_up_at),
-            expires_at: Micros(gives_up_at.0 - self.response_margin()),
+            due_at: objective_at.min(client_timeout_at),
+            expires_at: Micros(client_timeout_at.0 - self.response_margin()),
             ..OpenRequest::default()
         }
     }
 
-    /// How long before its client gives up a queued request gets its response, in microseconds.
+    /// How long before its client's timeout a queued request gets its response, in microseconds.
     pub(super) fn response_margin(&self) -> i64 {
         RESPONSE_MARGIN_TICKS * self.settings.tick.0
     }
 
-    /// The unserved request of which this is the client's further try.
+    /// Returns the unserved request that the client now retries.
     ///
-    /// It has the same key, and its client gives up at the very time at which it would have given up the
-    /// first. A short timeout alone says nothing: clients differ in how long they wait.
-    fn find_first_try(
+    /// It has the same key, and its client times out at the same time for both tries. A short timeout alone
+    /// doesn't identify a retry, since clients differ in their timeouts.
+    fn find_original_try(
         &self,
         request: &Request,
         session: usize,
-        gives_up_at: Micros,
+        client_timeout_at: Micros,
     ) -> Option<UnservedRequest> {
         let margin = self.response_margin();
-        let from = UnservedRequest::lower_bound(Micros(gives_up_at.0 - margin), self.now);
-        let to = UnservedRequest::lower_bound(Micros(gives_up_at.0 + margin), self.now);
+        let from = UnservedRequest::lower_bound(Micros(client_timeout_at.0 - margin), self.now);
+        let to = UnservedRequest::lower_bound(Micros(client_timeout_at.0 + margin), self.now);
         let is_same =
             |unserved: &&UnservedRequest| unserved.session == session && unserved.key == request.key;
         self.unserved.range(from..to).find(is_same).cloned()
@@ -110,7 +110,7 @@
         let id = open.request.id;
         let retry_after = self.retry_after(Some(expected_us), open.class.latency_objective);
         self.unserved.insert(UnservedRequest {
-            gives_up_at: Micros(self.now.0 + open.request.timeout.0),
+            client_timeout_at: Micros(self.now.0 + open.request.timeout.0),
             session: open.session,
             key: open.request.key,
             arrived_at: open.arrived_at,
--- a/crates/scheduler/src/scheduler/completion.rs
+++ b/crates/scheduler/src/scheduler/completion.rs
@@ -1,13 +1,13 @@
-//! How long a request may wait, and its final response.
+//! The maximum wait of a request, and its final response.
 use super::constants::REQUIRED_LATENCY_SHARE;
 use super::state::{Alarm, OpenRequest, RequestState, UnservedRequest};
 use super::Scheduler;
 use crate::interface::{Action, DeduplicationScope, Idempotency, Micros, RequestId};
-use crate::time::later;
+use crate::time::add_us;
 
 impl Scheduler {
-    /// Until when an attempt of the request may begin at its shard's backend, after what has happened to
-    /// it.
+    /// The time until which an attempt of the request may begin at its shard's backend, given its earlier
+    /// attempts.
     pub(super) fn sendable_until(&self, open: &OpenRequest) -> Micros {
         let Some(execution) = open.possible_execution else { return Micros(i64::MAX) };
         match open.class.idempotency {
@@ -21,19 +21,19 @@
                     DeduplicationScope::Shard => execution.shard == entry.shard,
                 });
                 let window_us = open.class.deduplication_window.0 as f64;
-                later(execution.sent_at, if is_in_scope { window_us } else { 0.0 })
+                add_us(execution.sent_at, if is_in_scope { window_us } else { 0.0 })
             }
         }
     }
 
     /// Sets the alarm of a waiting request for the last moment at which it can still be served in time,
-    /// whether it waits in a queue, for its key or for a backend. False if that moment has passed: the
-    /// request is to be finished now.
+    /// whether it waits in a queue, for its key or for a backend. Returns false if that moment has passed,
+    /// and the caller must finish the request now.
     pub(super) fn keep_waiting(&mut self, id: RequestId) -> bool {
         let Some(open) = self.requests.get(&id).filter(|open| !open.is_in_flight()) else { return true };
         let latest = Micros(self.sendable_until(open).0 - 1).min(open.expires_at);
         let required_us = REQUIRED_LATENCY_SHARE * self.expected_latency_us(open.shard);
-        let latest = later(open.due_at, -required_us).min(latest);
+        let latest = add_us(open.due_at, -required_us).min(latest);
         self.alarms.remove(&(open.alarm_at, Alarm::Expire(id)));
         if latest > self.now {
             self.alarms.insert((latest, Alarm::Expire(id)));
@@ -42,7 +42,7 @@
         latest > self.now
     }
 
-    /// Forgets a request whose client has gone, once no attempt is in flight.
+    /// Removes a request whose client has disconnected, once no attempt is in flight.
     pub(super) fn client_left(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         match self.requests.get_mut(&id) {
             Some(open) if open.is_in_flight() => open.state = RequestState::Abandoned,
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Gives a request its final response: rejected where it is safe to try again, otherwise failed.
+    /// Sends the final response to a request: rejected if the client can safely try again, otherwise failed.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get(&id) else { return };
-        let (shard, lane, units) = (open.shard, open.lane(), open.request.units);
-        let expected_us = self.expected_response_us(shard, lane, units);
+        let (shard, queue_id, units) = (open.shard, open.queue_id(), open.request.units);
+        let expected_us = self.expected_response_us(shard, queue_id, units);
         let Some(open) = self.requests.get(&id) else { return };
         let is_repeatable = matches!(
             open.class.idempotency,
@@ -67,25 +67,25 @@
             Action::Fail { id }
         };
         let unserved = UnservedRequest {
-            gives_up_at: Micros(open.expires_at.0 + self.response_margin()),
+            client_timeout_at: Micros(open.expires_at.0 + self.response_margin()),
             session: open.session,
             key: open.request.key.clone(),
             arrived_at: open.arrived_at,
         };
-        self.forget_unserved();
+        self.expire_unserved();
         self.unserved.insert(unserved);
         actions.push(response);
         self.remove(id, actions);
     }
 
-    /// Forgets an open request and lets the next one with its key proceed.
+    /// Removes an open request and lets the next one with its key proceed.
     pub(super) fn remove(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.remove(&id) else { return };
         self.sessions.all[open.session].open_requests -= 1;
         self.alarms.remove(&(open.alarm_at, Alarm::Expire(id)));
         if open.state == RequestState::Queued {
             let shard = self.shards.get_mut(&open.shard);
-            if let Some(queue) = shard.and_then(|shard| shard.queues.get_mut(&open.lane())) {
+            if let Some(queue) = shard.and_then(|shard| shard.queues.get_mut(&open.queue_id())) {
                 queue.units -= open.request.units;
             }
         }
--- a/crates/scheduler/src/scheduler/endpoints.rs
+++ b/crates/scheduler/src/scheduler/endpoints.rs
@@ -1,39 +1,39 @@
-//! The list of backends: how it is requested, and what its updates change.
+//! The backend list: subscribing to it, and applying its updates.
 use super::backend::Backend;
 use super::state::Alarm;
 use super::Scheduler;
 use crate::interface::{Action, BackendEntry, BackendId, BackendState, EndpointUpdate, Micros, ShardId};
-use crate::time::{later, span_us};
+use crate::time::{add_us, span_us};
 use rand::Rng;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Range of the first wait before a call to discovery, as a part of the longest poll interval; it doubles
-/// with each failure, three times at most.
+/// Range of the first delay before a discovery call, as a fraction of the maximum poll interval; the delay
+/// doubles with each failure, three times at most.
 const WATCH_BACKOFF: std::ops::Range<f64> = 1.0 / 32.0..1.0 / 16.0;
-/// Failures after which the wait no longer doubles.
+/// Number of failures after which the delay no longer doubles.
 const MAX_BACKOFF_DOUBLINGS: i32 = 3;
-/// The poll interval that waits are a part of, where the settings have a shorter one, in microseconds.
+/// Lower bound of the poll interval from which delays are computed, in microseconds.
 const MIN_POLL_INTERVAL_US: i64 = 4_000_000;
 
 impl Scheduler {
-    /// Backends that are listed as ready and aren't sent to for now, because they failed.
+    /// Returns the backends that are listed as ready but currently aren't sent to, because they failed.
     pub fn ejected_backends(&self, now: Micros) -> Vec<BackendId> {
         let is_ejected = |backend: &&Backend| backend.is_ready() && backend.ejected_until > now;
         let ejected = self.backends.all.iter().filter(is_ejected);
         ejected.map(|backend| backend.entry.backend.clone()).collect()
     }
 
-    /// Requests the watch after a jittered wait that doubles with each failure.
-    pub(super) fn watch_later(&mut self) {
+    /// Schedules a request for the watch, after a jittered delay that doubles with each failure.
+    pub(super) fn schedule_watch(&mut self) {
         self.alarms.retain(|(_, alarm)| *alarm != Alarm::Watch);
         let doublings = self.discovery_failures.min(MAX_BACKOFF_DOUBLINGS);
         let share = 2f64.powi(doublings) * self.rng.0.random_range(WATCH_BACKOFF);
         let interval_us = self.settings.max_poll_interval.0.max(MIN_POLL_INTERVAL_US) as f64;
-        self.alarms.insert((later(self.now, share * interval_us), Alarm::Watch));
+        self.alarms.insert((add_us(self.now, share * interval_us), Alarm::Watch));
     }
 
-    /// Takes over an update of the list. Only the shards that it touches are looked at, so that its cost
-    /// follows the size of the change.
+    /// Applies an update of the list. Only the affected shards are visited, so the cost depends on the size
+    /// of the change.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate, actions: &mut Vec<Action>) {
         let (is_complete, is_cached) = match &update {
             EndpointUpdate::Cached(_) => (true, true),
@@ -44,7 +44,7 @@
         | EndpointUpdate::Full(entries)
         | EndpointUpdate::Delta(entries)) = update
         else {
-            return self.watch_later();
+            return self.schedule_watch();
         };
         if !is_cached {
             self.discovery_responded();
@@ -57,15 +57,15 @@
         for entry in entries {
             self.update_backend(entry, &mut touched);
         }
-        self.has_list = true;
-        self.forget_backends();
+        self.has_backend_list = true;
+        self.evict_departed_backends();
         self.select_backends(&touched);
         for shard in touched {
             self.dispatch(shard, actions);
         }
     }
 
-    /// Discovery is available: if it wasn't, ejected backends are tried again at once.
+    /// Resets the discovery failures. If there were any, ejected backends are tried again at once.
     fn discovery_responded(&mut self) {
         self.alarms.retain(|(_, alarm)| *alarm != Alarm::Watch);
         if std::mem::take(&mut self.discovery_failures) > 0 {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Marks backends as gone that a complete list doesn't name.
+    /// Marks the backends that a complete list doesn't contain as gone.
     fn remove_unlisted(&mut self, entries: &[BackendEntry], touched: &mut BTreeSet<ShardId>) {
         let listed: BTreeSet<&BackendId> = entries.iter().map(|entry| &entry.backend).collect();
         let unlisted = self.backends.by_id.iter().filter(|(id, _)| !listed.contains(id));
@@ -86,18 +86,19 @@
         }
     }
 
-    /// Takes over one entry: a new backend, one that has restarted, or another state.
+    /// Applies an entry: a new backend, a restarted one, or a change of state.
     fn update_backend(&mut self, entry: BackendEntry, touched: &mut BTreeSet<ShardId>) {
-        // A backend that this gateway didn't know may have just started, whatever the list leaves out.
-        let is_unknown_start = self.has_list && entry.state == BackendState::Ready;
+        // A backend that is new to this gateway may have just started, even if the list has no start time.
+        let is_unknown_start = self.has_backend_list && entry.state == BackendState::Ready;
         let started_at = entry.started_at.or(is_unknown_start.then_some(self.now));
-        let baseline_rate = self.measured_baseline(entry.shard, started_at.unwrap_or(self.now));
+        let baseline_rate = self.measured_baseline_rate(entry.shard, started_at.unwrap_or(self.now));
         let (index, is_new) = self.find_or_create_backend(&entry.backend);
         let backend = &mut self.backends.all[index];
         let slow_start = &mut backend.slow_start;
         let is_restarted = entry.started_at > slow_start.started_at;
         if is_new || backend.entry.state != BackendState::Ready || is_restarted {
-            // One that drains and returns while it warms up must not get its allowance twice.
+            // A backend that drains and becomes ready again during slow start must not get its allowance
+            // twice.
             if is_new || started_at.is_some_and(|at| Some(at) != slow_start.started_at) {
                 slow_start.sends = VecDeque::new();
                 (slow_start.accrued_units, slow_start.accrued_at) = (0.0, self.now);
@@ -111,7 +112,7 @@
         self.replace_entry(index, entry, touched);
     }
 
-    /// The index of a backend, and whether it is new.
+    /// Returns the index of a backend, and whether it is new.
     fn find_or_create_backend(&mut self, id: &BackendId) -> (usize, bool) {
         let backends = &mut self.backends;
         if let Some(index) = backends.by_id.get(id) {
@@ -119,12 +120,12 @@
         }
         let index = backends.free.pop().unwrap_or(backends.all.len());
         backends.all.resize_with(backends.all.len().max(index + 1), Backend::default);
-        backends.all[index] = Backend::new(self.now, self.sharing);
+        backends.all[index] = Backend::new(self.now, self.gateways_per_slot);
         backends.by_id.insert(id.clone(), index);
         (index, true)
     }
 
-    /// Replaces a backend's entry, and keeps the shards and the sum of latencies in step.
+    /// Replaces a backend's entry, and updates the shards and the sum of latencies accordingly.
     fn replace_entry(&mut self, index: usize, entry: BackendEntry, touched: &mut BTreeSet<ShardId>) {
         let backend = &mut self.backends.all[index];
         touched.extend([backend.entry.shard, entry.shard]);
@@ -139,7 +140,7 @@
         backend.entry = entry;
     }
 
-    /// Selects the backend that each of these shards is sent to: the ready one that started last.
+    /// Selects the active backend of each of these shards: the ready one that started last.
     fn select_backends(&mut self, touched: &BTreeSet<ShardId>) {
         let all = &self.backends.all;
         for id in touched {
--- a/crates/scheduler/src/scheduler/forgetting.rs
+++ b/crates/scheduler/src/scheduler/eviction.rs
@@ -1,4 +1,4 @@
-//! Bounds on memory: forgets volumes, backends and unserved requests that no longer matter.
+//! Bounds memory: evicts volumes, backends and unserved requests that are no longer needed.
 use super::backend::Backend;
 use super::session::Session;
 use super::state::UnservedRequest;
@@ -7,20 +7,20 @@
 use crate::time::span_us;
 use std::collections::BTreeSet;
 
-/// Number of known volumes up to which none is forgotten.
+/// Number of known volumes up to which none is evicted.
 const VOLUMES_BEFORE_SWEEP: usize = 1024;
 /// Maximum number of known volumes.
 const MAX_VOLUMES: usize = 8192;
 
 impl Scheduler {
-    /// Forgets unserved requests whose clients have given up.
-    pub(super) fn forget_unserved(&mut self) {
+    /// Removes unserved requests whose clients have timed out.
+    pub(super) fn expire_unserved(&mut self) {
         self.unserved = self.unserved.split_off(&UnservedRequest::lower_bound(self.now, Micros(0)));
     }
 
-    /// Forgets backends that have left the list, once nothing is in flight there and none of what they were
-    /// sent counts against a slow start's allowance.
-    pub(super) fn forget_backends(&mut self) {
+    /// Evicts backends that have left the list, once nothing is in flight there and nothing that they were
+    /// sent counts against an allowance of slow start.
+    pub(super) fn evict_departed_backends(&mut self) {
         let window_us = self.settings.slow_start.window.0 as f64;
         for index in std::mem::take(&mut self.backends.departed) {
             let backend = &mut self.backends.all[index];
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Forgets volumes whose state is that of an unknown one: nothing queued or in flight, and full token
-    /// buckets. A rate limit isn't refilled by that, since it is full already.
-    fn forget_volumes(&mut self) {
-        self.forget_unserved();
+    /// Evicts volumes whose state equals that of an unknown one: nothing queued or in flight, and full token
+    /// buckets. This refills no rate limit, since its bucket is already full.
+    fn evict_idle_volumes(&mut self) {
+        self.expire_unserved();
         for shard in self.shards.values_mut() {
             shard.queues.retain(|_, queue| !queue.requests.is_empty());
         }
@@ -58,23 +58,23 @@
         });
     }
 
-    /// The index of a volume's session, a new one where the volume isn't known. None where too many are
-    /// known.
+    /// Returns the index of a volume's session, which is created if the volume isn't known. `None` if too
+    /// many volumes are known.
     pub(super) fn find_or_create_session(&mut self, request: &Request, gateways: f64) -> Option<usize> {
         if let Some(index) = self.sessions.by_volume.get(&request.volume) {
             return Some(*index);
         }
         if self.sessions.by_volume.len() >= self.sessions.sweep_at.max(VOLUMES_BEFORE_SWEEP) {
-            self.forget_volumes();
+            self.evict_idle_volumes();
             let known = self.sessions.by_volume.len();
             self.sessions.sweep_at = (2 * known).min(MAX_VOLUMES);
             if known >= MAX_VOLUMES {
                 return None;
             }
         }
-        // The rate limit's bucket begins empty at this gateway's own start: it has forgotten what it sent
-        // before, and a full bucket at each start would exceed the limit.
-        let limit_refilled_at = self.limits_filled_from.or(self.started_at).unwrap_or(self.now);
+        // The rate limit's bucket starts empty when this gateway starts: the gateway doesn't know what it
+        // sent before, and a full bucket after each start would exceed the limit.
+        let limit_refilled_at = self.rate_limits_refill_from.or(self.started_at).unwrap_or(self.now);
         let session = Session {
             plan: request.plan,
             gateways,
--- a/crates/scheduler/src/scheduler/send.rs
+++ b/crates/scheduler/src/scheduler/send.rs
@@ -3,13 +3,13 @@
 use super::state::RequestState;
 use super::Scheduler;
 use crate::interface::{Action, Micros, RequestId};
-use crate::time::{later, prune_until, span_us};
+use crate::time::{add_us, prune_until, span_us};
 
-/// The range of the random factor on the gap between paced requests.
+/// Range of the random factor applied to the gap between paced requests.
 const PACING_JITTER: std::ops::Range<f64> = 0.5..1.5;
 
 impl Scheduler {
-    /// Sends the next attempt of a request, or finishes the request where no further attempt is allowed.
+    /// Sends the next attempt of a request, or finishes the request if no further attempt is allowed.
     pub(super) fn send(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(begin_by) = self.requests.get(&id).map(|open| self.sendable_until(open)) else { return };
         let Some(open) = self.requests.get_mut(&id) else { return };
@@ -31,7 +31,7 @@
         let backend = &mut self.backends.all[index];
         backend.in_flight.insert((self.now, id));
         backend.slow_start.record_send(&self.settings, self.now, units);
-        // A lost response must not occupy a slot of the window for as long as the client may wait.
+        // A lost response must not occupy a slot of the window until the client times out.
         let usual_us = backend.latency_us.unwrap_or(0.0).max(backend.unit_latency_us * units);
         let until_due_us = span_us(self.now, open.due_at);
         let objective_us = open.class.latency_objective.0 as f64;
@@ -40,7 +40,7 @@
         actions.push(Action::Send { id, backend, timeout: Some(Micros(timeout_us)), begin_by });
     }
 
-    /// Whether the budget allows one more retry; if so, and if `is_in_time`, the retry is counted.
+    /// Whether the budget allows one more retry. The retry is counted if so and if `is_in_time`.
     fn take_from_retry_budget(&mut self, is_in_time: bool) -> bool {
         let Some(budget) = &self.settings.retry_budget else { return is_in_time };
         prune_until(&mut self.arrivals, Micros(self.now.0 - budget.window.0));
@@ -51,7 +51,7 @@
         is_allowed
     }
 
-    /// Charges the credits of an attempt, and its units to the rate limit if it is the first one.
+    /// Charges the credits of an attempt, and for a first attempt also the rate limit.
     fn charge_session(&mut self, id: RequestId) {
         let Some(open) = self.requests.get(&id) else { return };
         let units = open.request.units;
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Delays the backend's next requests beyond reservations, where this one is beyond its reservation or
-    /// is background work.
+    /// Delays the backend's next requests beyond reservations, if this one is beyond its reservation or is
+    /// background work.
     ///
-    /// Where a window is narrower than its first, many gateways with nothing but background work would
-    /// still fill the backend with it and keep the others' short requests from their objectives. So
-    /// background requests are as much further apart as their objective is longer.
+    /// Where a window is below its initial size, many gateways that send only background work would still
+    /// fill the backend and keep short requests of other gateways from meeting their objectives. So the gap
+    /// between background requests grows in proportion to their objective.
     fn delay_next_requests(&mut self, id: RequestId, index: usize) {
         use rand::Rng;
         let Some(open) = self.requests.get(&id) else { return };
@@ -81,7 +81,7 @@
         let gap_us = gap_us * self.rng.0.random_range(PACING_JITTER);
         let objective_us = open.class.latency_objective.0 as f64;
         let stretch = if open.background { objective_us / self.shortest_objective_us } else { 0.0 };
-        backend.next_unreserved_at = later(self.now, gap_us);
-        backend.next_background_at = backend.next_background_at.max(later(self.now, gap_us * stretch));
+        backend.next_unreserved_at = add_us(self.now, gap_us);
+        backend.next_background_at = backend.next_background_at.max(add_us(self.now, gap_us * stretch));
     }
 }
--- a/crates/scheduler/src/scheduler/state.rs
+++ b/crates/scheduler/src/scheduler/state.rs
@@ -5,34 +5,34 @@
 use crate::interface::{BackendId, Class, KeyId, Micros, Request, RequestId, ShardId, VolumeId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What is to be done at a point in time.
+/// A task to be done at a point in time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Alarm {
-    /// A queued request may have to get its response, or it would be late.
+    /// Check whether a waiting request must get its final response now.
     Expire(RequestId),
-    /// A shard's queues may have something to send.
+    /// Dispatch a shard's queues.
     Dispatch(ShardId),
-    /// A key is no longer blocked.
+    /// A key is no longer blocked: let its next request proceed.
     Unblock(KeyId),
-    /// The list of backends is to be requested.
+    /// Subscribe to the backend list.
     Watch,
 }
 
-/// The queue of a session at a shard; background work has one of its own.
+/// Identifies a queue of a shard: each session has one, and another for background work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Lane {
-    /// Whether it holds background work; foreground lanes come first.
+pub(super) struct QueueId {
+    /// Whether the queue holds background work; foreground queues sort first.
     pub background: bool,
     /// Index of the session.
     pub session: usize,
 }
 
-/// Requests that wait in a lane.
+/// Queued requests of a session at a shard.
 #[derive(Default)]
 pub(super) struct Queue {
-    /// First in, first out.
+    /// In FIFO order.
     pub requests: VecDeque<RequestId>,
-    /// Their sizes, summed.
+    /// Total size of the requests, in units.
     pub units: f64,
     /// Deficit counter of the weighted round robin, in units.
     pub deficit: f64,
@@ -41,69 +41,70 @@
 /// A shard, with the queues of requests for it.
 #[derive(Default)]
 pub(super) struct Shard {
-    /// Indexes of the backends that hold it.
+    /// Indexes of the backends that hold the shard.
     pub backends: BTreeSet<usize>,
-    /// The one of them that is sent to.
+    /// Index of the backend to which requests are sent.
     pub active_backend: Option<usize>,
-    /// Requests that wait, by lane.
-    pub queues: BTreeMap<Lane, Queue>,
-    /// Where the round robin goes on.
-    pub next_lane: Lane,
-    /// When its alarm is set for.
+    /// Queued requests, by queue.
+    pub queues: BTreeMap<QueueId, Queue>,
+    /// The queue at which the round robin continues.
+    pub next_queue: QueueId,
+    /// When the shard's alarm is due.
     pub alarm_at: Micros,
-    /// Units that a warm backend served for this gateway; decays over the duration of slow start.
+    /// Units that a backend served for this gateway outside slow start; decays over the duration of slow
+    /// start.
     pub served_units: DecayingSum,
-    /// Units that clients asked for inside reservations; decays likewise.
+    /// Units requested by clients inside reservations; decays over the duration of slow start.
     pub reserved_demand: DecayingSum,
 }
 
-/// Where an open request stands.
+/// The state of an open request.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum RequestState {
-    /// Waits for its turn among requests with the same key, or between two steps.
+    /// The request waits for earlier requests with the same key, or is between two states.
     #[default]
     Blocked,
-    /// Waits in a queue of its shard.
+    /// The request waits in a queue of its shard.
     Queued,
-    /// Has an attempt in flight.
+    /// An attempt is in flight.
     InFlight,
-    /// Has an attempt in flight, and its client has gone.
+    /// An attempt is in flight, but the client has disconnected.
     Abandoned,
 }
 
-/// A request that has had no final response, or has an attempt in flight.
+/// A request without a final response, or with an attempt in flight.
 #[derive(Default)]
 pub(super) struct OpenRequest {
     /// The request.
     pub request: Request,
-    /// Its class as of its arrival; a reload doesn't change it.
+    /// The request's class as of its arrival; a reload doesn't change it.
     pub class: Class,
-    /// Whether it is background work, likewise as of its arrival.
+    /// Whether the request is background work, also as of its arrival.
     pub background: bool,
-    /// Index of its session.
+    /// Index of the request's session.
     pub session: usize,
-    /// The shard that it is sent to.
+    /// The shard to which the request is sent.
     pub shard: ShardId,
     /// When the client's first try arrived.
     pub arrived_at: Micros,
-    /// When its latency objective, or its client's timeout, is reached.
+    /// The earlier of the latency objective and the client's timeout.
     pub due_at: Micros,
-    /// The latest time for its response, if it is still queued.
+    /// The latest time for the response while the request is queued.
     pub expires_at: Micros,
-    /// When its alarm is set for.
+    /// When the request's alarm is due.
     pub alarm_at: Micros,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Where it stands.
+    /// The current state.
     pub state: RequestState,
     /// The first attempt that may have been executed.
     pub possible_execution: Option<PossibleExecution>,
 }
 
 impl OpenRequest {
-    /// The lane in which it waits.
-    pub fn lane(&self) -> Lane {
-        Lane { background: self.background, session: self.session }
+    /// Returns the queue in which the request waits.
+    pub fn queue_id(&self) -> QueueId {
+        QueueId { background: self.background, session: self.session }
     }
 
     /// Whether an attempt is in flight.
@@ -115,74 +116,75 @@
 /// An attempt that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
-    /// The shard of its backend.
+    /// The shard of the attempt's backend.
     pub shard: ShardId,
-    /// The zone of its backend.
+    /// The zone of the attempt's backend.
     pub zone: u32,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
 }
 
 /// Requests with the same key, which are executed in order.
 #[derive(Default)]
 pub(super) struct KeyQueue {
-    /// In the order of their arrival.
+    /// Requests in the order of their arrival.
     pub requests: VecDeque<RequestId>,
-    /// No request is sent until then: an attempt may still be running.
+    /// No request is sent until this time, since an attempt may still be running.
     pub blocked_until: Micros,
 }
 
-/// A request that was not served, by which the client's next try is recognized.
+/// A request that was not served, by which a retry of the client is recognized.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct UnservedRequest {
-    /// When its client gives up.
-    pub gives_up_at: Micros,
-    /// Index of its session.
+    /// When the client times out.
+    pub client_timeout_at: Micros,
+    /// Index of the request's session.
     pub session: usize,
-    /// Its key.
+    /// The request's key.
     pub key: Option<KeyId>,
     /// When the client's first try arrived.
     pub arrived_at: Micros,
 }
 
 impl UnservedRequest {
-    /// The lower bound, in this type's order, of requests whose clients give up then or later.
-    pub fn lower_bound(gives_up_at: Micros, arrived_at: Micros) -> UnservedRequest {
-        UnservedRequest { gives_up_at, session: 0, key: None, arrived_at }
+    /// Returns the lower bound, in this type's order, of requests whose clients time out at
+    /// `client_timeout_at` or later.
+    pub fn lower_bound(client_timeout_at: Micros, arrived_at: Micros) -> UnservedRequest {
+        UnservedRequest { client_timeout_at, session: 0, key: None, arrived_at }
     }
 }
 
-/// The latencies of ready backends, summed.
+/// The sum of the latencies of ready backends.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LatencySum {
-    /// Sum of their averages, in microseconds.
+    /// Sum of the backends' average latencies, in microseconds.
     pub total_us: f64,
     /// Number of backends.
     pub count: f64,
 }
 
-/// The sessions of all volumes, by an index that is reused once a volume is forgotten.
+/// The sessions of all volumes, by an index that is reused after a volume is evicted.
 #[derive(Default)]
 pub(super) struct Sessions {
     /// Index by volume.
     pub by_volume: BTreeMap<VolumeId, usize>,
-    /// By index.
+    /// Sessions by index.
     pub all: Vec<Session>,
-    /// Indexes that are free.
+    /// Free indexes.
     pub free: Vec<usize>,
-    /// Number of volumes at which to look for those that can be forgotten.
+    /// Number of known volumes at which idle ones are evicted.
     pub sweep_at: usize,
 }
 
-/// All known backends, by an index that is reused once a backend is forgotten.
+/// All known backends, by an index that is reused after a backend is evicted.
 #[derive(Default)]
 pub(super) struct Backends {
     /// Index by identifier.
     pub by_id: BTreeMap<BackendId, usize>,
-    /// By index.
+    /// Backends by index.
     pub all: Vec<Backend>,
-    /// Indexes that are free.
+    /// Free indexes.
     pub free: Vec<usize>,
-    /// Indexes of backends that have left the list and can't be forgotten yet.
+    /// Indexes of backends that have left the list and can't be evicted yet.
     pub departed: BTreeSet<usize>,
 }
--- a/crates/scheduler/src/simulator_wire.rs
+++ b/crates/scheduler/src/simulator_wire.rs
@@ -1,7 +1,7 @@
-//! The simulator's wire: batches of events as JSON lines in, actions as JSON lines out.
+//! The simulator's wire protocol: batches of events in, actions out, both as JSON lines.
 //!
-//! It maps the simulator's names to the types of [`interface`](crate::interface) and decides nothing. One
-//! process hosts any number of scheduler instances, which share nothing.
+//! It maps the simulator's names to the types of [`interface`](crate::interface) and makes no decisions. One
+//! process hosts any number of scheduler instances, which share no state.
 mod actions;
 mod adapter;
 mod error;
@@ -17,12 +17,12 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A time on the wire, in seconds, as microseconds.
+/// Converts a wire time, in seconds, to microseconds.
 fn micros(seconds: f64) -> Micros {
     Micros((seconds * MICROS_PER_SECOND).round() as i64)
 }
 
-/// Microseconds as a time on the wire, in seconds.
+/// Converts microseconds to a wire time, in seconds.
 fn seconds(time: Micros) -> f64 {
     time.0 as f64 / MICROS_PER_SECOND
 }
--- a/crates/scheduler/src/simulator_wire/actions.rs
+++ b/crates/scheduler/src/simulator_wire/actions.rs
@@ -1,9 +1,9 @@
-//! Actions, as the simulator reads them.
+//! Encodes actions as the simulator reads them.
 use super::seconds;
 use crate::interface::Action;
 use serde_json::{json, Value};
 
-/// The line of an action that an instance takes.
+/// Encodes an action of an instance as a line.
 pub(super) fn action_line(instance: &str, action: &Action) -> Value {
     match action {
         Action::Send { id, backend, timeout, .. } => {
@@ -22,7 +22,7 @@
     }
 }
 
-/// The line that reports that an instance has failed.
+/// Encodes the line that reports that an instance has failed.
 pub(super) fn fatal_line(instance: &str, reason: &str) -> Value {
     json!({"m": "Fatal", "Who": instance, "Words": reason})
 }
--- a/crates/scheduler/src/simulator_wire/adapter.rs
+++ b/crates/scheduler/src/simulator_wire/adapter.rs
@@ -15,7 +15,7 @@
 /// The line that ends a reply.
 const END_OF_REPLY: &[u8] = b"{\"m\":\"Next\"}\n";
 
-/// Why an instance can't go on.
+/// Why an instance has failed.
 #[derive(Debug, Error)]
 enum InstanceError {
     #[error(transparent)]
@@ -24,12 +24,12 @@
     Panic(String),
 }
 
-/// Reads batches until the input ends, and writes one reply for each.
+/// Reads batches until the end of the input and writes one reply for each.
 ///
 /// # Errors
 ///
-/// [`WireError::Malformed`] for a line that can't be understood; nothing is written of the batch that it is
-/// in. [`WireError::Io`] where the input or output failed.
+/// [`WireError::Malformed`] for a line that can't be parsed; nothing is written for the batch that contains
+/// it. [`WireError::Io`] if the input or output failed.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
     let mut adapter = Adapter::default();
     for (index, text) in input.lines().enumerate() {
@@ -56,19 +56,19 @@
     Ok(())
 }
 
-/// The instances, and the reply to the present batch.
+/// The instances, and the reply to the current batch.
 #[derive(Default)]
 struct Adapter {
     instances: BTreeMap<Arc<str>, Scheduler>,
     now: Micros,
     reply: Vec<u8>,
-    /// Kept between events, so that it needn't be allocated for each.
+    /// Reused for all events, to avoid an allocation for each.
     actions: Vec<Action>,
 }
 
 impl Adapter {
-    /// Hands a message to an instance and appends its actions to the reply. An instance that fails takes
-    /// none.
+    /// Passes a message to an instance and appends its actions to the reply. No actions are taken for an
+    /// instance that fails.
     fn handle(&mut self, instance: &Arc<str>, message: InstanceMessage) -> Result<(), WireError> {
         self.actions.clear();
         let result = match message {
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Notifies an instance of an event; one that isn't running is not notified.
+    /// Passes an event to an instance, or ignores it if the instance isn't running.
     fn notify(&mut self, instance: &Arc<str>, event: Event) -> Result<(), InstanceError> {
         let Some(scheduler) = self.instances.get_mut(instance) else { return Ok(()) };
         let (now, actions) = (self.now, &mut self.actions);
--- a/crates/scheduler/src/simulator_wire/error.rs
+++ b/crates/scheduler/src/simulator_wire/error.rs
@@ -1,42 +1,42 @@
-//! What can be wrong with the input.
+//! Errors in the input.
 use std::io;
 use thiserror::Error;
 
-/// Why reading ended before the input did.
+/// Why the adapter stopped before the end of the input.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// A line that can't be understood.
+    /// A line can't be parsed.
     #[error("line {line}: {reason}")]
     Malformed {
-        /// Its number, from 1.
+        /// The line number, starting from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The reason.
         reason: LineError,
     },
-    /// The pipe failed.
+    /// Reading the input or writing the output failed.
     #[error("pipe: {0}")]
     Io(#[from] io::Error),
 }
 
-/// What is wrong with a line.
+/// Why a line can't be parsed.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// It isn't UTF-8.
+    /// The line isn't UTF-8.
     #[error(transparent)]
     Encoding(io::Error),
-    /// It isn't JSON, or a field is missing or of another type.
+    /// The line isn't JSON, or a field is missing or of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It isn't an object with a message name.
+    /// The line isn't an object with a message name.
     #[error("no message name under \"m\"")]
     NoMessageName,
-    /// A message to an instance that doesn't name the instance.
+    /// The message must name an instance, and doesn't.
     #[error("{message} without \"Who\"")]
     NoInstance {
         /// The message's name.
         message: &'static str,
     },
-    /// A field with a code that has no meaning.
+    /// A field holds an undefined code.
     #[error("{field}: unknown value {value}")]
     UnknownCode {
         /// The field.
@@ -44,18 +44,18 @@
         /// Its value.
         value: u32,
     },
-    /// The settings of an instance.
+    /// The settings of an instance can't be parsed.
     #[error(transparent)]
     Setup(#[from] SetupError),
 }
 
-/// What is wrong with the object that an instance is given at its start.
+/// Why the settings object of an instance can't be parsed.
 #[derive(Debug, Error)]
 pub enum SetupError {
-    /// A field is missing or of another type.
+    /// A field is missing or of the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A field of a class has a value that has no meaning.
+    /// A field of a class holds an undefined value.
     #[error("Classes[{class}].{field}: unknown value {value:?}")]
     UnknownValue {
         /// Index of the class.
--- a/crates/scheduler/src/simulator_wire/events.rs
+++ b/crates/scheduler/src/simulator_wire/events.rs
@@ -1,4 +1,4 @@
-//! Events, as the simulator writes them.
+//! Decodes events as the simulator writes them.
 use super::error::LineError;
 use super::micros;
 use crate::interface::{
@@ -7,7 +7,7 @@
 };
 use serde::Deserialize;
 
-/// `Topology`: an update of the list of backends.
+/// `Topology`: an update of the backend list.
 #[derive(Deserialize)]
 pub(super) struct Topology {
     #[serde(rename = "Form", default)]
@@ -81,7 +81,7 @@
     outcome: u32,
 }
 
-/// `ClientLeft`: the client left.
+/// `ClientLeft`: the client disconnected.
 #[derive(Deserialize)]
 pub(super) struct ClientLeft {
     #[serde(rename = "Corr")]
--- a/crates/scheduler/src/simulator_wire/messages.rs
+++ b/crates/scheduler/src/simulator_wire/messages.rs
@@ -1,4 +1,4 @@
-//! Lines of the input as typed messages.
+//! Parses input lines into typed messages.
 use super::error::LineError;
 use super::events::{ClientLeft, Fired, JobIn, Reply, Topology};
 use super::micros;
@@ -8,34 +8,34 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// A line of the input.
+/// A parsed input line.
 pub(super) enum Message {
-    /// A batch begins, at this time.
+    /// A batch begins at this time.
     Tick(Micros),
-    /// The batch is complete: a reply is due.
+    /// The batch is complete, and its reply is due.
     Flush,
-    /// Something for one instance.
+    /// A message to one instance.
     Instance(Arc<str>, InstanceMessage),
-    /// A message without meaning here, to be skipped.
+    /// A message of an unknown name, which is skipped.
     Unknown,
 }
 
-/// What an instance is sent.
+/// A message to an instance.
 pub(super) enum InstanceMessage {
-    /// It starts.
+    /// Start the instance.
     Launch {
-        /// Seed of its random numbers.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// Its settings.
+        /// The instance's settings.
         settings: Box<Settings>,
     },
-    /// It was killed.
+    /// Stop the instance.
     Halt,
-    /// Something happened.
+    /// Pass an event to the instance.
     Event(Event),
 }
 
-/// The messages to an instance that have a meaning here.
+/// Names of the messages to an instance.
 #[derive(Clone, Copy)]
 enum InstanceMessageName {
     Launch,
@@ -62,7 +62,7 @@
 }
 
 impl Message {
-    /// Reads a line.
+    /// Parses an input line.
     pub(super) fn parse(text: &str) -> Result<Message, LineError> {
         let line: Value = serde_json::from_str(text)?;
         let name = match line.get("m").and_then(Value::as_str) {
--- a/crates/scheduler/src/simulator_wire/setup.rs
+++ b/crates/scheduler/src/simulator_wire/setup.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance, as the simulator writes them.
+//! Decodes the settings of an instance as the simulator writes them.
 use super::error::SetupError;
 use super::micros;
 use crate::interface::{
@@ -7,12 +7,12 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Reads the settings that an instance is given at its start, from the simulator's names.
+/// Reads the settings given to an instance at its start, which use the simulator's names.
 ///
 /// # Errors
 ///
-/// Names the field that is missing, of another type or without meaning. Whether values make sense is
-/// checked by [`Scheduler::new`](crate::Scheduler::new).
+/// Names the field that is missing, of the wrong type or undefined. [`Scheduler::new`](crate::Scheduler::new)
+/// checks whether the values are valid.
 pub fn read_settings(setup: Value) -> Result<Settings, SetupError> {
     serde_json::from_value::<WireSetup>(setup)?.into_settings()
 }
--- a/crates/scheduler/src/validation.rs
+++ b/crates/scheduler/src/validation.rs
@@ -1,7 +1,7 @@
 //! Validates settings before they take effect.
 use crate::interface::{Class, Micros, Plan, RetryBudget, Settings, SettingsError, SlowStart};
 
-/// Checks all settings.
+/// Validates all settings.
 ///
 /// # Errors
 ///
@@ -15,14 +15,14 @@
         ("hosts", settings.gateways > 0, "must be at least 1"),
         ("classes", classes, "one at least, times above 0"),
         ("plans", plans, "one at least, finite, weights above 0"),
-        ("mean_units", is_valid_figure(mean) && mean > 0.0, "must be above 0"),
-        ("most_units", is_valid_figure(max) && max >= mean, "must be at least mean_units"),
+        ("mean_units", is_finite_and_non_negative(mean) && mean > 0.0, "must be above 0"),
+        ("most_units", is_finite_and_non_negative(max) && max >= mean, "must be at least mean_units"),
         ("max_attempts", settings.max_attempts > 0, "must be at least 1"),
-        ("max_wait_hint", is_valid_span(settings.max_retry_after), "must not be negative"),
-        ("connect_timeout", is_valid_span(settings.connect_timeout), "must not be negative"),
-        ("tick", is_valid_span(settings.tick), "must not be negative"),
-        ("ask_within", is_valid_span(settings.max_poll_interval), "must not be negative"),
-        ("order_rest", is_valid_span(settings.ordering_pause), "must not be negative"),
+        ("max_wait_hint", is_non_negative(settings.max_retry_after), "must not be negative"),
+        ("connect_timeout", is_non_negative(settings.connect_timeout), "must not be negative"),
+        ("tick", is_non_negative(settings.tick), "must not be negative"),
+        ("ask_within", is_non_negative(settings.max_poll_interval), "must not be negative"),
+        ("order_rest", is_non_negative(settings.ordering_pause), "must not be negative"),
         ("cold", is_valid_slow_start(&settings.slow_start), "figures must be finite and not negative"),
         ("retry_budget", retry_budget, "figures must not be negative"),
     ];
@@ -32,29 +32,31 @@
     }
 }
 
-fn is_valid_figure(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+fn is_finite_and_non_negative(amount: f64) -> bool {
+    amount.is_finite() && amount >= 0.0
 }
 
-fn is_valid_span(span: Micros) -> bool {
-    span.0 >= 0
+fn is_non_negative(duration: Micros) -> bool {
+    duration.0 >= 0
 }
 
 fn is_valid_class(class: &Class) -> bool {
-    class.latency_objective.0 > 0 && class.deadline.0 > 0 && is_valid_span(class.deduplication_window)
+    class.latency_objective.0 > 0 && class.deadline.0 > 0 && is_non_negative(class.deduplication_window)
 }
 
 fn is_valid_plan(plan: &Plan) -> bool {
-    let figures = [plan.weight, plan.reservation, plan.limit_rate, plan.limit_burst];
-    plan.weight > 0.0 && figures.into_iter().all(is_valid_figure)
+    let amounts = [plan.weight, plan.reservation, plan.limit_rate, plan.limit_burst];
+    plan.weight > 0.0 && amounts.into_iter().all(is_finite_and_non_negative)
 }
 
 fn is_valid_slow_start(slow_start: &SlowStart) -> bool {
-    let figures = [slow_start.safe_units, slow_start.initial_capacity, slow_start.overload_factor];
-    let spans = [slow_start.window, slow_start.duration];
-    figures.into_iter().all(is_valid_figure) && spans.into_iter().all(is_valid_span)
+    let amounts = [slow_start.safe_units, slow_start.initial_capacity, slow_start.overload_factor];
+    let durations = [slow_start.window, slow_start.duration];
+    amounts.into_iter().all(is_finite_and_non_negative) && durations.into_iter().all(is_non_negative)
 }
 
 fn is_valid_retry_budget(budget: &RetryBudget) -> bool {
-    is_valid_span(budget.window) && is_valid_figure(budget.min_retries) && is_valid_figure(budget.retry_ratio)
+    is_non_negative(budget.window)
+        && is_finite_and_non_negative(budget.min_retries)
+        && is_finite_and_non_negative(budget.retry_ratio)
 }
