--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,40 +1,40 @@
-//! Attempts, their ends, and the effects that the caller has to carry out.
+//! Attempts, their results, and the effects that the caller has to carry out.
 use crate::{Bytes, Request, Response};
 use scheduler::interface::{AttemptOutcome, BackendId, Micros, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// An attempt to be made.
+/// An attempt to send a request to a backend.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's number.
+    /// Number of the request.
     pub id: RequestId,
-    /// The attempt's number, from 0.
+    /// Number of the attempt, starting from 0.
     pub number: u32,
-    /// Where to send it.
+    /// The backend to send it to.
     pub backend: BackendId,
-    /// What to send.
+    /// The request to send.
     pub request: Rc<Request>,
-    /// When it was decided on.
+    /// When the scheduler decided on the attempt.
     pub started_at: Micros,
-    /// When to stop waiting for the response.
+    /// When the attempt times out.
     pub deadline: Micros,
-    /// When it must have begun: after that, a backend no longer recognizes a repeat as one.
+    /// When the attempt must have begun: after that, backends no longer recognize it as a retry.
     pub begin_by: Micros,
-    /// Whether its request still waits for its final response.
+    /// Whether the request still waits for its final response.
     pub(crate) is_wanted: Rc<Cell<bool>>,
 }
 
 impl Attempt {
-    /// Whether it may begin now.
+    /// Whether the attempt may begin now.
     ///
-    /// Establishing a connection takes time: meanwhile the client may have left, or the attempt's time have
-    /// passed.
+    /// Establishing a connection takes time: meanwhile the client may have disconnected, or the attempt may
+    /// have expired.
     pub fn may_begin(&self, now: Micros) -> bool {
         self.is_wanted.get() && now < self.deadline && now < self.begin_by
     }
 
-    /// The end of this attempt, without a value.
+    /// Creates the result of this attempt, without a value.
     pub fn ended<V>(&self, outcome: AttemptOutcome) -> AttemptEnd<V> {
         AttemptEnd {
             id: self.id,
@@ -48,32 +48,32 @@
     }
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd<V = Bytes> {
-    /// The request's number.
+    /// Number of the request.
     pub id: RequestId,
-    /// The attempt's number.
+    /// Number of the attempt, starting from 0.
     pub number: u32,
     /// The backend.
     pub backend: BackendId,
-    /// When it was decided on.
+    /// When the scheduler decided on the attempt.
     pub started_at: Micros,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Units served for the volume through other gateways.
+    /// Units served for the volume through other gateways, as reported by the response.
     pub remote_units: f64,
-    /// The value, of one that was served.
+    /// The value, if the request was served.
     pub value: Option<V>,
 }
 
-/// What the caller has to do.
+/// An effect that the caller has to carry out.
 #[derive(Debug)]
 pub enum Effect<T, V = Bytes> {
-    /// Make an attempt.
+    /// Start an attempt.
     StartAttempt(Attempt),
-    /// Give a client its final response.
+    /// Send a client its final response.
     Respond(T, Response<V>),
-    /// Subscribe to updates of the list of backends.
+    /// Subscribe to updates of the backend list.
     Watch,
 }
--- a/crates/dispatch/src/counters.rs
+++ b/crates/dispatch/src/counters.rs
@@ -2,7 +2,7 @@
 use scheduler::interface::AttemptOutcome;
 use std::fmt;
 
-/// Counts since the start. Their text is a log line's `key=value` pairs.
+/// Counts since the start. They are displayed as the `key=value` pairs of a log line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests received.
@@ -15,13 +15,13 @@
     pub over_capacity: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Requests under the name of an open one.
+    /// Requests with the name of an open one.
     pub duplicates: u64,
-    /// Requests whose client left before the response.
+    /// Requests whose client disconnected before the response.
     pub client_left: u64,
-    /// Requests that the scheduler had not finished in time.
+    /// Requests that the scheduler did not finish in time.
     pub overdue: u64,
-    /// Requests rejected or failed past half their time, with no attempt written completely.
+    /// Requests rejected or failed after more than half of their time, with no attempt written completely.
     pub late: u64,
     /// Attempts sent.
     pub sent: u64,
@@ -29,13 +29,13 @@
     pub retries: u64,
     /// Attempts by outcome.
     pub attempts: AttemptCounters,
-    /// Updates of the list of backends.
+    /// Updates of the backend list.
     pub endpoint_updates: u64,
-    /// Watches requested.
+    /// Subscriptions to the backend list.
     pub watches: u64,
-    /// Settings that took effect while the program ran.
+    /// Reloads of the settings that took effect.
     pub reloads: u64,
-    /// Configurations that were invalid when they were read again.
+    /// Reloads rejected because of an invalid configuration.
     pub reload_errors: u64,
 }
 
@@ -44,17 +44,17 @@
 pub struct AttemptCounters {
     /// Served.
     pub ok: u64,
-    /// Answered with an error.
+    /// The backend responded with an error.
     pub error: u64,
     /// Rejected by the backend.
     pub rejected: u64,
-    /// Timed out.
+    /// No response in time.
     pub timeout: u64,
-    /// Without a connection.
+    /// No connection was established.
     pub connect_failed: u64,
-    /// Whose connection broke.
+    /// The connection was lost.
     pub reset: u64,
-    /// Not written, because of a bound of the gateway's own.
+    /// Cancelled or not sent, because of a limit of the gateway itself.
     pub unsent: u64,
 }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The table of open requests, and what happens to them.
+//! The dispatcher, with its table of open requests.
 mod entry;
 mod responses;
 mod scheduling;
@@ -13,52 +13,52 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// How long after its client has stopped waiting a request fails that the scheduler left open; a final
-/// response is overdue after 58 ms.
+/// How long after its deadline a request fails that the scheduler has left open; a final response is overdue
+/// after 58 ms.
 const OVERDUE_AFTER_US: i64 = 4_000;
-/// Retry-After of requests that are rejected without the scheduler.
+/// Retry-After of requests that are rejected without asking the scheduler.
 const DEFAULT_RETRY_AFTER: Micros = Micros(100_000);
-/// Maximum number of volumes with units that were reported late.
-const MAX_LATE_REPORTS: usize = 1024;
+/// Maximum number of volumes with pending reports of remote units.
+const MAX_LATE_REPORT_VOLUMES: usize = 1024;
 
 /// Runs the scheduler and keeps the table of open requests.
 pub struct Dispatcher<T, V = Bytes> {
     scheduler: Scheduler,
     table: BTreeMap<RequestId, Entry<T>>,
-    /// The clients' names of requests without a final response.
+    /// Names, as given by the clients, of the requests without a final response.
     names: BTreeSet<Rc<str>>,
-    /// The scheduler's timers, with their tokens.
+    /// The scheduler's timers: expiry time and token.
     timers: BTreeSet<(Micros, u64)>,
-    /// When each open request must have its final response.
+    /// The time by which each open request must have its final response.
     overdue: BTreeSet<(Micros, RequestId)>,
-    /// Kept between events, so that it needn't be allocated for each.
+    /// Reused for all events, to avoid an allocation for each.
     actions: Vec<Action>,
-    /// Units served through other gateways, by volume, that were reported after their attempt's end.
-    late_reports: BTreeMap<Rc<str>, f64>,
-    /// Memory that the open requests occupy, in bytes.
-    held_bytes: usize,
+    /// Units served through other gateways, by volume, that were reported after the attempt had ended.
+    late_remote_units: BTreeMap<Rc<str>, f64>,
+    /// Memory used by the open requests, in bytes.
+    memory_bytes: usize,
     capacity: Capacity,
-    /// What is to be done, in order.
+    /// Effects for the caller to carry out, in order.
     pub effects: VecDeque<Effect<T, V>>,
     /// Counts since the start.
     pub counters: Counters,
 }
 
-/// How much the table may hold.
+/// Limits of the table.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Requests.
+    /// Maximum number of requests.
     pub requests: usize,
-    /// Memory of the requests, in bytes.
+    /// Maximum memory of the requests, in bytes.
     pub bytes: usize,
 }
 
 impl<T, V: Default> Dispatcher<T, V> {
-    /// A dispatcher that knows no backend yet.
+    /// Creates a dispatcher without backends.
     ///
     /// # Errors
     ///
-    /// Names the first setting with an invalid value.
+    /// Returns an error that names the first invalid setting.
     pub fn new(settings: Settings, seed: u64, capacity: Capacity) -> Result<Self, SettingsError> {
         Ok(Dispatcher {
             scheduler: Scheduler::new(settings, seed)?,
@@ -67,20 +67,20 @@
             timers: BTreeSet::new(),
             overdue: BTreeSet::new(),
             actions: Vec::new(),
-            late_reports: BTreeMap::new(),
-            held_bytes: 0,
+            late_remote_units: BTreeMap::new(),
+            memory_bytes: 0,
             capacity,
             effects: VecDeque::new(),
             counters: Counters::default(),
         })
     }
 
-    /// Replaces the settings and the capacity; open requests stay. The indexes of classes and plans must
+    /// Replaces the settings and the capacity; open requests are kept. The indexes of classes and plans must
     /// keep their meaning.
     ///
     /// # Errors
     ///
-    /// Names the first setting with an invalid value; nothing has changed then.
+    /// Returns an error that names the first invalid setting, and changes nothing.
     pub fn reload(
         &mut self,
         now: Micros,
@@ -92,17 +92,17 @@
         Ok(())
     }
 
-    /// Accepts a request; its response comes as an effect, possibly at once.
+    /// Accepts a request; its response is an effect, which may follow at once.
     pub fn submit(&mut self, now: Micros, id: RequestId, request: Request, ticket: T) {
         self.counters.received += 1;
         let bytes = request.memory_bytes();
-        if self.table.len() >= self.capacity.requests || self.held_bytes + bytes > self.capacity.bytes {
+        if self.table.len() >= self.capacity.requests || self.memory_bytes + bytes > self.capacity.bytes {
             self.counters.over_capacity += 1;
             let response = Response::Rejected(Some(DEFAULT_RETRY_AFTER));
             self.effects.push_back(Effect::Respond(ticket, response));
             return;
         }
-        // Backends know requests by their names, and would take one for the other.
+        // Backends identify requests by name, and would take a second one for a retry of the first.
         if !self.names.insert(request.name.clone()) {
             self.counters.duplicates += 1;
             let response = Response::Failed("the id is that of an open request");
@@ -110,13 +110,13 @@
             return;
         }
         let event = arrival_event(now, id, &request);
-        self.held_bytes += bytes;
+        self.memory_bytes += bytes;
         self.overdue.insert((Micros(request.deadline.0 + OVERDUE_AFTER_US), id));
         self.table.insert(id, Entry::new(Rc::new(request), ticket, now));
         self.notify(now, event);
     }
 
-    /// The client has left and needs no response.
+    /// Handles a client that has disconnected and needs no response.
     pub fn client_left(&mut self, now: Micros, id: RequestId) {
         if !self.table.contains_key(&id) {
             return;
@@ -128,23 +128,23 @@
         self.notify(now, Event::ClientLeft(id));
     }
 
-    /// The list of backends was updated.
+    /// Handles an update of the backend list.
     pub fn update_endpoints(&mut self, now: Micros, update: EndpointUpdate) {
         self.counters.endpoint_updates += 1;
         self.notify(now, Event::Endpoints(update));
     }
 
-    /// An attempt has ended. The first one that is served is the final response.
+    /// Handles the end of an attempt. The first attempt that is served gives the final response.
     pub fn attempt_ended(&mut self, now: Micros, end: AttemptEnd<V>) {
         let Some(entry) = self.table.get_mut(&end.id) else { return };
-        // An end may be reported twice: a connection that is torn down may race its own response.
+        // A result may be reported twice: closing a connection may race with a response on it.
         if !entry.is_in_flight || end.number + 1 != entry.attempts {
             return;
         }
         entry.record_end(end.outcome);
         self.counters.attempts.record(end.outcome);
         let is_served = end.outcome == AttemptOutcome::Ok;
-        let late_report = if is_served { self.late_reports.remove(&entry.request.volume) } else { None };
+        let late_units = if is_served { self.late_remote_units.remove(&entry.request.volume) } else { None };
         if is_served {
             if let Some(ticket) = self.take_ticket(end.id) {
                 self.counters.served += 1;
@@ -164,50 +164,51 @@
             outcome: end.outcome,
             elapsed: Micros(now.0 - end.started_at.0),
             request_finished,
-            remote_units: end.remote_units + late_report.unwrap_or(0.0),
+            remote_units: end.remote_units + late_units.unwrap_or(0.0),
         };
         self.notify(now, Event::AttemptEnded(report));
     }
 
-    /// Counts units that were served for a volume through other gateways and reported after their attempt's
-    /// end, with the volume's next served attempt.
+    /// Adds units that other gateways served for a volume and that were reported after their attempt had
+    /// ended. They count with the volume's next served attempt.
     pub fn add_remote_units(&mut self, volume: Rc<str>, units: f64) {
-        // Volumes are as many as clients name: bound the memory.
-        let has_room = self.late_reports.len() < MAX_LATE_REPORTS || self.late_reports.contains_key(&volume);
+        // Clients choose the names of volumes: bound the memory.
+        let has_room = self.late_remote_units.len() < MAX_LATE_REPORT_VOLUMES
+            || self.late_remote_units.contains_key(&volume);
         if units > 0.0 && has_room {
-            *self.late_reports.entry(volume).or_default() += units;
+            *self.late_remote_units.entry(volume).or_default() += units;
         }
     }
 
-    /// When [`fire_timers`](Self::fire_timers) must be called next.
+    /// Returns when [`fire_timers`](Self::fire_timers) must be called next.
     pub fn next_timer(&self) -> Option<Micros> {
         let timer = self.timers.first().map(|(at, _)| *at);
         let overdue = self.overdue.first().map(|(at, _)| *at);
         timer.into_iter().chain(overdue).min()
     }
 
-    /// Number of requests without a final response.
+    /// Returns the number of requests without a final response.
     pub fn unanswered(&self) -> usize {
         self.names.len()
     }
 
-    /// Number of requests that have no final response, or an attempt in flight.
+    /// Returns the number of requests without a final response or with an attempt in flight.
     pub fn open_requests(&self) -> usize {
         self.table.len()
     }
 
-    /// Backends that are listed as ready and aren't sent to for now, because they failed.
+    /// Returns the backends that are listed as ready but currently aren't sent to, because they failed.
     pub fn ejected_backends(&self, now: Micros) -> Vec<BackendId> {
         self.scheduler.ejected_backends(now)
     }
 
-    /// Number of backends and volumes that the scheduler knows.
-    pub fn known(&self) -> KnownCounts {
-        self.scheduler.known()
+    /// Returns the number of backends and volumes known to the scheduler.
+    pub fn known_counts(&self) -> KnownCounts {
+        self.scheduler.known_counts()
     }
 }
 
-/// The scheduler's view of a request that arrives.
+/// Creates the scheduler's event for the arrival of a request.
 fn arrival_event(now: Micros, id: RequestId, request: &Request) -> Event {
     Event::RequestArrived(scheduler::interface::Request {
         id,
--- a/crates/dispatch/src/dispatcher/entry.rs
+++ b/crates/dispatch/src/dispatcher/entry.rs
@@ -1,13 +1,13 @@
-//! The entry of an open request in the table.
+//! Entries of the table of open requests.
 use crate::Request;
 use scheduler::interface::{AttemptOutcome, Micros};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A request that waits for its final response, or has an attempt in flight.
+/// A request that waits for its final response or has an attempt in flight.
 pub(super) struct Entry<T> {
     pub request: Rc<Request>,
-    /// The client's ticket, until it has its final response.
+    /// The client's ticket, until the final response is sent.
     pub ticket: Option<T>,
     pub attempts: u32,
     pub is_in_flight: bool,
@@ -16,14 +16,14 @@
     pub was_written: bool,
     /// Whether an attempt may have been executed.
     pub may_have_run: bool,
-    /// Whether no further attempt may begin, though somebody still waits for the outcome.
+    /// Whether no further attempt may begin, although another caller may still ask for the outcome.
     pub is_abandoned: bool,
-    /// Whether it still waits for its final response, as its attempts see it.
+    /// Whether the request still waits for its final response; shared with its attempts.
     pub is_wanted: Rc<Cell<bool>>,
 }
 
 impl<T> Entry<T> {
-    /// The entry of a request that has just arrived.
+    /// Creates the entry of a request that has just arrived.
     pub fn new(request: Rc<Request>, ticket: T, now: Micros) -> Entry<T> {
         Entry {
             request,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Notes the end of the attempt in flight.
+    /// Records the end of the attempt in flight.
     pub fn record_end(&mut self, outcome: AttemptOutcome) {
         self.is_in_flight = false;
         self.was_written |= !matches!(outcome, AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent);
@@ -48,12 +48,12 @@
         );
     }
 
-    /// Whether it has its final response and no attempt in flight.
+    /// Whether the request has its final response and no attempt in flight.
     pub fn is_done(&self) -> bool {
         self.ticket.is_none() && !self.is_in_flight
     }
 
-    /// Whether more than half of its client's time has passed, with no attempt written completely.
+    /// Whether more than half of the client's time has passed with no attempt written completely.
     pub fn is_late(&self, now: Micros) -> bool {
         let allowed = self.request.deadline.0 - self.arrived_at.0;
         !self.was_written && now.0 - self.arrived_at.0 > allowed / 2
--- a/crates/dispatch/src/dispatcher/responses.rs
+++ b/crates/dispatch/src/dispatcher/responses.rs
@@ -1,12 +1,12 @@
-//! Final responses: exactly one for each request, whatever causes it.
+//! Final responses: exactly one for each request, whatever its cause.
 use super::entry::Entry;
 use super::{Dispatcher, DEFAULT_RETRY_AFTER, OVERDUE_AFTER_US};
 use crate::{Effect, Response};
 use scheduler::interface::{Event, Micros, RequestId};
 
 impl<T, V: Default> Dispatcher<T, V> {
-    /// The client has left, and somebody may still ask for the outcome: no further attempt begins, and the
-    /// final response says what became of those that have.
+    /// Handles a client that has disconnected while another caller may still ask for the outcome: no further
+    /// attempt begins, and the final response tells the outcome of the attempts made.
     pub fn abandon(&mut self, now: Micros, id: RequestId) {
         let Some(entry) = self.table.get_mut(&id).filter(|entry| entry.ticket.is_some()) else { return };
         entry.is_abandoned = true;
@@ -17,15 +17,15 @@
         }
     }
 
-    /// All open requests are to have their responses by then, however long their clients wait: the process
-    /// ends.
+    /// Sets a deadline by which all open requests get their responses, however long their clients would wait.
+    /// Used when the process shuts down.
     pub fn respond_by(&mut self, deadline: Micros) {
-        let is_later = |entry: &Entry<T>| entry.ticket.is_some() && entry.request.deadline > deadline;
-        let later = self.table.iter().filter(|(_, entry)| is_later(entry));
-        self.overdue.extend(later.map(|(id, _)| (deadline, *id)));
+        let is_due_after = |entry: &Entry<T>| entry.ticket.is_some() && entry.request.deadline > deadline;
+        let with_later_deadline = self.table.iter().filter(|(_, entry)| is_due_after(entry));
+        self.overdue.extend(with_later_deadline.map(|(id, _)| (deadline, *id)));
     }
 
-    /// Fails requests whose time has passed, whatever the scheduler does with them.
+    /// Fails requests that are overdue, whatever their state in the scheduler.
     pub(super) fn fail_overdue(&mut self, now: Micros) {
         while let Some((at, id)) = self.overdue.first().copied().filter(|(at, _)| *at <= now) {
             self.overdue.remove(&(at, id));
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Responds to an abandoned request without an attempt in flight: rejected if it was not executed, else
-    /// failed.
+    /// Responds to an abandoned request without an attempt in flight: rejected if it was not executed,
+    /// otherwise failed.
     pub(super) fn respond_to_abandoned(&mut self, now: Micros, id: RequestId) {
         let may_have_run = self.table.get(&id).is_some_and(|entry| entry.may_have_run);
         if may_have_run {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Responds that the request was rejected.
+    /// Sends the final response "rejected".
     pub(super) fn reject(&mut self, now: Micros, id: RequestId, retry_after: Option<Micros>) {
         self.count_late(now, id);
         if let Some(ticket) = self.take_ticket(id) {
@@ -61,7 +61,7 @@
         self.remove_if_done(id);
     }
 
-    /// Responds that the request failed.
+    /// Sends the final response "failed".
     pub(super) fn fail(&mut self, now: Micros, id: RequestId, reason: &'static str) {
         self.count_late(now, id);
         if let Some(ticket) = self.take_ticket(id) {
@@ -71,7 +71,7 @@
         self.remove_if_done(id);
     }
 
-    /// Takes the ticket of a request that has had no final response yet; the caller responds to it.
+    /// Takes the ticket of a request without a final response; the caller must respond to it.
     pub(super) fn take_ticket(&mut self, id: RequestId) -> Option<T> {
         let entry = self.table.get_mut(&id)?;
         let ticket = entry.ticket.take()?;
@@ -80,18 +80,18 @@
         Some(ticket)
     }
 
-    /// Removes a request that has its final response and no attempt in flight.
+    /// Removes a request if it has its final response and no attempt in flight.
     pub(super) fn remove_if_done(&mut self, id: RequestId) {
         if !self.table.get(&id).is_some_and(Entry::is_done) {
             return;
         }
         if let Some(entry) = self.table.remove(&id) {
-            self.held_bytes -= entry.request.memory_bytes();
+            self.memory_bytes -= entry.request.memory_bytes();
             self.overdue.remove(&(Micros(entry.request.deadline.0 + OVERDUE_AFTER_US), id));
         }
     }
 
-    /// Counts a response that came too late for the client to try again, with nothing sent meanwhile.
+    /// Counts a response that came too late for the client to retry, with nothing sent before it.
     fn count_late(&mut self, now: Micros, id: RequestId) {
         let is_late = self.table.get(&id).is_some_and(|entry| entry.is_late(now));
         self.counters.late += u64::from(is_late);
--- a/crates/dispatch/src/dispatcher/scheduling.rs
+++ b/crates/dispatch/src/dispatcher/scheduling.rs
@@ -1,10 +1,10 @@
-//! Notifies the scheduler and carries out its actions.
+//! Passes events to the scheduler and carries out its actions.
 use super::Dispatcher;
 use crate::{Attempt, Effect};
 use scheduler::interface::{Action, BackendId, Event, Micros, RequestId};
 
 impl<T, V: Default> Dispatcher<T, V> {
-    /// Fires the timers that have expired, and fails requests whose time has passed.
+    /// Fires expired timers, and fails requests that are overdue.
     pub fn fire_timers(&mut self, now: Micros) {
         while let Some((at, token)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, token));
@@ -13,7 +13,7 @@
         self.fail_overdue(now);
     }
 
-    /// Notifies the scheduler of an event and carries out its actions.
+    /// Passes an event to the scheduler and carries out its actions.
     pub(super) fn notify(&mut self, now: Micros, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.handle(now, event, &mut actions);
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,9 +1,9 @@
-//! The core between a gateway's listeners and its backends.
+//! The layer between a gateway's listeners and its backends.
 //!
-//! [`Dispatcher`] runs the [`scheduler`], keeps the table of open requests and their attempts, and makes
-//! sure that each request gets exactly one final response. It is sans-I/O: it knows no protocol and reads
-//! no clock, and what is to be done comes out as [`Effect`]s. The type parameter `T`, the ticket, is what a
-//! listener needs to find its client again; `V` is its type of values.
+//! [`Dispatcher`] runs the [`scheduler`], keeps the table of open requests and their attempts, and ensures
+//! that each request gets exactly one final response. It is sans-I/O: it implements no protocol and reads no
+//! clock, and it returns [`Effect`]s for its caller to carry out. The type parameter `T`, the ticket, lets a
+//! listener find the client of a request; `V` is the listener's type of values.
 mod attempt;
 mod counters;
 mod dispatcher;
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,11 +1,11 @@
-//! Requests of clients, and their final responses.
+//! Client requests and their final responses.
 use scheduler::interface::Micros;
 use std::rc::Rc;
 
-/// Memory that a request occupies besides its body, in bytes, roughly.
+/// Approximate memory of a request besides its body, in bytes.
 const REQUEST_OVERHEAD_BYTES: usize = 512;
 
-/// Bytes that are passed on without being copied.
+/// Bytes that are shared rather than copied.
 pub type Bytes = Rc<[u8]>;
 
 /// A range of a volume's blocks.
@@ -17,41 +17,41 @@
     pub blocks: u32,
 }
 
-/// What a client asks for.
+/// A client request.
 #[derive(Debug)]
 pub struct Request {
-    /// The client's name for it, unique among open requests.
+    /// The name that the client gave the request, unique among open requests.
     pub name: Rc<str>,
     /// Index of the class.
     pub class: usize,
     /// Index of the plan.
     pub plan: usize,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub is_write: bool,
-    /// The piece of data; empty for none.
+    /// The key of the data; empty if there is none.
     pub key: Rc<str>,
     /// The volume.
     pub volume: Rc<str>,
-    /// Its size, in units.
+    /// Size of the request, in units.
     pub units: u32,
-    /// The shard that holds the data; none for a new object.
+    /// The shard that holds the data; `None` for a new object.
     pub shard: Option<u32>,
     /// Number of gateways through which the volume's requests arrive.
     pub volume_gateways: u32,
-    /// What else the client said, for the backend only.
+    /// Further arguments of the client, which are only passed on to the backend.
     pub extra: Rc<str>,
-    /// What is to be written.
+    /// The data to write.
     pub body: Option<Bytes>,
-    /// Whether its client accepts a long value in parts, as it arrives.
+    /// Whether the client accepts a long value in parts as they arrive.
     pub accepts_stream: bool,
-    /// The blocks of the volume, where the client named blocks.
+    /// The range of blocks, if the client addressed blocks.
     pub extent: Option<Extent>,
-    /// How long the client waits.
+    /// The time until which the client waits.
     pub deadline: Micros,
 }
 
 impl Request {
-    /// The memory that it occupies, in bytes, roughly.
+    /// Returns the approximate memory of the request, in bytes.
     pub fn memory_bytes(&self) -> usize {
         REQUEST_OVERHEAD_BYTES + self.body.as_ref().map_or(0, |body| body.len())
     }
@@ -60,10 +60,10 @@
 /// The final response to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response<V = Bytes> {
-    /// What the backend returned.
+    /// The request was served, with this value from the backend.
     Served(V),
-    /// It was not executed, or may be repeated: safe to try again, best after that time.
+    /// The request was not executed or may safely be retried, ideally after this time.
     Rejected(Option<Micros>),
-    /// It may or may not have been executed; with the reason, as text for the client.
+    /// The request may or may not have been executed; with the reason as text for the client.
     Failed(&'static str),
 }
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The dispatcher without any wire: exactly one final answer, whatever comes in whatever order.
+//! The dispatcher without any protocol: each request gets exactly one final response, whatever the order of
+//! events.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use dispatch::{Attempt, AttemptEnd, Bytes, Capacity, Dispatcher, Effect, Request, Response};
 use scheduler::interface::*;
@@ -51,7 +52,7 @@
     }
 }
 
-fn effects(dispatcher: &mut Dispatcher<u32>) -> (Vec<Attempt>, Vec<(u32, Response)>) {
+fn take_effects(dispatcher: &mut Dispatcher<u32>) -> (Vec<Attempt>, Vec<(u32, Response)>) {
     let (mut starts, mut responses) = (vec![], vec![]);
     for effect in dispatcher.effects.drain(..) {
         match effect {
@@ -68,15 +69,15 @@
 }
 
 #[test]
-fn first_served_attempt_is_the_response_and_repeated_ends_are_ignored() {
+fn responds_with_first_served_attempt_and_ignores_repeated_ends() {
     let mut dispatcher = dispatcher(Idempotency::Idempotent);
     dispatcher.submit(Micros(10), RequestId(1), request(1_000_000), 7);
-    let (starts, _) = effects(&mut dispatcher);
+    let (starts, _) = take_effects(&mut dispatcher);
     assert_eq!(starts[0].deadline, Micros(1_000_000).min(starts[0].deadline));
     dispatcher.attempt_ended(Micros(20), served(&starts[0]));
     dispatcher.attempt_ended(Micros(30), served(&starts[0]));
     dispatcher.attempt_ended(Micros(30), starts[0].ended(AttemptOutcome::Reset));
-    assert_eq!(effects(&mut dispatcher).1, vec![(7, Response::Served(Bytes::from(*b"x")))]);
+    assert_eq!(take_effects(&mut dispatcher).1, vec![(7, Response::Served(Bytes::from(*b"x")))]);
     assert_eq!(
         (dispatcher.open_requests(), dispatcher.counters.served, dispatcher.counters.attempts.ok),
         (0, 1, 1)
@@ -95,7 +96,7 @@
         dispatcher.submit(Micros(10), RequestId(1), request(1_000_000), 7);
         let mut now = 20;
         let response = loop {
-            let (starts, responses) = effects(&mut dispatcher);
+            let (starts, responses) = take_effects(&mut dispatcher);
             if let Some((_, response)) = responses.first() {
                 break response.clone();
             }
@@ -120,14 +121,14 @@
 }
 
 #[test]
-fn client_that_left_gets_no_response() {
+fn sends_no_response_to_disconnected_client() {
     let mut dispatcher = dispatcher(Idempotency::Idempotent);
     dispatcher.submit(Micros(10), RequestId(1), request(1_000_000), 7);
-    let (starts, _) = effects(&mut dispatcher);
+    let (starts, _) = take_effects(&mut dispatcher);
     dispatcher.client_left(Micros(15), RequestId(1));
     assert_eq!(dispatcher.open_requests(), 1, "its attempt is in flight");
     dispatcher.attempt_ended(Micros(20), served(&starts[0]));
-    assert!(effects(&mut dispatcher).1.is_empty());
+    assert!(take_effects(&mut dispatcher).1.is_empty());
     assert_eq!(
         (dispatcher.open_requests(), dispatcher.counters.client_left, dispatcher.counters.served),
         (0, 1, 0)
@@ -141,41 +142,45 @@
         let request = Request { name: id.to_string().into(), ..request(1_000_000) };
         dispatcher.submit(Micros(10), RequestId(id), request, id as u32);
     }
-    let rejected = effects(&mut dispatcher).1;
-    assert!(rejected.iter().all(|(_, a)| matches!(a, Response::Rejected(Some(_)))));
+    let rejected = take_effects(&mut dispatcher).1;
+    assert!(rejected.iter().all(|(_, response)| matches!(response, Response::Rejected(Some(_)))));
     assert_eq!((dispatcher.counters.over_capacity, dispatcher.open_requests() + rejected.len()), (2, 6));
 }
 
 #[test]
 fn fails_request_whose_attempt_never_ends() {
-    // A connection may lose an attempt; its request must get its response nevertheless.
+    // A connection may lose an attempt; its request must still get its response.
     let mut dispatcher = dispatcher(Idempotency::Idempotent);
     dispatcher.submit(Micros(10), RequestId(1), request(300_000), 7);
-    let (starts, _) = effects(&mut dispatcher);
+    let (starts, _) = take_effects(&mut dispatcher);
     assert_eq!(starts.len(), 1);
     while let Some(at) = dispatcher.next_timer().filter(|at| at.0 < 1_000_000) {
         dispatcher.fire_timers(at);
     }
-    assert_eq!(effects(&mut dispatcher).1, vec![(7, Response::Failed("no answer in time"))]);
+    assert_eq!(take_effects(&mut dispatcher).1, vec![(7, Response::Failed("no answer in time"))]);
     assert_eq!(dispatcher.counters.overdue, 1);
 }
 
 #[test]
-fn rejects_name_of_open_request() {
+fn rejects_request_with_name_of_open_request() {
     let mut dispatcher = dispatcher(Idempotency::Idempotent);
     dispatcher.submit(Micros(10), RequestId(1), request(1_000_000), 1);
-    let (starts, _) = effects(&mut dispatcher);
+    let (starts, _) = take_effects(&mut dispatcher);
     dispatcher.submit(Micros(20), RequestId(2), request(1_000_000), 2);
     let failed = Response::Failed("the id is that of an open request");
-    let (none, responses) = effects(&mut dispatcher);
-    assert_eq!((none.len(), responses), (0, vec![(2, failed)]));
+    let (starts_of_duplicate, responses) = take_effects(&mut dispatcher);
+    assert_eq!((starts_of_duplicate.len(), responses), (0, vec![(2, failed)]));
     let value: Bytes = Bytes::from(&b"A"[..]);
     dispatcher.attempt_ended(
         Micros(30),
         AttemptEnd { value: Some(value.clone()), ..starts[0].ended(AttemptOutcome::Ok) },
     );
-    assert_eq!(effects(&mut dispatcher).1, vec![(1, Response::Served(value))]);
+    assert_eq!(take_effects(&mut dispatcher).1, vec![(1, Response::Served(value))]);
     dispatcher.submit(Micros(40), RequestId(3), request(1_000_000), 3);
-    assert_eq!(effects(&mut dispatcher).0.len(), 1, "it is free again once the first has its response");
+    assert_eq!(
+        take_effects(&mut dispatcher).0.len(),
+        1,
+        "the name is free again once the first request has its response"
+    );
     assert_eq!((dispatcher.counters.duplicates, dispatcher.open_requests()), (1, 1));
 }
--- a/crates/gateway/src/scheduler_actor.rs
+++ b/crates/gateway/src/scheduler_actor.rs
@@ -120,7 +120,7 @@
     }
 
     fn log_counters(&self) {
-        let known = self.dispatcher.known();
+        let known = self.dispatcher.known_counts();
         crate::log::line(format_args!(
             "counters {} open={} listed_backends={} known_backends={} volumes={}",
             self.dispatcher.counters,
--- a/crates/scale-bench/src/file.rs
+++ b/crates/scale-bench/src/file.rs
@@ -130,6 +130,6 @@
     reading.put("reload_read", "us", &mut play);
     applying.put("reload_apply", "us", &mut play);
     whole.put("reload", "us", &mut play);
-    play.put("known_nodes", held.module.known().backends as f64);
+    play.put("known_nodes", held.module.known_counts().backends as f64);
     Ok(play)
 }
--- a/crates/scale-bench/src/list/mod.rs
+++ b/crates/scale-bench/src/list/mod.rs
@@ -197,6 +197,6 @@
     changes.put("change", "us", &mut play);
     play.put("changes", changes.count() as f64);
     requests::measure(&mut table, size, &mut play)?;
-    play.put("known_nodes", table.scheduler.known().backends as f64);
+    play.put("known_nodes", table.scheduler.known_counts().backends as f64);
     Ok(play)
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -170,7 +170,7 @@
     }
 
     /// Returns the number of known backends and volumes.
-    pub fn known(&self) -> KnownCounts {
+    pub fn known_counts(&self) -> KnownCounts {
         KnownCounts { backends: self.backends.by_id.len(), volumes: self.sessions.by_volume.len() }
     }
 }
--- a/crates/scheduler/tests/backend_window.rs
+++ b/crates/scheduler/tests/backend_window.rs
@@ -1,4 +1,4 @@
-//! A backend's window: latency, lost responses, and sharing among many gateways.
+//! A backend's window: adaptation to latency, lost responses, and sharing among many gateways.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
@@ -14,7 +14,8 @@
     let actions = gateway.arrive(request(1));
     let Some(Action::Send { timeout: Some(timeout), .. }) = actions.first() else { panic!("{actions:?}") };
     assert!(timeout.0 <= SECOND, "{timeout:?}");
-    // Others are served meanwhile, so the backend is healthy: its window stays, and what waits is sent.
+    // Other requests are served meanwhile, so the backend is healthy: its window stays open, and queued
+    // requests are sent.
     gateway.arrive(request(2));
     assert_eq!(gateway.arrive(request(3)), vec![]);
     gateway.advance(50 * MS);
@@ -38,7 +39,7 @@
     assert_eq!(
         rejected(&gateway.arrive(request(2))),
         vec![2],
-        "slower than the objective, as far as is known"
+        "the last known latency exceeds the objective"
     );
     gateway.advance(30 * SECOND);
     assert_eq!(sent(&gateway.arrive(request(3))), vec![3]);
@@ -76,17 +77,20 @@
     settings.classes[0].latency_objective = Micros(1900 * MS);
     let mut gateway = Gateway::new(settings);
     for id in 1..40 {
-        // Latency grows, so that the window narrows.
+        // Growing latency narrows the window.
         gateway.arrive(request(id));
         gateway.end_attempt(id, AttemptOutcome::Ok, (10 + id as i64) * MS);
     }
     let waiting = (100..120).filter(|id| sent(&gateway.arrive(request(*id))).is_empty()).count();
     assert!(waiting > 10);
-    let trial = sent(&gateway.advance(400 * MS));
-    assert_eq!(trial.len(), 1, "one more, on trial");
+    let probe = sent(&gateway.advance(400 * MS));
+    assert_eq!(probe.len(), 1, "one more request probes the backend");
     assert_eq!(sent(&gateway.advance(400 * MS)).len(), 0, "none after that while the backend is silent");
-    let sent_then = sent(&gateway.end_attempt(trial[0], AttemptOutcome::Ok, 20 * MS));
-    assert!(!sent_then.is_empty(), "an response to a later one shows that the earlier were lost");
+    let sent_after_response = sent(&gateway.end_attempt(probe[0], AttemptOutcome::Ok, 20 * MS));
+    assert!(
+        !sent_after_response.is_empty(),
+        "a response to a later attempt shows that earlier responses were lost"
+    );
 }
 
 #[test]
@@ -146,7 +150,7 @@
             Request { plan: 2, volume: VolumeId("w".into()), timeout: Micros(40 * MS), ..request(99) };
         rejected(&gateway.arrive(short)).is_empty()
     };
-    assert!(is_admitted(2), "a gateway that sees much of a backend goes by what it saw");
+    assert!(is_admitted(2), "a gateway with much of a backend's traffic relies on its own observations");
     assert!(!is_admitted(200));
 }
 
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests: settings, and a gateway that the test drives step by step.
+//! Shared test support: settings, and a gateway that tests drive step by step.
 #![allow(dead_code)]
 use scheduler::interface::*;
 use scheduler::Scheduler;
@@ -9,7 +9,7 @@
 /// Microseconds in a second.
 pub const SECOND: i64 = 1_000_000;
 
-/// An idempotent class.
+/// Creates an idempotent class.
 pub fn class() -> Class {
     Class {
         latency_objective: Micros(200 * MS),
@@ -21,12 +21,12 @@
     }
 }
 
-/// A plan without reservation or limit.
+/// Creates a plan without reservation or limit.
 pub fn plan() -> Plan {
     Plan { reservation: 0.0, weight: 1.0, limit_rate: 0.0, limit_burst: 0.0 }
 }
 
-/// Settings of two gateways, with one class and three plans.
+/// Creates settings for two gateways, with one class and three plans.
 pub fn default_settings() -> Settings {
     Settings {
         gateways: 2,
@@ -53,14 +53,14 @@
     }
 }
 
-/// Settings whose first class has a latency objective just below its clients' timeout.
+/// Creates settings whose first class has a latency objective just below the client timeout.
 pub fn settings_with_long_objective() -> Settings {
     let mut settings = default_settings();
     settings.classes[0].latency_objective = Micros(1900 * MS);
     settings
 }
 
-/// An entry of a ready backend that started long ago.
+/// Creates the entry of a ready backend that started long ago.
 pub fn entry(name: &str, shard: u32) -> BackendEntry {
     BackendEntry {
         backend: BackendId(name.into()),
@@ -71,12 +71,12 @@
     }
 }
 
-/// An entry of a backend that has been removed.
+/// Creates the entry of a removed backend.
 pub fn gone_entry(name: &str, shard: u32) -> BackendEntry {
     BackendEntry { state: BackendState::Gone, ..entry(name, shard) }
 }
 
-/// A request for shard 0, of an idempotent class.
+/// Creates a request for shard 0, of an idempotent class.
 pub fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -91,25 +91,25 @@
     }
 }
 
-/// A gateway's scheduler, its clock and timers, and what it has sent so far.
+/// A gateway's scheduler with a simulated clock and timers, and a record of the attempts sent.
 pub struct Gateway {
     pub scheduler: Scheduler,
     pub now: i64,
-    /// When each timer expires, and its token.
+    /// Expiry time and token of each timer.
     timers: Vec<(i64, u64)>,
-    /// Number of attempts, by request.
+    /// Number of attempts by request.
     pub attempts: BTreeMap<u64, u32>,
-    /// The backend of the last attempt, by request.
+    /// Backend of the last attempt by request.
     pub backends: BTreeMap<u64, BackendId>,
 }
 
 impl Gateway {
-    /// A gateway that has long known backend `a` with shard 0 and backend `b` with shard 1.
+    /// Creates a gateway that has long known backend `a` with shard 0 and backend `b` with shard 1.
     pub fn new(settings: Settings) -> Gateway {
         Gateway::seeded(settings, 7)
     }
 
-    /// The same, with another seed of its random numbers.
+    /// Creates the same gateway with another seed.
     pub fn seeded(settings: Settings, seed: u64) -> Gateway {
         let scheduler = Scheduler::new(settings, seed).expect("settings");
         let mut gateway = Gateway {
@@ -123,7 +123,7 @@
         gateway
     }
 
-    /// Notifies the scheduler of an event; returns its actions but for timers.
+    /// Passes an event to the scheduler and returns its actions, except timers.
     pub fn notify(&mut self, event: Event) -> Vec<Action> {
         let mut actions = vec![];
         self.scheduler.handle(Micros(self.now), event, &mut actions);
@@ -141,17 +141,17 @@
         actions
     }
 
-    /// A request arrives.
+    /// Handles the arrival of a request.
     pub fn arrive(&mut self, request: Request) -> Vec<Action> {
         self.notify(Event::RequestArrived(request))
     }
 
-    /// Ends the last attempt of a request, after so many microseconds; a served one is final.
+    /// Ends the last attempt of a request after `elapsed` microseconds; a served attempt is final.
     pub fn end_attempt(&mut self, id: u64, outcome: AttemptOutcome, elapsed: i64) -> Vec<Action> {
         self.end_attempt_reporting(id, outcome, elapsed, 0.0)
     }
 
-    /// The same, with the units that were served through other gateways.
+    /// Ends the last attempt and reports the units that were served through other gateways.
     pub fn end_attempt_reporting(
         &mut self,
         id: u64,
@@ -171,7 +171,7 @@
         self.notify(Event::AttemptEnded(report))
     }
 
-    /// Lets so many microseconds pass, with the timers that expire meanwhile.
+    /// Advances the clock and fires the timers that expire meanwhile.
     pub fn advance(&mut self, micros: i64) -> Vec<Action> {
         let until = self.now + micros;
         let mut actions = vec![];
@@ -185,24 +185,24 @@
     }
 }
 
-/// Notifies a gateway of changed entries.
+/// Sends a gateway changed entries of the backend list.
 pub fn update_list(gateway: &mut Gateway, entries: Vec<BackendEntry>) -> Vec<Action> {
     gateway.notify(Event::Endpoints(EndpointUpdate::Delta(entries)))
 }
 
-/// Requests of which an attempt was sent.
+/// Returns the ids of the requests of which an attempt was sent.
 pub fn sent(actions: &[Action]) -> Vec<u64> {
     let id = |a: &Action| if let Action::Send { id, .. } = a { Some(id.0) } else { None };
     actions.iter().filter_map(id).collect()
 }
 
-/// Requests that were rejected.
+/// Returns the ids of the rejected requests.
 pub fn rejected(actions: &[Action]) -> Vec<u64> {
     let id = |a: &Action| if let Action::Reject { id, .. } = a { Some(id.0) } else { None };
     actions.iter().filter_map(id).collect()
 }
 
-/// Requests that failed.
+/// Returns the ids of the failed requests.
 pub fn failed(actions: &[Action]) -> Vec<u64> {
     let id = |a: &Action| if let Action::Fail { id } = a { Some(id.0) } else { None };
     actions.iter().filter_map(id).collect()
--- a/crates/scheduler/tests/discovery.rs
+++ b/crates/scheduler/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that fails: the watch is requested again, and backends that fail meanwhile are left alone.
+//! Discovery failures: the watch is requested again, and nothing is sent to backends that fail meanwhile.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
@@ -18,32 +18,36 @@
     gateway.notify(Event::Endpoints(EndpointUpdate::Delta(vec![])))
 }
 
-/// Attempts at backend `a` in the last 20 of 60 s in which every attempt there has this outcome, at ten requests per
-/// second.
-fn late_sends(gateway: &mut Gateway, outcome: AttemptOutcome, list: impl Fn(&mut Gateway, i64)) -> usize {
-    let mut late = 0;
-    for tenth in 0..RUN_SECONDS * 10 {
-        list(gateway, tenth);
-        let id = 1000 + tenth as u64;
+/// Number of attempts at backend `a` in the last 20 of 60 s, at ten requests per second, where every attempt
+/// ends with this outcome.
+fn sends_in_last_20_s(
+    gateway: &mut Gateway,
+    outcome: AttemptOutcome,
+    update_list_at: impl Fn(&mut Gateway, i64),
+) -> usize {
+    let mut sends = 0;
+    for step in 0..RUN_SECONDS * 10 {
+        update_list_at(gateway, step);
+        let id = 1000 + step as u64;
         let mut actions = gateway.arrive(request(id));
         actions.extend(gateway.advance(50 * MS));
         // Each attempt ends at once, and so do the retries that follow.
-        let mut open = sent(&actions);
-        while let Some(id) = open.pop() {
-            late += usize::from(tenth >= (RUN_SECONDS - 20) * 10);
-            open.extend(sent(&gateway.end_attempt(id, outcome, MS)));
+        let mut in_flight = sent(&actions);
+        while let Some(id) = in_flight.pop() {
+            sends += usize::from(step >= (RUN_SECONDS - 20) * 10);
+            in_flight.extend(sent(&gateway.end_attempt(id, outcome, MS)));
         }
-        let rest = sent(&gateway.advance(50 * MS));
-        for id in rest {
-            late += usize::from(tenth >= (RUN_SECONDS - 20) * 10);
+        let later_sends = sent(&gateway.advance(50 * MS));
+        for id in later_sends {
+            sends += usize::from(step >= (RUN_SECONDS - 20) * 10);
             gateway.end_attempt(id, outcome, MS);
         }
     }
-    late
+    sends
 }
 
 #[test]
-fn requests_watch_again_with_growing_waits() {
+fn retries_watch_with_growing_delays() {
     let mut settings = default_settings();
     settings.discovery_mode = DiscoveryMode::Subscribe;
     settings.max_poll_interval = Micros(10 * SECOND);
@@ -59,7 +63,7 @@
     assert!(calls[0] < 101 * SECOND && calls.len() >= 4, "{calls:?}");
     assert!(gaps.iter().all(|g| *g <= 10 * SECOND) && gaps[3] > gaps[0], "{gaps:?}");
     update_list(&mut gateway, vec![]);
-    assert_eq!(gateway.advance(60 * SECOND), vec![], "a watch that holds is not asked for again");
+    assert_eq!(gateway.advance(60 * SECOND), vec![], "an active watch is not requested again");
 }
 
 #[test]
@@ -67,17 +71,17 @@
     for outcome in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed, AttemptOutcome::Reset] {
         let mut gateway = Gateway::new(subscribing_settings());
         confirm_list(&mut gateway);
-        let confirmed = late_sends(&mut gateway, outcome, |gateway, tenth| {
-            if tenth % 20 == 0 {
+        let confirmed = sends_in_last_20_s(&mut gateway, outcome, |gateway, step| {
+            if step % 20 == 0 {
                 confirm_list(gateway);
             }
         });
         let mut gateway = Gateway::new(subscribing_settings());
         confirm_list(&mut gateway);
         gateway.notify(Event::Endpoints(EndpointUpdate::Failed));
-        let unconfirmed = late_sends(&mut gateway, outcome, |_, _| {});
+        let unconfirmed = sends_in_last_20_s(&mut gateway, outcome, |_, _| {});
         println!("{outcome:?}: {confirmed} attempts in 20 s while discovery responds, {unconfirmed} while it fails");
-        assert!(confirmed >= 8, "{outcome:?}: a listed backend may be back in the next instant: {confirmed}");
+        assert!(confirmed >= 8, "{outcome:?}: a listed backend may recover at any time: {confirmed}");
         assert!(unconfirmed <= 1, "{outcome:?}: {unconfirmed}");
     }
 }
@@ -87,14 +91,14 @@
     let mut gateway = Gateway::new(subscribing_settings());
     confirm_list(&mut gateway);
     gateway.notify(Event::Endpoints(EndpointUpdate::Failed));
-    late_sends(&mut gateway, AttemptOutcome::ConnectFailed, |_, _| {});
+    sends_in_last_20_s(&mut gateway, AttemptOutcome::ConnectFailed, |_, _| {});
     let mut actions = gateway.arrive(Request { timeout: Micros(10 * SECOND), ..request(1) });
     actions.extend(gateway.advance(300 * MS));
-    assert!(sent(&actions).is_empty(), "kept away from");
+    assert!(sent(&actions).is_empty(), "nothing is sent to an ejected backend");
     let mut actions = confirm_list(&mut gateway);
     actions.extend(gateway.arrive(request(2)));
     actions.extend(gateway.advance(MS));
-    assert!(!sent(&actions).is_empty(), "the list has it");
+    assert!(!sent(&actions).is_empty(), "the list still has the backend");
 }
 
 #[test]
@@ -102,12 +106,12 @@
     let mut gateway = Gateway::new(subscribing_settings());
     confirm_list(&mut gateway);
     gateway.notify(Event::Endpoints(EndpointUpdate::Failed));
-    let served = late_sends(&mut gateway, AttemptOutcome::Ok, |_, _| {});
-    assert!(served >= 190, "healthy work is not rejected: {served} of 200");
+    let served = sends_in_last_20_s(&mut gateway, AttemptOutcome::Ok, |_, _| {});
+    assert!(served >= 190, "requests to a working backend are not rejected: {served} of 200");
 }
 
 #[test]
-fn zero_poll_interval_is_no_endless_loop() {
+fn zero_poll_interval_does_not_cause_busy_loop() {
     let mut gateway = Gateway::new(Settings { max_poll_interval: Micros(0), ..subscribing_settings() });
     gateway.notify(Event::Endpoints(EndpointUpdate::Failed));
     let watches = gateway.advance(10 * SECOND).iter().filter(|a| matches!(a, Action::Watch)).count();
--- a/crates/scheduler/tests/endpoint_updates.rs
+++ b/crates/scheduler/tests/endpoint_updates.rs
@@ -1,4 +1,5 @@
-//! Updates of the list of backends: their cost follows the change, and changes add up to the complete list.
+//! Updates of the backend list: their cost depends on the size of the change, and changes lead to the same
+//! state as complete lists.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
@@ -12,8 +13,9 @@
     BackendEntry { state, ..entry(&format!("backend-{n:05}"), shard) }
 }
 
-/// The fastest of many changes of one entry, in a list of that size, in microseconds. Two backends hold each shard, so
-/// that it always has one; what a shard without a backend costs is not measured here.
+/// Returns the shortest time of many changes of one entry, in microseconds, in a list of `backends` entries.
+/// Two backends hold each shard, so that it always has one; the cost of a shard without a backend is not
+/// measured here.
 fn fastest_change_us(backends: usize) -> f64 {
     let shard = |n: usize| n as u32 / 2;
     let mut gateway = Gateway::new(default_settings());
@@ -37,7 +39,7 @@
     assert!(many < 6.0 * few.max(2.0), "{few:.1} and {many:.1} µs");
 }
 
-/// One to three random changes, which are also made in the complete list.
+/// Makes one to three random changes, and applies them to the complete list too.
 fn random_changes(
     random: &mut SmallRng,
     now: i64,
@@ -63,7 +65,7 @@
     changes
 }
 
-/// Whether a request is sent, and to which backend; it is served at once.
+/// Returns whether a request is sent, and to which backend. The attempt is served at once.
 fn serve(gateway: &mut Gateway, request: &Request) -> (bool, Option<BackendId>) {
     let id = request.id.0;
     let is_sent = !sent(&gateway.arrive(request.clone())).is_empty();
--- a/crates/scheduler/tests/final_response.rs
+++ b/crates/scheduler/tests/final_response.rs
@@ -1,10 +1,11 @@
-//! A request that can't be served gets its final response at once, with a Retry-After: one test for each path.
+//! A request that can't be served gets its final response at once, with a Retry-After. There is one test for
+//! each code path.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
 use scheduler::interface::*;
 
-/// The rejected requests, each of which must have a Retry-After.
+/// Returns the ids of the rejected requests, each of which must have a Retry-After.
 fn rejected_with_retry_after(actions: &[Action]) -> Vec<u64> {
     let has_retry_after =
         |a: &Action| !matches!(a, Action::Reject { retry_after, .. } if retry_after.is_none_or(|w| w.0 <= 0));
@@ -12,7 +13,7 @@
     rejected(actions)
 }
 
-/// A gateway whose backend takes 100 ms for a request and has two in flight, which fills its window.
+/// Creates a gateway whose backend takes 100 ms for a request and has two in flight, which fills its window.
 fn busy_gateway(settings: Settings) -> Gateway {
     let mut gateway = Gateway::new(settings);
     gateway.arrive(request(1));
@@ -32,7 +33,7 @@
     assert_eq!(
         rejected_with_retry_after(&gateway.advance(210 * MS)),
         vec![5],
-        "its head can wait for longer"
+        "the request ahead of it can wait longer"
     );
     assert_eq!(rejected_with_retry_after(&gateway.advance(210 * MS)), vec![4]);
 }
@@ -45,7 +46,7 @@
     actions.extend(gateway.end_attempt(3, AttemptOutcome::ConnectFailed, 20 * MS));
     let mut ids = rejected_with_retry_after(&actions);
     ids.sort_unstable();
-    assert_eq!(ids, vec![2, 3, 4], "in that moment, not at the alarm");
+    assert_eq!(ids, vec![2, 3, 4], "at once, not at the alarm");
 }
 
 #[test]
@@ -78,7 +79,7 @@
     (settings.plans[0].limit_rate, settings.plans[0].limit_burst) = (4.0, 8.0);
     let mut gateway = Gateway::new(settings);
     gateway.advance(450 * MS);
-    // The token bucket holds 1.8 units and fills by 4 per second: this one may be sent in 50 ms.
+    // The token bucket holds 1.8 units and fills at 4 per second: this request may be sent in 50 ms.
     assert_eq!(gateway.arrive(request(1)), vec![]);
     let other = Request { shard: Some(ShardId(1)), units: 1.0, ..request(2) };
     assert_eq!(sent(&gateway.arrive(other)), vec![2]);
@@ -115,12 +116,12 @@
     assert_eq!(
         gateway.attempts[&2] as usize + failed(&actions).len(),
         2,
-        "repeated at once or failed in time"
+        "retried at once or failed in time"
     );
 }
 
 #[test]
-fn waits_for_turn_that_is_still_in_time() {
+fn keeps_request_queued_while_still_in_time() {
     let mut gateway = busy_gateway(default_settings());
     assert_eq!(gateway.arrive(request(4)), vec![]);
     assert_eq!(gateway.advance(90 * MS), vec![]);
--- a/crates/scheduler/tests/golden.rs
+++ b/crates/scheduler/tests/golden.rs
@@ -1,13 +1,14 @@
-//! The simulator's wire, byte for byte: `golden/` holds sessions and faulty lines as the adapter read and answered them.
+//! The simulator's wire protocol, byte for byte: `golden/` holds recorded sessions and malformed lines with
+//! the adapter's replies.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use golden_files::GoldenFiles;
 use scheduler::simulator_wire::{read_settings, run, WireError};
 
 const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 
-fn assert_session_is_unchanged(name: &str) {
+fn assert_replies_match_golden_file(name: &str) {
     let mut output = Vec::new();
-    run(GOLDEN.text(&format!("{name}.in")).as_bytes(), &mut output).expect("a session without faults");
+    run(GOLDEN.text(&format!("{name}.in")).as_bytes(), &mut output).expect("a well-formed session");
     let output = String::from_utf8(output).expect("utf-8");
     let expected = GOLDEN.text(&format!("{name}.out"));
     for (number, (line, expected)) in output.lines().zip(expected.lines()).enumerate() {
@@ -17,34 +18,34 @@
 }
 
 #[test]
-fn session_with_every_message_is_answered_as_before() {
-    let (read, written) = (GOLDEN.text("forms.in"), GOLDEN.text("forms.out"));
+fn answers_session_with_every_message_as_recorded() {
+    let (input, output) = (GOLDEN.text("forms.in"), GOLDEN.text("forms.out"));
     for message in ["Tick", "Flush", "Launch", "Halt", "Topology", "JobIn", "Reply", "ClientLeft", "Fired"] {
-        assert!(read.contains(&format!("\"m\":\"{message}\"")), "the file holds no {message}");
+        assert!(input.contains(&format!("\"m\":\"{message}\"")), "the input has no {message}");
     }
     for code in [100, 301, 302, 303, 304, 305, 306, 307] {
-        assert!(read.contains(&format!("\"Rc\":{code}")), "the file holds no outcome {code}");
+        assert!(input.contains(&format!("\"Rc\":{code}")), "the input has no outcome {code}");
     }
     for form in 0..4 {
-        assert!(read.contains(&format!("\"Form\":{form}")), "the file holds no list of form {form}");
+        assert!(input.contains(&format!("\"Form\":{form}")), "the input has no Topology of form {form}");
     }
     for action in ["Transmit", "SayNo", "GiveUp", "Timer", "Watch", "Fatal", "Next"] {
-        assert!(written.contains(&format!("\"m\":\"{action}\"")), "the file holds no {action}");
+        assert!(output.contains(&format!("\"m\":\"{action}\"")), "the output has no {action}");
     }
-    assert_session_is_unchanged("forms");
+    assert_replies_match_golden_file("forms");
 }
 
 #[test]
-fn session_of_a_fleet_under_load_is_answered_as_before() {
-    assert_session_is_unchanged("traffic");
+fn answers_session_of_fleet_under_load_as_recorded() {
+    assert_replies_match_golden_file("traffic");
 }
 
 #[test]
-fn malformed_lines_are_reported_in_the_same_text() {
+fn reports_malformed_lines_as_recorded() {
     let file = GOLDEN.text("malformed.txt");
     let lines: Vec<&str> = file.lines().collect();
     for pair in lines.chunks(2) {
-        let [line, expected] = pair else { panic!("a line without its report: {pair:?}") };
+        let [line, expected] = pair else { panic!("a line without its expected error: {pair:?}") };
         let input = format!("{{\"m\":\"Tick\",\"AtTimeS\":1.0}}\n{line}\n");
         let mut output = Vec::new();
         match run(input.as_bytes(), &mut output) {
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn malformed_settings_are_reported_in_the_same_text() {
+fn reports_malformed_settings_as_recorded() {
     let setup = |line: &str| serde_json::from_str::<serde_json::Value>(line).ok()?.get("Setup").cloned();
     let file = GOLDEN.text("malformed.txt");
     let lines: Vec<&str> = file.lines().collect();
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -1,4 +1,5 @@
-//! Retries: by idempotency, within the budget, and in order by key; and the clients' own further tries.
+//! Retries: by idempotency, within the budget, and in order by key; and recognition of the clients' own
+//! retries.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
@@ -15,18 +16,18 @@
     gateway.arrive(request(2));
     gateway.end_attempt(2, AttemptOutcome::ConnectFailed, 10 * MS);
     gateway.advance(SECOND);
-    assert_eq!(gateway.attempts[&2], 2, "an attempt that never ran may be repeated");
+    assert_eq!(gateway.attempts[&2], 2, "an attempt that was not executed may be retried");
 }
 
 #[test]
 fn retries_deduplicated_request_only_within_its_window() {
-    for (took, attempts, failures) in [(100 * MS, 2, vec![]), (1100 * MS, 1, vec![1])] {
+    for (elapsed, attempts, failures) in [(100 * MS, 2, vec![]), (1100 * MS, 1, vec![1])] {
         let mut settings = default_settings();
         settings.classes[0].idempotency = Idempotency::Deduplicated(DeduplicationScope::Shard);
         let mut gateway = Gateway::new(settings);
         gateway.arrive(request(1));
-        gateway.advance(took);
-        let mut actions = gateway.end_attempt(1, AttemptOutcome::Reset, took);
+        gateway.advance(elapsed);
+        let mut actions = gateway.end_attempt(1, AttemptOutcome::Reset, elapsed);
         actions.extend(gateway.advance(300 * MS));
         assert_eq!((gateway.attempts[&1], failed(&actions)), (attempts, failures));
     }
@@ -45,12 +46,12 @@
     gateway.notify(Event::ClientLeft(RequestId(1)));
     assert_eq!(gateway.attempts.get(&2), None, "the first attempt has no outcome yet");
     gateway.end_attempt(1, AttemptOutcome::Cancelled, 10 * MS);
-    assert_eq!(gateway.attempts.get(&2), None, "the key rests");
+    assert_eq!(gateway.attempts.get(&2), None, "the key is blocked for the ordering pause");
     assert_eq!(sent(&gateway.advance(51 * MS)), vec![2]);
 }
 
 #[test]
-fn bounds_retries_by_the_budget() {
+fn limits_retries_to_retry_budget() {
     let mut settings = default_settings();
     settings.retry_budget =
         Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.1, window: Micros(5 * SECOND) });
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn does_not_take_short_timeout_for_further_try() {
+fn does_not_treat_short_timeout_as_client_retry() {
     let mut gateway = Gateway::new(default_settings());
     gateway.arrive(request(1));
     gateway.end_attempt(1, AttemptOutcome::Ok, 20 * MS);
@@ -79,8 +80,8 @@
 }
 
 #[test]
-fn recognizes_further_try_by_key_and_deadline() {
-    let rejected_once = |key: &str| {
+fn recognizes_client_retry_by_key_and_deadline() {
+    let retry_after_rejection = |key: &str| {
         let mut gateway = Gateway::new(Settings { max_attempts: 1, ..default_settings() });
         gateway.arrive(Request { key: Some(KeyId("k".into())), ..request(1) });
         gateway.advance(150 * MS);
@@ -89,6 +90,6 @@
         let key = Some(KeyId(key.into()));
         gateway.arrive(Request { key, timeout: Micros(2 * SECOND - 210 * MS), ..request(2) })
     };
-    assert_eq!(rejected(&rejected_once("k")), vec![2]);
-    assert_eq!(sent(&rejected_once("other")), vec![2]);
+    assert_eq!(rejected(&retry_after_rejection("k")), vec![2]);
+    assert_eq!(sent(&retry_after_rejection("other")), vec![2]);
 }
--- a/crates/scheduler/tests/validation.rs
+++ b/crates/scheduler/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Invalid settings are named, and malformed or unexpected events do no harm.
+//! Invalid settings are reported by name, and malformed or unexpected events are rejected or ignored.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
@@ -16,11 +16,11 @@
     assert_eq!(gateway.notify(Event::ClientLeft(RequestId(99))), vec![]);
     assert_eq!(gateway.notify(Event::TimerFired(12345)), vec![]);
     gateway.end_attempt(4, AttemptOutcome::Ok, MS);
-    assert_eq!(gateway.end_attempt(4, AttemptOutcome::Ok, MS), vec![], "an outcome twice");
+    assert_eq!(gateway.end_attempt(4, AttemptOutcome::Ok, MS), vec![], "the same outcome reported twice");
     gateway.notify(Event::Endpoints(EndpointUpdate::Full(vec![])));
     gateway.arrive(Request { shard: None, ..request(6) });
-    let answered = rejected(&gateway.advance(3 * SECOND));
-    assert!(answered.contains(&5) && answered.contains(&6));
+    let rejected_ids = rejected(&gateway.advance(3 * SECOND));
+    assert!(rejected_ids.contains(&5) && rejected_ids.contains(&6));
 }
 
 #[test]
