--- a/crates/scheduler/src/scheduler/outcome.rs
+++ b/crates/scheduler/src/scheduler/outcome.rs
@@ -6,8 +6,8 @@
 use crate::time::add_us;
 use rand::Rng;
 
-/// The first ejection lasts the base time multiplied by this power of two; it doubles with each consecutive
-/// failure.
+/// The first ejection lasts the base time multiplied by two to this power; the time doubles with each
+/// consecutive failure.
 const FIRST_EJECTION_EXPONENT: i32 = -2;
 /// Consecutive failures after which ejections no longer grow, while discovery responds.
 const MAX_COUNTED_FAILURES: i32 = 5;
--- a/crates/scheduler/src/scheduler/session.rs
+++ b/crates/scheduler/src/scheduler/session.rs
@@ -13,7 +13,7 @@
     pub gateways: f64,
     /// Token bucket of the reservation, charged when a request is sent.
     pub reservation_tokens: f64,
-    /// A second bucket of the same rate, charged when a request arrives: it tracks demand inside the
+    /// A second bucket of the same rate and size, charged when a request arrives: it tracks demand inside the
     /// reservation.
     pub demand_tokens: f64,
     /// When both buckets were last refilled.
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -24,8 +24,8 @@
     pub baseline_rate: f64,
     /// Whether the baseline was measured; otherwise it is estimated from reservations.
     pub is_baseline_measured: bool,
-    /// A random number from 0 to 1: the fraction of the time in which the allowance of one request accrues
-    /// after which the first request may be sent.
+    /// Random fraction, from 0 to 1, of a large request's size that must accrue before the first request is
+    /// sent.
     pub phase: f64,
 }
 
--- a/crates/scheduler/src/scheduler/state.rs
+++ b/crates/scheduler/src/scheduler/state.rs
@@ -30,7 +30,7 @@
 /// Queued requests of a session at a shard.
 #[derive(Default)]
 pub(super) struct Queue {
-    /// In FIFO order.
+    /// The requests, in FIFO order.
     pub requests: VecDeque<RequestId>,
     /// Total size of the requests, in units.
     pub units: f64,
