--- a/crates/resharding/src/block_set.rs
+++ b/crates/resharding/src/block_set.rs
@@ -1,16 +1,16 @@
-//! A set of blocks, each with the newest log index at which it was touched. Bounded: when there are too many runs, near
-//! ones are joined, which only makes the set larger.
+//! A set of blocks, each with the newest log index at which it was touched. The number of runs is bounded: above the
+//! limit the nearest runs are merged, which can only add blocks to the set.
 use cluster_types::{BlockRange, Index};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Runs that are held apart.
+/// The maximum number of runs.
 pub const MAX_RUNS: usize = 512;
 
 /// The set, as runs of blocks that were touched at the same index. Stored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BlockSet {
-    /// By its first block, the end of each run and when it was touched.
+    /// The end of each run and the index at which it was touched, by the first block.
     runs: BTreeMap<u64, (u64, Index)>,
 }
 
@@ -32,7 +32,7 @@
         self.runs.iter().map(|(first, (end, _))| end.saturating_sub(*first)).sum()
     }
 
-    /// All runs, each with when it was touched.
+    /// All runs, each with the index at which it was touched.
     pub fn iter(&self) -> impl Iterator<Item = (BlockRange, Index)> + '_ {
         self.runs.iter().map(|(&first, &(end, touched))| (BlockRange { first, end }, touched))
     }
@@ -42,7 +42,7 @@
         self.iter().map(|(blocks, _)| blocks).collect()
     }
 
-    /// The runs within these blocks, cut to them.
+    /// The runs that overlap these blocks, clipped to them.
     pub fn within(&self, blocks: BlockRange) -> Vec<(BlockRange, Index)> {
         let overlapping = self.iter().filter(|(run, _)| run.overlaps(&blocks));
         let cut =
@@ -50,7 +50,7 @@
         overlapping.map(|(run, touched)| (cut(run), touched)).collect()
     }
 
-    /// Splits the run that a block lies in, so that one begins there.
+    /// Splits the run that contains a block, so that a run begins at the block.
     fn split_at(&mut self, block: u64) {
         let Some((&first, &(end, touched))) = self.runs.range(..block).next_back() else { return };
         if end > block {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds blocks that were touched at that index; blocks that are in the set keep the newer one.
+    /// Adds blocks that were touched at an index. Blocks that are in the set already keep the newer index.
     pub fn add(&mut self, blocks: BlockRange, touched: Index) {
         if blocks.is_empty() {
             return;
@@ -79,23 +79,23 @@
         if next < blocks.end {
             self.runs.insert(next, (blocks.end, touched));
         }
-        self.join_near(blocks);
+        self.merge_adjacent(blocks);
     }
 
-    /// Removes those of these blocks that were last touched at that index or before.
-    pub fn remove(&mut self, blocks: BlockRange, upto: Index) {
+    /// Removes those of the blocks that were last touched at `up_to` or before.
+    pub fn remove(&mut self, blocks: BlockRange, up_to: Index) {
         if blocks.is_empty() {
             return;
         }
         self.split_at(blocks.first);
         self.split_at(blocks.end);
         let inside = self.runs.range(blocks.first..blocks.end);
-        let old = inside.filter(|(_, (_, touched))| *touched <= upto);
+        let old = inside.filter(|(_, (_, touched))| *touched <= up_to);
         let old: Vec<u64> = old.map(|(first, _)| *first).collect();
         for first in old {
             self.runs.remove(&first);
         }
-        self.join_near(blocks);
+        self.merge_adjacent(blocks);
     }
 
     /// Adds all blocks of another set.
@@ -105,29 +105,29 @@
         }
     }
 
-    /// Joins adjacent runs that were touched at the same index, near these blocks only.
-    fn join_near(&mut self, blocks: BlockRange) {
+    /// Merges adjacent runs that were touched at the same index, only within and next to these blocks.
+    fn merge_adjacent(&mut self, blocks: BlockRange) {
         let start = self.runs.range(..blocks.first).next_back().map_or(blocks.first, |(first, _)| *first);
         let near = self.runs.range(start..=blocks.end);
         let near: Vec<_> = near.map(|(first, (end, touched))| (*first, *end, *touched)).collect();
         let mut last: Option<(u64, u64, Index)> = None;
         for (first, end, touched) in near {
             match &mut last {
-                Some((joined, upto, index)) if *upto == first && *index == touched => {
+                Some((joined, up_to, index)) if *up_to == first && *index == touched => {
                     self.runs.remove(&first);
                     self.runs.insert(*joined, (end, touched));
-                    *upto = end;
+                    *up_to = end;
                 }
                 _ => last = Some((first, end, touched)),
             }
         }
         if self.runs.len() > MAX_RUNS {
-            self.thin_out();
+            self.merge_nearest_runs();
         }
     }
 
-    /// Joins the runs that are nearest to each other, until half as many are left as are allowed.
-    fn thin_out(&mut self) {
+    /// Merges the runs with the smallest gaps until half of the maximum number are left.
+    fn merge_nearest_runs(&mut self) {
         let ends = self.runs.values().map(|(end, _)| *end);
         let pairs = ends.zip(self.runs.keys().skip(1));
         let mut gaps: Vec<(u64, u64)> = pairs.map(|(end, first)| (first - end, *first)).collect();
--- a/crates/resharding/src/command.rs
+++ b/crates/resharding/src/command.rs
@@ -8,17 +8,17 @@
 /// Stored and sent: the variants and their fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A member has started and has to acknowledge migrations. It is given no lease before.
+    /// A member has started and must acknowledge migrations. It gets no lease before this command is applied.
     Join {
-        /// Its incarnation, which grows with each start.
+        /// Its incarnation, which increases with each start.
         incarnation: u64,
     },
-    /// A member left by its own report, with nothing in flight.
+    /// A member has left in an orderly way, with nothing in flight.
     Leave {
         /// Its incarnation.
         incarnation: u64,
     },
-    /// Takes a volume under placement, where it is now. Only once for a volume.
+    /// Puts a volume under placement at its present location. Accepted only once for each volume.
     Adopt {
         /// The volume.
         volume: Volume,
@@ -39,7 +39,7 @@
         /// The step.
         step: u32,
     },
-    /// A member knows the migration and from now on uses the range under its lease only.
+    /// A member knows the migration and from now on uses the range only under its lease.
     Acknowledge {
         /// The migration.
         migration: Index,
@@ -48,25 +48,25 @@
         /// The newest [`Command::Revoke`] of the member that it has applied.
         last_revocation: Index,
     },
-    /// A member is to copy; the log index of the command identifies the assignment.
+    /// Assigns a member to copy the range. The log index of this command identifies the assignment.
     AssignMigrator {
         /// The migration.
         migration: Index,
         /// The member.
         migrator: MemberId,
     },
-    /// Blocks that a member wrote, or may have written, behind the copy.
+    /// Blocks that a member wrote, or may have written, while the range is being copied.
     ReportWrites {
         /// The migration.
         migration: Index,
         /// The member's incarnation.
         incarnation: u64,
-        /// Orders the member's reports.
+        /// The sequence number of the member's report.
         report: u64,
         /// The blocks.
         blocks: Vec<BlockRange>,
     },
-    /// Blocks that are copied, each with how far the migrator had applied the log before it read them.
+    /// Copied chunks, each with the last log index that the migrator had applied before it read the chunk.
     ReportCopied {
         /// The migration.
         migration: Index,
@@ -75,12 +75,12 @@
         /// The chunks.
         chunks: Vec<(BlockRange, Index)>,
     },
-    /// Writes wait from now on.
+    /// Holds writes from now on.
     Freeze {
         /// The migration.
         migration: Index,
     },
-    /// Nothing of a member is in flight at the old place. Includes its last writes.
+    /// A member has no writes in flight at the source backend. Includes the last blocks that it wrote.
     ReportQuiet {
         /// The migration.
         migration: Index,
@@ -88,33 +88,33 @@
         freeze: Index,
         /// The member's incarnation.
         incarnation: u64,
-        /// Orders the member's reports.
+        /// The sequence number of the member's report.
         report: u64,
         /// The blocks that it wrote.
         blocks: Vec<BlockRange>,
     },
-    /// The hand-over took too long: writes go on at the old place.
+    /// The hand-over timed out: writes resume at the source backend.
     Unfreeze {
         /// The migration.
         migration: Index,
         /// The freeze, by its log index.
         freeze: Index,
     },
-    /// A member knows the new place and has nothing in flight at the old one.
+    /// A member knows that the target backend is committed and has nothing in flight at the source backend.
     ConfirmSwitch {
         /// The migration.
         migration: Index,
         /// The member's incarnation.
         incarnation: u64,
     },
-    /// The leader finds that a member's lease has expired and its commands have ended.
+    /// The leader has found that a member's lease has expired and that none of its commands can still be in flight.
     Revoke {
         /// The member.
         member: MemberId,
         /// The member's incarnation.
         incarnation: u64,
     },
-    /// An operator confirms that a member does not run: nothing waits for it.
+    /// An operator confirms that a member is not running: migrations stop waiting for it.
     DeclareDead {
         /// The member.
         member: MemberId,
@@ -126,19 +126,19 @@
         /// Why, for operators.
         reason: String,
     },
-    /// An operator rolls a migration back, and its step is dropped.
+    /// Rolls a migration back by an operator's request and drops its step.
     Cancel {
         /// The migration.
         migration: Index,
     },
-    /// The migrator has no copy of an assignment in flight, and will not have any.
+    /// The migrator has no copy of an assignment in flight and will send no more.
     ReportStopped {
         /// The migration.
         migration: Index,
         /// The assignment.
         assignment: Index,
     },
-    /// The longest command time has passed: the place that was left is free.
+    /// The maximum command time has passed: frees the range on the backend that no longer owns it.
     Release {
         /// The migration.
         migration: Index,
--- a/crates/resharding/src/effect.rs
+++ b/crates/resharding/src/effect.rs
@@ -1,10 +1,10 @@
-//! What applying a command brings about.
+//! The effects of applying a command.
 use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 
-/// A consequence of a command, for the host to log or act on.
+/// An effect of a command, for the host to log or act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A migration is in another phase.
+    /// A migration has changed its phase.
     PhaseChanged {
         /// The migration.
         migration: Index,
@@ -22,7 +22,7 @@
         /// The log index of the command that placed them.
         epoch: Index,
     },
-    /// A range on a backend is free for others.
+    /// A range on a backend is free for reuse.
     RangeFreed {
         /// The backend.
         backend: BackendId,
@@ -31,14 +31,15 @@
         /// The blocks.
         blocks: BlockRange,
     },
-    /// A step can't begin any more.
+    /// A step was dropped because its range is not on the source backend, or source and target are the same.
     StepDropped {
         /// The step.
         step: u32,
         /// Why, for operators.
         reason: String,
     },
-    /// The copy starts again, since what a member wrote is not known.
+    /// The copy restarts because the writes of a revoked member are unknown, or a deposed migrator may have overwritten
+    /// copied blocks.
     CopyRestarted {
         /// The migration.
         migration: Index,
--- a/crates/resharding/src/leader/proposals.rs
+++ b/crates/resharding/src/leader/proposals.rs
@@ -8,14 +8,14 @@
 use cluster_types::{Index, MemberId, Time};
 use std::time::Duration;
 
-/// After so many hand-overs that took too long, the wait before the next one does not grow any more.
+/// The delay before the next hand-over stops growing after this many timeouts.
 const MAX_BACKOFF_EXPONENT: u32 = 4;
 
 impl Leader {
-    /// The commands to append to the log next. What was not applied is proposed again.
+    /// Returns the commands to append to the log next. Commands that were not applied are proposed again.
     pub fn propose(&mut self, now: Time, state: &ReshardingState, view: &LeaderView) -> Vec<Command> {
         let mut commands = Vec::new();
-        if self.since.is_none() {
+        if self.leading_since.is_none() {
             return commands;
         }
         self.propose_revocations(now, state, &mut commands);
@@ -25,11 +25,11 @@
             let waited = self.time_at_stage(now, *id, migration);
             commands.extend(self.propose_for(now, *id, migration, waited, state, view));
         }
-        let can_begin = state.queue.values().find(|step| {
+        let ready_step = state.queue.values().find(|step| {
             let has_failed = view.failed.contains(&step.from) || view.failed.contains(&step.to);
             !has_failed && state.check_step(step).is_ok()
         });
-        commands.extend(can_begin.map(|step| Command::Begin { step: step.id }));
+        commands.extend(ready_step.map(|step| Command::Begin { step: step.id }));
         commands
     }
 
@@ -37,13 +37,13 @@
         for member in &state.present {
             let Some(incarnation) = state.leased_incarnation(member) else { continue };
             if self.has_expired(now, member) {
-                self.revoked.entry(member.clone()).or_insert(state.applied);
+                self.expired_members.entry(member.clone()).or_insert(state.applied);
                 commands.push(Command::Revoke { member: member.clone(), incarnation });
             }
         }
     }
 
-    /// How long the leader has seen a migration at its stage.
+    /// Returns how long the leader has seen a migration at its present stage.
     fn time_at_stage(&mut self, now: Time, id: Index, migration: &Migration) -> Duration {
         let stage = WaitingStage::from(&migration.phase);
         let span = self.stages.entry(id).or_insert(StageSpan { stage, since: now });
@@ -78,8 +78,8 @@
                 let is_source_up = !view.failed.contains(&range.from);
                 let is_small = migration.uncopied.len() <= self.settings.hand_over_blocks;
                 let is_ready = is_source_up && is_small && !migration.has_deposed_migrator();
-                let has_rested = self.backoffs.get(&id).is_none_or(|backoff| now >= backoff.until);
-                (is_ready && has_rested).then_some(Command::Freeze { migration: id })
+                let has_backed_off = self.backoffs.get(&id).is_none_or(|backoff| now >= backoff.until);
+                (is_ready && has_backed_off).then_some(Command::Freeze { migration: id })
             }
             Phase::HandOver { freeze, .. } if waited > self.settings.hand_over_timeout => {
                 self.back_off(now, id);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Waits longer before the next hand-over, the more of them took too long.
+    /// Delays the next hand-over exponentially with the number of hand-over timeouts.
     fn back_off(&mut self, now: Time, id: Index) {
         let failures =
             self.backoffs.get(&id).map_or(1, |backoff| (backoff.failures + 1).min(MAX_BACKOFF_EXPONENT));
@@ -101,8 +101,8 @@
         self.backoffs.insert(id, HandOverBackoff { failures, until });
     }
 
-    /// The member that copies next: one that was granted a lease lately and copies least, and not the last one again where
-    /// another can.
+    /// Chooses the next migrator: a member with a recently granted lease and the fewest copies, and not the last
+    /// migrator again if another member is available.
     fn choose_migrator(&self, now: Time, migration: &Migration, state: &ReshardingState) -> Option<MemberId> {
         let copy_count = |member: &MemberId| {
             let migrators = state.migrations.values().filter_map(|other| other.migrator.as_ref());
--- a/crates/resharding/src/leader/waiting.rs
+++ b/crates/resharding/src/leader/waiting.rs
@@ -1,8 +1,8 @@
-//! How long the leader has waited for migrations.
+//! The times that the leader keeps for each migration: how long it is at its stage, and the hand-over backoff.
 use crate::phase::Phase;
 use cluster_types::{Index, Time};
 
-/// The step that a migration is at, as far as the leader waits in it.
+/// The stage of a migration. Phases in which the leader measures no time are all `Other`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum WaitingStage {
     Other,
@@ -22,14 +22,14 @@
     }
 }
 
-/// Since when the leader has seen a migration at a stage.
+/// The stage of a migration and since when the leader has seen it there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct StageSpan {
     pub(super) stage: WaitingStage,
     pub(super) since: Time,
 }
 
-/// The wait between hand-overs that took too long.
+/// The backoff after hand-overs that timed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct HandOverBackoff {
     pub(super) failures: u32,
--- a/crates/resharding/src/lib.rs
+++ b/crates/resharding/src/lib.rs
@@ -1,23 +1,24 @@
-//! Resharding: moving ranges of volumes between backends while they stay in use.
+//! Online resharding: moves ranges of volumes between backends while clients use them.
 //!
 //! The crate does no I/O, reads no clock and opens no socket: the log, the backends and the time are arguments. An
-//! operator's [`Plan`] is turned into ordered [`Step`]s; [`ReshardingState`] is the replicated state machine that carries
-//! them out as [`Migration`]s; [`MemberAgent`] is a member's part in them, and [`Leader`] the leader's.
+//! operator's [`Plan`] is compiled into ordered [`Step`]s. The replicated state machine [`ReshardingState`] executes
+//! each step as a [`Migration`]; [`MemberAgent`] implements a member's part in it, and [`Leader`] the leader's.
 //!
-//! How a write is kept from running at two places:
-//! - Every present member acknowledges a migration before a block is copied. From then on it reads and writes the range
-//!   under its lease only.
-//! - One command takes a member's rights away: [`Command::Revoke`]. The leader proposes it when the member's lease has
-//!   expired by more than the clock drift and the longest command time, and grants that member no lease until it has
-//!   applied the command.
-//! - Each member reports which blocks it wrote behind the copy. What a revoked member wrote is not known, so the copy
-//!   starts again.
-//! - Writes wait from the freeze until each member knows the new place; reads go on. They wait for at most
-//!   [`Settings::max_hand_over_wait`], plus what the log itself takes.
-//! - A revoked member has to acknowledge again: a deposed migrator before the hand-over is committed, every member before
-//!   the old place is given to others. It does so when it is connected again, or an operator declares it dead.
+//! How a write is prevented from running on both the source and the target backend:
+//! - Every present member acknowledges a migration before any block is copied. From then on, it reads and writes the
+//!   range only under its lease.
+//! - [`Command::Revoke`] takes a member's rights away. The leader proposes it when the member's lease has been expired
+//!   for longer than the maximum clock drift plus the maximum command time, and grants that member no lease until it
+//!   has applied the command.
+//! - Each member reports the blocks that it wrote during the copy. The writes of a revoked member are unknown, so the
+//!   copy restarts.
+//! - Writes are held from the freeze until every member knows the new backend; reads continue. Writes are held for at
+//!   most [`Settings::max_hand_over_wait`], plus the latency of the log.
+//! - A revoked member must acknowledge again: a deposed migrator before the hand-over is committed, every member before
+//!   the source range is released. It does so once it is connected again; otherwise an operator declares it dead.
 //!
-//! A write over the border of two ranges is split: either all its parts are permitted or none, with one ticket.
+//! A write that spans several ranges is split. Its parts share one ticket, and either all or none of them are
+//! permitted.
 
 pub mod block_set;
 pub mod command;
@@ -37,8 +38,8 @@
 pub use effect::Effect;
 pub use leader::{DeclareDeadError, Leader, LeaderView, Lease};
 pub use member::{
-    CommandResult, CopyOrder, CopyResult, CopyWork, DenialReason, ManagedVolumes, MemberAgent, Permission,
-    Reply, WriteFence,
+    CommandResult, CopyOperation, CopyResult, CopyTask, DenialReason, ManagedVolumes, MemberAgent,
+    Permission, Reply, WriteFence,
 };
 pub use migration::{Migration, RangeMove};
 pub use phase::{MemberStanding, Phase};
--- a/crates/resharding/src/member/chunk.rs
+++ b/crates/resharding/src/member/chunk.rs
@@ -1,27 +1,27 @@
-//! A chunk of blocks that a copier has in progress.
-use super::copy_order::CopyWork;
+//! A chunk of blocks that a copier is working on.
+use super::copy_task::CopyOperation;
 use cluster_types::{BlockRange, Index, Time};
 
-/// What happens to a chunk.
+/// The state of a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum ChunkState {
-    /// This work is to be done next.
-    Pending(CopyWork),
+    /// This operation is sent next.
+    Pending(CopyOperation),
     InFlight {
-        work: CopyWork,
+        operation: CopyOperation,
         sent: Time,
     },
-    /// Not to be touched until then.
-    Resting {
+    /// The chunk is left alone until then.
+    Delayed {
         until: Time,
     },
 }
 
-/// Blocks that are copied together.
+/// A run of blocks that are copied together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Chunk {
     pub(super) blocks: BlockRange,
-    /// How far the log was applied before the chunk was read.
-    pub(super) seen: Index,
+    /// The last log index that was applied before the chunk was read.
+    pub(super) read_index: Index,
     pub(super) state: ChunkState,
 }
--- a/crates/resharding/src/member/fence.rs
+++ b/crates/resharding/src/member/fence.rs
@@ -1,8 +1,8 @@
-//! The write fence of a member: which blocks it may use where, now. Ranges that do not migrate are served from the last
-//! known placement, whatever is unreachable.
+//! The write fence of a member: decides which commands it may send now, and to which backends. Ranges that are not
+//! migrating are served from the last known placement, even while the leader or other members are unreachable.
 use super::in_flight::{InFlight, UnresolvedWrite, WrittenBlocks};
 use super::permission::{
-    CommandResult, DenialReason, FenceCounters, ManagedVolumes, Permission, Reply, Right,
+    AccessRight, CommandResult, DenialReason, FenceCounters, ManagedVolumes, Permission, Reply,
 };
 use crate::migration::Migration;
 use crate::phase::MemberStanding;
@@ -13,9 +13,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Commands that may be in flight.
+/// The maximum number of commands in flight.
 const MAX_IN_FLIGHT: usize = 65_536;
-/// Ranges that one command may touch.
+/// The maximum number of ranges that one command may touch.
 const MAX_PARTS: usize = 16;
 
 /// The write fence of one member, or of one shard of it.
@@ -26,23 +26,24 @@
     pub(super) settings: Settings,
     pub(super) started: Time,
     pub(super) state: Arc<ReshardingState>,
-    /// The migrations whose range this member uses under its lease only, whether or not the log knows it.
+    /// The migrations whose range this member uses only under its lease, whether or not the log has its
+    /// acknowledgement.
     pub(super) acknowledged: BTreeSet<Index>,
     pub(super) written: BTreeMap<Index, WrittenBlocks>,
     managed: ManagedVolumes,
     lease_end: Time,
-    /// How far the member has to apply the log to have caught up.
+    /// The log index that the member must apply to have caught up.
     catch_up_index: Option<Index>,
     is_caught_up: bool,
     in_flight: BTreeMap<u64, InFlight>,
     unresolved: Vec<UnresolvedWrite>,
     last_ticket: u64,
-    /// Denied commands, and those that may have run.
+    /// Counts denied commands and those that may have run.
     pub counters: FenceCounters,
 }
 
 impl WriteFence {
-    /// The fence of a process that starts, with the state that it has kept of the log.
+    /// Creates the fence of a starting process, with the replicated state that the process has stored.
     pub fn new(
         member: MemberId,
         incarnation: u64,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Takes over what this member has applied of the log.
+    /// Replaces the replicated state by a newer one.
     pub fn update(&mut self, state: Arc<ReshardingState>) {
         if state.applied >= self.state.applied {
             self.state = state;
@@ -81,35 +82,37 @@
         self.written.retain(|id, _| migrations.get(id).is_some_and(|known| known.phase.is_reversible()));
     }
 
-    /// A lease was granted that was asked for at `asked`, when the log was committed up to `committed`.
-    pub fn renew_lease(&mut self, asked: Time, committed: Index) {
-        self.lease_end = self.lease_end.max(self.settings.lease_end(asked));
+    /// Records a lease that was requested at `requested_at` and granted when the log was committed up to `committed`.
+    pub fn renew_lease(&mut self, requested_at: Time, committed: Index) {
+        self.lease_end = self.lease_end.max(self.settings.lease_end(requested_at));
         self.catch_up_index.get_or_insert(committed);
         self.is_caught_up |= self.state.applied >= committed;
     }
 
-    /// Until when the member may use migrating ranges.
+    /// The time until which the member may use migrating ranges.
     pub fn lease_end(&self) -> Time {
         self.lease_end
     }
 
-    /// Whether the lease lasts and the member has caught up since its start.
+    /// Whether the lease is valid and the member has caught up since its start.
     pub fn has_lease(&self, now: Time) -> bool {
         self.is_caught_up && now < self.lease_end
     }
 
-    fn right(&self, now: Time, id: Index, migration: &Migration) -> Right {
+    fn access_right(&self, now: Time, id: Index, migration: &Migration) -> AccessRight {
         let is_acknowledged = self.acknowledged.contains(&id);
         match migration.members.get(&self.member) {
-            Some(MemberStanding::Unacknowledged) if !is_acknowledged && self.is_caught_up => Right::Free,
-            _ if !self.has_lease(now) => Right::None,
-            Some(standing) if standing.is_leased_in(self.incarnation) => Right::Leased,
-            Some(MemberStanding::Unacknowledged) if is_acknowledged => Right::Leased,
-            _ => Right::Pending,
+            Some(MemberStanding::Unacknowledged) if !is_acknowledged && self.is_caught_up => {
+                AccessRight::Free
+            }
+            _ if !self.has_lease(now) => AccessRight::None,
+            Some(standing) if standing.is_leased_in(self.incarnation) => AccessRight::Leased,
+            Some(MemberStanding::Unacknowledged) if is_acknowledged => AccessRight::Leased,
+            _ => AccessRight::Pending,
         }
     }
 
-    /// Whether a command may be sent now. To be asked right before it is sent; a granted one has to be reported to
+    /// Decides whether a command may be sent now. Call it immediately before sending; report each granted command to
     /// [`Self::finish`] when it ends.
     pub fn permit(&mut self, now: Time, volume: &Volume, blocks: BlockRange, is_write: bool) -> Permission {
         let state = Arc::clone(&self.state);
@@ -126,11 +129,11 @@
             if !migration.phase.needs_lease() {
                 continue;
             }
-            match self.right(now, id, migration) {
-                Right::Free => {}
-                Right::None => return self.deny(DenialReason::LeaseExpired),
-                Right::Pending => has_to_wait = true,
-                Right::Leased => has_to_wait |= is_write && migration.phase.holds_writes(),
+            match self.access_right(now, id, migration) {
+                AccessRight::Free => {}
+                AccessRight::None => return self.deny(DenialReason::LeaseExpired),
+                AccessRight::Pending => has_to_wait = true,
+                AccessRight::Leased => has_to_wait |= is_write && migration.phase.holds_writes(),
             }
         }
         if has_to_wait {
@@ -140,7 +143,7 @@
         Permission::Granted { parts, ticket, is_caught_up: self.is_caught_up }
     }
 
-    /// Notes a command as in flight. Returns its ticket.
+    /// Records a command as in flight. Returns its ticket.
     fn register(
         &mut self,
         now: Time,
@@ -162,7 +165,7 @@
         Permission::Denied(reason)
     }
 
-    /// A command has ended. Returns what may be answered to the client.
+    /// Records the result of a command. Returns what the client may be told.
     pub fn finish(&mut self, ticket: u64, now: Time, result: CommandResult) -> Reply {
         let Some(command) = self.in_flight.remove(&ticket) else { return Reply::MayHaveRun };
         if !command.is_write || result == CommandResult::NotRun {
@@ -182,21 +185,21 @@
         Reply::MayHaveRun
     }
 
-    /// Whether the member has had its rights to migrating ranges since a command was sent.
+    /// Whether the member has kept its rights to the migrating ranges of a command since the command was sent.
     fn had_rights(&self, now: Time, command: &InFlight) -> bool {
         let state = &self.state;
         let mut migrations = state.migrations_over(&command.volume, &command.blocks);
         migrations.all(|(id, migration)| {
-            let had_right = match self.right(now, id, migration) {
-                Right::Free => true,
-                Right::Leased => command.revocation == state.last_revocation(&self.member),
-                Right::Pending | Right::None => false,
+            let had_right = match self.access_right(now, id, migration) {
+                AccessRight::Free => true,
+                AccessRight::Leased => command.revocation == state.last_revocation(&self.member),
+                AccessRight::Pending | AccessRight::None => false,
             };
             had_right || !migration.phase.needs_lease()
         })
     }
 
-    /// Whether the blocks of a command are still where they were when it was sent.
+    /// Whether the blocks of a command are still placed as they were when the command was sent.
     fn has_same_places(&self, command: &InFlight) -> bool {
         let parts = self.state.placement.lookup(&command.volume, command.blocks).unwrap_or_default();
         parts.iter().map(|part| part.epoch).eq(command.epochs.iter().copied())
@@ -210,7 +213,8 @@
         }
     }
 
-    /// Forgets the writes with unknown results that can't run any more. Until now they may have, and are noted once more.
+    /// Forgets the writes with unknown results that can no longer run. They may have run until now, so their blocks are
+    /// recorded as written once more.
     pub(super) fn expire_unresolved(&mut self, now: Time) {
         let unresolved = std::mem::take(&mut self.unresolved);
         let (expired, remaining): (Vec<_>, Vec<_>) =
@@ -221,7 +225,7 @@
         }
     }
 
-    /// Whether no write to a migrating range is in flight, nor may still run.
+    /// Whether no write to a migrating range is in flight or may still run.
     pub(super) fn is_quiet(&self, migration: &Migration) -> bool {
         let range = &migration.range;
         let touches =
@@ -231,7 +235,7 @@
             && !self.unresolved.iter().any(|write| touches(&write.volume, &write.blocks))
     }
 
-    /// Whether nothing is in flight and nothing is left to report, so that the member may leave.
+    /// Whether the member may leave: no write is in flight, and all written blocks are reported.
     pub fn may_leave(&self) -> bool {
         let is_reported =
             |written: &WrittenBlocks| written.unreported.is_empty() && written.reported.is_empty();
--- a/crates/resharding/src/member/mod.rs
+++ b/crates/resharding/src/member/mod.rs
@@ -1,13 +1,13 @@
-//! A member's part in migrations: its write fence, its copiers, and its reports on both.
+//! A member's part in migrations: its write fence, its copiers, and the reports of both.
 mod chunk;
 mod copier;
-mod copy_order;
+mod copy_task;
 mod fence;
 mod in_flight;
 mod permission;
 mod report;
 
-pub use copy_order::{CopyOrder, CopyResult, CopyWork};
+pub use copy_task::{CopyOperation, CopyResult, CopyTask};
 pub use fence::WriteFence;
 pub use permission::{CommandResult, DenialReason, FenceCounters, ManagedVolumes, Permission, Reply};
 
@@ -29,34 +29,34 @@
     assignment: Index,
 }
 
-/// The shard of volumes that an agent serves.
+/// The shard of the volumes that an agent serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Shard {
     number: u32,
     count: u32,
 }
 
-/// The agent of a member, or of the shard of it that serves certain volumes.
+/// The agent of a member, or of one shard of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberAgent {
-    /// Which blocks may be used where.
+    /// Decides which commands may be sent.
     pub fence: WriteFence,
     copiers: BTreeMap<CopierId, Copier>,
     reports: ReportLog,
     shard: Shard,
 }
 
-/// What an agent has its host do.
+/// What the host of an agent has to do.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AgentOutput {
     /// Commands to propose to the log.
     pub commands: Vec<Command>,
-    /// Copies to carry out.
-    pub orders: Vec<CopyOrder>,
+    /// Copy tasks to execute.
+    pub tasks: Vec<CopyTask>,
 }
 
 impl MemberAgent {
-    /// The agent of a process that starts, with the state that it has kept of the log.
+    /// Creates the agent of a starting process, with the replicated state that the process has stored.
     pub fn new(
         member: MemberId,
         incarnation: u64,
@@ -76,42 +76,42 @@
         self
     }
 
-    /// Whether a command may be sent now: see [`WriteFence::permit`].
+    /// Decides whether a command may be sent now: see [`WriteFence::permit`].
     pub fn permit(&mut self, now: Time, volume: &Volume, blocks: BlockRange, is_write: bool) -> Permission {
         self.fence.permit(now, volume, blocks, is_write)
     }
 
-    /// A command has ended: see [`WriteFence::finish`].
+    /// Records the result of a command: see [`WriteFence::finish`].
     pub fn finish(&mut self, ticket: u64, now: Time, result: CommandResult) -> Reply {
         self.fence.finish(ticket, now, result)
     }
 
-    /// Takes over what this member has applied of the log.
+    /// Replaces the replicated state by a newer one.
     pub fn update(&mut self, state: Arc<ReshardingState>) {
         self.fence.update(state);
     }
 
-    /// A lease was granted that was asked for at `asked`, when the log was committed up to `committed`.
-    pub fn renew_lease(&mut self, asked: Time, committed: Index) {
-        self.fence.renew_lease(asked, committed);
+    /// Records a lease that was requested at `requested_at` and granted when the log was committed up to `committed`.
+    pub fn renew_lease(&mut self, requested_at: Time, committed: Index) {
+        self.fence.renew_lease(requested_at, committed);
     }
 
-    /// A copy order has ended.
-    pub fn finish_copy(&mut self, order: &CopyOrder, now: Time, result: CopyResult) {
-        let id = CopierId { migration: order.migration, assignment: order.assignment };
+    /// Records the result of a copy task.
+    pub fn finish_copy(&mut self, task: &CopyTask, now: Time, result: CopyResult) {
+        let id = CopierId { migration: task.migration, assignment: task.assignment };
         if let Some(copier) = self.copiers.get_mut(&id) {
-            copier.finish(order.token, now, result);
+            copier.finish(task.token, now, result);
         }
     }
 
-    /// Whether a copy order may be sent now. To be asked right before.
-    pub fn may_send_copy(&self, order: &CopyOrder, now: Time) -> bool {
-        let id = CopierId { migration: order.migration, assignment: order.assignment };
-        now < order.deadline && self.copiers.contains_key(&id)
+    /// Whether a copy task may be sent now. Call it immediately before sending.
+    pub fn may_send_copy(&self, task: &CopyTask, now: Time) -> bool {
+        let id = CopierId { migration: task.migration, assignment: task.assignment };
+        now < task.deadline && self.copiers.contains_key(&id)
     }
 
-    /// Returns what to report and what to copy next. To be called often. `spare_rate` tells what a backend can do beyond
-    /// reservations, in units a second.
+    /// Returns the reports and copy tasks that are due. Call it often. `spare_rate` returns the rate of a backend
+    /// beyond its reservations, in units per second.
     pub fn step(&mut self, now: Time, spare_rate: &dyn Fn(&BackendId) -> u64) -> AgentOutput {
         let state = Arc::clone(&self.fence.state);
         let mut output = AgentOutput::default();
@@ -127,7 +127,7 @@
         output
     }
 
-    /// Stops the copiers whose assignment has ended, and drops those that have nothing in flight.
+    /// Stops the copiers whose assignment has ended, and drops those of them that are idle.
     fn stop_deposed_copiers(&mut self, now: Time, state: &ReshardingState) {
         let member = &self.fence.member;
         let is_assigned = |id: &CopierId| {
@@ -173,8 +173,8 @@
         }
         let deadline = if fence.has_lease(now) { fence.lease_end() } else { now };
         let spare_rate = spare_rate(&migration.range.from).min(spare_rate(&migration.range.to));
-        copier.pay(now, spare_rate, state.bounds.copy_share_permille);
-        output.orders.extend(copier.next_orders(now, migration, state.applied, deadline));
+        copier.refill_budget(now, spare_rate, state.bounds.copy_share_permille);
+        output.tasks.extend(copier.next_tasks(now, migration, state.applied, deadline));
         let is_urgent = matches!(migration.phase, Phase::HandOver { .. });
         output.commands.extend(copier.report(now, is_urgent));
     }
--- a/crates/resharding/src/member/permission.rs
+++ b/crates/resharding/src/member/permission.rs
@@ -1,14 +1,14 @@
-//! What a write fence is asked, and what it answers.
+//! The questions that a write fence is asked, and its answers.
 use crate::placement::PlacedRange;
 use cluster_types::Volume;
 use std::collections::BTreeSet;
 
-/// Which volumes may be under placement, for a member that has not caught up since its start.
+/// The volumes that may be under placement. Applies to a member that has not caught up since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ManagedVolumes {
-    /// Any.
+    /// All volumes.
     All,
-    /// Only these.
+    /// Only these volumes.
     Only(BTreeSet<Volume>),
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Why a command was denied. It was not sent.
+/// Why a command was denied. A denied command is never sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DenialReason {
     /// The range is migrating and the member's lease has expired.
@@ -35,7 +35,7 @@
 /// Whether a command may be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Permission {
-    /// All parts may be sent now. Without a part the volume is not under placement.
+    /// All parts may be sent now. If there are none, the volume is not under placement.
     Granted {
         /// The parts, each for one backend.
         parts: Vec<PlacedRange>,
@@ -44,9 +44,9 @@
         /// Whether the member has caught up with the log; if not, what is read may be outdated.
         is_caught_up: bool,
     },
-    /// Ask again soon, as long as the client waits.
+    /// Retry soon, as long as the client waits.
     Wait,
-    /// It must not be sent.
+    /// The command must not be sent.
     Denied(DenialReason),
 }
 
@@ -55,22 +55,22 @@
 pub enum CommandResult {
     /// All parts ran.
     Completed,
-    /// No part ran, nor will.
+    /// No part ran or will run.
     NotRun,
-    /// Some part may have run, or may yet.
+    /// Some part may have run or may still run.
     Unknown,
 }
 
-/// What may be answered to the client.
+/// What the client may be told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reply {
-    /// What the backends answered.
+    /// The result that the backends returned.
     AsAnswered,
-    /// A failure: the command may have run, and must not be retried at another place.
+    /// A failure: the command may have run, so it must not be retried on another backend.
     MayHaveRun,
 }
 
-/// What a write fence has counted.
+/// The counters of a write fence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FenceCounters {
     /// Commands denied as [`DenialReason::LeaseExpired`].
@@ -94,13 +94,13 @@
 }
 
 /// A member's right to a migrating range.
-pub(super) enum Right {
-    /// It may use the range freely.
+pub(super) enum AccessRight {
+    /// It may use the range without a lease.
     Free,
     /// It may use the range under its lease.
     Leased,
-    /// It will have a right once it has acknowledged the migration.
+    /// It may use the range once it has acknowledged the migration.
     Pending,
-    /// It has none.
+    /// It may not use the range.
     None,
 }
--- a/crates/resharding/src/member/report.rs
+++ b/crates/resharding/src/member/report.rs
@@ -20,10 +20,10 @@
     Stopped,
 }
 
-/// A report that was made.
+/// The last report of a kind that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SentReport {
-    /// What it was about, such as a freeze or an assignment.
+    /// The log index of what was reported on, such as a freeze or an assignment.
     subject: Index,
     at: Time,
 }
@@ -40,7 +40,7 @@
         self.sent.retain(|(id, _), _| state.migrations.contains_key(id));
     }
 
-    /// Whether a report is due: not made yet, or not within the last `interval`. Notes it as made if so.
+    /// Whether a report is due: none on this subject was sent within the last `interval`. Records it as sent if so.
     pub(super) fn is_due(
         &mut self,
         now: Time,
@@ -59,7 +59,7 @@
 }
 
 impl MemberAgent {
-    /// The report on this member's use of a migrating range that is due now.
+    /// Returns the report on this member's use of a migrating range that is due now.
     pub(super) fn report_use(
         &mut self,
         now: Time,
@@ -73,12 +73,12 @@
         let may_acknowledge = fence.has_lease(now) && now > fence.started + fence.settings.max_command_time;
         match (standing, &migration.phase) {
             (MemberStanding::Unacknowledged, phase) if phase.is_reversible() && may_acknowledge => {
-                // From here on the range is used under the lease, whether or not the report arrives.
+                // From here on the range is used only under the lease, whether or not the report arrives.
                 self.fence.acknowledged.insert(id);
                 self.acknowledge(now, id, ReportKind::Acknowledged, id, state)
             }
             (MemberStanding::Revoked, phase) if phase.is_reversible() => {
-                if !may_acknowledge || !self.is_still(id, migration) {
+                if !may_acknowledge || !self.is_idle_in(id, migration) {
                     return None;
                 }
                 let revocation = state.last_revocation(&fence.member);
@@ -97,7 +97,7 @@
             }
             (MemberStanding::Revoked, Phase::Switch { epoch, .. } | Phase::Release { epoch }) => {
                 let is_pending = migration.pending_acknowledgements.contains_key(&fence.member);
-                let may_confirm = is_pending && self.is_still(id, migration);
+                let may_confirm = is_pending && self.is_idle_in(id, migration);
                 self.confirm_switch(now, id, *epoch, may_confirm)
             }
             (_, Phase::RolledBack { .. }) => self.report_stopped(now, id, migration),
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Whether nothing of this member, neither writes nor copies, is in flight in a migration.
-    fn is_still(&self, id: Index, migration: &Migration) -> bool {
+    /// Whether this member has neither writes nor copies of a migration in flight.
+    fn is_idle_in(&self, id: Index, migration: &Migration) -> bool {
         let mut copiers = self.copiers.iter().filter(|(copier, _)| copier.migration == id);
         self.fence.is_quiet(migration) && copiers.all(|(_, copier)| copier.is_idle())
     }
@@ -129,7 +129,7 @@
         self.is_due(now, id, kind, subject).then_some(command)
     }
 
-    /// Reports the blocks that were written behind the copy, and at a hand-over that this member is quiet.
+    /// Reports the blocks that were written during the copy, and at a hand-over that this member is quiet.
     fn report_writes(
         &mut self,
         now: Time,
@@ -155,7 +155,7 @@
         if !is_due {
             return None;
         }
-        // What is not in the log yet is reported again with what is new.
+        // Blocks that are not in the log yet are reported again together with the new ones.
         let incarnation = self.fence.incarnation;
         let written = self.fence.written.entry(id).or_default();
         let unreported = std::mem::take(&mut written.unreported);
@@ -173,11 +173,11 @@
         (may_confirm && self.is_due(now, id, ReportKind::SwitchConfirmed, epoch)).then_some(command)
     }
 
-    /// Reports that no copy of a lost assignment is in flight any more.
+    /// Reports that no copy of a revoked assignment is in flight any more.
     fn report_stopped(&mut self, now: Time, id: Index, migration: &Migration) -> Option<Command> {
         let pending = migration.pending_acknowledgements.get(&self.fence.member);
         let assignment = pending.copied().flatten()?;
-        let is_due = self.is_still(id, migration) && self.is_due(now, id, ReportKind::Stopped, assignment);
+        let is_due = self.is_idle_in(id, migration) && self.is_due(now, id, ReportKind::Stopped, assignment);
         is_due.then_some(Command::ReportStopped { migration: id, assignment })
     }
 }
--- a/crates/resharding/src/migration.rs
+++ b/crates/resharding/src/migration.rs
@@ -1,4 +1,4 @@
-//! A migration: one range on its way from one backend to another.
+//! A migration: one range that moves from one backend to another.
 use crate::block_set::BlockSet;
 use crate::phase::{MemberStanding, Phase};
 use crate::plan::Step;
@@ -9,7 +9,7 @@
 /// Which range moves where, and why. Stored and shown to operators: the fields keep their order and their names there.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RangeMove {
-    /// The step of the plan; 0 where the plan was replaced by one without it.
+    /// The step of the plan; 0 if the plan was replaced by one without this step.
     pub step: u32,
     /// The volume.
     pub volume: Volume,
@@ -25,8 +25,8 @@
 }
 
 impl RangeMove {
-    /// Whether a step asks for this move.
-    pub fn is_of(&self, step: &Step) -> bool {
+    /// Whether a step describes this move.
+    pub fn matches_step(&self, step: &Step) -> bool {
         step.volume == self.volume
             && step.blocks == self.blocks
             && step.from == self.from
@@ -60,20 +60,20 @@
     pub migrator: Option<(MemberId, Index)>,
     /// The member that copied last.
     pub last_migrator: Option<MemberId>,
-    /// What is left to copy, with when it was last written.
+    /// The blocks left to copy, each with the log index at which its last write was reported.
     pub uncopied: BlockSet,
-    /// Where the present copy began: what was last written before is not copied yet.
+    /// The log index at which the present copy began. Blocks of `uncopied` up to this index have not been copied since.
     pub copy_start: Index,
-    /// How often its hand-over took too long.
+    /// How many of its hand-overs have timed out.
     pub unfreezes: u32,
-    /// The members that were revoked and have not acknowledged since, with the assignment of one that copied.
+    /// The members that were revoked and have not acknowledged since. For a deposed migrator, with its assignment.
     pub pending_acknowledgements: BTreeMap<MemberId, Option<Index>>,
     /// When it entered its phase, by the leader's Unix time in milliseconds.
     pub phase_start_ms: u64,
 }
 
 impl Migration {
-    /// Whether a deposed migrator has not confirmed that its copies have ended.
+    /// Whether some deposed migrator has not confirmed yet that its copies have ended.
     pub fn has_deposed_migrator(&self) -> bool {
         self.pending_acknowledgements.values().any(Option::is_some)
     }
@@ -84,16 +84,16 @@
     }
 
     /// Whether some member has not acknowledged the migration.
-    pub(crate) fn is_unacknowledged(&self) -> bool {
+    pub(crate) fn has_unacknowledged_member(&self) -> bool {
         self.members.values().any(|standing| *standing == MemberStanding::Unacknowledged)
     }
 
-    /// Whether `is_done` holds for all members that use the range under their leases.
-    pub(crate) fn have_leased_members(&self, is_done: impl Fn(&MemberId) -> bool) -> bool {
+    /// Whether `is_done` holds for all members that use the range under a lease.
+    pub(crate) fn all_leased_members(&self, is_done: impl Fn(&MemberId) -> bool) -> bool {
         self.members.iter().all(|(member, standing)| !standing.is_leased() || is_done(member))
     }
 
-    /// Copies the whole range again.
+    /// Marks the whole range as not copied.
     pub(crate) fn restart_copy(&mut self, index: Index) {
         self.uncopied = BlockSet::of(self.range.blocks, index);
         self.copy_start = index;
--- a/crates/resharding/src/phase.rs
+++ b/crates/resharding/src/phase.rs
@@ -6,7 +6,7 @@
 /// The standing of a member in a migration. Stored: the variants and their fields keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberStanding {
-    /// It has not acknowledged the migration and may use the range freely.
+    /// It has not acknowledged the migration and may use the range without a lease.
     Unacknowledged,
     /// It uses the range under its lease.
     Leased {
@@ -15,7 +15,7 @@
         /// The newest of its reports in the log.
         last_report: u64,
     },
-    /// It has no right to the range until it acknowledges again.
+    /// It may not use the range until it acknowledges the migration again.
     Revoked,
 }
 
@@ -38,28 +38,28 @@
     Prepare,
     /// The range is copied.
     Copy,
-    /// All was copied once; what was written behind the copy follows.
+    /// Every block was copied once; blocks written meanwhile are copied again.
     CatchUp,
-    /// Writes wait.
+    /// Writes are held until all members are quiet and the last blocks are copied.
     HandOver {
         /// The freeze, by its log index.
         freeze: Index,
-        /// The members that have nothing in flight.
+        /// The members that have no writes in flight.
         quiet: BTreeSet<MemberId>,
     },
-    /// The new place is committed. Writes wait until each member knows it.
+    /// The target backend is committed. Writes are held until each member knows it.
     Switch {
         /// The log index of the command that committed it.
         epoch: Index,
         /// The members that know it.
         confirmed: BTreeSet<MemberId>,
     },
-    /// Everything goes on at the new place; the old one is not free for others yet.
+    /// The target backend serves the range; the source range is not free for reuse yet.
     Release {
-        /// The log index of the command that committed the new place.
+        /// The log index of the command that committed the target backend.
         epoch: Index,
     },
-    /// Everything goes on at the old place; the new one is not free for others yet.
+    /// The source backend serves the range; the target range is not free for reuse yet.
     RolledBack {
         /// Why, for operators.
         reason: String,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the range is used under leases only.
+    /// Whether members need a lease to use the range.
     pub fn needs_lease(&self) -> bool {
         !matches!(self, Phase::Release { .. } | Phase::RolledBack { .. })
     }
@@ -95,7 +95,7 @@
         matches!(self, Phase::Copy | Phase::CatchUp | Phase::HandOver { .. })
     }
 
-    /// Whether writes wait.
+    /// Whether writes are held.
     pub fn holds_writes(&self) -> bool {
         matches!(self, Phase::HandOver { .. } | Phase::Switch { .. })
     }
--- a/crates/resharding/src/placement.rs
+++ b/crates/resharding/src/placement.rs
@@ -1,4 +1,5 @@
-//! Where ranges are. The map is persistent in the functional sense: a copy for readers costs nothing and needs no locks.
+//! The placement of ranges on backends. The map is an immutable (persistent) data structure: readers get a cheap clone
+//! and need no locks.
 use cluster_types::{BackendId, BlockRange, Index, Volume};
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
@@ -17,7 +18,7 @@
 /// All ranges of all volumes that are under placement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Placement {
-    /// The ranges of each volume, by their first blocks.
+    /// The ranges of each volume, by first block.
     volumes: OrdMap<Volume, OrdMap<u64, PlacedRange>>,
 }
 
@@ -37,7 +38,7 @@
         self.volumes.get(volume).map(|ranges| ranges.values().cloned().collect()).unwrap_or_default()
     }
 
-    /// The ranges of these blocks in order, each cut to them. None where some block has no place.
+    /// The ranges that cover these blocks, in order and clipped to them. None if some block is not placed.
     pub fn lookup(&self, volume: &Volume, blocks: BlockRange) -> Option<Vec<PlacedRange>> {
         let ranges = self.volumes.get(volume)?;
         let start = ranges.range(..=blocks.first).next_back().map_or(blocks.first, |(first, _)| *first);
@@ -67,7 +68,7 @@
         self.lookup(volume, blocks).is_some_and(|found| found.iter().all(|placed| placed.backend == *backend))
     }
 
-    /// Places blocks on a backend. Ranges that they overlap are cut; neighbours keep their epochs.
+    /// Places blocks on a backend. Overlapping ranges are clipped, and what remains of them keeps its epoch.
     pub fn place(&mut self, volume: &Volume, blocks: BlockRange, backend: &BackendId, epoch: Index) {
         if blocks.is_empty() {
             return;
--- a/crates/resharding/src/plan/check.rs
+++ b/crates/resharding/src/plan/check.rs
@@ -1,6 +1,6 @@
-//! The check of a plan against the cluster, before anything moves.
+//! Checks a plan against the cluster before any block moves.
 use super::cluster_view::{ClusterView, Occupancy};
-use super::demand::{demands, Demand};
+use super::demand::{find_demands, Demand};
 use super::error::{PlanError, PlanProblem};
 use super::names::resolve_backends;
 use super::step_order::order_steps;
@@ -9,18 +9,18 @@
 use std::collections::BTreeSet;
 
 impl Plan {
-    /// Checks that the cluster can keep the plan.
+    /// Checks that the cluster can carry out the plan.
     ///
     /// # Errors
     ///
-    /// Returns the first key that it can't keep.
+    /// Returns the first key that can't be satisfied.
     pub fn check(&self, view: &ClusterView) -> Result<(), PlanError> {
         let named = resolve_backends(self, view)?;
         let volumes: BTreeSet<&Volume> = self.targets.iter().map(|target| &target.volume).collect();
         for volume in volumes {
             check_coverage(self, view, volume)?;
         }
-        let demands = demands(self, &named, view)?;
+        let demands = find_demands(self, &named, view)?;
         let now = view.occupancy();
         let mut end = now.clone();
         for demand in &demands {
@@ -33,7 +33,7 @@
         order_steps(self, view).map(|_| ())
     }
 
-    /// Checks that a demand can be met, with what backends have now and in the end.
+    /// Checks that a demand can be satisfied, given the occupancy of backends now and in the end.
     fn check_demand(
         &self,
         view: &ClusterView,
--- a/crates/resharding/src/plan/cluster_view.rs
+++ b/crates/resharding/src/plan/cluster_view.rs
@@ -1,4 +1,4 @@
-//! What is known of backends and volumes when a plan is checked and its steps are ordered.
+//! The view of backends and volumes for checking plans and ordering their steps.
 use crate::placement::Placement;
 use cluster_types::{BackendId, BlockRange, Volume, Zone};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,11 +11,11 @@
     pub zone: Zone,
     /// Its addresses and other names.
     pub names: BTreeSet<String>,
-    /// How many blocks of volumes under placement it can hold.
+    /// The number of blocks of volumes under placement that it can hold.
     pub capacity_blocks: u64,
-    /// What it can do, in units a second.
+    /// Its rate, in units per second.
     pub rate: u64,
-    /// What is reserved of that for what is not under placement, in units a second.
+    /// The part of the rate that is reserved for volumes that are not under placement, in units per second.
     pub reserved_rate: u64,
 }
 
@@ -24,7 +24,8 @@
 pub struct VolumeView {
     /// Its size in blocks.
     pub blocks: u64,
-    /// What is reserved for it, in units a second; each backend carries its part by the blocks that it has.
+    /// The rate reserved for it, in units per second. Each backend reserves a part in proportion to the blocks that it
+    /// holds.
     pub reserved_rate: u64,
 }
 
@@ -35,18 +36,18 @@
     pub backends: BTreeMap<BackendId, BackendView>,
     /// The volumes.
     pub volumes: BTreeMap<Volume, VolumeView>,
-    /// Where ranges are.
+    /// The backend of each range.
     pub placement: Placement,
 }
 
 impl ClusterView {
-    /// The backends that a name stands for: by id, or by one of their other names.
+    /// The backends with this name, as their id or as one of their other names.
     pub fn backends_named(&self, name: &str) -> Vec<BackendId> {
         let named = self.backends.iter().filter(|(id, view)| &*id.0 == name || view.names.contains(name));
         named.map(|(id, _)| id.clone()).collect()
     }
 
-    /// What so many blocks of a volume reserve, in units a second, rounded up.
+    /// The rate reserved for this many blocks of a volume, in units per second, rounded up.
     pub fn reserved_rate(&self, volume: &Volume, blocks: u64) -> u64 {
         let Some(view) = self.volumes.get(volume) else { return 0 };
         let size = u128::from(view.blocks.max(1));
@@ -59,7 +60,7 @@
         self.backends.get(backend).map(|view| &view.zone)
     }
 
-    /// What each backend has now.
+    /// The present occupancy of each backend.
     pub fn occupancy(&self) -> Occupancy {
         let mut occupancy = Occupancy::default();
         for volume in self.placement.volumes() {
@@ -71,35 +72,35 @@
     }
 }
 
-/// Why a backend can't hold what it would have.
+/// Why blocks do not fit on a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CapacityError {
     /// The backend is not known.
     #[error("{0} is not known")]
     UnknownBackend(BackendId),
-    /// It would have more blocks than it can hold.
+    /// It would hold more blocks than its capacity.
     #[error("{backend} would hold {blocks} blocks and has room for {capacity}")]
     Blocks {
         /// The backend.
         backend: BackendId,
-        /// How many blocks it would have.
+        /// How many blocks it would hold.
         blocks: u64,
-        /// How many it can hold.
+        /// Its capacity in blocks.
         capacity: u64,
     },
-    /// More would be reserved on it than it can do.
+    /// The rate reserved on it would exceed its rate.
     #[error("{backend} would have to keep {reserved} units a second reserved and can do {rate}")]
     Rate {
         /// The backend.
         backend: BackendId,
-        /// What would be reserved, in units a second.
+        /// The rate that would be reserved, in units per second.
         reserved: u64,
-        /// What it can do, in units a second.
+        /// Its rate, in units per second.
         rate: u64,
     },
 }
 
-/// How many blocks of each volume each backend has.
+/// The number of blocks of each volume on each backend.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Occupancy {
     blocks: BTreeMap<BackendId, BTreeMap<Volume, u64>>,
@@ -121,12 +122,12 @@
         }
     }
 
-    /// How many blocks a backend has.
+    /// The number of blocks on a backend.
     pub fn blocks(&self, backend: &BackendId) -> u64 {
         self.blocks.get(backend).map_or(0, |volumes| volumes.values().sum())
     }
 
-    /// What is reserved on a backend, in units a second, with what is not under placement.
+    /// The rate reserved on a backend, in units per second, including volumes that are not under placement.
     pub fn reserved_rate(&self, view: &ClusterView, backend: &BackendId) -> u64 {
         let other = view.backends.get(backend).map_or(0, |known| known.reserved_rate);
         let sum = |volumes: &BTreeMap<Volume, u64>| {
@@ -135,11 +136,11 @@
         other.saturating_add(self.blocks.get(backend).map_or(0, sum))
     }
 
-    /// Whether a backend can hold what it has.
+    /// Checks that a backend does not exceed its capacity or rate.
     ///
     /// # Errors
     ///
-    /// Returns what it lacks.
+    /// Returns what is exceeded.
     pub fn check(&self, view: &ClusterView, backend: &BackendId) -> Result<(), CapacityError> {
         let known = view.backends.get(backend);
         let known = known.ok_or_else(|| CapacityError::UnknownBackend(backend.clone()))?;
@@ -154,7 +155,7 @@
         Ok(())
     }
 
-    /// What a backend can do beyond reservations, in units a second.
+    /// The rate of a backend beyond its reservations, in units per second.
     pub fn spare_rate(&self, view: &ClusterView, backend: &BackendId) -> u64 {
         let rate = view.backends.get(backend).map_or(0, |known| known.rate);
         rate.saturating_sub(self.reserved_rate(view, backend))
--- a/crates/resharding/src/plan/demand.rs
+++ b/crates/resharding/src/plan/demand.rs
@@ -1,4 +1,5 @@
-//! The difference between the wanted and the present placement: which blocks have to go where.
+//! The difference between the present and the wanted placement: the blocks that have to move, and their target
+//! backends.
 use super::cluster_view::{BackendView, ClusterView, Occupancy};
 use super::error::{PlanError, PlanProblem};
 use super::names::NamedBackends;
@@ -16,16 +17,17 @@
     pub(super) from: BackendId,
     /// The backend that gets them.
     pub(super) to: BackendId,
-    /// The key of the plan that asks for it.
+    /// The key of the plan that requires the move.
     pub(super) key: String,
     /// Why, for operators.
     pub(super) reason: String,
-    /// Whether it empties a backend.
+    /// Whether the move helps to empty a backend.
     pub(super) is_emptying: bool,
 }
 
 impl Demand {
-    /// What goes first: what empties backends, then the order between zones, then by name.
+    /// The sort key: first the order between zones, then whether the move empties a backend, then volume, blocks and
+    /// target.
     pub(super) fn rank(&self, cross_zone: CrossZoneOrder, view: &ClusterView) -> impl Ord {
         let leaves_zone = view.zone(&self.from) != view.zone(&self.to);
         let is_late = match cross_zone {
@@ -36,8 +38,8 @@
     }
 }
 
-/// All demands of a plan, always in the same order.
-pub(super) fn demands(
+/// Returns all demands of a plan in a deterministic order.
+pub(super) fn find_demands(
     plan: &Plan,
     named: &NamedBackends,
     view: &ClusterView,
@@ -46,7 +48,7 @@
     for (number, (target, to)) in plan.targets.iter().zip(&named.targets).enumerate() {
         search.add_target(number, target, to);
     }
-    // What no place of the plan names but lies on a backend that is to be emptied.
+    // Volumes that the plan does not place, but that have blocks on a backend to be emptied.
     for volume in view.placement.volumes() {
         if plan.targets.iter().any(|target| target.volume == *volume) {
             continue;
@@ -64,7 +66,7 @@
     plan: &'a Plan,
     named: &'a NamedBackends,
     view: &'a ClusterView,
-    /// What backends have once all demands so far are met.
+    /// The blocks on each backend once all demands so far are satisfied.
     end: Occupancy,
     demands: Vec<Demand>,
 }
@@ -93,12 +95,12 @@
         }
     }
 
-    /// Moves a range from a backend that is to be emptied to those with the most free capacity.
+    /// Moves a range from a backend that is to be emptied to the best targets.
     fn empty_range(&mut self, key: &str, volume: &Volume, placed: &PlacedRange) -> Result<(), PlanError> {
         let mut rest = placed.blocks;
         while !rest.is_empty() {
             let from = &placed.backend;
-            let Some((to, blocks)) = self.best_target(volume, rest, from) else {
+            let Some((to, blocks)) = self.find_best_target(volume, rest, from) else {
                 let (volume, from) = (volume.clone(), from.clone());
                 let problem = PlanProblem::NoBackendFits { blocks: rest, volume, from };
                 return Err(PlanError::new(key, problem));
@@ -111,8 +113,9 @@
         Ok(())
     }
 
-    /// The backend that takes the most of a range, in the same zone where it can be and with the most free capacity.
-    fn best_target(
+    /// Finds the backend that can hold the most blocks of a range. Ties go to the same zone, then to the most free
+    /// capacity.
+    fn find_best_target(
         &self,
         volume: &Volume,
         range: BlockRange,
@@ -125,7 +128,7 @@
         };
         let candidates = self.view.backends.iter().filter(|(id, known)| is_candidate(id, known));
         let fitting = candidates
-            .filter_map(|(id, known)| Some((id, known, self.fitting_part(volume, range, id, known)?)));
+            .filter_map(|(id, known)| Some((id, known, self.find_fitting_part(volume, range, id, known)?)));
         let best = fitting.min_by_key(|(id, known, blocks)| {
             let free = known.capacity_blocks.saturating_sub(self.end.blocks(id));
             (Reverse(blocks.len()), zone != Some(&known.zone), Reverse(free), (*id).clone())
@@ -133,8 +136,8 @@
         best.map(|(id, _, blocks)| (id.clone(), blocks))
     }
 
-    /// The first part of a range that a backend can hold; none if it can hold nothing of it.
-    fn fitting_part(
+    /// Returns the first part of a range that fits on a backend, or None if nothing fits.
+    fn find_fitting_part(
         &self,
         volume: &Volume,
         range: BlockRange,
--- a/crates/resharding/src/plan/error.rs
+++ b/crates/resharding/src/plan/error.rs
@@ -1,9 +1,9 @@
-//! Why a plan, or a file of pieces, is rejected.
+//! The reasons for which a plan or a piece file is rejected.
 use super::cluster_view::CapacityError;
 use cluster_types::{BackendId, BlockRange, Volume};
 use thiserror::Error;
 
-/// A problem and the key of the file where it was found.
+/// A problem and the key in the file where it was found.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {problem}")]
 pub struct PlanError {
@@ -22,7 +22,7 @@
 /// What is wrong with a plan. The messages are shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlanProblem {
-    /// The file is not of the expected form.
+    /// The file is malformed.
     #[error("{0}")]
     Syntax(String),
     /// A text is missing or empty.
@@ -37,7 +37,7 @@
     /// A text is not a volume.
     #[error("{0} is not a volume: 16 hex digits")]
     NotAVolume(String),
-    /// A number is not a count within its bounds.
+    /// A number is not a count within its limits.
     #[error("{0} can't be kept: it must be from 1 to 1024")]
     NotACount(String),
     /// A number is not a share.
@@ -52,7 +52,7 @@
     /// The file has too many pieces.
     #[error("maps more than {0} pieces")]
     TooManyPieces(usize),
-    /// A piece overlaps with another one.
+    /// A piece overlaps another one.
     #[error("{blocks} of {volume} overlaps with another piece")]
     OverlappingPiece {
         /// The blocks of the piece.
@@ -98,7 +98,7 @@
         /// The number of the other place.
         other: usize,
     },
-    /// Blocks of a volume that the plan places have no place.
+    /// The plan places a volume, but not all of its blocks.
     #[error("leaves a gap: {blocks} of {volume} has no place")]
     Gap {
         /// The blocks.
@@ -114,7 +114,7 @@
         /// Its size.
         blocks: u64,
     },
-    /// A backend would have more than it can hold or do.
+    /// A backend would exceed its capacity or rate.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
     /// Blocks would have to leave their zone.
@@ -131,7 +131,7 @@
         /// The key of the plan that wants them there.
         key: String,
     },
-    /// Copying would get nothing of what a backend can do.
+    /// The copy rate of a backend would be zero.
     #[error(
         "can't be kept: that share of what {backend} can do beyond reservations is nothing, so that {blocks} of {volume} would never move"
     )]
@@ -143,7 +143,7 @@
         /// Their volume.
         volume: Volume,
     },
-    /// No backend can take what a backend that is to be emptied has.
+    /// No backend can hold the blocks of a backend that is to be emptied.
     #[error("no box has room and reserves for {blocks} of {volume} on {from}")]
     NoBackendFits {
         /// The blocks.
@@ -153,7 +153,7 @@
         /// The backend that is to be emptied.
         from: BackendId,
     },
-    /// Migrations wait for each other's capacity.
+    /// Migrations would wait for each other's capacity.
     #[error("{blocks} of {volume} can't go from {from} to {to}: there is no room yet, and no third place has room to break the circle")]
     CircularWait {
         /// The blocks.
--- a/crates/resharding/src/plan/file.rs
+++ b/crates/resharding/src/plan/file.rs
@@ -1,13 +1,13 @@
-//! The TOML form of plans.
+//! The TOML format of plans.
 use super::error::{PlanError, PlanProblem};
 use super::{Bounds, CrossZoneOrder, Plan, Target};
 use cluster_types::{BlockRange, Volume};
 use serde::Deserialize;
 use toml::Value;
 
-/// Places, and likewise backends to be emptied, that a plan may name.
+/// The maximum number of places that a plan may name, and also of backends to be emptied.
 const MAX_TARGETS: usize = 4096;
-/// Digits of a volume's name.
+/// The number of digits in the name of a volume.
 const VOLUME_DIGITS: usize = 16;
 
 #[derive(Deserialize)]
@@ -50,7 +50,7 @@
     cross_zone: Option<Value>,
 }
 
-/// An error that serde found, with the key that its message names, below the section.
+/// Converts an error of serde. The key is the section, with the field that the message names.
 fn syntax_error(section: &str, error: &toml::de::Error) -> PlanError {
     let message = error.message();
     let field = message.split('`').nth(1).filter(|_| message.contains("field"));
@@ -138,11 +138,11 @@
 }
 
 impl Plan {
-    /// Reads a plan from TOML. Whether the cluster can keep it is checked by [`Plan::check`].
+    /// Reads a plan from TOML. [`Plan::check`] checks it against the cluster.
     ///
     /// # Errors
     ///
-    /// Returns the first key that is missing, unknown or of the wrong form.
+    /// Returns the first key that is missing, unknown or malformed.
     pub fn read(text: &str) -> Result<Plan, PlanError> {
         let file: PlanFile = toml::from_str(text).map_err(|error| syntax_error("", &error))?;
         let name = parse_text("plan", &file.plan)?;
--- a/crates/resharding/src/plan/mod.rs
+++ b/crates/resharding/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! Plans: what an operator declares, the check against the cluster, and the ordered steps.
+//! Plans: the operator's declaration, its check against the cluster, and the ordered steps.
 mod check;
 mod cluster_view;
 mod demand;
@@ -19,23 +19,23 @@
 /// How migrations between zones are ordered. Stored: the variants keep their order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum CrossZoneOrder {
-    /// What leaves a zone goes before what moves within one.
+    /// Moves out of a zone go before moves within a zone.
     #[default]
     ExportsFirst,
-    /// What moves within a zone goes first.
+    /// Moves within a zone go before moves out of a zone.
     Last,
-    /// Nothing leaves its zone.
+    /// No blocks leave their zone.
     Never,
 }
 
-/// The bounds that the migrations of a plan keep. Stored: the fields keep their order.
+/// The limits on the migrations of a plan. Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Bounds {
-    /// How many migrations run at the same time.
+    /// The maximum number of concurrent migrations.
     pub max_migrations: u32,
-    /// How many of them from or to the same backend.
+    /// The maximum number of concurrent migrations from or to the same backend.
     pub max_per_backend: u32,
-    /// The part that copying may take of what a backend can do beyond reservations, in thousandths.
+    /// The share of a backend's rate beyond its reservations that copying may use, in thousandths.
     pub copy_share_permille: u32,
     /// How migrations between zones are ordered.
     pub cross_zone: CrossZoneOrder,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Where a plan wants blocks.
+/// The backend on which a plan places blocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The volume.
@@ -68,15 +68,15 @@
 pub struct Plan {
     /// Its name.
     pub name: String,
-    /// Where blocks are wanted.
+    /// The wanted placement of blocks.
     pub targets: Vec<Target>,
-    /// Backends to be emptied, by any of their names.
+    /// The backends to be emptied, by any of their names.
     pub emptied: Vec<String>,
     /// The bounds.
     pub bounds: Bounds,
 }
 
-/// A step of a plan: one migration in the order that is taken. Stored: the fields keep their order.
+/// A step of a plan: one migration and its position in the order. Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
     /// Its number in the order, from 1.
@@ -89,7 +89,7 @@
     pub from: BackendId,
     /// The backend that gets them.
     pub to: BackendId,
-    /// The steps that have to be done before: they free capacity, or bring the range to where it goes from.
+    /// The steps that must be done before: they free capacity, or move the range to the source backend of this step.
     pub after: Vec<u32>,
     /// Why, for operators.
     pub reason: String,
--- a/crates/resharding/src/plan/names.rs
+++ b/crates/resharding/src/plan/names.rs
@@ -1,4 +1,4 @@
-//! The backends that a plan names.
+//! Resolves the backend names of a plan.
 use super::cluster_view::ClusterView;
 use super::error::{PlanError, PlanProblem};
 use super::Plan;
@@ -10,7 +10,7 @@
 pub(super) struct NamedBackends {
     /// The backend of each target.
     pub(super) targets: Vec<BackendId>,
-    /// The backends to be emptied, with their keys in the plan.
+    /// The backends to be emptied, each with its key in the plan.
     pub(super) emptied: BTreeMap<BackendId, String>,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Finds backends by their names, each by one name only.
+/// Resolves names to backends. Accepts only one name for each backend.
 struct Resolver<'a> {
     view: &'a ClusterView,
     names: BTreeMap<BackendId, String>,
@@ -45,8 +45,8 @@
     }
 }
 
-/// Finds the backends that a plan names. Rejects unknown names, a backend under two names, and one that is to be emptied
-/// twice, or emptied and filled.
+/// Resolves the backends that a plan names. Rejects unknown and ambiguous names, a backend under two names, and one
+/// that is to be emptied twice, or both emptied and filled.
 pub(super) fn resolve_backends(plan: &Plan, view: &ClusterView) -> Result<NamedBackends, PlanError> {
     let mut resolver = Resolver { view, names: BTreeMap::new() };
     let mut named = NamedBackends::default();
--- a/crates/resharding/src/plan/pieces.rs
+++ b/crates/resharding/src/plan/pieces.rs
@@ -1,4 +1,4 @@
-//! Which blocks a named piece of a volume stands for. A piece that the file does not map is not under placement.
+//! Maps named pieces of volumes to blocks. A piece that the file does not map is not under placement.
 use super::error::{PlanError, PlanProblem};
 use super::file::{parse_blocks, parse_volume};
 use cluster_types::{BlockRange, Volume};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use toml::Value;
 
-/// Pieces that a file may map.
+/// The maximum number of pieces that a file may map.
 const MAX_PIECES: usize = 1_000_000;
 
 /// The pieces of all volumes.
@@ -35,8 +35,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first key that is missing, unknown or of the wrong form, or whose piece overlaps with another one or
-    /// has its name.
+    /// Returns the first key that is missing, unknown or malformed, or whose piece overlaps another one or repeats its
+    /// name.
     pub fn read(text: &str) -> Result<PieceMap, PlanError> {
         let syntax_error = |error: toml::de::Error| PlanProblem::Syntax(error.message().to_string());
         let file: PieceFile =
@@ -69,7 +69,7 @@
         self.pieces.get(volume)?.get(piece).copied()
     }
 
-    /// The pieces that overlap with a range.
+    /// The pieces that overlap a range.
     pub fn within<'a>(
         &'a self,
         volume: &Volume,
--- a/crates/resharding/src/plan/step_order.rs
+++ b/crates/resharding/src/plan/step_order.rs
@@ -1,24 +1,24 @@
-//! The order of the steps, known before anything moves. The same input gives the same order on every member, in whatever
-//! order a file names its places.
+//! Orders the steps of a plan before any block moves. The order is deterministic: it is the same on every member, and
+//! does not depend on the order of the places in the file.
 use super::cluster_view::{CapacityError, ClusterView, Occupancy};
-use super::demand::{demands, Demand};
+use super::demand::{find_demands, Demand};
 use super::error::{PlanError, PlanProblem};
 use super::names::{resolve_backends, NamedBackends};
 use super::{CrossZoneOrder, Plan, Step};
 use cluster_types::{BackendId, BlockRange, Volume};
 
-/// A demand that no step meets yet.
+/// A demand that no step satisfies yet.
 struct OpenDemand {
     demand: Demand,
-    /// The step that brought the range to an intermediate backend.
+    /// The step that moved the range to an intermediate backend.
     brought_by: Option<u32>,
 }
 
 struct StepOrder<'a> {
     view: &'a ClusterView,
-    /// What backends have once all steps so far are done.
+    /// The blocks on each backend once all steps so far are done.
     occupancy: Occupancy,
-    /// What backends have at most meanwhile: with all that was added and nothing that was removed.
+    /// The maximum of blocks on each backend in the meantime: with all arrivals and no departures.
     peak: Occupancy,
     steps: Vec<Step>,
 }
@@ -34,7 +34,7 @@
         self.fits(&self.occupancy, &demand.volume, demand.blocks, &demand.to)
     }
 
-    /// Adds a step. It waits only for as many departures as it needs, the earliest first.
+    /// Adds a step. It waits only for as many departures from its target as it needs, the earliest first.
     fn add_step(&mut self, demand: &Demand, to: &BackendId, brought_by: Option<u32>, reason: String) -> u32 {
         let Demand { volume, blocks, from, .. } = demand.clone();
         let id = self.steps.len() as u32 + 1;
@@ -58,8 +58,8 @@
         id
     }
 
-    /// A backend that takes a range for a while: one with enough capacity, in the same zone where it can be.
-    fn intermediate(
+    /// Finds a backend with enough capacity to hold a range temporarily, preferably in the same zone.
+    fn find_intermediate(
         &self,
         demand: &Demand,
         cross_zone: CrossZoneOrder,
@@ -75,15 +75,16 @@
     }
 }
 
-/// The ordered steps that turn the present placement into the wanted one.
+/// Returns the ordered steps that turn the present placement into the wanted one.
 ///
 /// # Errors
 ///
-/// Fails where the plan names what the cluster does not have, and where migrations would wait for each other's capacity.
+/// Fails if the plan names something that the cluster does not have, or if migrations would wait for each other's
+/// capacity and no other backend can hold one of the ranges temporarily.
 pub fn order_steps(plan: &Plan, view: &ClusterView) -> Result<Vec<Step>, PlanError> {
     let named = resolve_backends(plan, view)?;
     let cross_zone = plan.bounds.cross_zone;
-    let demands = demands(plan, &named, view)?.into_iter();
+    let demands = find_demands(plan, &named, view)?.into_iter();
     let mut open: Vec<OpenDemand> = demands.map(|demand| OpenDemand { demand, brought_by: None }).collect();
     open.sort_by_cached_key(|open| open.demand.rank(cross_zone, view));
     let (occupancy, peak) = (view.occupancy(), view.occupancy());
@@ -94,13 +95,14 @@
             order.add_step(&demand, &demand.to, brought_by, demand.reason.clone());
             continue;
         }
-        break_circle(&mut order, &mut open, cross_zone, &named)?;
+        break_cycle(&mut order, &mut open, cross_zone, &named)?;
     }
     Ok(order.steps)
 }
 
-/// Each demand waits for another one's capacity: one of them goes by way of an intermediate backend.
-fn break_circle(
+/// Resolves a cycle of demands that wait for each other's capacity: moves one of them to an intermediate backend
+/// first.
+fn break_cycle(
     order: &mut StepOrder,
     open: &mut [OpenDemand],
     cross_zone: CrossZoneOrder,
@@ -112,7 +114,7 @@
         if waiting.brought_by.is_some() || !frees_capacity {
             return None;
         }
-        order.intermediate(demand, cross_zone, named).map(|backend| (position, backend))
+        order.find_intermediate(demand, cross_zone, named).map(|backend| (position, backend))
     });
     let Some((position, backend)) = detour else {
         let Some(OpenDemand { demand, .. }) = open.first() else { return Ok(()) };
@@ -128,12 +130,12 @@
     Ok(())
 }
 
-/// Checks that every backend can hold what it has while some steps are done and some run. Backends that hold too much
-/// already are left out.
+/// Checks that no backend exceeds its capacity while some steps are done and some are running. Backends that exceed it
+/// already are not checked.
 ///
 /// # Errors
 ///
-/// Returns what a backend would lack.
+/// Returns the first capacity that would be exceeded.
 pub fn check_occupancy(
     view: &ClusterView,
     steps: &[Step],
--- a/crates/resharding/src/settings.rs
+++ b/crates/resharding/src/settings.rs
@@ -6,26 +6,26 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The spans and bounds that must be the same on all members. Stored: the fields keep their order.
+/// The durations and limits, which must be the same on all members. Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Settings {
-    /// How long a member's right to migrating ranges lasts, counted from when it asked for its lease.
+    /// How long a member may use migrating ranges, counted from when it requested its lease.
     pub lease: Duration,
-    /// How far two steady clocks diverge during a lease, at most.
+    /// The maximum drift between two monotonic clocks during a lease.
     pub max_clock_drift: Duration,
     /// The longest time that a command can be in flight to a backend, from when it is sent.
     pub max_command_time: Duration,
-    /// How long writes wait for all members to be quiet; then they go on at the old place.
+    /// How long writes are held until all members are quiet. After that they resume at the source backend.
     pub hand_over_timeout: Duration,
-    /// How long until something unanswered is reported again, and between reports of written blocks.
+    /// The interval at which unconfirmed reports are repeated, and between reports of written blocks.
     pub report_interval: Duration,
     /// A hand-over begins once at most this many blocks are left to copy.
     pub hand_over_blocks: u64,
-    /// How many blocks are copied at once.
+    /// The number of blocks in a chunk.
     pub chunk_blocks: u64,
-    /// How many chunks of a migration are copied at the same time.
+    /// How many chunks of a migration are copied concurrently.
     pub max_chunks: usize,
-    /// Whether each copied chunk is read again and compared.
+    /// Whether each copied chunk is read back and compared.
     pub verify: bool,
 }
 
@@ -46,23 +46,23 @@
 }
 
 impl Settings {
-    /// How long after its last grant a member's lease has surely expired and its commands have ended.
+    /// The time after a member's last grant at which its lease has certainly expired and its commands have ended.
     pub fn expired_after(&self) -> Duration {
         self.lease + self.max_clock_drift + self.max_command_time
     }
 
-    /// How long writes to a range wait at its hand-over at most, without the time that the log takes.
+    /// The maximum time for which writes to a range are held at its hand-over, excluding the latency of the log.
     pub fn max_hand_over_wait(&self) -> Duration {
         self.hand_over_timeout + self.expired_after()
     }
 
-    /// When a lease ends that was asked for at `asked`, on the clock of the member that asked.
-    pub fn lease_end(&self, asked: Time) -> Time {
-        asked + self.lease
+    /// The end of a lease that was requested at `requested_at`, on the clock of the requesting member.
+    pub fn lease_end(&self, requested_at: Time) -> Time {
+        requested_at + self.lease
     }
 }
 
-/// The shard, of `count`, that serves a volume: the same on every start.
+/// The shard, out of `count`, that serves a volume. It is the same after every restart.
 pub fn shard_of(volume: &Volume, count: u32) -> u32 {
     let hash = volume
         .0
--- a/crates/resharding/src/state.rs
+++ b/crates/resharding/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state of all migrations, which each member reads from its own copy of the log.
+//! The replicated state of all migrations. Each member derives it from its own copy of the log.
 use crate::migration::Migration;
 use crate::phase::MemberStanding;
 use crate::placement::Placement;
@@ -8,21 +8,21 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use thiserror::Error;
 
-/// Ended migrations that are remembered for operators.
+/// The number of ended migrations that are kept for operators.
 pub const MAX_ENDED: usize = 256;
-/// Steps of a plan.
+/// The maximum number of steps of a plan.
 pub const MAX_STEPS: usize = 4096;
-/// Ranges in one command.
+/// The maximum number of ranges in one command.
 pub const MAX_RANGES_PER_COMMAND: usize = 512;
 
 /// The state of all migrations. Stored: the fields keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReshardingState {
-    /// Where ranges are.
+    /// The backend of each range.
     pub placement: Placement,
     /// The members that are present.
     pub present: BTreeSet<MemberId>,
-    /// The newest incarnation of each member that ever was present: reports of an older one are ignored.
+    /// The newest incarnation of each member that was ever present. Reports of older incarnations are ignored.
     pub incarnations: BTreeMap<MemberId, u64>,
     /// The name of the plan.
     pub plan: Option<String>,
@@ -34,15 +34,15 @@
     pub done: BTreeSet<u32>,
     /// The running migrations, by the log index of the command that began each.
     pub migrations: BTreeMap<Index, Migration>,
-    /// The migrations that ended last: the step, and how it ended.
+    /// The migrations that ended most recently: the step and the outcome.
     pub ended: VecDeque<(u32, String)>,
     /// The log index of the newest revocation of each member.
     pub revocations: BTreeMap<MemberId, Index>,
-    /// The log index of the newest command that took a right away from all members.
+    /// The log index of the newest command that restricted all members: a freeze or a switch.
     pub fence: Index,
     /// The log index of the last applied command.
     pub applied: Index,
-    /// Commands that came too late or twice, or were wrong, and changed nothing.
+    /// The number of late, repeated or invalid commands, which changed nothing.
     pub ignored: u64,
 }
 
@@ -54,19 +54,19 @@
     Dependency(u32),
     /// Some of its blocks are migrating.
     #[error("{blocks} of {volume} are in motion")]
-    RangeInMotion {
+    RangeMigrating {
         /// The blocks that migrate.
         blocks: BlockRange,
         /// Their volume.
         volume: Volume,
     },
-    /// As many migrations run as the plan allows.
+    /// The maximum number of migrations are running.
     #[error("{running} moves run, as many as the plan allows")]
     TooManyMigrations {
         /// How many run.
         running: usize,
     },
-    /// As many migrations run from or to a backend as the plan allows.
+    /// The maximum number of migrations are running from or to a backend.
     #[error("{running} moves run at {backend}, as many as the plan allows")]
     BackendBusy {
         /// The backend.
@@ -87,12 +87,12 @@
         self.revocations.get(member).copied().unwrap_or_default()
     }
 
-    /// How far a member must have applied the log to be granted a lease.
+    /// The log index that a member must have applied to be granted a lease.
     pub fn fence_of(&self, member: &MemberId) -> Index {
         self.fence.max(self.last_revocation(member))
     }
 
-    /// The incarnation in which a member has a right to some migrating range.
+    /// The incarnation in which a member uses some migrating range under a lease.
     pub fn leased_incarnation(&self, member: &MemberId) -> Option<u64> {
         self.migrations.values().find_map(|migration| match migration.members.get(member) {
             Some(MemberStanding::Leased { incarnation, .. }) => Some(*incarnation),
@@ -119,14 +119,14 @@
     ///
     /// # Errors
     ///
-    /// Returns what it has to wait for.
+    /// Returns what the step has to wait for.
     pub fn check_step(&self, step: &Step) -> Result<(), StepBlocked> {
         if let Some(dependency) = step.after.iter().find(|id| !self.done.contains(id)) {
             return Err(StepBlocked::Dependency(*dependency));
         }
         if let Some((_, other)) = self.migrations_over(&step.volume, &step.blocks).next() {
             let (blocks, volume) = (other.range.blocks, other.range.volume.clone());
-            return Err(StepBlocked::RangeInMotion { blocks, volume });
+            return Err(StepBlocked::RangeMigrating { blocks, volume });
         }
         if self.migrations.len() >= self.bounds.max_migrations as usize {
             return Err(StepBlocked::TooManyMigrations { running: self.migrations.len() });
--- a/crates/resharding/src/transitions/members.rs
+++ b/crates/resharding/src/transitions/members.rs
@@ -1,4 +1,4 @@
-//! Members join and leave, lose their rights and are declared dead.
+//! Transitions of members: join, leave, revocation, and the declaration as dead.
 use super::Entry;
 use crate::phase::{MemberStanding, Phase};
 use crate::state::ReshardingState;
@@ -57,12 +57,12 @@
         let assignment = copied.map(|(_, assignment)| assignment);
         let earlier = migration.pending_acknowledgements.get(member).copied().flatten();
         migration.pending_acknowledgements.insert(member.clone(), assignment.or(earlier));
-        let is_known = match &migration.phase {
-            // A quiet member has reported all that it wrote, and writes nothing until it knows of an unfreeze.
+        let are_writes_known = match &migration.phase {
+            // A quiet member has reported all its writes, and does not write again before it has applied an unfreeze.
             Phase::HandOver { quiet, .. } => assignment.is_none() && quiet.contains(member),
             phase => !phase.is_copying(),
         };
-        if !is_known {
+        if !are_writes_known {
             self.restart_copy(entry, id, member);
         }
         self.advance(entry, id);
--- a/crates/resharding/src/transitions/mod.rs
+++ b/crates/resharding/src/transitions/mod.rs
@@ -1,5 +1,5 @@
-//! Applying commands: the same on all members, whatever the log holds. A command that is late, repeated or wrong changes
-//! nothing and is counted.
+//! Applies commands deterministically: all members reach the same state from the same log. Late, repeated and invalid
+//! commands change nothing and are counted.
 mod members;
 mod plan;
 mod progress;
@@ -10,10 +10,10 @@
 use crate::state::ReshardingState;
 use cluster_types::{Index, MemberId};
 
-/// The reason of a rollback that an operator ordered. Stored.
-const CANCELLED: &str = "an operator's word";
+/// The reason of a rollback that an operator requested. Stored.
+const CANCELLED_BY_OPERATOR: &str = "an operator's word";
 
-/// The log entry that is being applied, and what it has brought about so far.
+/// The log entry that is being applied, and its effects so far.
 struct Entry<'a> {
     index: Index,
     time_ms: u64,
@@ -22,7 +22,7 @@
 }
 
 impl ReshardingState {
-    /// Applies a command of the log. `issuer` is the member that reported, or that received an operator's call.
+    /// Applies a command of the log. `issuer` is the member that sent the report or received the operator's request.
     pub fn apply(&mut self, index: Index, time_ms: u64, issuer: &MemberId, command: &Command) -> Vec<Effect> {
         if index <= self.applied {
             self.ignored += 1;
--- a/crates/resharding/src/transitions/plan.rs
+++ b/crates/resharding/src/transitions/plan.rs
@@ -1,5 +1,5 @@
-//! Volumes come under placement, plans are replaced and their steps begin.
-use super::{Entry, CANCELLED};
+//! Transitions of plans: adopting volumes, replacing the plan, and beginning and cancelling steps.
+use super::{Entry, CANCELLED_BY_OPERATOR};
 use crate::block_set::BlockSet;
 use crate::effect::Effect;
 use crate::migration::{Migration, RangeMove};
@@ -9,7 +9,7 @@
 use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 use std::collections::BTreeMap;
 
-/// The reason of a rollback where a new plan does not ask for the move. Stored.
+/// The reason of a rollback of a move that the new plan does not contain. Stored.
 const PLAN_REPLACED: &str = "the plan was replaced";
 
 impl ReshardingState {
@@ -64,10 +64,10 @@
         self.done.clear();
         for id in self.migrations.keys().copied().collect::<Vec<Index>>() {
             let Some(migration) = self.migrations.get_mut(&id) else { continue };
-            match steps.iter().find(|step| migration.range.is_of(step)) {
+            match steps.iter().find(|step| migration.range.matches_step(step)) {
                 Some(step) => migration.range = RangeMove::from(step),
                 None => {
-                    // It is no step of this plan: its end must not count as one.
+                    // The move is not a step of the new plan, so its end must not mark a step as done.
                     migration.range.step = 0;
                     self.roll_back(entry, id, PLAN_REPLACED);
                 }
@@ -82,8 +82,8 @@
         if self.check_step(&queued).is_err() {
             return false;
         }
-        let is_there = self.placement.is_on(&queued.volume, queued.blocks, &queued.from);
-        if !is_there || queued.from == queued.to {
+        let is_on_source = self.placement.is_on(&queued.volume, queued.blocks, &queued.from);
+        if !is_on_source || queued.from == queued.to {
             self.queue.remove(&step);
             let reason = format!("{} of {} are not on {}", queued.blocks, queued.volume, queued.from);
             entry.effects.push(Effect::StepDropped { step, reason });
@@ -111,7 +111,7 @@
     /// Rolls a migration back and drops its step.
     pub(super) fn cancel(&mut self, entry: &mut Entry, id: Index) -> bool {
         let step = self.migrations.get(&id).map(|migration| migration.range.step);
-        if !self.roll_back(entry, id, CANCELLED) {
+        if !self.roll_back(entry, id, CANCELLED_BY_OPERATOR) {
             return false;
         }
         if let Some(step) = step {
--- a/crates/resharding/src/transitions/progress.rs
+++ b/crates/resharding/src/transitions/progress.rs
@@ -1,4 +1,4 @@
-//! How a migration goes from phase to phase once a command has changed it.
+//! The phase changes of migrations, after each command that affects them.
 use super::Entry;
 use crate::effect::Effect;
 use crate::migration::Migration;
@@ -7,7 +7,7 @@
 use cluster_types::{Index, MemberId};
 use std::collections::BTreeSet;
 
-/// How a migration ended that was not rolled back. Stored.
+/// The outcome of a migration that was not rolled back. Stored.
 const DONE: &str = "done";
 
 impl ReshardingState {
@@ -19,18 +19,18 @@
         }
     }
 
-    /// Takes a migration through all phases that are complete.
+    /// Moves a migration forward through all phases that are complete.
     pub(super) fn advance(&mut self, entry: &mut Entry, id: Index) {
         while let Some(next) = self.next_phase(entry, id) {
             self.enter_phase(entry, id, next);
         }
     }
 
-    /// The phase that follows if the present one is complete. Prepares the state for it.
+    /// Returns the next phase if the present one is complete, and prepares the state for it.
     fn next_phase(&mut self, entry: &mut Entry, id: Index) -> Option<Phase> {
         let migration = self.migrations.get_mut(&id)?;
         match &migration.phase {
-            Phase::Prepare if !migration.is_unacknowledged() => {
+            Phase::Prepare if !migration.has_unacknowledged_member() => {
                 migration.restart_copy(entry.index);
                 Some(Phase::Copy)
             }
@@ -39,8 +39,8 @@
                 is_copied.then_some(Phase::CatchUp)
             }
             Phase::HandOver { quiet, .. } => {
-                let are_quiet = migration.have_leased_members(|member| quiet.contains(member));
-                let is_settled = !migration.is_unacknowledged() && !migration.has_deposed_migrator();
+                let are_quiet = migration.all_leased_members(|member| quiet.contains(member));
+                let is_settled = !migration.has_unacknowledged_member() && !migration.has_deposed_migrator();
                 if !are_quiet || !is_settled || !migration.uncopied.is_empty() {
                     return None;
                 }
@@ -51,14 +51,15 @@
                 Some(Phase::Switch { epoch: entry.index, confirmed: BTreeSet::new() })
             }
             Phase::Switch { epoch, confirmed } => {
-                let are_informed = migration.have_leased_members(|member| confirmed.contains(member));
+                let are_informed = migration.all_leased_members(|member| confirmed.contains(member));
                 are_informed.then_some(Phase::Release { epoch: *epoch })
             }
             Phase::Prepare | Phase::CatchUp | Phase::Release { .. } | Phase::RolledBack { .. } => None,
         }
     }
 
-    /// Copies all blocks again, since what a member wrote is not known.
+    /// Restarts the copy of all blocks, since the present copy may lack writes of a member or may have been
+    /// overwritten.
     pub(super) fn restart_copy(&mut self, entry: &mut Entry, id: Index, member: &MemberId) {
         if let Some(migration) = self.migrations.get_mut(&id) {
             migration.restart_copy(entry.index);
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Copies all blocks again if a deposed migrator `has_copied`: until it confirmed that its copies have ended, a late
-    /// one may have overwritten what others copied since.
+    /// Restarts the copy if a deposed migrator `has_copied`: until it confirmed that its copies had ended, a late copy
+    /// may have overwritten blocks that other members copied since.
     pub(super) fn recopy_after_deposition(
         &mut self,
         entry: &mut Entry,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Rolls a migration back to its old place. Returns whether that was still possible.
+    /// Rolls a migration back to its source backend. Returns whether that was still possible.
     pub(super) fn roll_back(&mut self, entry: &mut Entry, id: Index, reason: &str) -> bool {
         let is_reversible = self.migrations.get(&id).is_some_and(|migration| migration.phase.is_reversible());
         if is_reversible {
@@ -91,7 +92,7 @@
         is_reversible
     }
 
-    /// Whether the place that a migration leaves can be given to others, once the longest command time has passed.
+    /// Whether the range that a migration vacates can be reused once the maximum command time has passed.
     pub fn is_releasable(&self, migration: &Migration) -> bool {
         match &migration.phase {
             Phase::Release { .. } => migration.pending_acknowledgements.is_empty(),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Ends a migration and frees the place that it leaves.
+    /// Ends a migration and frees the range that it vacates.
     pub(super) fn release(&mut self, entry: &mut Entry, id: Index) -> bool {
         if !self.migrations.get(&id).is_some_and(|migration| self.is_releasable(migration)) {
             return false;
@@ -110,7 +111,7 @@
             Phase::RolledBack { reason } => (range.to.clone(), format!("went back: {reason}")),
             _ => (range.from.clone(), DONE.to_string()),
         };
-        if ending == DONE && self.queue.get(&range.step).is_some_and(|step| range.is_of(step)) {
+        if ending == DONE && self.queue.get(&range.step).is_some_and(|step| range.matches_step(step)) {
             self.queue.remove(&range.step);
             self.done.insert(range.step);
         }
--- a/crates/resharding/src/transitions/reports.rs
+++ b/crates/resharding/src/transitions/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of members on a migration, and the leader's commands in it.
+//! Transitions of a running migration: the reports of members and the commands of the leader.
 use super::Entry;
 use crate::phase::{MemberStanding, Phase};
 use crate::state::{ReshardingState, MAX_RANGES_PER_COMMAND};
@@ -64,7 +64,7 @@
             return false;
         }
         *last_report = report.max(*last_report);
-        // While members acknowledge, the whole range is still to be copied.
+        // In the prepare phase nothing is copied yet, so the written blocks need no record.
         if migration.phase.is_copying() {
             let range = migration.range.blocks;
             for written in blocks {
@@ -88,8 +88,8 @@
         if !is_migrator || !migration.phase.is_copying() || chunks.len() > MAX_RANGES_PER_COMMAND {
             return false;
         }
-        for (blocks, seen) in chunks {
-            migration.uncopied.remove(*blocks, (*seen).min(entry.index));
+        for (blocks, read_index) in chunks {
+            migration.uncopied.remove(*blocks, (*read_index).min(entry.index));
         }
         self.advance(entry, id);
         true
@@ -122,7 +122,7 @@
         true
     }
 
-    /// Whether a member has not been reported as quiet for this freeze.
+    /// Whether a member has not been reported as quiet yet for this freeze.
     pub(super) fn awaits_quiet(&self, id: Index, freeze: Index, member: &MemberId) -> bool {
         let Some(migration) = self.migrations.get(&id) else { return false };
         match &migration.phase {
--- a/crates/resharding/tests/block_set.rs
+++ b/crates/resharding/tests/block_set.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 proptest! {
-    /// No block is lost from the set, or removed by a copy that started before the block was written again.
+    /// The set loses no block, and keeps a block that was touched after the index of a removal.
     #[test]
-    fn matches_a_map_of_blocks(
+    fn matches_map_model(
         operations in proptest::collection::vec((0u64..64, 1u64..20, 0u64..40, any::<bool>()), 1..60),
     ) {
         let mut set = BlockSet::default();
@@ -41,9 +41,9 @@
     }
 }
 
-/// The set stays small and loses nothing.
+/// Above the maximum number of runs, runs are merged and no block is lost.
 #[test]
-fn stays_bounded() {
+fn merges_runs_beyond_limit() {
     let mut set = BlockSet::default();
     for number in 0..2000u64 {
         let first = number * 10;
--- a/crates/resharding/tests/common/backends.rs
+++ b/crates/resharding/tests/common/backends.rs
@@ -1,8 +1,8 @@
-//! Stand-in backends: they run commands and check that none runs too late.
+//! Simulated backends: execute commands and check that none runs after its range was released.
 use super::*;
 
 impl Simulation {
-    /// What a backend has stored in a range; 0 for what was never written.
+    /// The values that a backend stores in a range; 0 for blocks that were never written.
     pub fn stored_values(&self, range: &PlacedRange) -> Vec<u64> {
         let stored = &self.backends[&range.backend];
         let blocks = range.blocks.first..range.blocks.end;
@@ -38,35 +38,35 @@
             self.violations.push(format!("{value} ran at the old place of block {block} at {now}"));
         }
         if is_late {
-            self.count("late strays");
+            self.count("writes after release");
         }
     }
 
-    pub fn copy_at_backend(&mut self, sender: Sender, order: CopyOrder, values: Vec<u64>) {
+    pub fn copy_at_backend(&mut self, sender: Sender, task: CopyTask, values: Vec<u64>) {
         let due = self.now + self.backend_delay();
-        let blocks = order.blocks.first..order.blocks.end;
-        let place = PlacedRange { blocks: order.blocks, backend: order.backend.clone(), epoch: Index(0) };
+        let blocks = task.blocks.first..task.blocks.end;
+        let place = PlacedRange { blocks: task.blocks, backend: task.backend.clone(), epoch: Index(0) };
         let stored = self.stored_values(&place);
         let (mut result, mut read) = (CopyResult::Done, Vec::new());
-        match order.work {
-            _ if self.failed_backends.contains(&order.backend) => result = CopyResult::Unknown,
-            CopyWork::Read => read = stored,
-            CopyWork::Compare if stored != values => result = CopyResult::Differs,
-            CopyWork::Compare => {}
-            CopyWork::Write => {
-                let backend = self.backends.get_mut(&order.backend).unwrap();
+        match task.operation {
+            _ if self.failed_backends.contains(&task.backend) => result = CopyResult::Unknown,
+            CopyOperation::Read => read = stored,
+            CopyOperation::Compare if stored != values => result = CopyResult::Differs,
+            CopyOperation::Compare => {}
+            CopyOperation::Write => {
+                let backend = self.backends.get_mut(&task.backend).unwrap();
                 backend.extend(blocks.clone().zip(values));
                 let is_newer = |block: u64| {
-                    self.released_epochs.get(&block).is_some_and(|epoch| *epoch > order.migration)
+                    self.released_epochs.get(&block).is_some_and(|epoch| *epoch > task.migration)
                 };
                 if blocks.clone().any(is_newer) {
-                    self.violations.push(format!("a late copy overwrote {:?}", order.blocks));
+                    self.violations.push(format!("a late copy overwrote {:?}", task.blocks));
                 }
             }
         }
         if self.rng.random_bool(self.loss) && result == CopyResult::Done {
             result = CopyResult::Unknown;
         }
-        self.send_at(due, Message::CopyEnded { to: sender, order, result, values: read });
+        self.send_at(due, Message::CopyEnded { to: sender, task, result, values: read });
     }
 }
--- a/crates/resharding/tests/common/clients.rs
+++ b/crates/resharding/tests/common/clients.rs
@@ -4,26 +4,27 @@
 /// A client's request.
 pub struct ClientRequest {
     pub blocks: BlockRange,
-    /// What it writes; none for a read.
+    /// The value to write; None for a read.
     pub value: Option<u64>,
     started: u64,
     ticket: Option<u64>,
     sent: u64,
-    /// Parts that have not ended.
-    parts_left: u64,
-    /// Whether the member stalled right before it sent.
+    /// The number of parts that have not ended.
+    pending_parts: u64,
+    /// Whether the member stalled immediately before it sent the command.
     is_delayed: bool,
     is_caught_up: bool,
     is_unknown: bool,
     read: BTreeMap<u64, u64>,
 }
 
-/// How long a client waits until its command is sent, and from then on.
+/// The maximum time until a command is sent, in microseconds.
 const MAX_WAIT: u64 = 600_000;
+/// The maximum time from then until it ends, in microseconds.
 const MAX_RUN: u64 = 40_000;
 
 impl Simulation {
-    /// The clients of a member: new ones, those that wait, and those that have waited too long.
+    /// Starts new clients of a member, and sends or times out the commands of waiting ones.
     pub fn serve_clients(&mut self, number: usize) {
         if self.rng.random_bool(self.load) {
             self.new_client(number);
@@ -36,7 +37,7 @@
                     self.members[number].clients.remove(&id);
                     let now = self.local_time(number);
                     self.members[number].agent.finish(ticket, now, CommandResult::Unknown);
-                    self.count("too late");
+                    self.count("client timeouts");
                 }
                 Some(_) => {}
             }
@@ -60,7 +61,7 @@
             started: self.now,
             ticket: None,
             sent: 0,
-            parts_left: 0,
+            pending_parts: 0,
             is_delayed: false,
             is_caught_up: true,
             is_unknown: false,
@@ -77,19 +78,19 @@
             Permission::Denied(reason) => {
                 self.members[number].clients.remove(&id);
                 self.count(match reason {
-                    DenialReason::LeaseExpired => "refused: lease",
-                    DenialReason::NotCaughtUp => "refused: started",
-                    DenialReason::Overloaded => "refused: full",
+                    DenialReason::LeaseExpired => "denied: lease expired",
+                    DenialReason::NotCaughtUp => "denied: not caught up",
+                    DenialReason::Overloaded => "denied: overloaded",
                 });
             }
             Permission::Wait => {
                 self.longest_wait = self.longest_wait.max(self.now - started);
                 if value.is_none() {
-                    self.count("reads that wait");
+                    self.count("waiting reads");
                 }
                 if self.now > started + MAX_WAIT {
                     self.members[number].clients.remove(&id);
-                    self.count("waited too long");
+                    self.count("wait timeouts");
                 }
             }
             Permission::Granted { parts, ticket, is_caught_up } => {
@@ -105,7 +106,7 @@
         let request = member.clients.get_mut(&id).unwrap();
         request.ticket = Some(ticket);
         request.sent = self.now;
-        request.parts_left = parts.len() as u64;
+        request.pending_parts = parts.len() as u64;
         request.is_delayed = is_delayed;
         request.is_caught_up = is_caught_up;
         let value = request.value;
@@ -119,14 +120,14 @@
         }
     }
 
-    /// A part of a request has ended at its backend, with the blocks' values or an unknown result.
+    /// Records the result of a part of a request: the values of its blocks, or None if the result is unknown.
     pub fn finish_part(&mut self, number: usize, id: u64, part: &PlacedRange, values: Option<Vec<u64>>) {
         let now = self.local_time(number);
         let Some(request) = self.members[number].clients.get_mut(&id) else { return };
-        request.parts_left -= 1;
+        request.pending_parts -= 1;
         request.is_unknown |= values.is_none();
         request.read.extend((part.blocks.first..part.blocks.end).zip(values.unwrap_or_default()));
-        if request.parts_left > 0 {
+        if request.pending_parts > 0 {
             return;
         }
         let request = self.members[number].clients.remove(&id).unwrap();
@@ -141,7 +142,7 @@
                 self.count("writes");
             }
             None if request.is_unknown => {}
-            None if !request.is_caught_up => self.count("unsure reads"),
+            None if !request.is_caught_up => self.count("possibly outdated reads"),
             None => {
                 for (block, value) in request.read {
                     let found = self.history.check_read(block, value, request.started.max(request.sent));
--- a/crates/resharding/tests/common/failures.rs
+++ b/crates/resharding/tests/common/failures.rs
@@ -1,4 +1,4 @@
-//! Members that die, restart or stall.
+//! Kills, restarts and stalls members.
 use super::*;
 
 impl Simulation {
--- a/crates/resharding/tests/common/history.rs
+++ b/crates/resharding/tests/common/history.rs
@@ -1,4 +1,4 @@
-//! What clients were answered, and what that allows a read to return.
+//! The history of writes and their answers, and the values that a read may return by it.
 use std::collections::BTreeMap;
 
 /// A write of one block. Its value is unique.
@@ -12,7 +12,7 @@
 pub struct History {
     /// The writes of each block, by their values.
     writes: BTreeMap<u64, BTreeMap<u64, Write>>,
-    /// The backend at which a value was written to a block.
+    /// The backend on which each write, by value and block, ran.
     ran_at: BTreeMap<(u64, u64), String>,
 }
 
@@ -25,7 +25,7 @@
         self.writes.get_mut(&block).unwrap().get_mut(&value).unwrap().answered = Some(now);
     }
 
-    /// Checks that a read which started at that time returned no less than what was answered before.
+    /// Checks that a read did not miss a write that was answered before the read started.
     pub fn check_read(&self, block: u64, value: u64, started: u64) -> Result<(), String> {
         let Some(writes) = self.writes.get(&block) else { return Ok(()) };
         let answered = match value {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Checks that a write runs once, and at one place.
+    /// Records that a write ran, and checks that it had not run before.
     pub fn run_write(&mut self, block: u64, value: u64, backend: &str) -> Result<(), String> {
         match self.ran_at.insert((value, block), backend.to_string()) {
             Some(before) => Err(format!("write {value} of block {block} ran on {before} and on {backend}")),
--- a/crates/resharding/tests/common/mod.rs
+++ b/crates/resharding/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Members over an idealised replicated log, with stand-in backends, clients and failures, all from one seed. Times are in
-//! microseconds.
+//! Simulates members on an idealised replicated log, with backends, clients and failures, deterministically from one
+//! seed. Times are in microseconds.
 #![allow(dead_code)]
 pub mod backends;
 pub mod clients;
@@ -48,12 +48,12 @@
     pub state: ReshardingState,
     pub agent: MemberAgent,
     pub clients: BTreeMap<u64, ClientRequest>,
-    /// What was read of the chunks in progress, by assignment and token.
+    /// The values that were read of the chunks in progress, by assignment and token.
     pub copied_values: BTreeMap<(Index, u64), Vec<u64>>,
     next_apply: u64,
 }
 
-/// An entry of the log; its index is its position, from 1.
+/// An entry of the log. Its index is its position, counted from 1.
 #[derive(Debug)]
 pub struct LogEntry {
     pub time_ms: u64,
@@ -68,23 +68,23 @@
     pub members: Vec<Member>,
     pub leader: Option<usize>,
     leader_until: u64,
-    pub leader_side: Leader,
-    /// In the order in which they arrive.
+    pub leader_state: Leader,
+    /// By arrival time and id.
     pub messages: BTreeMap<(u64, u64), Message>,
-    /// What each backend has stored in each block.
+    /// The value of each block on each backend.
     pub backends: BTreeMap<BackendId, BTreeMap<u64, u64>>,
     pub failed_backends: BTreeSet<BackendId>,
     pub history: History,
-    /// Of each block: the newest place that some member may write to, by its epoch.
+    /// For each block, the epoch of its newest placement that some member may use without a lease.
     pub released_epochs: BTreeMap<u64, Index>,
     pub last_id: u64,
-    /// How probable it is that a member stalls right before it sends.
+    /// The probability that a member stalls immediately before it sends a command.
     pub stall_probability: f64,
-    /// Whether the next copy is stalled right before it is written.
+    /// Whether the migrator stalls immediately before it sends the next write of a copy.
     pub delays_next_copy: bool,
-    /// How probable it is that a message is lost.
+    /// The probability that a message is lost.
     pub loss: f64,
-    /// How probable a new client is in each tick, for each member.
+    /// The probability of a new client in each tick, for each member.
     pub load: f64,
     pub stats: BTreeMap<&'static str, u64>,
     pub longest_wait: u64,
@@ -104,7 +104,7 @@
             members: Vec::new(),
             leader: None,
             leader_until: 0,
-            leader_side: Leader::new(settings()),
+            leader_state: Leader::new(settings()),
             messages: BTreeMap::new(),
             backends: ["a", "b", "c"].into_iter().map(|id| (BackendId::from(id), BTreeMap::new())).collect(),
             failed_backends: BTreeSet::new(),
@@ -145,7 +145,7 @@
         });
     }
 
-    /// Each member's own clock: another origin, a little faster or slower.
+    /// The local clock of a member. Clocks differ in origin and slightly in rate.
     pub fn local_time(&self, number: usize) -> Time {
         let rate_permille = [1000, 1004, 997, 1002, 996][number % 5];
         Time(7_000_000 * (number as u64 + 1) + self.now * rate_permille / 1000)
@@ -167,7 +167,7 @@
         self.is_active(number) && !self.members[number].is_cut_off
     }
 
-    /// Checks that each written block has at its place what clients were answered.
+    /// Checks that no block has lost an answered write on the backend on which it is placed.
     pub fn check_blocks(&mut self, placement: &Placement) {
         for block in self.history.blocks() {
             let blocks = BlockRange { first: block, end: block + 1 };
--- a/crates/resharding/tests/common/one_migration.rs
+++ b/crates/resharding/tests/common/one_migration.rs
@@ -1,9 +1,9 @@
-//! A simulation of one migration, of part of a volume from backend `a`.
+//! Simulates one migration of part of a volume from backend `a`.
 use super::*;
 
-pub const MOVED: BlockRange = BlockRange { first: 4, end: 20 };
+pub const MOVED_BLOCKS: BlockRange = BlockRange { first: 4, end: 20 };
 
-pub fn begin(seed: u64, to: &str) -> Simulation {
+pub fn start_migration(seed: u64, to: &str) -> Simulation {
     let mut sim = Simulation::new(seed, 5, 32, "a");
     (0..150).for_each(|_| sim.tick());
     sim.stats.clear();
@@ -15,7 +15,7 @@
     let step = Step {
         id: 1,
         volume: volume(),
-        blocks: MOVED,
+        blocks: MOVED_BLOCKS,
         from: BackendId::from("a"),
         to: BackendId::from(to),
         after: vec![],
@@ -25,27 +25,27 @@
     sim.append(MemberId::from("f0"), Command::ReplacePlan { plan: plan.into(), steps: vec![step], bounds });
 }
 
-/// The state of the member that has applied most.
-pub fn newest(sim: &Simulation) -> &ReshardingState {
+/// The state of the member that has applied the most entries.
+pub fn newest_state(sim: &Simulation) -> &ReshardingState {
     sim.members.iter().map(|member| &member.state).max_by_key(|state| state.applied).unwrap()
 }
 
-pub fn current(sim: &Simulation) -> Option<(Index, &Migration)> {
-    newest(sim).migrations.iter().next().map(|(id, migration)| (*id, migration))
+pub fn current_migration(sim: &Simulation) -> Option<(Index, &Migration)> {
+    newest_state(sim).migrations.iter().next().map(|(id, migration)| (*id, migration))
 }
 
 pub fn run_until(sim: &mut Simulation, phase: &str) {
     for _ in 0..4000 {
-        if current(sim).is_some_and(|(_, migration)| migration.phase.name() == phase) {
+        if current_migration(sim).is_some_and(|(_, migration)| migration.phase.name() == phase) {
             return;
         }
         sim.tick();
     }
-    panic!("never came to {phase}: {:?}", newest(sim).status());
+    panic!("never came to {phase}: {:?}", newest_state(sim).status());
 }
 
-/// Ticks until the plan is done on all members that run.
-pub fn has_ended(sim: &mut Simulation, ticks: usize) -> bool {
+/// Ticks until the plan is done on all running members. Returns false if it is not done after so many ticks.
+pub fn runs_to_end(sim: &mut Simulation, ticks: usize) -> bool {
     for _ in 0..ticks {
         sim.tick();
         let end = sim.log.len();
@@ -60,20 +60,20 @@
     false
 }
 
-/// Checks that no answered write is lost and that the range is on that backend.
-pub fn check(sim: &mut Simulation, backend: &str, context: &str) {
+/// Checks that no answered write is lost and that the range is on the given backend.
+pub fn assert_consistent(sim: &mut Simulation, backend: &str, context: &str) {
     sim.load = 0.0;
     (0..100).for_each(|_| sim.tick());
-    let placement = newest(sim).placement.clone();
+    let placement = newest_state(sim).placement.clone();
     sim.check_blocks(&placement);
     assert!(sim.violations.is_empty(), "{context}: {:?}", sim.violations);
-    let placed = placement.lookup(&volume(), MOVED).unwrap();
+    let placed = placement.lookup(&volume(), MOVED_BLOCKS).unwrap();
     assert!(placed.iter().all(|range| range.backend == BackendId::from(backend)), "{context}: {placed:?}");
 }
 
-/// The migrator where there is one, else the leader.
+/// The number of the migrator if there is one, else of the leader.
 pub fn migrator_or_leader(sim: &Simulation) -> usize {
-    let migrator = current(sim).and_then(|(_, migration)| migration.migrator.clone());
+    let migrator = current_migration(sim).and_then(|(_, migration)| migration.migrator.clone());
     let number = migrator.and_then(|(name, _)| sim.members.iter().position(|member| member.name == name));
     number.or(sim.leader).unwrap_or(0)
 }
--- a/crates/resharding/tests/common/ticks.rs
+++ b/crates/resharding/tests/common/ticks.rs
@@ -1,12 +1,12 @@
-//! The course of a simulation: what the leader and each member do in a tick.
+//! The ticks of a simulation: the actions of the leader and of each member.
 use super::*;
 
 const TICK: u64 = 4_000;
-/// How long a leader that is cut off may still believe to lead.
+/// How long a leader that is cut off may still consider itself the leader, in microseconds.
 const LEADER_LEASE: u64 = 100_000;
-/// A member asks for its lease every so many ticks.
+/// The number of ticks between two lease requests of a member.
 const TICKS_PER_LEASE: u64 = 10;
-/// What each backend can do beyond reservations, in units a second.
+/// The rate of each backend beyond reservations, in units per second.
 const SPARE_RATE: u64 = 2_000;
 
 impl Simulation {
@@ -28,7 +28,7 @@
         member.agent.update(Arc::new(member.state.clone()));
     }
 
-    fn has_entries_for(&self, number: usize) -> bool {
+    fn has_unapplied_entries(&self, number: usize) -> bool {
         (self.members[number].state.applied.0 as usize) < self.log.len()
     }
 
@@ -44,12 +44,12 @@
             Some(_) if self.now <= self.leader_until => {}
             _ if connected.len() >= quorum => {
                 let leader = connected[self.rng.random_range(0..connected.len())];
-                while self.has_entries_for(leader) {
+                while self.has_unapplied_entries(leader) {
                     self.apply(leader);
                 }
-                self.leader_side.begin_term(self.local_time(leader));
+                self.leader_state.begin_term(self.local_time(leader));
                 (self.leader, self.leader_until) = (Some(leader), self.now + LEADER_LEASE);
-                self.count("leaders");
+                self.count("leader changes");
             }
             _ => self.leader = None,
         }
@@ -58,22 +58,22 @@
     fn propose(&mut self, leader: usize) {
         let view = LeaderView { failed: self.failed_backends.clone() };
         let now = self.local_time(leader);
-        for command in self.leader_side.propose(now, &self.members[leader].state, &view) {
+        for command in self.leader_state.propose(now, &self.members[leader].state, &view) {
             if !self.rng.random_bool(self.loss) {
                 self.append(self.members[leader].name.clone(), command);
             }
         }
     }
 
-    /// One tick of everything.
+    /// Runs one tick of the leader, the messages, the members and their clients.
     pub fn tick(&mut self) {
         self.now += TICK;
         self.run_leader();
         for number in 0..self.members.len() {
             if self.is_connected(number) && self.members[number].next_apply <= self.now {
                 let applied = self.members[number].state.applied.0 as usize;
-                let upto = (self.rng.random_range(0..8) + applied).min(self.log.len());
-                while (self.members[number].state.applied.0 as usize) < upto {
+                let up_to = (self.rng.random_range(0..8) + applied).min(self.log.len());
+                while (self.members[number].state.applied.0 as usize) < up_to {
                     self.apply(number);
                 }
                 self.members[number].next_apply = self.now + self.rng.random_range(0..12_000);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A member's own tick: it asks for its lease, reports and copies.
+    /// Runs one tick of a member: it requests its lease, sends reports and copies.
     fn run_agent(&mut self, number: usize) {
         let now = self.local_time(number);
         let member = &mut self.members[number];
@@ -99,13 +99,13 @@
         let sender = Sender { number, incarnation: member.incarnation };
         let applied = member.state.applied;
         if (self.now / TICK + number as u64).is_multiple_of(TICKS_PER_LEASE) {
-            self.send_unreliably(Message::AskLease { sender, asked: now, applied });
+            self.send_unreliably(Message::AskLease { sender, requested_at: now, applied });
         }
         for command in output.commands {
             self.send_unreliably(Message::Propose { from: number, command });
         }
-        for order in output.orders {
-            self.send_copy(number, order);
+        for task in output.tasks {
+            self.send_copy(number, task);
         }
     }
 }
--- a/crates/resharding/tests/failures_by_phase.rs
+++ b/crates/resharding/tests/failures_by_phase.rs
@@ -1,4 +1,4 @@
-//! One migration, and one failure in each of its phases.
+//! Injects each kind of failure in each phase of one migration.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use cluster_types::{BackendId, BlockRange, MemberId};
@@ -39,16 +39,21 @@
     let seeds = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(1);
     for seed in 0..seeds {
         let context = format!("{failure:?} in {}, seed {seed}", PHASES[phase]);
-        let mut sim = begin(seed, "b");
+        let mut sim = start_migration(seed, "b");
         run_until(&mut sim, PHASES[phase]);
-        let end = inject(&mut sim, failure, phase < REVERSIBLE_PHASES, &context);
-        assert!(has_ended(&mut sim, 4000), "{context}: {:?}\n{:?}", newest(&sim).status(), sim.stats);
-        check(&mut sim, end, &context);
+        let end = inject_failure(&mut sim, failure, phase < REVERSIBLE_PHASES, &context);
+        assert!(runs_to_end(&mut sim, 4000), "{context}: {:?}\n{:?}", newest_state(&sim).status(), sim.stats);
+        assert_consistent(&mut sim, end, &context);
     }
 }
 
-/// Returns the backend that has the range in the end.
-fn inject(sim: &mut Simulation, failure: Failure, is_reversible: bool, context: &str) -> &'static str {
+/// Injects a failure. Returns the backend that is expected to hold the range in the end.
+fn inject_failure(
+    sim: &mut Simulation,
+    failure: Failure,
+    is_reversible: bool,
+    context: &str,
+) -> &'static str {
     let number = migrator_or_leader(sim);
     let ticks = sim.rng.random_range(20..220);
     match failure {
@@ -67,7 +72,7 @@
             sim.failed_backends.insert(BackendId::from("b"));
             (0..ticks).for_each(|_| sim.tick());
             if is_reversible {
-                let phase = current(sim).map(|(_, migration)| &migration.phase);
+                let phase = current_migration(sim).map(|(_, migration)| &migration.phase);
                 let is_rolled_back = phase.is_none_or(|phase| matches!(phase, Phase::RolledBack { .. }));
                 assert!(is_rolled_back, "{context}");
             }
@@ -78,7 +83,7 @@
             return if is_reversible { "c" } else { "b" };
         }
         Failure::Cancelled => {
-            let migration = current(sim).unwrap().0;
+            let migration = current_migration(sim).unwrap().0;
             sim.append(MemberId::from("f0"), Command::Cancel { migration });
             return if is_reversible { "a" } else { "b" };
         }
@@ -86,50 +91,52 @@
     "b"
 }
 
-/// A migration does not go on without a member that has not heard of it, until that member is declared dead.
+/// A member that has not acknowledged a migration blocks it until it is declared dead.
 #[test]
 fn unacknowledged_member_blocks_until_it_is_declared_dead() {
-    let mut sim = begin(5, "b");
+    let mut sim = start_migration(5, "b");
     sim.kill(3);
-    assert!(!has_ended(&mut sim, 600));
-    let (_, migration) = current(&sim).unwrap();
+    assert!(!runs_to_end(&mut sim, 600));
+    let (_, migration) = current_migration(&sim).unwrap();
     assert_eq!(migration.phase, Phase::Prepare);
-    assert!(newest(&sim).status()[0].waiting_for[0].contains("f3 has not acknowledged"));
+    assert!(newest_state(&sim).status()[0].waiting_for[0].contains("f3 has not acknowledged"));
     let leader = sim.leader.unwrap();
     let now = sim.local_time(leader);
-    let running = sim.leader_side.declare_dead(now, &sim.members[leader].name.clone());
+    let running = sim.leader_state.declare_dead(now, &sim.members[leader].name.clone());
     assert!(running.is_err(), "a member that runs was declared dead");
-    let command = sim.leader_side.declare_dead(now, &MemberId::from("f3")).unwrap();
+    let command = sim.leader_state.declare_dead(now, &MemberId::from("f3")).unwrap();
     sim.append(MemberId::from("f0"), command);
-    assert!(has_ended(&mut sim, 3000), "{:?}", newest(&sim).status());
+    assert!(runs_to_end(&mut sim, 3000), "{:?}", newest_state(&sim).status());
     sim.restart(3, true);
     (0..300).for_each(|_| sim.tick());
-    check(&mut sim, "b", "declared dead");
+    assert_consistent(&mut sim, "b", "declared dead");
 }
 
-/// A copy that a migrator sends after it was deposed may overwrite what another has copied since: that is copied again.
+/// A copy that a migrator sends after it was deposed may overwrite blocks that its successor has copied. They must be
+/// copied again.
 #[test]
-fn overwrites_late_copy_of_deposed_migrator() {
+fn recopies_after_late_copy_of_deposed_migrator() {
     for seed in 0..6 {
-        let mut sim = begin(seed, "b");
+        let mut sim = start_migration(seed, "b");
         run_until(&mut sim, "copy");
         sim.delays_next_copy = true;
         while sim.delays_next_copy {
             sim.tick();
         }
-        // What the delayed copy has is written by clients and copied by another member, and then not any more.
+        // Clients overwrite the blocks of the delayed copy and another member copies them; after that there are no more
+        // writes.
         (0..60).for_each(|_| sim.tick());
         sim.load = 0.0;
-        let has_ended = has_ended(&mut sim, 4000);
-        assert!(has_ended, "seed {seed}: {:?}", newest(&sim).status());
-        check(&mut sim, "b", &format!("seed {seed}"));
+        let has_ended = runs_to_end(&mut sim, 4000);
+        assert!(has_ended, "seed {seed}: {:?}", newest_state(&sim).status());
+        assert_consistent(&mut sim, "b", &format!("seed {seed}"));
     }
 }
 
-/// A member that is cut off goes on to serve what does not migrate.
+/// A member that is cut off continues to serve ranges that are not migrating.
 #[test]
 fn serves_other_ranges_without_lease() {
-    let mut sim = begin(6, "b");
+    let mut sim = start_migration(6, "b");
     run_until(&mut sim, "copy");
     (0..40).for_each(|_| sim.tick());
     sim.members[2].is_cut_off = true;
@@ -142,10 +149,10 @@
     assert_eq!(write(19, 21), Permission::Denied(DenialReason::LeaseExpired), "a part of it migrates");
 }
 
-/// A restarted member does not write by what it knew before.
+/// A restarted member must not write by its stored placement, which may be outdated, before it has caught up.
 #[test]
 fn restarted_member_reads_but_does_not_write() {
-    let mut sim = begin(7, "b");
+    let mut sim = start_migration(7, "b");
     (0..100).for_each(|_| sim.tick());
     sim.kill(1);
     sim.restart(1, true);
@@ -158,18 +165,18 @@
     assert!(matches!(read, Permission::Granted { is_caught_up: false, .. }), "{read:?}");
 }
 
-/// A write whose member stalled right before it sent, over the whole hand-over, is not answered as done. The old place is
-/// not given away before that member reports.
+/// A member stalls immediately before it sends a write, until after the hand-over. The write must not be reported as
+/// completed, and the source range must not be released before that member confirms the switch.
 #[test]
-fn write_that_stalled_over_hand_over_may_have_run() {
-    let mut sim = begin(8, "b");
+fn write_stalled_over_hand_over_may_have_run() {
+    let mut sim = start_migration(8, "b");
     run_until(&mut sim, "copy");
-    while current(&sim).unwrap().1.migrator.is_none() {
+    while current_migration(&sim).unwrap().1.migrator.is_none() {
         sim.tick();
     }
     let leader = sim.leader.unwrap();
     let number = (0..5).find(|i| *i != leader && *i != migrator_or_leader(&sim)).unwrap();
-    while !current(&sim).unwrap().1.members[&sim.members[number].name].is_leased() {
+    while !current_migration(&sim).unwrap().1.members[&sim.members[number].name].is_leased() {
         sim.tick();
     }
     let now = sim.local_time(number);
@@ -179,10 +186,10 @@
     sim.stall(number, 4_000_000);
     run_until(&mut sim, "release");
     (0..100).for_each(|_| sim.tick());
-    assert_eq!(current(&sim).unwrap().1.phase.name(), "release");
-    assert!(newest(&sim).status()[0].waiting_for[0].contains("must be heard"));
+    assert_eq!(current_migration(&sim).unwrap().1.phase.name(), "release");
+    assert!(newest_state(&sim).status()[0].waiting_for[0].contains("must be heard"));
     let now = sim.local_time(number);
     let reply = sim.members[number].agent.finish(ticket, now, CommandResult::Completed);
     assert_eq!(reply, Reply::MayHaveRun);
-    assert!(has_ended(&mut sim, 3000));
+    assert!(runs_to_end(&mut sim, 3000));
 }
--- a/crates/resharding/tests/golden.rs
+++ b/crates/resharding/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The stored, sent and read forms, held byte for byte by the files in `tests/golden/`.
+//! Compares the stored, transmitted and parsed formats byte for byte with the files in `tests/golden/`.
 #![allow(clippy::unwrap_used, clippy::panic)]
 use cluster_types::{BackendId, BlockRange, Index, MemberId, Volume};
 use golden_files::GoldenFiles;
@@ -129,7 +129,7 @@
     }
 }
 
-/// A state in which each map holds something and each phase occurs.
+/// A state with entries in all maps and a migration in each phase.
 fn filled_state() -> ReshardingState {
     let mut placement = Placement::default();
     placement.place(&volume(), blocks(0, 9000), &backend(1), Index(2));
@@ -192,7 +192,7 @@
     GOLDEN.assert_postcard("bounds-never.postcard", &bounds(CrossZoneOrder::Never));
 }
 
-/// What the operators' interface shows of steps and migrations.
+/// The status of steps and migrations in the operators' interface.
 #[test]
 fn operator_status_keeps_its_form() {
     let status = BTreeMap::from([("step", filled_state().status())]);
--- a/crates/resharding/tests/interleavings/main.rs
+++ b/crates/resharding/tests/interleavings/main.rs
@@ -1,5 +1,5 @@
-//! One migration in every order: two members, one block, two writes, expiring leases, a member that stalls right before it
-//! sends, and a kill. In each state each member is asked where it would read.
+//! Explores all interleavings of one migration: two members, one block, up to two writes, lease expirations, a member
+//! that stalls immediately before it sends, and a kill. In each state, checks what each member would read.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod backends;
 mod successors;
@@ -14,7 +14,7 @@
 
 struct Explored {
     states: usize,
-    /// States at the new place with all writes answered.
+    /// The number of states on the target backend with all writes answered.
     complete: usize,
 }
 
@@ -52,9 +52,9 @@
     Explored { states: visited.len(), complete }
 }
 
-/// With `WIDE` set, all cases are explored.
+/// Explores the smallest case, and all cases if `WIDE` is set.
 #[test]
-fn no_order_of_events_loses_a_write() {
+fn every_event_order_keeps_answered_writes() {
     let limits = |writes, expirations, kills, stalls| Limits { writes, expirations, kills, stalls };
     let mut cases = vec![limits(1, 0, 0, 0)];
     if std::env::var("WIDE").is_ok() {
@@ -70,6 +70,6 @@
     for limits in cases {
         let Explored { states, complete } = explore(limits);
         assert!(complete > 0);
-        println!("{limits:?}: {states} states, {complete} at the new place with all writes answered");
+        println!("{limits:?}: {states} states, {complete} on the target backend with all writes answered");
     }
 }
--- a/crates/resharding/tests/interleavings/world.rs
+++ b/crates/resharding/tests/interleavings/world.rs
@@ -1,4 +1,4 @@
-//! The explored world: two members, a leader that acts at once, and two backends with one block.
+//! The explored state: two members, a leader that acts immediately, and two backends with one block.
 use cluster_types::{BackendId, BlockRange, Index, MemberId, Time, Volume};
 use resharding::member::FenceCounters;
 use resharding::*;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 pub const BLOCK: BlockRange = BlockRange { first: 0, end: 1 };
-pub const MEMBERS: usize = 2;
+pub const MEMBER_COUNT: usize = 2;
 const LEADER: usize = 2;
-/// What a backend has before anything is written to it.
-pub const GARBAGE: u8 = 9;
+/// The value on the target backend before anything is written to it.
+pub const UNINITIALIZED: u8 = 9;
 
 pub fn settings() -> Settings {
     let ms = Duration::from_millis;
@@ -27,20 +27,20 @@
     }
 }
 
-/// How often each event may happen.
+/// How often each kind of event may happen.
 #[derive(Clone, Copy, Debug, Hash)]
 pub struct Limits {
     pub writes: u8,
     /// How often all leases expire.
     pub expirations: u8,
     pub kills: u8,
-    /// How often a member stalls right before it sends.
+    /// How often a member stalls immediately before it sends.
     pub stalls: u8,
 }
 
 #[derive(Clone, Copy, Hash, PartialEq, Debug)]
 pub enum Stage {
-    /// Permitted; the member stalls before it sends.
+    /// Permitted, but not sent because the member stalls.
     Stalled,
     Sent,
     Executed,
@@ -58,7 +58,7 @@
 #[derive(Clone, Hash, Debug)]
 pub struct PendingCopy {
     pub member: usize,
-    pub order: CopyOrder,
+    pub task: CopyTask,
     pub stage: Stage,
 }
 
@@ -69,7 +69,7 @@
     pub incarnation: u64,
 }
 
-/// What a member may do by what it knows.
+/// What a member may do according to the state that it has applied.
 #[derive(PartialEq)]
 pub struct Rights {
     phase: &'static str,
@@ -88,20 +88,20 @@
     pub backends: BTreeMap<BackendId, u8>,
     pub writes: Vec<PendingWrite>,
     pub copies: Vec<PendingCopy>,
-    /// What was read of the chunks in progress, by member, assignment and token.
+    /// The values that were read of the chunks in progress, by member, assignment and token.
     pub copied_values: BTreeMap<(usize, Index, u64), u8>,
-    /// How many writes have write_count.
+    /// How many writes have begun.
     pub write_count: u8,
-    /// Of each write, the writes that were answered before it started, as bits.
+    /// For each write, a bit mask of the writes that were answered before it started.
     pub answered_before: [u8; 3],
-    /// The answered writes, as bits.
+    /// A bit mask of the answered writes.
     pub answered: u8,
-    /// What may still happen.
-    pub left: Limits,
+    /// How often each kind of event may still happen.
+    pub remaining: Limits,
     pub max_writes: u8,
 }
 
-pub fn name(number: usize) -> MemberId {
+pub fn member_name(number: usize) -> MemberId {
     MemberId::from(["f0", "f1", "leader"][number])
 }
 
@@ -111,7 +111,8 @@
 
 pub fn new_member(number: usize, incarnation: u64, now: u64) -> Member {
     let managed = ManagedVolumes::All;
-    let agent = MemberAgent::new(name(number), incarnation, settings(), managed, Arc::default(), Time(now));
+    let agent =
+        MemberAgent::new(member_name(number), incarnation, settings(), managed, Arc::default(), Time(now));
     Member { state: ReshardingState::new(), agent, incarnation }
 }
 
@@ -121,21 +122,21 @@
         let mut world = World {
             now,
             log: vec![],
-            members: (0..MEMBERS).map(|number| new_member(number, 1, 0)).collect(),
+            members: (0..MEMBER_COUNT).map(|number| new_member(number, 1, 0)).collect(),
             committed: ReshardingState::new(),
             leader: Leader::new(settings()),
-            backends: [(BackendId::from("old"), 0), (BackendId::from("new"), GARBAGE)].into(),
+            backends: [(BackendId::from("old"), 0), (BackendId::from("new"), UNINITIALIZED)].into(),
             writes: vec![],
             copies: vec![],
             copied_values: BTreeMap::new(),
             write_count: 0,
             answered_before: [0; 3],
             answered: 0,
-            left: limits,
+            remaining: limits,
             max_writes: limits.writes,
         };
         world.leader.begin_term(Time(now));
-        (0..MEMBERS).for_each(|number| world.append(number, Command::Join { incarnation: 1 }));
+        (0..MEMBER_COUNT).for_each(|number| world.append(number, Command::Join { incarnation: 1 }));
         world.append(0, Command::Adopt { volume: volume(), ranges: vec![(BLOCK, "old".into())] });
         let step = Step {
             id: 1,
@@ -148,7 +149,7 @@
         };
         let bounds = Bounds { copy_share_permille: 1000, ..Bounds::default() };
         world.append(0, Command::ReplacePlan { plan: "p".into(), steps: vec![step], bounds });
-        for number in 0..MEMBERS {
+        for number in 0..MEMBER_COUNT {
             (0..4).for_each(|_| world.apply_one(number));
             world.ask_lease(number);
         }
@@ -157,7 +158,7 @@
 
     pub fn append(&mut self, issuer: usize, command: Command) {
         let index = Index(self.log.len() as u64 + 1);
-        self.committed.apply(index, 0, &name(issuer), &command);
+        self.committed.apply(index, 0, &member_name(issuer), &command);
         self.log.push((issuer as u8, command));
     }
 
@@ -166,7 +167,7 @@
         migration.map_or("none", |migration| migration.phase.name())
     }
 
-    /// The leader proposes until it has nothing to propose.
+    /// Appends the leader's proposals until it has none left.
     pub fn run_leader(&mut self) {
         loop {
             let now = Time(self.now);
@@ -178,16 +179,16 @@
         }
     }
 
-    /// Members act at once as well, except for one that stalls.
+    /// Runs the agents of all members that are not stalled, then the leader.
     pub fn settle(&mut self) {
         for member in &mut self.members {
             member.agent.fence.counters = FenceCounters::default();
         }
-        for number in (0..MEMBERS).filter(|number| !self.is_stalled(*number)).collect::<Vec<_>>() {
+        for number in (0..MEMBER_COUNT).filter(|number| !self.is_stalled(*number)).collect::<Vec<_>>() {
             let output = self.members[number].agent.step(Time(self.now), &|_| 1_000_000);
             output.commands.into_iter().for_each(|command| self.append(number, command));
-            let orders = output.orders.into_iter();
-            self.copies.extend(orders.map(|order| PendingCopy { member: number, order, stage: Stage::Sent }));
+            let tasks = output.tasks.into_iter();
+            self.copies.extend(tasks.map(|task| PendingCopy { member: number, task, stage: Stage::Sent }));
         }
         self.run_leader();
     }
@@ -195,7 +196,7 @@
     fn apply_one(&mut self, number: usize) {
         let Member { state, agent, .. } = &mut self.members[number];
         let Some((issuer, command)) = self.log.get(state.applied.0 as usize) else { return };
-        state.apply(Index(state.applied.0 + 1), 0, &name(*issuer as usize), command);
+        state.apply(Index(state.applied.0 + 1), 0, &member_name(*issuer as usize), command);
         agent.update(Arc::new(state.clone()));
     }
 
@@ -206,12 +207,12 @@
             _ if migration.phase.is_reversible() => "open",
             phase => phase,
         };
-        let migrator = migration.migrator.as_ref().filter(|(migrator, _)| *migrator == name(number));
+        let migrator = migration.migrator.as_ref().filter(|(migrator, _)| *migrator == member_name(number));
         let assignment = migrator.map(|(_, assignment)| *assignment);
-        Some(Rights { phase, standing: migration.members.get(&name(number)).copied(), assignment })
+        Some(Rights { phase, standing: migration.members.get(&member_name(number)).copied(), assignment })
     }
 
-    /// Applies entries until a member's rights change.
+    /// Applies log entries at a member until its rights change.
     pub fn apply(&mut self, number: usize) {
         let before = self.rights(number);
         let is_behind = |world: &World| (world.members[number].state.applied.0 as usize) < world.log.len();
@@ -223,7 +224,8 @@
     pub fn ask_lease(&mut self, number: usize) {
         let Member { state, agent, incarnation } = &mut self.members[number];
         let now = Time(self.now);
-        let lease = self.leader.grant_lease(now, &name(number), *incarnation, state.applied, &self.committed);
+        let lease =
+            self.leader.grant_lease(now, &member_name(number), *incarnation, state.applied, &self.committed);
         if let Some(lease) = lease {
             agent.renew_lease(now, lease.committed);
         }
--- a/crates/resharding/tests/late_commands.rs
+++ b/crates/resharding/tests/late_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that come late or twice.
+//! Late and repeated commands are ignored.
 #![allow(clippy::unwrap_used)]
 use cluster_types::{BlockRange, Index, MemberId, Volume};
 use resharding::*;
@@ -39,7 +39,7 @@
     log.append("a", Command::ReplacePlan { plan: "p".into(), steps, bounds: Bounds::default() });
     let migration = log.append("a", Command::Begin { step: 1 });
     log.assert_ignored("a", Command::Begin { step: 1 });
-    // A process that is gone reported this; the one after it does not know that it did.
+    // Commands of incarnation 1 come from a process that was replaced; its successor does not know that they were sent.
     log.append("b", Command::Join { incarnation: 2 });
     let never = Index(0);
     let acknowledge =
@@ -56,7 +56,7 @@
     log.assert_ignored("b", copied(assignment));
     log.assert_ignored("a", copied(Index(1)));
     let revocation = log.append("a", Command::Revoke { member: "a".into(), incarnation: 1 });
-    // Repeated on its way: reported before the revocation.
+    // Repeated by the network: sent before the revocation.
     log.assert_ignored("a", acknowledge(1, never));
     log.assert_ignored("a", copied(assignment));
     log.assert_ignored(
--- a/crates/resharding/tests/placement.rs
+++ b/crates/resharding/tests/placement.rs
@@ -1,13 +1,13 @@
-//! Where ranges are.
+//! The placement of ranges on backends.
 #![allow(clippy::unwrap_used)]
 use cluster_types::{BackendId, BlockRange, Index, Volume};
 use proptest::prelude::*;
 use resharding::Placement;
 
 proptest! {
-    /// No block moves with its neighbours, has two places, or none.
+    /// Placing a range moves no other block, and each block has exactly one backend.
     #[test]
-    fn each_block_has_the_place_given_last(
+    fn lookup_returns_last_placement_of_each_block(
         placed in proptest::collection::vec((0u64..40, 1u64..20, 0u8..4), 1..40),
         first in 0u64..50,
         len in 1u64..12,
--- a/crates/resharding/tests/rejected_files.rs
+++ b/crates/resharding/tests/rejected_files.rs
@@ -1,4 +1,4 @@
-//! What operators read when a plan or a file of pieces is rejected, held by `tests/golden/refused-files.txt`.
+//! Compares the messages for rejected plans and piece files with `tests/golden/refused-files.txt`.
 #![allow(clippy::unwrap_used)]
 use resharding::{PieceMap, Plan};
 use std::fmt::Write;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn rejected_files_keep_their_wording() {
+fn rejection_messages_match_golden_file() {
     let mut text = String::new();
     for plan in rejected_plans() {
         writeln!(text, "{}", Plan::read(&plan).unwrap_err()).unwrap();
--- a/crates/resharding/tests/simulation.rs
+++ b/crates/resharding/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Five members, clients that read and write, and everything that may fail, from seeds.
+//! Seeded simulations of five members with reading and writing clients, with and without failures.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use cluster_types::{BackendId, BlockRange, MemberId};
@@ -7,8 +7,8 @@
 use resharding::*;
 use std::collections::BTreeMap;
 
-const MEMBERS: usize = 5;
-const BLOCKS: u64 = 32;
+const MEMBER_COUNT: usize = 5;
+const BLOCK_COUNT: u64 = 32;
 const MAX_TICKS: usize = 12_000;
 
 fn step(id: u32, first: u64, end: u64, from: &str, to: &str, after: Vec<u32>) -> Step {
@@ -34,7 +34,7 @@
     sim.append(MemberId::from("f0"), Command::ReplacePlan { plan: "p".into(), steps, bounds });
 }
 
-/// Ticks until the plan is done on all members. No answered write may be lost or be at another place than its own.
+/// Ticks until the plan is done on all members, then checks that each answered write is on the backend of its block.
 fn finish_plan(sim: &mut Simulation, seed: u64) {
     for _ in 0..MAX_TICKS {
         sim.tick();
@@ -55,18 +55,18 @@
     panic!("seed {seed}: no end: {status:?}\n{tail:#?}\n{:?}", sim.stats);
 }
 
-/// Where nothing fails there are no denials, no long waits and no lost writes.
+/// Without failures there are no denials, no waits beyond the limit and no lost writes.
 #[test]
 fn plan_runs_without_downtime() {
     for seed in 0..3 {
-        let mut sim = Simulation::new(seed, MEMBERS, BLOCKS, "a");
+        let mut sim = Simulation::new(seed, MEMBER_COUNT, BLOCK_COUNT, "a");
         (0..200).for_each(|_| sim.tick());
         sim.stats.clear();
         start_plan(&mut sim);
         finish_plan(&mut sim, seed);
-        let is_failure = |name: &&&str| name.starts_with("refused") || **name == "waited too long";
+        let is_failure = |name: &&&str| name.starts_with("denied") || **name == "wait timeouts";
         assert_eq!(sim.stats.keys().find(is_failure), None, "{:?}", sim.stats);
-        assert!(!sim.stats.contains_key("reads that wait"), "seed {seed}: {:?}", sim.stats);
+        assert!(!sim.stats.contains_key("waiting reads"), "seed {seed}: {:?}", sim.stats);
         let bound = settings().max_hand_over_wait().as_micros() as u64 + 50_000;
         assert!(sim.longest_wait < bound, "seed {seed}: waited {}", sim.longest_wait);
         assert!(sim.stats["writes"] > 100, "{:?}", sim.stats);
@@ -99,18 +99,18 @@
     }
 }
 
-fn number_from_environment(name: &str) -> Option<u64> {
+fn number_from_env(name: &str) -> Option<u64> {
     std::env::var(name).ok().and_then(|value| value.parse().ok())
 }
 
-/// `SEED` and `SEEDS` choose the first seed and their number.
+/// `SEED` sets the first seed, `SEEDS` the number of seeds.
 #[test]
 fn writes_survive_failures() {
-    let count = number_from_environment("SEEDS").unwrap_or(10);
-    let first = number_from_environment("SEED").unwrap_or(0);
+    let count = number_from_env("SEEDS").unwrap_or(10);
+    let first = number_from_env("SEED").unwrap_or(0);
     let mut total: BTreeMap<&str, u64> = BTreeMap::new();
     for seed in first..first + count {
-        let mut sim = Simulation::new(seed, MEMBERS, BLOCKS, "a");
+        let mut sim = Simulation::new(seed, MEMBER_COUNT, BLOCK_COUNT, "a");
         sim.loss = 0.04;
         sim.stall_probability = 0.004;
         sim.load = 0.15;
--- a/crates/resharding/tests/step_order.rs
+++ b/crates/resharding/tests/step_order.rs
@@ -1,4 +1,4 @@
-//! The order of steps: the same from the same input, and no step breaks a bound.
+//! The order of steps is deterministic, and no step exceeds a capacity.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::{BackendId, BlockRange, Index, Volume};
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
     Volume::from(format!("{number:016x}").as_str())
 }
 
-/// A cluster of backends with these capacities. The ranges of a volume follow each other.
+/// A cluster of backends with these capacities. The ranges of each volume are adjacent, in the given order.
 fn cluster(capacities: &[u64], ranges: &[TestRange]) -> ClusterView {
     let mut view = ClusterView::default();
     for (number, capacity) in capacities.iter().enumerate() {
@@ -40,7 +40,7 @@
     view
 }
 
-/// Where a test plan wants blocks.
+/// A place of a test plan.
 #[derive(Clone)]
 struct Place {
     volume: usize,
@@ -64,7 +64,7 @@
     Plan::read(&file).unwrap()
 }
 
-/// Two ranges that wait for each other's capacity go by way of a third backend.
+/// Two ranges that wait for each other's capacity are swapped through a third backend.
 #[test]
 fn breaks_circular_wait_by_third_backend() {
     let view = cluster(&[10, 10, 12], &[(1, 10, 0), (2, 10, 1)]);
@@ -82,9 +82,9 @@
     assert!(error.key == "place[0].on" && message.contains("third place"), "{error}");
 }
 
-/// What leaves a zone does not wait for what moves within one.
+/// Moves out of a zone go before moves within a zone.
 #[test]
-fn exports_go_first() {
+fn orders_exports_before_moves_within_zone() {
     let view = cluster(&[20, 20, 20, 20], &[(1, 5, 0), (2, 5, 0)]);
     let steps = order_steps(&plan(&[place(1, 0, 5, 2), place(2, 0, 5, 1)], &[]), &view).unwrap();
     assert_eq!(steps[0].to, backend(1));
@@ -127,7 +127,7 @@
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn steps_reach_the_plan_within_capacity(
+    fn steps_reach_plan_within_capacity(
         capacities in proptest::collection::vec(20u64..60, 3..7),
         ranges in proptest::collection::vec((1usize..5, 1u64..12, 0usize..7), 1..12),
         wanted in proptest::collection::vec((0u64..3, 0usize..7), 4),
