--- a/crates/resharding/src/command.rs
+++ b/crates/resharding/src/command.rs
@@ -22,7 +22,7 @@
     Adopt {
         /// The volume.
         volume: Volume,
-        /// Where its blocks are.
+        /// The backend of each of its ranges.
         ranges: Vec<(BlockRange, BackendId)>,
     },
     /// Replaces the plan and its ordered steps.
--- a/crates/resharding/src/lib.rs
+++ b/crates/resharding/src/lib.rs
@@ -7,9 +7,9 @@
 //! How a write is prevented from running on both the source and the target backend:
 //! - Every present member acknowledges a migration before any block is copied. From then on, it reads and writes the
 //!   range only under its lease.
-//! - [`Command::Revoke`] takes a member's rights away. The leader proposes it when the member's lease has been expired
-//!   for longer than the maximum clock drift plus the maximum command time, and grants that member no lease until it
-//!   has applied the command.
+//! - [`Command::Revoke`] is the command that takes a member's rights away. The leader proposes it when the member's
+//!   lease has been expired for longer than the maximum clock drift plus the maximum command time, and grants that
+//!   member no lease until it has applied the command.
 //! - Each member reports the blocks that it wrote during the copy. The writes of a revoked member are unknown, so the
 //!   copy restarts.
 //! - Writes are held from the freeze until every member knows the new backend; reads continue. Writes are held for at
--- a/crates/resharding/src/migration.rs
+++ b/crates/resharding/src/migration.rs
@@ -50,7 +50,7 @@
 /// A migration. Stored: the fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Migration {
-    /// What moves.
+    /// The range that moves, from which backend to which.
     pub range: RangeMove,
     /// Its phase.
     pub phase: Phase,
--- a/crates/resharding/src/plan/error.rs
+++ b/crates/resharding/src/plan/error.rs
@@ -88,7 +88,7 @@
     /// No such volume is under placement.
     #[error("no volume {0} is known")]
     UnknownVolume(Volume),
-    /// Two places of the plan have the same blocks.
+    /// Two places of the plan overlap.
     #[error("{blocks} of {volume} overlaps with place[{other}]")]
     OverlappingTarget {
         /// The blocks.
@@ -124,9 +124,9 @@
         blocks: BlockRange,
         /// Their volume.
         volume: Volume,
-        /// Where they are.
+        /// Their present backend.
         from: BackendId,
-        /// Where they are wanted.
+        /// Their wanted backend.
         to: BackendId,
         /// The key of the plan that wants them there.
         key: String,
@@ -160,9 +160,9 @@
         blocks: BlockRange,
         /// Their volume.
         volume: Volume,
-        /// Where they are.
+        /// Their present backend.
         from: BackendId,
-        /// Where they are wanted.
+        /// Their wanted backend.
         to: BackendId,
     },
 }
--- a/crates/resharding/src/status.rs
+++ b/crates/resharding/src/status.rs
@@ -10,7 +10,7 @@
 /// The status of a step. Shown to operators: the fields keep their names there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct StepStatus {
-    /// What moves.
+    /// The range that moves, from which backend to which.
     #[serde(flatten)]
     pub range: RangeMove,
     /// The migration, once it runs.
@@ -18,7 +18,7 @@
     pub migration: Option<Index>,
     /// The phase of the migration, or `waits`.
     pub state: String,
-    /// What it waits for.
+    /// The reasons for which it waits.
     #[serde(rename = "waits")]
     pub waiting_for: Vec<String>,
     /// How many blocks are left to copy.
@@ -77,7 +77,7 @@
     }
 }
 
-/// What a migration waits for, in the wording of the operators' interface.
+/// The reasons for which a migration waits, in the wording of the operators' interface.
 fn waiting_for(migration: &Migration) -> Vec<String> {
     let phase = &migration.phase;
     let standings = migration.members.iter();
--- a/crates/resharding/src/transitions/members.rs
+++ b/crates/resharding/src/transitions/members.rs
@@ -38,7 +38,7 @@
         was_present
     }
 
-    /// Takes a member's rights to all migrating ranges away.
+    /// Revokes a member's rights to all migrating ranges.
     pub(super) fn revoke(&mut self, entry: &mut Entry, member: &MemberId, incarnation: u64) -> bool {
         self.revocations.insert(member.clone(), entry.index);
         for id in self.migration_ids() {
--- a/crates/resharding/tests/common/network.rs
+++ b/crates/resharding/tests/common/network.rs
@@ -10,7 +10,7 @@
 
 pub enum Message {
     Propose { from: usize, command: Command },
-    AskLease { sender: Sender, requested_at: Time, applied: Index },
+    RequestLease { sender: Sender, requested_at: Time, applied: Index },
     GrantLease { to: Sender, requested_at: Time, committed: Index },
     Write { sender: Sender, request: u64, part: PlacedRange, value: u64, is_delayed: bool },
     Read { sender: Sender, request: u64, part: PlacedRange },
@@ -96,8 +96,8 @@
                     self.append(self.members[from].name.clone(), command);
                 }
             }
-            Message::AskLease { sender, requested_at, applied } => {
-                self.ask_lease(sender, requested_at, applied)
+            Message::RequestLease { sender, requested_at, applied } => {
+                self.request_lease(sender, requested_at, applied)
             }
             Message::GrantLease { to, requested_at, committed } => {
                 if self.is_same_process(to) {
@@ -143,7 +143,7 @@
         member.is_running && member.incarnation == process.incarnation
     }
 
-    fn ask_lease(&mut self, sender: Sender, requested_at: Time, applied: Index) {
+    fn request_lease(&mut self, sender: Sender, requested_at: Time, applied: Index) {
         let is_reachable = |leader: &usize| self.is_connected(*leader) && self.is_connected(sender.number);
         let Some(leader) = self.leader.filter(is_reachable) else { return };
         let (now, name) = (self.local_time(leader), self.members[sender.number].name.clone());
--- a/crates/resharding/tests/common/one_migration.rs
+++ b/crates/resharding/tests/common/one_migration.rs
@@ -34,7 +34,7 @@
     newest_state(sim).migrations.iter().next().map(|(id, migration)| (*id, migration))
 }
 
-pub fn run_until(sim: &mut Simulation, phase: &str) {
+pub fn run_until_phase(sim: &mut Simulation, phase: &str) {
     for _ in 0..4000 {
         if current_migration(sim).is_some_and(|(_, migration)| migration.phase.name() == phase) {
             return;
--- a/crates/resharding/tests/common/ticks.rs
+++ b/crates/resharding/tests/common/ticks.rs
@@ -99,7 +99,7 @@
         let sender = Sender { number, incarnation: member.incarnation };
         let applied = member.state.applied;
         if (self.now / TICK + number as u64).is_multiple_of(TICKS_PER_LEASE) {
-            self.send_unreliably(Message::AskLease { sender, requested_at: now, applied });
+            self.send_unreliably(Message::RequestLease { sender, requested_at: now, applied });
         }
         for command in output.commands {
             self.send_unreliably(Message::Propose { from: number, command });
--- a/crates/resharding/tests/failures_by_phase.rs
+++ b/crates/resharding/tests/failures_by_phase.rs
@@ -40,7 +40,7 @@
     for seed in 0..seeds {
         let context = format!("{failure:?} in {}, seed {seed}", PHASES[phase]);
         let mut sim = start_migration(seed, "b");
-        run_until(&mut sim, PHASES[phase]);
+        run_until_phase(&mut sim, PHASES[phase]);
         let end = inject_failure(&mut sim, failure, phase < REVERSIBLE_PHASES, &context);
         assert!(runs_to_end(&mut sim, 4000), "{context}: {:?}\n{:?}", newest_state(&sim).status(), sim.stats);
         assert_consistent(&mut sim, end, &context);
@@ -118,7 +118,7 @@
 fn recopies_after_late_copy_of_deposed_migrator() {
     for seed in 0..6 {
         let mut sim = start_migration(seed, "b");
-        run_until(&mut sim, "copy");
+        run_until_phase(&mut sim, "copy");
         sim.delays_next_copy = true;
         while sim.delays_next_copy {
             sim.tick();
@@ -137,7 +137,7 @@
 #[test]
 fn serves_other_ranges_without_lease() {
     let mut sim = start_migration(6, "b");
-    run_until(&mut sim, "copy");
+    run_until_phase(&mut sim, "copy");
     (0..40).for_each(|_| sim.tick());
     sim.members[2].is_cut_off = true;
     (0..200).for_each(|_| sim.tick());
@@ -149,9 +149,9 @@
     assert_eq!(write(19, 21), Permission::Denied(DenialReason::LeaseExpired), "a part of it migrates");
 }
 
-/// A restarted member must not write by its stored placement, which may be outdated, before it has caught up.
+/// Until it has caught up, a restarted member has a placement that may be outdated: it may read by it, but not write.
 #[test]
-fn restarted_member_reads_but_does_not_write() {
+fn denies_writes_of_restarted_member_until_caught_up() {
     let mut sim = start_migration(7, "b");
     (0..100).for_each(|_| sim.tick());
     sim.kill(1);
@@ -170,7 +170,7 @@
 #[test]
 fn write_stalled_over_hand_over_may_have_run() {
     let mut sim = start_migration(8, "b");
-    run_until(&mut sim, "copy");
+    run_until_phase(&mut sim, "copy");
     while current_migration(&sim).unwrap().1.migrator.is_none() {
         sim.tick();
     }
@@ -184,7 +184,7 @@
     let permission = sim.members[number].agent.permit(now, &volume(), blocks, true);
     let Permission::Granted { ticket, .. } = permission else { panic!("{permission:?}") };
     sim.stall(number, 4_000_000);
-    run_until(&mut sim, "release");
+    run_until_phase(&mut sim, "release");
     (0..100).for_each(|_| sim.tick());
     assert_eq!(current_migration(&sim).unwrap().1.phase.name(), "release");
     assert!(newest_state(&sim).status()[0].waiting_for[0].contains("must be heard"));
--- a/crates/resharding/tests/golden.rs
+++ b/crates/resharding/tests/golden.rs
@@ -194,7 +194,7 @@
 
 /// The status of steps and migrations in the operators' interface.
 #[test]
-fn operator_status_keeps_its_form() {
+fn operator_status_matches_golden_file() {
     let status = BTreeMap::from([("step", filled_state().status())]);
     assert_eq!(toml::to_string(&status).unwrap(), GOLDEN.text("status.toml"));
 }
--- a/crates/resharding/tests/interleavings/main.rs
+++ b/crates/resharding/tests/interleavings/main.rs
@@ -39,7 +39,7 @@
         let are_all_answered = world.answered.count_ones() == u32::from(limits.writes);
         complete += usize::from(phase == "release" && are_all_answered);
         for mut successor in successors {
-            successor.settle();
+            successor.run_agents_and_leader();
             let mut hasher = DefaultHasher::new();
             successor.hash(&mut hasher);
             if visited.insert(hasher.finish()) {
--- a/crates/resharding/tests/interleavings/successors.rs
+++ b/crates/resharding/tests/interleavings/successors.rs
@@ -45,7 +45,7 @@
     fn add_member_events(&self, number: usize, successors: &mut Vec<World>) {
         successors.push(self.after(|world| world.apply(number)));
         if self.members[number].agent.fence.lease_end() < Time(self.now + RENEWAL_US) {
-            successors.push(self.after(|world| world.ask_lease(number)));
+            successors.push(self.after(|world| world.request_lease(number)));
         }
         if self.write_count as usize == number && self.write_count < self.max_writes {
             for stage in [Stage::Sent, Stage::Stalled] {
--- a/crates/resharding/tests/interleavings/world.rs
+++ b/crates/resharding/tests/interleavings/world.rs
@@ -151,7 +151,7 @@
         world.append(0, Command::ReplacePlan { plan: "p".into(), steps: vec![step], bounds });
         for number in 0..MEMBER_COUNT {
             (0..4).for_each(|_| world.apply_one(number));
-            world.ask_lease(number);
+            world.request_lease(number);
         }
         world
     }
@@ -180,7 +180,7 @@
     }
 
     /// Runs the agents of all members that are not stalled, then the leader.
-    pub fn settle(&mut self) {
+    pub fn run_agents_and_leader(&mut self) {
         for member in &mut self.members {
             member.agent.fence.counters = FenceCounters::default();
         }
@@ -221,7 +221,7 @@
         }
     }
 
-    pub fn ask_lease(&mut self, number: usize) {
+    pub fn request_lease(&mut self, number: usize) {
         let Member { state, agent, incarnation } = &mut self.members[number];
         let now = Time(self.now);
         let lease =
