--- a/crates/gateway/tests/callers.rs
+++ b/crates/gateway/tests/callers.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use std::thread::sleep;
 use std::time::Duration;
-use test_cluster::discovery::{Manner, Refusal};
+use test_cluster::discovery::{Mode, RejectionTiming};
 
 /// Until nine in ten and until all have their list, as multiples of what discovery needs for those that lost it.
 const WITHIN: (f64, f64) = (1.2, 1.35);
@@ -64,7 +64,7 @@
             self.name,
             self.bench.outcomes(back)
         );
-        let turned_away = self.bench.outcomes(back).get("TurnedAway").copied().unwrap_or(0);
+        let turned_away = self.bench.outcomes(back).get("Rejected").copied().unwrap_or(0);
         self.judge(turned_away > 0, format!("{what}: nobody was turned away, which is no trouble"));
         let slack = SLACK + hiccups.min(MOST_HICCUPS);
         self.judge(nine < nine_within + slack, format!("{what}: nine in ten after {nine:.2} s"));
@@ -76,9 +76,9 @@
 
     /// Whatever a trouble has left: all have their list before the next one.
     fn settle(&self) {
-        self.bench.rig.discovery.take_turns(None);
+        self.bench.rig.discovery.set_queue_policy(None);
         let end = self.bench.now() + 30.0;
-        while self.bench.hollow.listed().iter().any(Option::is_none) {
+        while self.bench.hollow.watching_since().iter().any(Option::is_none) {
             assert!(self.bench.now() < end, "{}: no list though nobody waits for a turn", self.name);
             sleep(Duration::from_millis(100));
         }
@@ -87,7 +87,7 @@
     fn start(&mut self) {
         self.bench.take_turns(usize::MAX);
         let began = self.bench.now();
-        self.bench.rig.fronts.iter_mut().for_each(|f| f.start().unwrap());
+        self.bench.rig.gateways.iter_mut().for_each(|f| f.start().unwrap());
         (0..self.bench.fleet - FRONTS).for_each(|n| self.bench.hollow.start(n));
         self.recovers("start", |_| None, began, 1.0);
     }
@@ -97,13 +97,13 @@
         self.bench.take_turns(usize::MAX);
         let began = self.bench.now();
         let gone = |gone: bool| match (refused, gone) {
-            (true, gone) => self.bench.rig.discovery_gone(gone),
-            (false, true) => self.bench.rig.discovery.act(Manner::Unavailable),
-            (false, false) => self.bench.rig.discovery.act(Manner::Well),
+            (true, gone) => self.bench.rig.set_discovery_down(gone),
+            (false, true) => self.bench.rig.discovery.set_mode(Mode::Unavailable),
+            (false, false) => self.bench.rig.discovery.set_mode(Mode::Normal),
         };
         gone(true);
         sleep(Duration::from_secs_f64(AWAY));
-        let listed = self.bench.hollow.listed().iter().flatten().count();
+        let listed = self.bench.hollow.watching_since().iter().flatten().count();
         gone(false);
         let back = self.bench.now();
         let steady = most(&self.bench.calls(), began + STEADY, back);
@@ -118,18 +118,18 @@
     fn kill(&mut self, callers: usize) {
         self.bench.take_turns(callers);
         let (real, hollow) = (4, self.bench.fleet * 7 / 10 - 4);
-        self.bench.rig.fronts[..real].iter_mut().for_each(|f| f.kill());
+        self.bench.rig.gateways[..real].iter_mut().for_each(|f| f.kill());
         (0..hollow).for_each(|n| self.bench.hollow.kill(n));
         sleep(Duration::from_secs_f64(AGAIN));
         let back = self.bench.now();
-        self.bench.rig.fronts[..real].iter_mut().for_each(|f| f.start().unwrap());
+        self.bench.rig.gateways[..real].iter_mut().for_each(|f| f.start().unwrap());
         (0..hollow).for_each(|n| self.bench.hollow.start(n));
         self.recovers(&format!("kill, {callers} may wait"), |n| (n < real).then_some(back), back, 0.7);
     }
 }
 
 /// Tells what was found wrong.
-fn story(fleet: usize, refusal: Refusal) -> Vec<String> {
+fn story(fleet: usize, refusal: RejectionTiming) -> Vec<String> {
     let name = format!("{fleet} {refusal:?}");
     let mut story = Story { bench: Bench::new(fleet, refusal), name, faults: vec![] };
     story.start();
@@ -147,7 +147,8 @@
 /// Each way of turning away by itself: the thread that carries a story must not be late for the other's sake.
 #[rstest]
 fn fleet_has_its_list_soon_after_any_fault(#[values(30, 300, 2_300)] fleet: usize) {
-    let stories = [Refusal::Foreseen, Refusal::Late].map(|refusal| story(fleet, refusal));
+    let stories =
+        [RejectionTiming::OnArrival, RejectionTiming::AfterWait].map(|refusal| story(fleet, refusal));
     let faults: Vec<String> = stories.into_iter().flatten().collect();
     assert!(faults.is_empty(), "{faults:#?}");
 }
--- a/crates/gateway/tests/changes/fleet.rs
+++ b/crates/gateway/tests/changes/fleet.rs
@@ -6,7 +6,7 @@
 use std::process::Stdio;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use test_cluster::operator::call;
+use test_cluster::admin_client::call;
 
 pub const KEY: &str = "6f1d0c5ab2e94877a3c0d1f28e5b46979c2a7710e4d35f8b60a1c9e2d7f48b35";
 /// A class that the gateways' file does not have.
--- a/crates/gateway/tests/gather.rs
+++ b/crates/gateway/tests/gather.rs
@@ -9,10 +9,10 @@
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
-use test_cluster::engine::until;
-use test_cluster::operator::call;
-use test_cluster::rig::Rig;
-use test_cluster::setup::Setup;
+use test_cluster::admin_client::call;
+use test_cluster::cluster::TestCluster;
+use test_cluster::cluster_config::ClusterConfig;
+use test_cluster::runtime::poll_until;
 
 fn gathers() -> String {
     let mut text = String::new();
@@ -34,25 +34,26 @@
 }
 
 /// One gateway and four backends, each with a shard of its own; the backends stand in two zones in turn.
-fn rig(gathers: &str) -> Rig {
-    let mut setup = Setup::usual(Path::new(env!("CARGO_BIN_EXE_gateway")), 7).with(gathers);
-    (setup.fronts, setup.boxes, setup.cells) = (1, 4, 4);
-    setup.text = setup.text.replacen("DeadlineS = 1.2", "DeadlineS = 3.0", 1);
-    let mut rig = Rig::new(setup).unwrap();
+fn rig(gathers: &str) -> TestCluster {
+    let mut setup =
+        ClusterConfig::standard(Path::new(env!("CARGO_BIN_EXE_gateway")), 7).with_sections(gathers);
+    (setup.gateways, setup.backends, setup.shards) = (1, 4, 4);
+    setup.gateway_config = setup.gateway_config.replacen("DeadlineS = 1.2", "DeadlineS = 3.0", 1);
+    let mut rig = TestCluster::new(setup).unwrap();
     for n in 0..4 {
-        let shelf = rig.shelf_of(n as i64).unwrap();
+        let shelf = rig.shard_store(n as i64).unwrap();
         shelf.lock().unwrap().write((VOLUME.into(), n), value(n as usize).as_bytes().into());
     }
     rig.start(TIMEOUT).unwrap();
     rig
 }
 
-fn evidence(rig: &Rig) -> test_cluster::verdict::Evidence {
-    rig.evidence(&test_cluster::clients::History::default())
+fn evidence(rig: &TestCluster) -> test_cluster::checks::RunRecord {
+    rig.run_record(&test_cluster::clients::History::default())
 }
 
-fn figure(rig: &Rig, key: &str) -> Option<u64> {
-    let (_, text) = call(rig.fronts[0].admin, "GET", "/v1/metrics", "").unwrap();
+fn figure(rig: &TestCluster, key: &str) -> Option<u64> {
+    let (_, text) = call(rig.gateways[0].admin, "GET", "/v1/metrics", "").unwrap();
     text.lines().find_map(|l| l.strip_prefix(&format!("app.gathers.{key}="))?.parse().ok())
 }
 
@@ -71,11 +72,11 @@
 #[test]
 fn partitioned_zone_is_named_in_time_and_never_reported_complete() {
     let rig = rig(&gathers());
-    let mut client = Client::new(rig.fronts[0].listen);
+    let mut client = Client::new(rig.gateways[0].listen);
     client.whole(ANY);
     // A booking of the same piece is one request, and each part one of its own that names its shard.
     client.book(ANY, "b1");
-    let entries = evidence(&rig).entries;
+    let entries = evidence(&rig).commands;
     assert!(entries.iter().any(|e| e.id == "b1" && e.write && e.key.1 == ANY));
     assert!(entries.iter().all(|e| e.id == "b1" || (e.id.contains('~') && e.key.1 == e.shard as u64)));
     let boxes: Vec<String> = vec!["box-1".into(), "box-3".into()];
@@ -85,7 +86,7 @@
     for _ in 0..10 {
         let (answer, took) = client.ask(ANY);
         // A machine that stands still may take more, so what it took is only weighed where it did not.
-        let stood: Duration = evidence(&rig).hiccups.iter().map(|h| h.1 - h.0).sum();
+        let stood: Duration = evidence(&rig).machine_stalls.iter().map(|h| h.1 - h.0).sum();
         assert!(took < WAIT + stood, "{took:?}");
         match answer {
             Answer::InPart(value, AnswerStatus::Partial(missing)) => {
@@ -123,20 +124,23 @@
     // Other zones are waited for for a tenth of a second, and answer in two.
     let short = gathers().replace("suffices =", "remote_share = 0.04\nsuffices =");
     let rig = rig(&short);
-    let mut client = Client::new(rig.fronts[0].listen);
+    let mut client = Client::new(rig.gateways[0].listen);
     client.whole(ANY);
     for n in [1, 3] {
-        let place = rig.place(&format!("box-{n}")).unwrap();
-        place.set(test_cluster::boxes::Manner { service: Duration::from_millis(200), ..place.manner() });
+        let place = rig.backend(&format!("box-{n}")).unwrap();
+        place.set_behavior(test_cluster::backends::Behavior {
+            service: Duration::from_millis(200),
+            ..place.behavior()
+        });
     }
-    until(TIMEOUT, || {
+    poll_until(TIMEOUT, || {
         client.ask(ANY);
         (figure(&rig, "late_parts")? > 0).then_some(())
     })
     .expect("a late part");
     assert!(client.counts.contains_key("in_part"), "{:?}", client.counts);
     // Without the part that is needed there is no answer, and the failure names it.
-    until(TIMEOUT, || match client.ask(NAMED).0 {
+    poll_until(TIMEOUT, || match client.ask(NAMED).0 {
         Answer::Error(text) if text.starts_with("BUSY") => None,
         Answer::Error(text) => {
             let (cause, missing) = failed(&text);
@@ -148,8 +152,8 @@
     })
     .expect("a failure that names the part");
     // A client that goes before its answer is forgotten, with its parts.
-    until(TIMEOUT, || {
-        Client::new(rig.fronts[0].listen).send(ALL);
+    poll_until(TIMEOUT, || {
+        Client::new(rig.gateways[0].listen).send(ALL);
         (figure(&rig, "left")? > 0).then_some(())
     })
     .expect("its leaving is seen");
@@ -158,10 +162,10 @@
 #[test]
 fn without_a_table_there_is_no_trace_of_it() {
     let rig = rig("");
-    let mut client = Client::new(rig.fronts[0].listen);
-    let shelf = rig.shelf_of(0).unwrap();
+    let mut client = Client::new(rig.gateways[0].listen);
+    let shelf = rig.shard_store(0).unwrap();
     shelf.lock().unwrap().write((VOLUME.into(), ANY), b"one".as_slice().into());
-    let (_, text) = call(rig.fronts[0].admin, "GET", "/v1/metrics", "").unwrap();
+    let (_, text) = call(rig.gateways[0].admin, "GET", "/v1/metrics", "").unwrap();
     assert!(!text.contains("gather"), "{text}");
     assert!(!matches!(client.ask(ANY).0, Answer::InPart(..)));
 }
--- a/crates/gateway/tests/gather/client.rs
+++ b/crates/gateway/tests/gather/client.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use test_cluster::engine::until;
+use test_cluster::runtime::poll_until;
 
 /// How long a client waits, as it says.
 pub const WAIT: Duration = Duration::from_secs(3);
@@ -116,7 +116,7 @@
 
     /// Asks until the answer is whole.
     pub fn whole(&mut self, piece: u64) {
-        until(TIMEOUT, || matches!(self.ask(piece).0, Answer::Whole(_)).then_some(()))
+        poll_until(TIMEOUT, || matches!(self.ask(piece).0, Answer::Whole(_)).then_some(()))
             .expect("whole in bounded time");
     }
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::time::Duration;
-use test_cluster::operator;
+use test_cluster::admin_client;
 
 const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -53,7 +53,7 @@
 }
 
 fn text_of(ip: &str, method: &str, path: &str) -> String {
-    let (status, text) = operator::call(format!("{ip}:6382").parse().unwrap(), method, path, "").unwrap();
+    let (status, text) = admin_client::call(format!("{ip}:6382").parse().unwrap(), method, path, "").unwrap();
     format!("{status} {text}")
 }
 
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -8,7 +8,7 @@
 use std::net::TcpStream;
 use std::process::Stdio;
 use std::time::{Duration, Instant};
-use test_cluster::faults::Faults;
+use test_cluster::syscall_faults::SyscallFaults;
 
 /// Requests of one play, each on a connection of its own.
 const REQUESTS: u64 = 120;
@@ -39,11 +39,11 @@
 }
 
 fn all_are_served(calls: &str) {
-    let (ip, faults) = (address(), Faults::build().unwrap());
+    let (ip, faults) = (address(), SyscallFaults::build().unwrap());
     let server = Server::start(&ip, Duration::from_millis(2));
-    let program = spawn_as(&config(&ip), &ip, |command| faults.fail(command, calls));
+    let program = spawn_as(&config(&ip), &ip, |command| faults.fail_calls(command, calls));
     drop(program.connect(6379));
-    faults.occur(true).unwrap();
+    faults.set_active(true).unwrap();
     let answers = play(&ip, &program);
     let served = answers.get("$16").copied().unwrap_or(0);
     assert_eq!(served as u64, REQUESTS, "{calls}: {answers:?}");
@@ -67,12 +67,12 @@
 
 #[test]
 fn a_way_that_is_gone_for_a_moment_costs_no_request_its_answer() {
-    let (ip, faults) = (address(), Faults::build().unwrap());
+    let (ip, faults) = (address(), SyscallFaults::build().unwrap());
     let server = Server::start(&ip, Duration::from_millis(2));
     let calls = "connect=ENETUNREACH/3 recvfrom=ETIMEDOUT/110 recvfrom=EHOSTUNREACH/130";
-    let program = spawn_as(&config(&ip), &ip, |command| faults.fail(command, calls));
+    let program = spawn_as(&config(&ip), &ip, |command| faults.fail_calls(command, calls));
     drop(program.connect(6379));
-    faults.occur(true).unwrap();
+    faults.set_active(true).unwrap();
     let answers = play(&ip, &program);
     // Where the error hits a client's own connection, that client has none.
     let without =
@@ -89,11 +89,11 @@
 
 #[test]
 fn signals_that_come_with_interrupted_calls_are_what_they_are() {
-    let (ip, faults) = (address(), Faults::build().unwrap());
+    let (ip, faults) = (address(), SyscallFaults::build().unwrap());
     let mut program =
-        spawn_as(&config(&ip), &ip, |command| faults.fail(command, "recvfrom=EINTR/2 read=EINTR/2"));
+        spawn_as(&config(&ip), &ip, |command| faults.fail_calls(command, "recvfrom=EINTR/2 read=EINTR/2"));
     drop(program.connect(6379));
-    faults.occur(true).unwrap();
+    faults.set_active(true).unwrap();
     for n in 0..20 {
         program.signal(if n % 2 == 0 { "USR1" } else { "HUP" });
         std::thread::sleep(Duration::from_millis(20));
@@ -106,12 +106,12 @@
 
 #[test]
 fn a_start_at_which_calls_fail_for_a_moment_succeeds() {
-    let (ip, faults) = (address(), Faults::build().unwrap());
-    faults.occur(true).unwrap();
+    let (ip, faults) = (address(), SyscallFaults::build().unwrap());
+    faults.set_active(true).unwrap();
     let calls = "socket=ENFILE/1 epoll_add=ENOMEM/3";
-    let mut program = spawn_as(&config(&ip), &ip, |command| faults.fail(command, calls));
+    let mut program = spawn_as(&config(&ip), &ip, |command| faults.fail_calls(command, calls));
     std::thread::sleep(Duration::from_millis(300));
-    faults.occur(false).unwrap();
+    faults.set_active(false).unwrap();
     drop(program.connect(6379));
     assert_eq!(program.child.try_wait().unwrap(), None);
 }
--- a/crates/gateway/tests/voter_disk.rs
+++ b/crates/gateway/tests/voter_disk.rs
@@ -4,7 +4,7 @@
 use common::{address, call, config, spawn_as, Program};
 use std::path::Path;
 use std::time::{Duration, Instant};
-use test_cluster::faults::Faults;
+use test_cluster::syscall_faults::SyscallFaults;
 
 const CALLS: &str = "pwrite64=EIO/1 write=ENOSPC/1 fsync=EIO/1 fdatasync=EIO/1";
 
@@ -25,11 +25,11 @@
     )
 }
 
-fn start(ip: &str, faults: &Faults, folder: &Path) -> Program {
+fn start(ip: &str, faults: &SyscallFaults, folder: &Path) -> Program {
     let text = format!("{}{}", config(ip), section(ip, folder));
     let program = spawn_as(&text, ip, |command| {
-        faults.fail(command, CALLS);
-        faults.only_under(command, folder);
+        faults.fail_calls(command, CALLS);
+        faults.limit_to_folder(command, folder);
     });
     drop(program.connect(6379));
     program
@@ -50,12 +50,12 @@
 
 #[test]
 fn a_voter_goes_on_once_its_disk_is_well() {
-    let (ip, faults, folder) = (address(), Faults::build().unwrap(), tempfile::tempdir().unwrap());
+    let (ip, faults, folder) = (address(), SyscallFaults::build().unwrap(), tempfile::tempdir().unwrap());
     let mut program = start(&ip, &faults, folder.path());
     assert!(taken_within(&ip, "before", Duration::from_secs(8)));
-    faults.occur(true).unwrap();
+    faults.set_active(true).unwrap();
     assert!(!taken_within(&ip, "meanwhile", Duration::from_secs(2)), "it can't be kept");
-    faults.occur(false).unwrap();
+    faults.set_active(false).unwrap();
     assert!(taken_within(&ip, "after", Duration::from_secs(8)), "the disk is well again");
     program.child.kill().unwrap();
     program.child.wait().unwrap();
--- a/crates/gateway/tests/wall_clock.rs
+++ b/crates/gateway/tests/wall_clock.rs
@@ -11,7 +11,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use test_cluster::faults::Faults;
+use test_cluster::syscall_faults::SyscallFaults;
 
 /// Requests a second, on some connections in turn.
 const RATE: u32 = 150;
@@ -39,7 +39,7 @@
 
 /// Requests that the server gets in the first while after the gateway was notified of its start.
 fn sent(start: Start, step: i64) -> usize {
-    let (ip, faults) = (address(), Faults::build().unwrap());
+    let (ip, faults) = (address(), SyscallFaults::build().unwrap());
     let server = Server::start(&ip, Duration::from_millis(5));
     let first = if matches!(start, Start::BeforeTheFront) { unix_ms(0) } else { 0 };
     let mut discovery = Discovery::start(&ip, first);
@@ -100,7 +100,7 @@
 /// A gateway is upgraded while the wall clock is stepped: the later process is the later one, and what was suspended stays so.
 #[rstest]
 fn a_process_that_starts_later_comes_later(#[values(5, -5, 3600, -3600)] step: i64) {
-    let (ip, faults, folder) = (address(), Faults::build().unwrap(), tempfile::tempdir().unwrap());
+    let (ip, faults, folder) = (address(), SyscallFaults::build().unwrap(), tempfile::tempdir().unwrap());
     let server = Server::start(&ip, Duration::ZERO);
     let all = config(&ip);
     let iscsi = &all[all.find("[agent]").unwrap()..all.find("[known]").unwrap()];
--- a/crates/test-cluster/examples/smoke.rs
+++ b/crates/test-cluster/examples/smoke.rs
@@ -1,19 +1,19 @@
-//! Five fronts, eight boxes in two halls, discovery, clients, and ten seconds of faults. `LICHENRUDDER` names the program;
-//! seeds are the arguments, or `RIG_SEED`; `RIG_MORE` adds kinds of faults, `RIG_ISCSI` lets clients and boxes speak iSCSI,
-//! `RIG_STORY` and `RIG_LINES` show what happens.
+//! Runs five gateways, eight backends in two zones, discovery and clients through ten seconds of faults.
+//! `LICHENRUDDER` names the program. Seeds are the arguments, or `RIG_SEED`. `RIG_MORE` adds kinds of faults,
+//! `RIG_ISCSI` makes clients and backends use iSCSI, and `RIG_STORY` and `RIG_LINES` print what happens.
 #![allow(clippy::too_many_lines, reason = "not revised yet: docs/ROADMAP.md")]
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use test_cluster::boxes::Speaks;
+use test_cluster::backends::Protocol;
+use test_cluster::checks::{self, CheckResult, VolumeLimit};
 use test_cluster::clients::{Clients, Load, Volume};
-use test_cluster::rig::Rig;
-use test_cluster::schedule::{dropped, seeds, Schedule, MORE, USUAL};
-use test_cluster::setup::Setup;
-use test_cluster::verdict::{self, Limit, Verdict};
+use test_cluster::cluster::TestCluster;
+use test_cluster::cluster_config::ClusterConfig;
+use test_cluster::schedule::{excluded_faults, seeds, Schedule, ADDITIONAL_FAULTS, COMMON_FAULTS};
 
 const SPAN: Duration = Duration::from_secs(10);
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 fn volumes() -> Vec<Volume> {
     let volume = |n: usize| Volume {
@@ -25,8 +25,8 @@
     (0..8).map(volume).collect()
 }
 
-/// The section that shows each volume as a LUN.
-fn luns() -> String {
+/// The configuration sections that export each volume as a LUN.
+fn lun_sections() -> String {
     let head = "[iscsi]\nlisten = \"@ISCSI@\"\ntarget = \"iqn.2026-12.lichenrudder:rig\"\nrecord_s = 30\n";
     let lun = |v: &Volume| {
         format!(
@@ -38,53 +38,54 @@
     head.to_string() + &volumes().iter().map(lun).collect::<String>()
 }
 
-fn run(program: PathBuf, seed: u64) -> std::io::Result<Vec<Verdict>> {
-    let blocks = std::env::var_os("RIG_ISCSI").is_some();
-    let mut setup = Setup::usual(&program, seed);
-    if blocks {
-        setup = setup.with(&luns());
-        setup.speaks = (0..setup.boxes).map(|n| (n, Speaks::Iscsi)).collect();
-        setup.units = volumes().into_iter().map(|v| (v.lun, v.name, 64)).collect();
+fn run_seed(program: PathBuf, seed: u64) -> std::io::Result<Vec<CheckResult>> {
+    let uses_iscsi = std::env::var_os("RIG_ISCSI").is_some();
+    let mut config = ClusterConfig::standard(&program, seed);
+    if uses_iscsi {
+        config = config.with_sections(&lun_sections());
+        config.protocols = (0..config.backends).map(|n| (n, Protocol::Iscsi)).collect();
+        config.luns = volumes().into_iter().map(|v| (v.lun, v.name, 64)).collect();
     }
-    let mut rig = Rig::new(setup)?;
-    rig.start(Duration::from_secs(15))?;
-    let mut fronts = rig.addresses();
-    if blocks {
-        fronts.iter_mut().enumerate().for_each(|(n, front)| front.1 = rig.iscsi(n));
+    let mut cluster = TestCluster::new(config)?;
+    cluster.start(Duration::from_secs(15))?;
+    let mut gateways = cluster.client_addresses();
+    if uses_iscsi {
+        gateways.iter_mut().enumerate().for_each(|(n, gateway)| gateway.1 = cluster.iscsi_address(n));
     }
     let load = Load {
-        fronts,
+        gateways,
         volumes: volumes(),
         pieces: 6,
-        writes: 0.4,
-        read: ("stock-read".into(), Duration::from_millis(1200)),
-        write: ("booking-write".into(), Duration::from_millis(3000)),
-        units: 4,
-        depth: 3,
-        rest: Duration::from_millis(60),
-        target: blocks.then(|| "iqn.2026-12.lichenrudder:rig".into()),
+        write_share: 0.4,
+        read_class: ("stock-read".into(), Duration::from_millis(1200)),
+        write_class: ("booking-write".into(), Duration::from_millis(3000)),
+        max_units: 4,
+        max_pipelined: 3,
+        max_pause: Duration::from_millis(60),
+        target: uses_iscsi.then(|| "iqn.2026-12.lichenrudder:rig".into()),
     };
     let kinds: Vec<_> = match std::env::var_os("RIG_MORE") {
-        Some(_) => USUAL.into_iter().chain(MORE).collect(),
-        None => USUAL.into(),
+        Some(_) => COMMON_FAULTS.into_iter().chain(ADDITIONAL_FAULTS).collect(),
+        None => COMMON_FAULTS.into(),
     };
-    let schedule = Schedule::draw(seed, SPAN, &rig.parties(), &kinds, kinds.len()).without(&dropped());
+    let schedule =
+        Schedule::draw(seed, SPAN, &cluster.fault_targets(), &kinds, kinds.len()).without(&excluded_faults());
     println!("{schedule}");
-    let clients = Clients::start(&load, 10, seed, &rig.clock)?;
-    rig.play(&schedule)?;
-    let healed = rig.clock.now();
-    std::thread::sleep(SETTLE);
+    let clients = Clients::start(&load, 10, seed, &cluster.clock)?;
+    cluster.run_schedule(&schedule)?;
+    let healed = cluster.clock.now();
+    std::thread::sleep(SETTLE_TIME);
     let history = clients.finish();
-    let evidence = rig.evidence(&history);
-    println!("requests {:?}, to boxes {}", history.counts(), evidence.entries.len());
+    let run_record = cluster.run_record(&history);
+    println!("requests {:?}, commands to backends {}", history.counts(), run_record.commands.len());
     for plan in ["basis", "premium"] {
-        let own = |r: &&test_cluster::clients::Request| {
+        let has_plan = |r: &&test_cluster::clients::Request| {
             load.volumes.iter().any(|v| v.name == r.key.0 && v.plan == plan)
         };
-        let part = test_cluster::clients::History {
-            requests: history.requests.iter().filter(own).cloned().collect(),
+        let plan_history = test_cluster::clients::History {
+            requests: history.requests.iter().filter(has_plan).cloned().collect(),
         };
-        println!("  {plan} {:?}", part.counts());
+        println!("  {plan} {:?}", plan_history.counts());
     }
     if let Some(latency) = history.latency() {
         let at = |q: f64| latency.value_at_quantile(q) as f64 / 1000.0;
@@ -95,36 +96,41 @@
             latency.max() as f64 / 1000.0
         );
     }
-    let mut again = Verdict::new("every front serves again at the end");
-    for (front, _) in &load.fronts {
-        let count = Rig::served_since(&history, healed).filter(|r| r.front == *front).count();
-        again.look((count == 0).then(|| format!("{front} has served nothing since the faults ended")));
+    let mut gateways_serve_again = CheckResult::new("every gateway serves again at the end");
+    for (gateway, _) in &load.gateways {
+        let count = TestCluster::served_since(&history, healed).filter(|r| r.gateway == *gateway).count();
+        gateways_serve_again
+            .record((count == 0).then(|| format!("{gateway} has served nothing since the faults ended")));
     }
-    let basis = |volume: &str| {
+    let basis_limit = |volume: &str| {
         let plan = load.volumes.iter().find(|v| v.name == volume).map(|v| v.plan.as_str());
-        (plan == Some("basis")).then_some(Limit { rate: 20.0, depth: 36.0, slack: 3.0 + 6.0 })
+        (plan == Some("basis")).then_some(VolumeLimit { rate: 20.0, depth: 36.0, slack: 3.0 + 6.0 })
     };
-    let bans: Vec<_> = rig.fronts.iter().map(|f| verdict::bans(&f.lines())).collect();
-    let place = |r: &test_cluster::clients::Request| {
+    let suspensions: Vec<_> = cluster.gateways.iter().map(|f| checks::suspensions(&f.lines())).collect();
+    let locate = |r: &test_cluster::clients::Request| {
         let shard = load.volumes.iter().find(|v| v.name == r.key.0)?.shard;
-        Some((rig.shelf_of(shard)?, r.key.clone()))
+        Some((cluster.shard_store(shard)?, r.key.clone()))
     };
-    let mut verdicts = vec![
-        verdict::one_answer(&evidence),
-        verdict::closed(&evidence),
-        verdict::booked_once(&evidence),
-        verdict::refused_never_ran(&evidence),
-        verdict::served(&evidence),
-        verdict::found(&evidence, &place),
-        verdict::never_stale(&evidence),
-        verdict::drained(&evidence, Duration::from_millis(250 + 50), Duration::from_secs(6)),
-        verdict::limits(&evidence, basis),
-        again,
+    let mut results = vec![
+        checks::one_final_answer(&run_record),
+        checks::connections_stay_open(&run_record),
+        checks::writes_run_once(&run_record),
+        checks::refused_writes_never_run(&run_record),
+        checks::served_by_backend(&run_record),
+        checks::served_writes_are_stored(&run_record, &locate),
+        checks::reads_are_not_stale(&run_record),
+        checks::drained_backends_get_nothing_new(
+            &run_record,
+            Duration::from_millis(250 + 50),
+            Duration::from_secs(6),
+        ),
+        checks::volume_limits_hold(&run_record, basis_limit),
+        gateways_serve_again,
     ];
-    verdicts.extend(bans.iter().map(|events| verdict::most_out(events, 0)));
-    let crashes = rig.crashes();
-    verdicts.push(verdict::crashes(load.fronts.len(), &crashes));
-    Ok(verdicts)
+    results.extend(suspensions.iter().map(|events| checks::suspended_at_most(events, 0)));
+    let crashes = cluster.crashes();
+    results.push(checks::no_crashes(load.gateways.len(), &crashes));
+    Ok(results)
 }
 
 fn main() -> ExitCode {
@@ -132,22 +138,22 @@
         eprintln!("LICHENRUDDER must name the program");
         return ExitCode::FAILURE;
     };
-    let named: Vec<u64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let named = if named.is_empty() { seeds(&[1, 2, 3]) } else { named };
-    let mut good = true;
-    for seed in named {
-        match run(PathBuf::from(&program), seed) {
-            Ok(verdicts) => {
-                verdicts.iter().filter(|v| v.checked > 0 || !v.holds()).for_each(|v| println!("{v}"));
-                good &= verdicts.iter().all(Verdict::holds);
+    let chosen_seeds: Vec<u64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
+    let chosen_seeds = if chosen_seeds.is_empty() { seeds(&[1, 2, 3]) } else { chosen_seeds };
+    let mut all_hold = true;
+    for seed in chosen_seeds {
+        match run_seed(PathBuf::from(&program), seed) {
+            Ok(results) => {
+                results.iter().filter(|v| v.checked > 0 || !v.holds()).for_each(|v| println!("{v}"));
+                all_hold &= results.iter().all(CheckResult::holds);
             }
             Err(e) => {
                 println!("seed {seed}: {e}");
-                good = false;
+                all_hold = false;
             }
         }
     }
-    if good {
+    if all_hold {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/test-cluster/faults/faults.c
+++ b/crates/test-cluster/faults/faults.c
@@ -1,12 +1,14 @@
-/* Makes system calls of the process that preloads it fail as Linux documents. Built by `rig::faults`; x86-64 Linux only.
+/* Makes system calls of the process that preloads it fail with errors that Linux documents for them. Built by
+   `test_cluster::syscall_faults`; x86-64 Linux only.
 
    FAULT_CALLS  "recvfrom=EINTR/7 epoll_ctl=ENOMEM/9": every 7th recvfrom fails with EINTR, and so on
-   FAULT_WHILE  faults occur only while this file exists; always where it is unset
-   FAULT_UNDER  calls on files fail only for those whose path contains this
-   FAULT_WALL   file that holds seconds to be added to CLOCK_REALTIME; it may be rewritten while the process runs
+   FAULT_WHILE  calls fail only while this file exists; always if it is unset
+   FAULT_UNDER  calls on files fail only for files whose path contains this
+   FAULT_WALL   file that holds the seconds to add to CLOCK_REALTIME; it may be rewritten while the process runs
 
-   A filter that the process sets on itself turns the listed calls into SIGSYS; the handler fails the call, or makes it with
-   a mark in the sixth argument, which none of them uses, that the filter lets pass. */
+   A seccomp filter that the process installs for itself turns the listed calls into SIGSYS. The signal handler either fails
+   the call or repeats it with a marker in the sixth argument, which none of these calls uses and which the filter lets
+   pass. */
 #define _GNU_SOURCE
 #include <errno.h>
 #include <fcntl.h>
@@ -25,19 +27,19 @@
 #include <ucontext.h>
 #include <unistd.h>
 
-#define MARK 0x0fa17ab1L
-#define MOST 8
+#define PASS_MARKER 0x0fa17ab1L
+#define MAX_FAULTS 8
 
 struct fault {
   long call;
   long error;
   int every;
-  int on_file;
-  int only_add;
-  int seen;
+  int takes_file;
+  int only_epoll_add;
+  int call_count;
 };
 
-static const struct { const char *name; long call; int on_file; } CALLS[] = {
+static const struct { const char *name; long call; int takes_file; } CALLS[] = {
     {"recvfrom", SYS_recvfrom, 0}, {"sendto", SYS_sendto, 0},       {"accept4", SYS_accept4, 0},
     {"socket", SYS_socket, 0},     {"connect", SYS_connect, 0},     {"epoll_ctl", SYS_epoll_ctl, 0},
     {"epoll_add", SYS_epoll_ctl, 0}, {"read", SYS_read, 0},
@@ -51,79 +53,79 @@
     {"ETIMEDOUT", ETIMEDOUT},
 };
 
-static struct fault faults[MOST];
-static int known;
-static const char *only_while, *under;
+static struct fault faults[MAX_FAULTS];
+static int fault_count;
+static const char *enable_file, *path_filter;
 
-static long marked(long call, const long *a) {
+static long repeat_call(long call, const long *a) {
   long result;
   register long r10 __asm__("r10") = a[3];
   register long r8 __asm__("r8") = a[4];
-  register long r9 __asm__("r9") = MARK;
+  register long r9 __asm__("r9") = PASS_MARKER;
   __asm__ volatile("syscall" : "=a"(result)
                    : "a"(call), "D"(a[0]), "S"(a[1]), "d"(a[2]), "r"(r10), "r"(r8), "r"(r9)
                    : "rcx", "r11", "memory");
   return result;
 }
 
-static int concerns_file(const struct fault *fault, const long *a) {
-  if (!under) return 1;
-  if (fault->call == SYS_openat) return (a[2] & (O_WRONLY | O_RDWR | O_CREAT)) && strstr((const char *)a[1], under);
+static int is_on_matching_file(const struct fault *fault, const long *a) {
+  if (!path_filter) return 1;
+  if (fault->call == SYS_openat) return (a[2] & (O_WRONLY | O_RDWR | O_CREAT)) && strstr((const char *)a[1], path_filter);
   char link[64], path[4096];
   snprintf(link, sizeof link, "/proc/self/fd/%ld", a[0]);
   ssize_t length = readlink(link, path, sizeof path - 1);
   path[length < 0 ? 0 : length] = 0;
-  return strstr(path, under) != NULL;
+  return strstr(path, path_filter) != NULL;
 }
 
-static void on_call(int signal, siginfo_t *info, void *context) {
+static void handle_sigsys(int signal, siginfo_t *info, void *context) {
   (void)signal;
   (void)info;
   greg_t *r = ((ucontext_t *)context)->uc_mcontext.gregs;
   const long a[] = {r[REG_RDI], r[REG_RSI], r[REG_RDX], r[REG_R10], r[REG_R8]};
   const long call = r[REG_RAX];
   int saved = errno;
-  for (int i = 0; i < known; i++) {
+  for (int i = 0; i < fault_count; i++) {
     struct fault *fault = &faults[i];
-    if (fault->only_add && a[1] != EPOLL_CTL_ADD) continue;
-    if (fault->call != call || (fault->on_file && !concerns_file(fault, a))) continue;
-    if (only_while && access(only_while, F_OK) != 0) continue;
-    if (__atomic_add_fetch(&fault->seen, 1, __ATOMIC_RELAXED) % fault->every == 0) {
+    if (fault->only_epoll_add && a[1] != EPOLL_CTL_ADD) continue;
+    if (fault->call != call || (fault->takes_file && !is_on_matching_file(fault, a))) continue;
+    if (enable_file && access(enable_file, F_OK) != 0) continue;
+    if (__atomic_add_fetch(&fault->call_count, 1, __ATOMIC_RELAXED) % fault->every == 0) {
       r[REG_RAX] = -fault->error;
       errno = saved;
       return;
     }
   }
-  r[REG_RAX] = marked(call, a);
+  r[REG_RAX] = repeat_call(call, a);
   errno = saved;
 }
 
-static void add(const char *name, const char *error, int every) {
+static void add_fault(const char *name, const char *error, int every) {
   struct fault fault = {-1, -1, every, 0, strcmp(name, "epoll_add") == 0, 0};
   for (size_t i = 0; i < sizeof CALLS / sizeof *CALLS; i++)
-    if (strcmp(CALLS[i].name, name) == 0) fault.call = CALLS[i].call, fault.on_file = CALLS[i].on_file;
+    if (strcmp(CALLS[i].name, name) == 0) fault.call = CALLS[i].call, fault.takes_file = CALLS[i].takes_file;
   for (size_t i = 0; i < sizeof ERRORS / sizeof *ERRORS; i++)
     if (strcmp(ERRORS[i].name, error) == 0) fault.error = ERRORS[i].error;
-  if (fault.call < 0 || fault.error < 0 || every < 1 || known == MOST) {
-    fprintf(stderr, "FAULT_CALLS: %s=%s/%d is not understood\n", name, error, every);
+  if (fault.call < 0 || fault.error < 0 || every < 1 || fault_count == MAX_FAULTS) {
+    fprintf(stderr, "FAULT_CALLS: invalid entry %s=%s/%d\n", name, error, every);
     _exit(97);
   }
-  faults[known++] = fault;
+  faults[fault_count++] = fault;
 }
 
-static void filter(void) {
-  struct sock_filter code[4 + 4 * MOST];
+static void install_filter(void) {
+  struct sock_filter code[4 + 4 * MAX_FAULTS];
   int n = 0;
   code[n++] = (struct sock_filter)BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, nr));
-  for (int i = 0; i < known; i++) {
+  for (int i = 0; i < fault_count; i++) {
     code[n++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, faults[i].call, 0, 3);
     code[n++] = (struct sock_filter)BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, args[5]));
-    code[n++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, MARK, 1, 0);
+    code[n++] = (struct sock_filter)BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, PASS_MARKER, 1, 0);
     code[n++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_TRAP);
   }
   code[n++] = (struct sock_filter)BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW);
   struct sock_fprog program = {n, code};
-  struct sigaction action = {.sa_sigaction = on_call, .sa_flags = SA_SIGINFO | SA_NODEFER | SA_RESTART};
+  struct sigaction action = {.sa_sigaction = handle_sigsys, .sa_flags = SA_SIGINFO | SA_NODEFER | SA_RESTART};
   if (sigaction(SIGSYS, &action, NULL) || prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0) ||
       prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program)) {
     perror("FAULT_CALLS");
@@ -131,19 +133,19 @@
   }
 }
 
-__attribute__((constructor)) static void start(void) {
-  only_while = getenv("FAULT_WHILE");
-  under = getenv("FAULT_UNDER");
+__attribute__((constructor)) static void load_faults(void) {
+  enable_file = getenv("FAULT_WHILE");
+  path_filter = getenv("FAULT_UNDER");
   char *calls = getenv("FAULT_CALLS");
   if (!calls || !*calls) return;
   char copy[512], name[32], error[32];
   snprintf(copy, sizeof copy, "%s", calls);
-  for (char *rest = copy, *word; (word = strsep(&rest, " "));) {
+  for (char *remaining = copy, *entry; (entry = strsep(&remaining, " "));) {
     int every = 0;
-    sscanf(word, "%31[^=]=%31[^/]/%d", name, error, &every);
-    add(name, error, every);
+    sscanf(entry, "%31[^=]=%31[^/]/%d", name, error, &every);
+    add_fault(name, error, every);
   }
-  filter();
+  install_filter();
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
--- a/crates/test-cluster/src/discovery/calls.rs
+++ b/crates/test-cluster/src/discovery/calls.rs
@@ -1,39 +1,39 @@
-//! Calls that came, and what became of them.
-use super::{Inner, Manner};
-use crate::engine::lock;
+//! Calls to discovery, and their outcomes.
+use super::{Inner, Mode};
+use crate::runtime::lock;
 use std::time::Duration;
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered with what it asked for.
+    /// Answered as requested.
     Answered,
-    /// It was told 503 because of its turn: it would wait or has waited too long, or too many callers wait.
-    TurnedAway,
-    /// It was told 503 because of [`Manner::Unavailable`].
+    /// Answered 503 by the queue: the call would wait or has waited too long, or too many calls wait.
+    Rejected,
+    /// Answered 503 because of [`Mode::Unavailable`].
     Unavailable,
-    /// Its caller went before it was answered, or its connection was reset.
+    /// The caller closed the connection before the answer, or the connection was reset.
     Left,
 }
 
 /// A call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// At which door.
-    pub front: String,
-    /// When it had come.
+    /// The caller on whose address it was received.
+    pub gateway: String,
+    /// Time at which it was received.
     pub at: Duration,
-    /// When and what became of it; none where it still waits.
+    /// Its outcome and the time of it; none while the call waits.
     pub outcome: Option<(Duration, Outcome)>,
 }
 
-/// A call that waits; it has left where it is dropped without another outcome.
-pub(super) struct Open<'a> {
+/// A call that waits. If it is dropped without an outcome, the caller has left.
+pub(super) struct OpenCall<'a> {
     inner: &'a Inner,
     number: usize,
 }
 
-impl Open<'_> {
+impl OpenCall<'_> {
     pub(super) fn end(&self, outcome: Outcome) {
         let at = self.inner.clock.now();
         if let Some(call) = lock(&self.inner.state).calls.get_mut(self.number) {
@@ -42,28 +42,28 @@
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
         self.end(Outcome::Left);
     }
 }
 
 impl Inner {
-    pub(super) fn came(&self, front: &str) -> Open<'_> {
+    pub(super) fn register_call(&self, gateway: &str) -> OpenCall<'_> {
         let mut state = lock(&self.state);
-        state.calls.push(Call { front: front.into(), at: self.clock.now(), outcome: None });
-        Open { inner: self, number: state.calls.len() - 1 }
+        state.calls.push(Call { gateway: gateway.into(), at: self.clock.now(), outcome: None });
+        OpenCall { inner: self, number: state.calls.len() - 1 }
     }
 
-    pub(super) fn manner(&self) -> Manner {
-        lock(&self.state).manner
+    pub(super) fn mode(&self) -> Mode {
+        lock(&self.state).mode
     }
 
-    /// Waits until its manner is such a one.
-    pub(super) async fn manner_that(&self, wanted: impl Fn(Manner) -> bool) {
+    /// Waits until the mode is one of those wanted.
+    pub(super) async fn wait_for_mode(&self, wanted: impl Fn(Mode) -> bool) {
         loop {
             let changed = self.changed.listen();
-            if wanted(self.manner()) {
+            if wanted(self.mode()) {
                 return;
             }
             changed.await;
--- a/crates/test-cluster/src/discovery/doors.rs
+++ b/crates/test-cluster/src/discovery/listeners.rs
@@ -1,6 +1,6 @@
-//! Where discovery listens.
-use super::{serve, Inner};
-use crate::engine::{lock, pause};
+//! Listeners of discovery.
+use super::{connections, Inner};
+use crate::runtime::{lock, sleep};
 use async_io::Async;
 use futures_lite::future;
 use std::io;
@@ -8,23 +8,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that wait to be accepted: a whole fleet may come while the machine stands still.
+/// Limit on connections that wait to be accepted: a whole fleet may connect while the machine stalls.
 const BACKLOG: i32 = 4096;
-const AGAIN: Duration = Duration::from_millis(5);
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Listens there.
+/// Binds a listener.
 pub(super) fn listen(at: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = TcpListener::bind(at)?;
     rustix::net::listen(&listener, BACKLOG)?;
     Async::new(listener)
 }
 
-/// Serves who comes, while doors are open.
-pub(super) async fn run(inner: Arc<Inner>, front: String, at: SocketAddr, listener: Async<TcpListener>) {
+/// Accepts and serves connections while discovery is not closed.
+pub(super) async fn run(inner: Arc<Inner>, gateway: String, at: SocketAddr, listener: Async<TcpListener>) {
     let mut listener = Some(listener);
     loop {
         let changed = inner.changed.listen();
-        if lock(&inner.state).closed {
+        if lock(&inner.state).is_closed {
             listener = None;
             changed.await;
             continue;
@@ -32,7 +32,7 @@
         let Some(open) = &listener else {
             listener = listen(at).ok();
             if listener.is_none() {
-                pause(AGAIN).await;
+                sleep(RETRY_DELAY).await;
             }
             continue;
         };
@@ -43,9 +43,9 @@
         match future::or(changed, async { Some(open.accept().await) }).await {
             Some(Ok((stream, _))) => {
                 let _ = stream.get_ref().set_nodelay(true);
-                inner.spawner.spawn(serve::call(inner.clone(), front.clone(), stream));
+                inner.spawner.spawn(connections::handle(inner.clone(), gateway.clone(), stream));
             }
-            Some(Err(_)) => pause(AGAIN).await,
+            Some(Err(_)) => sleep(RETRY_DELAY).await,
             None => {}
         }
     }
--- a/crates/test-cluster/src/discovery/mod.rs
+++ b/crates/test-cluster/src/discovery/mod.rs
@@ -1,14 +1,15 @@
-//! Stand-in discovery: the list, and watches over HTTP. Each front has a door of its own.
+//! A fake discovery service with the list of backends and watches over HTTP. It listens on an address of its
+//! own for each gateway.
 mod calls;
-mod doors;
-mod news;
+mod connections;
+mod listeners;
 mod queue;
-mod serve;
+mod updates;
 
 pub use calls::{Call, Outcome};
-pub use queue::{Refusal, Turns};
+pub use queue::{QueuePolicy, RejectionTiming};
 
-use crate::engine::{lock, Clock, Spawner};
+use crate::runtime::{lock, Clock, Spawner};
 use event_listener::Event;
 use queue::Queue;
 use std::collections::BTreeMap;
@@ -17,105 +18,111 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A box's lifecycle.
+/// The lifecycle of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lifecycle {
-    /// It takes what comes.
+    /// It accepts requests.
     Active,
-    /// It finishes what it has, and wants nothing new.
+    /// It finishes its requests and accepts no new ones.
     Leaving,
-    /// It is not there any more.
+    /// It is gone.
     Left,
 }
 
-/// A box on the list.
+/// A backend on the list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedBackend {
     /// Its name.
     pub name: String,
-    /// Its hall.
-    pub hall: String,
+    /// Its zone.
+    pub zone: String,
     /// The shard that it holds.
-    pub cell: i64,
+    pub shard: i64,
     /// `resp` or `iscsi`.
-    pub speaks: &'static str,
-    /// Its target's name, for iSCSI.
+    pub protocol: &'static str,
+    /// Name of its target, for iSCSI.
     pub target: String,
     /// Its lifecycle.
     pub lifecycle: Lifecycle,
-    /// Its last start, as Unix time in milliseconds; 0 for long ago.
+    /// Time of its last start in Unix milliseconds; 0 for long ago.
     pub started_ms: u64,
-    /// Its address, as each front sees it.
+    /// Its address as seen by each gateway.
     pub addresses: BTreeMap<String, SocketAddr>,
 }
 
-/// How discovery acts.
+/// How discovery behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
-    /// As it should.
+pub enum Mode {
+    /// It works.
     #[default]
-    Well,
-    /// Connections come up, and nothing is said.
+    Normal,
+    /// Connections are accepted, and nothing is sent.
     Silent,
     /// Calls are answered 503; watches end.
     Unavailable,
-    /// Watches and calls end with a reset.
+    /// Watches and calls are reset.
     Down,
 }
 
-/// Something that was written to a front.
+/// An update that was sent to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
-    /// Its place in the rig's order.
-    pub order: u64,
-    /// When the last byte was written.
+pub struct SentUpdate {
+    /// Its sequence number.
+    pub sequence: u64,
+    /// Time at which its last byte was written.
     pub at: Duration,
-    /// The front.
-    pub front: String,
-    /// The generation.
+    /// The gateway.
+    pub gateway: String,
+    /// The generation of the list.
     pub generation: u64,
-    /// Whether it was the whole list: what it does not name is gone.
-    pub whole: bool,
-    /// What it said of which boxes.
-    pub boxes: Vec<(String, Lifecycle)>,
+    /// Whether it was the full list, so that backends that it does not name are gone.
+    pub is_full_list: bool,
+    /// The backends that it named, with their lifecycles.
+    pub backends: Vec<(String, Lifecycle)>,
 }
 
 struct State {
-    manner: Manner,
+    mode: Mode,
     generation: u64,
-    /// Each with the generation that changed it last.
-    boxes: BTreeMap<String, (u64, Listed)>,
-    told: Vec<Told>,
+    /// Each backend with the generation that changed it last.
+    backends: BTreeMap<String, (u64, ListedBackend)>,
+    sent_updates: Vec<SentUpdate>,
     calls: Vec<Call>,
-    /// Nobody listens at any door.
-    closed: bool,
+    /// Whether all listeners are closed.
+    is_closed: bool,
 }
 
 struct Inner {
     clock: Clock,
     spawner: Spawner,
     state: Mutex<State>,
-    /// Wakes whatever waits for another list or manner.
+    /// Notified when the list or the mode changes.
     changed: Event,
     queue: Mutex<Queue>,
-    /// Wakes the one who takes calls in turn.
+    /// Notified when a call joins the queue.
     joined: Event,
 }
 
-/// Discovery.
+/// The fake discovery service.
 pub struct Discovery(Arc<Inner>);
 
 impl Discovery {
-    /// Listens at a door for each front, with such a list.
+    /// Starts with a list of backends, and listens on the given address for each gateway.
     pub fn start(
-        doors: &BTreeMap<String, SocketAddr>,
-        boxes: Vec<Listed>,
+        listen_addresses: &BTreeMap<String, SocketAddr>,
+        backends: Vec<ListedBackend>,
         clock: Clock,
         spawner: Spawner,
     ) -> io::Result<Discovery> {
-        let boxes = boxes.into_iter().map(|b| (b.name.clone(), (1, b))).collect();
-        let state =
-            State { manner: Manner::Well, generation: 1, boxes, told: vec![], calls: vec![], closed: false };
+        let backends = backends.into_iter().map(|b| (b.name.clone(), (1, b))).collect();
+        let state = State {
+            mode: Mode::Normal,
+            generation: 1,
+            backends,
+            sent_updates: vec![],
+            calls: vec![],
+            is_closed: false,
+        };
         let inner = Arc::new(Inner {
             clock,
             spawner,
@@ -125,69 +132,70 @@
             joined: Event::new(),
         });
         let discovery = Discovery(inner);
-        doors.iter().try_for_each(|(front, at)| discovery.door(front, *at))?;
-        discovery.0.spawner.spawn(queue::work(discovery.0.clone()));
+        listen_addresses.iter().try_for_each(|(gateway, at)| discovery.add_listener(gateway, *at))?;
+        discovery.0.spawner.spawn(queue::run(discovery.0.clone()));
         Ok(discovery)
     }
 
-    /// Listens at one more door.
-    pub fn door(&self, front: &str, at: SocketAddr) -> io::Result<()> {
-        let listener = doors::listen(at)?;
-        self.0.spawner.spawn(doors::run(self.0.clone(), front.into(), at, listener));
+    /// Listens on one more address.
+    pub fn add_listener(&self, gateway: &str, at: SocketAddr) -> io::Result<()> {
+        let listener = listeners::listen(at)?;
+        self.0.spawner.spawn(listeners::run(self.0.clone(), gateway.into(), at, listener));
         Ok(())
     }
 
-    /// Stops listening at all doors, or listens again; watches and calls that are there stay as they are.
-    pub fn close(&self, closed: bool) {
-        lock(&self.0.state).closed = closed;
+    /// Closes all listeners, or opens them again; established connections are not affected.
+    pub fn set_closed(&self, is_closed: bool) {
+        lock(&self.0.state).is_closed = is_closed;
         self.0.changed.notify(usize::MAX);
     }
 
-    /// Takes calls in turn from now on, or all at once again. Calls that wait keep their place.
-    pub fn take_turns(&self, turns: Option<Turns>) {
-        lock(&self.0.queue).turns = turns;
+    /// Queues calls from now on, or serves them immediately again. Calls that wait keep their place.
+    pub fn set_queue_policy(&self, policy: Option<QueuePolicy>) {
+        lock(&self.0.queue).policy = policy;
     }
 
-    /// Changes a box's entry; returns the new generation and when it changed. A name that is not listed changes nothing.
-    pub fn change(&self, name: &str, change: impl FnOnce(&mut Listed)) -> (u64, Duration) {
+    /// Changes the entry of a backend; returns the new generation and the time of the change. An unknown name
+    /// changes nothing.
+    pub fn update(&self, name: &str, change: impl FnOnce(&mut ListedBackend)) -> (u64, Duration) {
         let mut state = lock(&self.0.state);
         let next = state.generation + 1;
-        if let Some((at, listed)) = state.boxes.get_mut(name) {
+        if let Some((changed_in, listed)) = state.backends.get_mut(name) {
             change(listed);
-            *at = next;
+            *changed_in = next;
             state.generation = next;
             self.0.changed.notify(usize::MAX);
         }
         (state.generation, self.0.clock.now())
     }
 
-    /// Sets a box's lifecycle.
-    pub fn set(&self, name: &str, lifecycle: Lifecycle) -> (u64, Duration) {
-        self.change(name, |listed| listed.lifecycle = lifecycle)
+    /// Sets the lifecycle of a backend.
+    pub fn set_lifecycle(&self, name: &str, lifecycle: Lifecycle) -> (u64, Duration) {
+        self.update(name, |listed| listed.lifecycle = lifecycle)
     }
 
-    /// Lists a box, anew or in another's place.
-    pub fn list(&self, listed: Listed) -> u64 {
+    /// Adds or replaces a backend on the list; returns the new generation.
+    pub fn add(&self, listed: ListedBackend) -> u64 {
         let mut state = lock(&self.0.state);
         state.generation += 1;
         let generation = state.generation;
-        state.boxes.insert(listed.name.clone(), (generation, listed));
+        state.backends.insert(listed.name.clone(), (generation, listed));
         self.0.changed.notify(usize::MAX);
         generation
     }
 
-    /// Sets how it acts, from now on.
-    pub fn act(&self, manner: Manner) {
-        lock(&self.0.state).manner = manner;
+    /// Sets the mode from now on.
+    pub fn set_mode(&self, mode: Mode) {
+        lock(&self.0.state).mode = mode;
         self.0.changed.notify(usize::MAX);
     }
 
-    /// Everything that was written so far.
-    pub fn told(&self) -> Vec<Told> {
-        lock(&self.0.state).told.clone()
+    /// All updates that were sent so far.
+    pub fn sent_updates(&self) -> Vec<SentUpdate> {
+        lock(&self.0.state).sent_updates.clone()
     }
 
-    /// Calls that came, in their order, and what became of them.
+    /// All calls in the order of their arrival, with their outcomes.
     pub fn calls(&self) -> Vec<Call> {
         lock(&self.0.state).calls.clone()
     }
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,6 +1,6 @@
-//! Test support: several processes of the program, boxes, discovery, and links that fail. Schedules of faults come from
-//! seeds that are printed, verdicts rest on what boxes, discovery and clients have logged and not on the machine's speed,
-//! and only what was started here is ever signalled.
+//! Test support: several gateway processes, fake backends, discovery, and links that can fail. Fault
+//! schedules are drawn from seeds that are printed. Checks are based on what backends, discovery and clients
+//! have logged, not on the speed of the machine. Only processes that were started here are ever signalled.
 #![allow(
     clippy::let_underscore_must_use,
     clippy::map_err_ignore,
@@ -9,23 +9,23 @@
     clippy::too_many_lines,
     reason = "not revised yet: docs/ROADMAP.md"
 )]
-pub mod boxes;
+pub mod admin_client;
+pub mod backends;
+pub mod checks;
 pub mod clients;
+pub mod cluster;
+pub mod cluster_config;
 pub mod discovery;
-pub mod engine;
-pub mod faults;
-pub mod files;
-pub mod fronts;
-pub mod hollow;
+pub mod event_log;
+pub mod gateway_process;
 pub mod links;
-pub mod operator;
+pub mod loopback;
 mod outages;
-mod play;
-pub mod ports;
-mod relay;
-pub mod rig;
+pub mod runtime;
 pub mod schedule;
-pub mod setup;
-pub mod story;
-mod tunnel;
-pub mod verdict;
+mod schedule_runner;
+pub mod simulated_callers;
+pub mod syscall_faults;
+mod tcp_forwarder;
+pub mod templates;
+mod udp_forwarder;
--- a/crates/test-cluster/src/links.rs
+++ b/crates/test-cluster/src/links.rs
@@ -1,8 +1,8 @@
-//! Links between named parties: TCP and UDP go through them, and each direction can be cut, delayed, slowed or made
-//! lossy for itself. A cut link says nothing: what is sent waits, as in a kernel that sends again, until it heals, and new
-//! connections don't come up.
-use crate::engine::{lock, Clock, Spawner};
-use crate::{relay, tunnel};
+//! Network links between named components. TCP and UDP pass through them, and each direction can be cut,
+//! delayed, slowed or made lossy by itself. A cut direction gives no sign of it: data that is sent waits
+//! until the link heals, as if the kernel retransmitted it, and new connections are not established.
+use crate::runtime::{lock, Clock, Spawner};
+use crate::{tcp_forwarder, udp_forwarder};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -10,167 +10,183 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How one direction is.
+/// Condition of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Condition {
     /// Nothing passes.
     pub cut: bool,
-    /// What passes comes so much later.
+    /// Delay of everything that passes.
     pub delay: Duration,
-    /// The most bytes in a second.
+    /// Limit on the throughput in bytes per second.
     pub rate: Option<u32>,
-    /// The share of datagrams that is lost; TCP loses nothing.
+    /// Share of datagrams that is lost; has no effect on TCP.
     pub loss: f64,
 }
 
-/// A direction that was not well for a time; `until` is none while it still is.
+/// A time in which a direction was impaired; `until` is none while it still is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pause {
-    /// Who sends.
+pub struct Impairment {
+    /// The sender.
     pub from: String,
-    /// Who should get it.
+    /// The receiver.
     pub to: String,
-    /// From when.
+    /// Start of the impairment.
     pub since: Duration,
-    /// Until when.
+    /// End of the impairment.
     pub until: Option<Duration>,
 }
 
-/// What one direction has carried.
+/// What has passed through one direction.
 #[derive(Debug, Default)]
-pub struct Carried {
-    /// Bytes of connections.
+pub struct Traffic {
+    /// Bytes of TCP connections.
     pub bytes: AtomicU64,
     /// Datagrams.
     pub datagrams: AtomicU64,
-    /// Datagrams that were cut off or lost.
+    /// Datagrams that were dropped because of a cut or a loss.
     pub lost: AtomicU64,
 }
 
-/// One direction.
+/// One direction of the links of a pair.
 #[derive(Debug, Default)]
-pub(crate) struct Way {
+pub(crate) struct Direction {
     condition: Mutex<Condition>,
-    pub(crate) carried: Carried,
+    pub(crate) traffic: Traffic,
 }
 
-impl Way {
+impl Direction {
     pub(crate) fn condition(&self) -> Condition {
         *lock(&self.condition)
     }
 }
 
-/// Two parties, and all links between them. Their names are in order.
+/// Two components and all links between them, ordered by name.
 pub(crate) struct Pair {
-    pub(crate) ways: [Way; 2],
-    /// Connections are refused at once.
+    pub(crate) directions: [Direction; 2],
+    /// Whether new connections are refused immediately.
     pub(crate) refused: Mutex<bool>,
     /// Wakes the listeners when a condition has changed.
-    pokes: Mutex<Vec<async_channel::Sender<()>>>,
-    /// Closing it resets the connections that are there.
-    pub(crate) life: Mutex<(async_channel::Sender<()>, async_channel::Receiver<()>)>,
+    wakers: Mutex<Vec<async_channel::Sender<()>>>,
+    /// Closing it resets the established connections.
+    pub(crate) reset_channel: Mutex<(async_channel::Sender<()>, async_channel::Receiver<()>)>,
 }
 
 impl Pair {
-    /// Whether a new connection can come up: its answers have to come back too.
-    pub(crate) fn open(&self) -> bool {
-        !self.ways.iter().any(|w| w.condition().cut)
+    /// Whether a new connection can be established, which takes both directions.
+    pub(crate) fn is_open(&self) -> bool {
+        !self.directions.iter().any(|w| w.condition().cut)
     }
 
-    fn poke(&self) {
-        for poke in lock(&self.pokes).iter() {
-            let _ = poke.try_send(());
+    fn wake_listeners(&self) {
+        for waker in lock(&self.wakers).iter() {
+            let _ = waker.try_send(());
         }
     }
 }
 
-/// All links of a rig.
+/// All links of a test cluster.
 pub struct Links {
     clock: Clock,
     spawner: Spawner,
     seed: u64,
     pairs: Mutex<BTreeMap<(String, String), Arc<Pair>>>,
-    pauses: Mutex<Vec<Pause>>,
+    impairments: Mutex<Vec<Impairment>>,
 }
 
 impl Links {
-    /// None yet. The seed decides which datagrams are lost.
+    /// No links yet. The seed determines which datagrams are lost.
     pub fn new(clock: Clock, spawner: Spawner, seed: u64) -> Links {
-        Links { clock, spawner, seed, pairs: Mutex::default(), pauses: Mutex::default() }
+        Links { clock, spawner, seed, pairs: Mutex::default(), impairments: Mutex::default() }
     }
 
-    /// The pair and which of its directions goes from the first to the second.
+    /// The pair, and the index of its direction from the first to the second component.
     fn pair(&self, from: &str, to: &str) -> (Arc<Pair>, usize) {
-        let (a, b, way) = if from <= to { (from, to, 0) } else { (to, from, 1) };
+        let (a, b, direction) = if from <= to { (from, to, 0) } else { (to, from, 1) };
         let mut pairs = lock(&self.pairs);
         let pair = pairs.entry((a.into(), b.into())).or_insert_with(|| {
             Arc::new(Pair {
-                ways: Default::default(),
+                directions: Default::default(),
                 refused: Mutex::new(false),
-                pokes: Mutex::default(),
-                life: Mutex::new(async_channel::bounded(1)),
+                wakers: Mutex::default(),
+                reset_channel: Mutex::new(async_channel::bounded(1)),
             })
         });
-        (pair.clone(), way)
+        (pair.clone(), direction)
     }
 
-    /// Lets `from` reach `to` by TCP at `listen`; `to` listens at `target`.
+    /// Adds a TCP link: `from` connects to `listen`, and `to` listens on `target`.
     pub fn tcp(&self, from: &str, to: &str, listen: SocketAddr, target: SocketAddr) -> io::Result<()> {
-        let (pair, way) = self.pair(from, to);
-        let (poke, poked) = async_channel::bounded(1);
-        lock(&pair.pokes).push(poke);
+        let (pair, direction) = self.pair(from, to);
+        let (waker, woken) = async_channel::bounded(1);
+        lock(&pair.wakers).push(waker);
         let listener = TcpListener::bind(listen)?;
-        self.spawner.spawn(tunnel::run(self.spawner.clone(), pair, way, listener, target, poked));
+        self.spawner.spawn(tcp_forwarder::run(
+            self.spawner.clone(),
+            pair,
+            direction,
+            listener,
+            target,
+            woken,
+        ));
         Ok(())
     }
 
-    /// Lets two reach each other by UDP. Each is its name, its own socket's address, and the address at which it reaches the
-    /// other; what comes from the other comes from that address too.
+    /// Adds a UDP link. Each side is its name, the address of its socket, and the address on which it reaches
+    /// the other side; datagrams of the other side come from that address, too.
     pub fn udp(
         &self,
         a: (&str, SocketAddr, SocketAddr),
         b: (&str, SocketAddr, SocketAddr),
     ) -> io::Result<()> {
-        let (pair, way) = self.pair(a.0, b.0);
+        let (pair, direction) = self.pair(a.0, b.0);
         let sockets = (Arc::new(UdpSocket::bind(a.2)?), Arc::new(UdpSocket::bind(b.2)?));
         let seed = lock(&self.pairs).len() as u64 ^ self.seed;
         let (spawner, one, two) = (&self.spawner, sockets.0.clone(), sockets.1.clone());
-        spawner.spawn(relay::run(spawner.clone(), pair.clone(), way, one.clone(), two.clone(), b.1, seed));
-        spawner.spawn(relay::run(spawner.clone(), pair, 1 - way, two, one, a.1, !seed));
+        spawner.spawn(udp_forwarder::run(
+            spawner.clone(),
+            pair.clone(),
+            direction,
+            one.clone(),
+            two.clone(),
+            b.1,
+            seed,
+        ));
+        spawner.spawn(udp_forwarder::run(spawner.clone(), pair, 1 - direction, two, one, a.1, !seed));
         Ok(())
     }
 
-    /// How a direction is.
+    /// The condition of a direction.
     pub fn condition(&self, from: &str, to: &str) -> Condition {
-        let (pair, way) = self.pair(from, to);
-        pair.ways[way].condition()
-    }
-
-    /// Sets how a direction is, from now on.
-    pub fn set(&self, from: &str, to: &str, condition: Condition) {
-        let (pair, way) = self.pair(from, to);
-        let mut pauses = lock(&self.pauses);
-        let well = condition == Condition::default();
-        let open = pauses.iter_mut().rev().find(|p| p.until.is_none() && p.from == from && p.to == to);
-        match (open, well) {
+        let (pair, direction) = self.pair(from, to);
+        pair.directions[direction].condition()
+    }
+
+    /// Sets the condition of a direction.
+    pub fn set_condition(&self, from: &str, to: &str, condition: Condition) {
+        let (pair, direction) = self.pair(from, to);
+        let mut impairments = lock(&self.impairments);
+        let unimpaired = condition == Condition::default();
+        let current =
+            impairments.iter_mut().rev().find(|p| p.until.is_none() && p.from == from && p.to == to);
+        match (current, unimpaired) {
             (None, false) => {
                 let since = self.clock.now();
-                pauses.push(Pause { from: from.into(), to: to.into(), since, until: None });
-                *lock(&pair.ways[way].condition) = condition;
+                impairments.push(Impairment { from: from.into(), to: to.into(), since, until: None });
+                *lock(&pair.directions[direction].condition) = condition;
             }
-            (open, _) => {
-                *lock(&pair.ways[way].condition) = condition;
-                if let Some(open) = open.filter(|_| well) {
-                    open.until = Some(self.clock.now());
+            (current, _) => {
+                *lock(&pair.directions[direction].condition) = condition;
+                if let Some(current) = current.filter(|_| unimpaired) {
+                    current.until = Some(self.clock.now());
                 }
             }
         }
-        pair.poke();
+        pair.wake_listeners();
     }
 
     /// Cuts one direction.
     pub fn cut(&self, from: &str, to: &str) {
-        self.set(from, to, Condition { cut: true, ..self.condition(from, to) });
+        self.set_condition(from, to, Condition { cut: true, ..self.condition(from, to) });
     }
 
     /// Cuts both directions.
@@ -179,46 +195,47 @@
         self.cut(b, a);
     }
 
-    /// Cuts all links between parties of the one and of the other side, in both directions.
+    /// Cuts all links between the components of the two sides, in both directions.
     pub fn split(&self, one: &[String], other: &[String]) {
         one.iter().for_each(|a| other.iter().filter(|b| *b != a).for_each(|b| self.cut_both(a, b)));
     }
 
-    /// Makes both directions well.
+    /// Restores both directions.
     pub fn heal(&self, a: &str, b: &str) {
-        self.set(a, b, Condition::default());
-        self.set(b, a, Condition::default());
+        self.set_condition(a, b, Condition::default());
+        self.set_condition(b, a, Condition::default());
     }
 
-    /// Makes everything well.
+    /// Restores all links.
     pub fn heal_all(&self) {
         let names: Vec<(String, String)> = lock(&self.pairs).keys().cloned().collect();
         names.iter().for_each(|(a, b)| self.heal(a, b));
     }
 
-    /// Refuses new connections between the two, as a machine does on which nobody listens; or no longer.
-    pub fn refuse(&self, a: &str, b: &str, refused: bool) {
+    /// Refuses new connections between the two, as a host does on which nothing listens, or accepts them
+    /// again.
+    pub fn set_refused(&self, a: &str, b: &str, refused: bool) {
         let (pair, _) = self.pair(a, b);
         *lock(&pair.refused) = refused;
-        pair.poke();
+        pair.wake_listeners();
     }
 
-    /// Resets the connections that are there between the two.
+    /// Resets the established connections between the two.
     pub fn reset(&self, a: &str, b: &str) {
         let (pair, _) = self.pair(a, b);
-        *lock(&pair.life) = async_channel::bounded(1);
+        *lock(&pair.reset_channel) = async_channel::bounded(1);
     }
 
-    /// Everything that was not well so far, in the order in which it began.
-    pub fn pauses(&self) -> Vec<Pause> {
-        lock(&self.pauses).clone()
+    /// All impairments so far, ordered by their start.
+    pub fn impairments(&self) -> Vec<Impairment> {
+        lock(&self.impairments).clone()
     }
 
-    /// Bytes, datagrams, and datagrams lost of a direction.
-    pub fn carried(&self, from: &str, to: &str) -> (u64, u64, u64) {
-        let (pair, way) = self.pair(from, to);
-        let c = &pair.ways[way].carried;
-        let read = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        (read(&c.bytes), read(&c.datagrams), read(&c.lost))
+    /// Bytes, datagrams, and lost datagrams of a direction.
+    pub fn traffic(&self, from: &str, to: &str) -> (u64, u64, u64) {
+        let (pair, direction) = self.pair(from, to);
+        let traffic = &pair.directions[direction].traffic;
+        let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
+        (load(&traffic.bytes), load(&traffic.datagrams), load(&traffic.lost))
     }
 }
--- a/crates/test-cluster/src/outages.rs
+++ b/crates/test-cluster/src/outages.rs
@@ -1,70 +1,73 @@
-//! When a process did not run or not yet serve.
-use crate::engine::{lock, Clock};
-use crate::operator::pings;
+//! Times in which a gateway process did not run, or did not serve yet.
+use crate::admin_client::answers_ping;
+use crate::runtime::{lock, Clock};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A time in which a process did not run, or not yet serve; `until` is none while it still does not.
+/// A time in which a process did not run, or did not serve yet; `until` is none while it lasts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// From when.
+    /// Start of the outage.
     pub since: Duration,
-    /// Until when.
+    /// End of the outage.
     pub until: Option<Duration>,
-    /// Whether the process was another one afterwards.
-    pub ended: bool,
+    /// Whether the process ended, so that another one ran after the outage.
+    pub process_ended: bool,
 }
 
-/// The outages of one front.
+/// The outages of one gateway.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outages {
     all: Arc<Mutex<Vec<Outage>>>,
-    /// Counts processes and their ends.
-    life: Arc<AtomicU64>,
-    /// The process that has answered.
-    answered: Arc<AtomicU64>,
+    /// Incremented at each start and each end of a process.
+    process_number: Arc<AtomicU64>,
+    /// The number of the process that has answered.
+    answered_process: Arc<AtomicU64>,
 }
 
 impl Outages {
-    /// All so far.
+    /// All outages so far.
     pub(crate) fn all(&self) -> Vec<Outage> {
         lock(&self.all).clone()
     }
 
-    /// From now on it is out; an end counts until another process answers.
-    pub(crate) fn begin(&self, since: Duration, ended: bool) {
+    /// Begins an outage. One in which the process ended lasts until another process answers.
+    pub(crate) fn begin(&self, since: Duration, process_ended: bool) {
         let mut all = lock(&self.all);
-        if ended {
-            self.life.fetch_add(1, Ordering::SeqCst);
+        if process_ended {
+            self.process_number.fetch_add(1, Ordering::SeqCst);
         }
-        all.push(Outage { since, until: None, ended });
+        all.push(Outage { since, until: None, process_ended });
     }
 
-    /// It stands still no more.
-    pub(crate) fn goes_on(&self, now: Duration) {
+    /// Ends the outages in which the process was stalled.
+    pub(crate) fn end_stalls(&self, now: Duration) {
         let mut all = lock(&self.all);
-        all.iter_mut().filter(|o| !o.ended && o.until.is_none()).for_each(|o| o.until = Some(now));
+        all.iter_mut().filter(|o| !o.process_ended && o.until.is_none()).for_each(|o| o.until = Some(now));
     }
 
-    /// Whether the process that there is now has answered.
-    pub(crate) fn answers(&self) -> bool {
-        self.answered.load(Ordering::SeqCst) == self.life.load(Ordering::SeqCst)
+    /// Whether the current process has answered.
+    pub(crate) fn has_answered(&self) -> bool {
+        self.answered_process.load(Ordering::SeqCst) == self.process_number.load(Ordering::SeqCst)
     }
 
-    /// Looks, on a thread, for a new process to answer `PING`: from then on it is not out any more. Ends with the process.
-    pub(crate) fn await_answer(&self, at: SocketAddr, clock: Clock) {
-        let own = self.life.fetch_add(1, Ordering::SeqCst) + 1;
+    /// Polls the new process with `PING` on a thread and ends its outage at the first answer. The thread
+    /// stops when the process ends.
+    pub(crate) fn watch_for_answer(&self, address: SocketAddr, clock: Clock) {
+        let own_number = self.process_number.fetch_add(1, Ordering::SeqCst) + 1;
         let outages = self.clone();
         std::thread::spawn(move || {
-            while outages.life.load(Ordering::SeqCst) == own {
-                let answers = pings(at);
+            while outages.process_number.load(Ordering::SeqCst) == own_number {
+                let answers = answers_ping(address);
                 let mut all = lock(&outages.all);
-                if answers && outages.life.load(Ordering::SeqCst) == own {
+                if answers && outages.process_number.load(Ordering::SeqCst) == own_number {
                     let now = clock.now();
-                    all.iter_mut().filter(|o| o.ended && o.until.is_none()).for_each(|o| o.until = Some(now));
-                    outages.answered.store(own, Ordering::SeqCst);
+                    all.iter_mut()
+                        .filter(|o| o.process_ended && o.until.is_none())
+                        .for_each(|o| o.until = Some(now));
+                    outages.answered_process.store(own_number, Ordering::SeqCst);
                     return;
                 }
                 drop(all);
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -1,214 +1,243 @@
-//! Schedules of faults: drawn from a seed, printed, bounded, played again with `RIG_SEED`, and made smaller by leaving out
-//! one fault after the other (`RIG_DROP=1,4` leaves out the same by hand).
+//! Fault schedules: drawn from a seed, printed, bounded, replayed with `RIG_SEED`, and reduced by leaving out
+//! one fault after another (`RIG_DROP=1,4` leaves out the faults of these numbers).
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::time::Duration;
 
-/// The most faults of a schedule.
-pub const MOST: usize = 64;
+/// Limit on the number of faults in a schedule.
+pub const MAX_FAULTS: usize = 64;
 
-/// Something that fails for a time.
+/// A failure that lasts for a time.
 #[derive(Clone, Debug, PartialEq)]
 #[allow(missing_docs)]
 pub enum Fault {
-    /// Nothing passes from one to the other.
+    /// Cuts one direction.
     Cut { from: String, to: String },
-    /// Nothing passes between the two.
+    /// Cuts both directions.
     CutBoth { a: String, b: String },
-    /// Nothing passes between two halls: fronts, and boxes with the fronts of the other.
-    Halls { one: String, other: String },
-    /// What passes between the two comes later.
+    /// Cuts two zones off from each other: the links between their gateways, and those to backends of the
+    /// other zone.
+    ZonePartition { one: String, other: String },
+    /// Delays both directions.
     Delay { a: String, b: String, by: Duration },
-    /// Few bytes in a second pass from one to the other.
+    /// Limits the throughput of one direction.
     Slow { from: String, to: String, rate: u32 },
-    /// A share of datagrams between the two is lost.
+    /// Loses a share of the datagrams in both directions.
     Loss { a: String, b: String, share: f64 },
-    /// Connections between the two are reset once.
+    /// Resets the established connections once.
     Reset { a: String, b: String },
-    /// A front's process stands still.
-    Stall { front: String },
-    /// A front's process is killed, and started at the fault's end.
-    Kill { front: String, keep: bool },
-    /// Discovery lists a box as leaving, and as active at the fault's end.
-    Drain { place: String },
-    /// A box is gone, and starts cold at the fault's end.
-    Down { place: String, keep: bool },
-    /// A box turns away, fails or leaves unanswered such shares.
-    Sick { place: String, busy: f64, fail: f64, silent: f64 },
-    /// A box takes longer for each command.
-    Lame { place: String, service: Duration },
-    /// Discovery says nothing.
-    Mute,
+    /// Stalls a gateway's process.
+    Stall { gateway: String },
+    /// Kills a gateway's process; restarts it at the end of the fault.
+    Kill { gateway: String, keep: bool },
+    /// Discovery lists a backend as leaving, and as active at the end of the fault.
+    Drain { backend: String },
+    /// Stops a backend; it restarts cold at the end of the fault.
+    Down { backend: String, keep: bool },
+    /// A backend rejects, fails or leaves unanswered these shares of commands.
+    Unreliable { backend: String, busy: f64, fail: f64, silent: f64 },
+    /// A backend takes longer for each command.
+    SlowBackend { backend: String, service: Duration },
+    /// Discovery sends nothing.
+    DiscoverySilent,
     /// Discovery answers 503.
-    Unavailable,
+    DiscoveryUnavailable,
     /// Discovery resets its connections.
-    Undiscovered,
+    DiscoveryDown,
 }
 
 impl Fault {
-    /// What it strikes: two faults with the same never overlap in a drawn schedule.
-    fn subject(&self) -> BTreeSet<&str> {
+    /// The components that it affects: two faults with a common one never overlap in a drawn schedule.
+    fn targets(&self) -> BTreeSet<&str> {
         use Fault::*;
         match self {
             Cut { from: a, to: b } | Slow { from: a, to: b, .. } => [a.as_str(), b].into(),
             CutBoth { a, b } | Delay { a, b, .. } | Loss { a, b, .. } | Reset { a, b } => {
                 [a.as_str(), b].into()
             }
-            Halls { .. } => ["halls"].into(),
-            Stall { front } | Kill { front, .. } => [front.as_str()].into(),
-            Drain { place } | Down { place, .. } | Sick { place, .. } | Lame { place, .. } => {
-                [place.as_str()].into()
-            }
-            Mute | Unavailable | Undiscovered => ["discovery"].into(),
+            ZonePartition { .. } => ["zones"].into(),
+            Stall { gateway } | Kill { gateway, .. } => [gateway.as_str()].into(),
+            Drain { backend }
+            | Down { backend, .. }
+            | Unreliable { backend, .. }
+            | SlowBackend { backend, .. } => [backend.as_str()].into(),
+            DiscoverySilent | DiscoveryUnavailable | DiscoveryDown => ["discovery"].into(),
         }
     }
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A fault with its start and duration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Item {
-    /// From the schedule's start.
-    pub at: Duration,
-    /// Until it is made good.
-    pub lasts: Duration,
-    /// What fails.
+pub struct ScheduledFault {
+    /// Start, relative to the start of the schedule.
+    pub start: Duration,
+    /// Time until the fault is repaired.
+    pub duration: Duration,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Faults over a time. At its end everything is well again.
+/// Faults over a period. At its end all are repaired.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// What it was drawn from.
+    /// The seed that it was drawn from.
     pub seed: u64,
-    /// How long it is.
+    /// Length of the period.
     pub span: Duration,
-    /// The faults; what was left out keeps its number.
-    pub items: Vec<(usize, Item)>,
+    /// The faults. Each keeps its number when others are left out.
+    pub faults: Vec<(usize, ScheduledFault)>,
 }
 
-/// Whom faults may strike.
+/// The components that faults can affect.
 #[derive(Clone, Debug, Default)]
-pub struct Parties {
-    /// Fronts.
-    pub fronts: Vec<String>,
-    /// Boxes.
-    pub boxes: Vec<String>,
-    /// Halls.
-    pub halls: Vec<String>,
+pub struct FaultTargets {
+    /// Names of gateways.
+    pub gateways: Vec<String>,
+    /// Names of backends.
+    pub backends: Vec<String>,
+    /// Names of zones.
+    pub zones: Vec<String>,
 }
 
-/// A kind of fault that may be drawn: it makes one for the parties.
-pub type Kind = fn(&Parties, &mut SmallRng) -> Fault;
+/// Constructs a fault of one kind, with targets that it picks at random.
+pub type FaultKind = fn(&FaultTargets, &mut SmallRng) -> Fault;
 
-fn pick(names: &[String], rng: &mut SmallRng) -> String {
+fn pick_name(names: &[String], rng: &mut SmallRng) -> String {
     names.get(rng.random_range(0..names.len().max(1))).cloned().unwrap_or_default()
 }
 
-/// Kinds that the schedules of a smoke test need, each at least once.
-pub const USUAL: [Kind; 5] = [
-    |p, r| Fault::CutBoth { a: pick(&p.fronts, r), b: pick(&p.boxes, r) },
-    |p, r| Fault::Stall { front: pick(&p.fronts, r) },
-    |p, r| Fault::Kill { front: pick(&p.fronts, r), keep: r.random_bool(0.5) },
-    |p, r| Fault::Drain { place: pick(&p.boxes, r) },
-    |p, r| Fault::Cut { from: pick(&p.boxes, r), to: pick(&p.fronts, r) },
+/// The kinds that a smoke test has to cover, each at least once.
+pub const COMMON_FAULTS: [FaultKind; 5] = [
+    |p, r| Fault::CutBoth { a: pick_name(&p.gateways, r), b: pick_name(&p.backends, r) },
+    |p, r| Fault::Stall { gateway: pick_name(&p.gateways, r) },
+    |p, r| Fault::Kill { gateway: pick_name(&p.gateways, r), keep: r.random_bool(0.5) },
+    |p, r| Fault::Drain { backend: pick_name(&p.backends, r) },
+    |p, r| Fault::Cut { from: pick_name(&p.backends, r), to: pick_name(&p.gateways, r) },
 ];
 
-/// Kinds beyond the usual ones.
-pub const MORE: [Kind; 11] = [
-    |p, r| Fault::Cut { from: pick(&p.fronts, r), to: pick(&p.boxes, r) },
-    |p, r| Fault::CutBoth { a: pick(&p.fronts, r), b: "discovery".into() },
+/// Further kinds.
+pub const ADDITIONAL_FAULTS: [FaultKind; 11] = [
+    |p, r| Fault::Cut { from: pick_name(&p.gateways, r), to: pick_name(&p.backends, r) },
+    |p, r| Fault::CutBoth { a: pick_name(&p.gateways, r), b: "discovery".into() },
     |p, r| Fault::Delay {
-        a: pick(&p.fronts, r),
-        b: pick(&p.boxes, r),
+        a: pick_name(&p.gateways, r),
+        b: pick_name(&p.backends, r),
         by: Duration::from_millis(r.random_range(5..200)),
     },
-    |p, r| Fault::Slow { from: pick(&p.boxes, r), to: pick(&p.fronts, r), rate: r.random_range(100..5000) },
-    |p, r| Fault::Reset { a: pick(&p.fronts, r), b: pick(&p.boxes, r) },
-    |p, r| Fault::Down { place: pick(&p.boxes, r), keep: true },
-    |p, r| Fault::Sick { place: pick(&p.boxes, r), busy: 0.2, fail: 0.2, silent: r.random_range(0.0..0.3) },
-    |p, r| Fault::Lame { place: pick(&p.boxes, r), service: Duration::from_millis(r.random_range(50..900)) },
-    |_, _| Fault::Mute,
-    |_, _| Fault::Unavailable,
-    |_, _| Fault::Undiscovered,
+    |p, r| Fault::Slow {
+        from: pick_name(&p.backends, r),
+        to: pick_name(&p.gateways, r),
+        rate: r.random_range(100..5000),
+    },
+    |p, r| Fault::Reset { a: pick_name(&p.gateways, r), b: pick_name(&p.backends, r) },
+    |p, r| Fault::Down { backend: pick_name(&p.backends, r), keep: true },
+    |p, r| Fault::Unreliable {
+        backend: pick_name(&p.backends, r),
+        busy: 0.2,
+        fail: 0.2,
+        silent: r.random_range(0.0..0.3),
+    },
+    |p, r| Fault::SlowBackend {
+        backend: pick_name(&p.backends, r),
+        service: Duration::from_millis(r.random_range(50..900)),
+    },
+    |_, _| Fault::DiscoverySilent,
+    |_, _| Fault::DiscoveryUnavailable,
+    |_, _| Fault::DiscoveryDown,
 ];
 
 impl Schedule {
-    /// Draws `count` faults, the kinds in turn, so that each is there where there are enough. None strikes what another strikes at
-    /// the same time; each ends before the span does.
-    pub fn draw(seed: u64, span: Duration, parties: &Parties, kinds: &[Kind], count: usize) -> Schedule {
+    /// Draws `count` faults of all kinds in turn, so that each kind occurs if there are enough. Faults with a
+    /// common target do not overlap, and each fault ends before the period does.
+    pub fn draw(
+        seed: u64,
+        span: Duration,
+        fault_targets: &FaultTargets,
+        kinds: &[FaultKind],
+        count: usize,
+    ) -> Schedule {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut items: Vec<Item> = Vec::new();
+        let mut faults: Vec<ScheduledFault> = Vec::new();
         let ms = u64::try_from(span.as_millis()).unwrap_or(u64::MAX).max(100);
-        for n in 0..count.min(MOST) {
+        for n in 0..count.min(MAX_FAULTS) {
             let Some(kind) = kinds.get(n % kinds.len().max(1)) else { break };
-            // Bounded: a schedule that is full draws fewer.
+            // The number of tries is bounded: a schedule without room for another fault gets fewer.
             for _ in 0..50 {
-                let fault = kind(parties, &mut rng);
-                let lasts = rng.random_range(ms / 20..ms / 4);
-                let at = rng.random_range(ms / 50..ms - lasts - ms / 50);
-                let (at, lasts) = (Duration::from_millis(at), Duration::from_millis(lasts));
-                let item = Item { at, lasts, fault };
-                let meets = |o: &Item| {
-                    let apart = o.at + o.lasts <= item.at || item.at + item.lasts <= o.at;
-                    !apart && !o.fault.subject().is_disjoint(&item.fault.subject())
+                let fault = kind(fault_targets, &mut rng);
+                let duration = rng.random_range(ms / 20..ms / 4);
+                let start = rng.random_range(ms / 50..ms - duration - ms / 50);
+                let (start, duration) = (Duration::from_millis(start), Duration::from_millis(duration));
+                let scheduled = ScheduledFault { start, duration, fault };
+                let overlaps = |o: &ScheduledFault| {
+                    let apart = o.start + o.duration <= scheduled.start
+                        || scheduled.start + scheduled.duration <= o.start;
+                    !apart && !o.fault.targets().is_disjoint(&scheduled.fault.targets())
                 };
-                if !items.iter().any(meets) {
-                    items.push(item);
+                if !faults.iter().any(overlaps) {
+                    faults.push(scheduled);
                     break;
                 }
             }
         }
-        items.sort_by_key(|i| i.at);
-        Schedule { seed, span, items: items.into_iter().enumerate().collect() }
+        faults.sort_by_key(|i| i.start);
+        Schedule { seed, span, faults: faults.into_iter().enumerate().collect() }
     }
 
-    /// The same without the faults of these numbers.
+    /// The schedule without the faults of these numbers.
     pub fn without(&self, numbers: &[usize]) -> Schedule {
-        let items = self.items.iter().filter(|(n, _)| !numbers.contains(n)).cloned().collect();
-        Schedule { items, ..self.clone() }
+        let faults = self.faults.iter().filter(|(n, _)| !numbers.contains(n)).cloned().collect();
+        Schedule { faults, ..self.clone() }
     }
 
-    /// Begins and ends of faults, in time's order; an end comes before a begin of the same time.
-    pub fn steps(&self) -> Vec<(Duration, bool, &Item)> {
-        let both = |(_, item): &'_ (usize, Item)| [(item.at, true), (item.at + item.lasts, false)];
+    /// Starts (true) and ends (false) of faults in order of time; at the same time ends come before starts.
+    pub fn steps(&self) -> Vec<(Duration, bool, &ScheduledFault)> {
+        let both = |(_, scheduled): &'_ (usize, ScheduledFault)| {
+            [(scheduled.start, true), (scheduled.start + scheduled.duration, false)]
+        };
         let mut steps: Vec<_> =
-            self.items.iter().flat_map(|i| both(i).map(|(at, begins)| (at, begins, &i.1))).collect();
+            self.faults.iter().flat_map(|i| both(i).map(|(at, begins)| (at, begins, &i.1))).collect();
         steps.sort_by_key(|(at, begins, _)| (*at, *begins));
         steps
     }
 
-    /// The smallest part of it that still fails, found by leaving out one fault after the other.
+    /// A smaller schedule that still fails, found by leaving out one fault after another.
     pub fn shrink(self, mut fails: impl FnMut(&Schedule) -> bool) -> Schedule {
-        let mut small = self;
-        let numbers: Vec<usize> = small.items.iter().map(|(n, _)| *n).collect();
+        let mut smallest = self;
+        let numbers: Vec<usize> = smallest.faults.iter().map(|(n, _)| *n).collect();
         for number in numbers {
-            let less = small.without(&[number]);
-            if fails(&less) {
-                small = less;
+            let candidate = smallest.without(&[number]);
+            if fails(&candidate) {
+                smallest = candidate;
             }
         }
-        small
+        smallest
     }
 }
 
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "RIG_SEED={} span {:?}, {} faults", self.seed, self.span, self.items.len())?;
-        self.items.iter().try_for_each(|(n, i)| {
-            write!(f, "\n  {n}: at {:.3} for {:.3} {:?}", i.at.as_secs_f64(), i.lasts.as_secs_f64(), i.fault)
+        write!(f, "RIG_SEED={} span {:?}, {} faults", self.seed, self.span, self.faults.len())?;
+        self.faults.iter().try_for_each(|(n, i)| {
+            write!(
+                f,
+                "\n  {n}: at {:.3} for {:.3} {:?}",
+                i.start.as_secs_f64(),
+                i.duration.as_secs_f64(),
+                i.fault
+            )
         })
     }
 }
 
-/// The seed that `RIG_SEED` names, else these.
-pub fn seeds(usual: &[u64]) -> Vec<u64> {
-    let named = std::env::var("RIG_SEED").ok().and_then(|s| s.parse().ok());
-    named.map_or_else(|| usual.to_vec(), |seed| vec![seed])
+/// The seed in `RIG_SEED`, or these seeds where it is not set.
+pub fn seeds(default_seeds: &[u64]) -> Vec<u64> {
+    let from_env = std::env::var("RIG_SEED").ok().and_then(|s| s.parse().ok());
+    from_env.map_or_else(|| default_seeds.to_vec(), |seed| vec![seed])
 }
 
-/// The numbers of faults that `RIG_DROP` leaves out.
-pub fn dropped() -> Vec<usize> {
-    let named = std::env::var("RIG_DROP").unwrap_or_default();
-    named.split(',').filter_map(|n| n.trim().parse().ok()).collect()
+/// The numbers of the faults that `RIG_DROP` leaves out.
+pub fn excluded_faults() -> Vec<usize> {
+    let from_env = std::env::var("RIG_DROP").unwrap_or_default();
+    from_env.split(',').filter_map(|n| n.trim().parse().ok()).collect()
 }
