--- a/crates/gateway/tests/gather.rs
+++ b/crates/gateway/tests/gather.rs
@@ -77,7 +77,7 @@
     // A booking of the same piece is one request, and each part one of its own that names its shard.
     client.book(ANY, "b1");
     let entries = evidence(&rig).commands;
-    assert!(entries.iter().any(|e| e.id == "b1" && e.write && e.key.1 == ANY));
+    assert!(entries.iter().any(|e| e.id == "b1" && e.is_write && e.key.1 == ANY));
     assert!(entries.iter().all(|e| e.id == "b1" || (e.id.contains('~') && e.key.1 == e.shard as u64)));
     let boxes: Vec<String> = vec!["box-1".into(), "box-3".into()];
     rig.links.split(&["front-0".into()], &boxes);
@@ -129,7 +129,7 @@
     for n in [1, 3] {
         let place = rig.backend(&format!("box-{n}")).unwrap();
         place.set_behavior(test_cluster::backends::Behavior {
-            service: Duration::from_millis(200),
+            service_time: Duration::from_millis(200),
             ..place.behavior()
         });
     }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -135,7 +135,7 @@
     rig.start(BACK).unwrap();
     // Some requests hang until their time is over, also when a gateway is to end.
     for server in &rig.backends {
-        server.set_behavior(Behavior { silent: SILENT, ..Behavior::default() });
+        server.set_behavior(Behavior { silent_share: SILENT, ..Behavior::default() });
     }
     let mut deadlines = [1000, 1000];
     let clients = Clients::start(&load(&rig), 10, seed, &rig.clock).unwrap();
--- a/crates/test-cluster/src/backends/execution.rs
+++ b/crates/test-cluster/src/backends/execution.rs
@@ -37,12 +37,12 @@
     fn draw_fault(&mut self) -> InjectedFault {
         let behavior = &self.behavior;
         let mut happens = |share: f64| share > 0.0 && self.rng.random_bool(share.min(1.0));
-        if happens(behavior.busy) {
+        if happens(behavior.busy_share) {
             InjectedFault::Busy
-        } else if happens(behavior.silent) {
-            InjectedFault::Silent(happens(behavior.silent_runs))
-        } else if happens(behavior.fail) {
-            InjectedFault::Failed(happens(behavior.fail_runs))
+        } else if happens(behavior.silent_share) {
+            InjectedFault::Silent(happens(behavior.executed_silent_share))
+        } else if happens(behavior.fail_share) {
+            InjectedFault::Failed(happens(behavior.executed_fail_share))
         } else {
             InjectedFault::Normal
         }
@@ -50,7 +50,7 @@
 
     fn slot_count(&self, now: Duration) -> usize {
         let cold = self.started.is_some_and(|s| now.saturating_sub(s) < self.behavior.warm_up);
-        if cold { self.behavior.cold_slots } else { self.behavior.slots }.max(1)
+        if cold { self.behavior.max_running_cold } else { self.behavior.max_running }.max(1)
     }
 
     /// Units that the backend has served for the volume through other gateways since it last reported them to
@@ -87,11 +87,11 @@
                 gateway: command.gateway.clone(),
                 id: command.id.clone(),
                 key: (command.volume.clone(), command.number),
-                write: command.body.is_ok(),
+                is_write: command.body.is_ok(),
                 shard: command.shard,
                 units: command.units,
                 wait_ms: command.wait_ms,
-                ran: None,
+                executed: None,
                 answer: Answer::None,
             });
             (state.log.len() - 1, fault)
@@ -110,7 +110,7 @@
         }
         let Some(slot) = self.acquire_slot(command.wait_ms).await else { return finish(Answer::Busy) };
         let values = self.apply(index, &command);
-        let service = lock(&self.state).behavior.service;
+        let service = lock(&self.state).behavior.service_time;
         sleep(service).await;
         drop(slot);
         match fault {
@@ -139,7 +139,7 @@
                     state.running += 1;
                     return Some(Slot(self));
                 }
-                if now >= deadline || (!is_waiting && state.waiting >= state.behavior.queue) {
+                if now >= deadline || (!is_waiting && state.waiting >= state.behavior.max_queued) {
                     return None;
                 }
                 if !std::mem::replace(&mut is_waiting, true) {
@@ -165,10 +165,10 @@
         };
         // Taken while the store is locked, so that the sequence of commands is that of their effects on the
         // data.
-        let ran = (self.clock.now(), self.clock.next_sequence());
+        let executed = (self.clock.now(), self.clock.next_sequence());
         drop(store);
         let mut state = lock(&self.state);
-        state.log[index].ran = Some(ran);
+        state.log[index].executed = Some(executed);
         *state.served.entry(command.volume.clone()).or_default() += u64::from(command.units);
         state.per_gateway.entry((command.volume.clone(), command.gateway.clone())).or_default().0 +=
             u64::from(command.units);
@@ -185,11 +185,11 @@
             gateway: gateway.into(),
             id: description.into(),
             key: Key::default(),
-            write: false,
+            is_write: false,
             shard: -1,
             units: 0,
             wait_ms: 0,
-            ran: None,
+            executed: None,
             answer: Answer::Syntax,
         });
     }
@@ -201,7 +201,7 @@
         bytes: &[u8],
     ) -> io::Result<()> {
         use futures_lite::AsyncWriteExt;
-        let Some(rate) = lock(&self.state).behavior.rate else { return stream.write_all(bytes).await };
+        let Some(rate) = lock(&self.state).behavior.max_bytes_s else { return stream.write_all(bytes).await };
         for chunk in bytes.chunks((rate as usize / 50).max(1)) {
             stream.write_all(chunk).await?;
             sleep(Duration::from_secs_f64(chunk.len() as f64 / f64::from(rate.max(1)))).await;
--- a/crates/test-cluster/src/backends/iscsi_target.rs
+++ b/crates/test-cluster/src/backends/iscsi_target.rs
@@ -106,7 +106,7 @@
 }
 
 /// A block without its zero padding.
-pub fn trim_padding(block: &[u8]) -> &[u8] {
+pub fn unpad(block: &[u8]) -> &[u8] {
     let end = block.iter().rposition(|b| *b != 0).map_or(0, |i| i + 1);
     &block[..end]
 }
@@ -144,9 +144,7 @@
             shard: inner.config.shard,
             units: u32::try_from(count).unwrap_or(u32::MAX),
             wait_ms: MAX_WAIT_MS,
-            body: body
-                .map(|data| data.chunks(BLOCK_BYTES).map(|b| trim_padding(b).into()).collect())
-                .ok_or(count),
+            body: body.map(|data| data.chunks(BLOCK_BYTES).map(|b| unpad(b).into()).collect()).ok_or(count),
         },
     ))
 }
--- a/crates/test-cluster/src/backends/mod.rs
+++ b/crates/test-cluster/src/backends/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub use iscsi_target::{target_name, trim_padding};
+pub use iscsi_target::{target_name, unpad};
 pub use model::{Answer, BackendConfig, Behavior, CommandRecord, Protocol};
 
 pub(crate) struct State {
--- a/crates/test-cluster/src/backends/model.rs
+++ b/crates/test-cluster/src/backends/model.rs
@@ -9,43 +9,43 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Behavior {
     /// Duration of a command.
-    pub service: Duration,
+    pub service_time: Duration,
     /// Limit on the commands that are executed at the same time.
-    pub slots: usize,
+    pub max_running: usize,
     /// Limit on the commands that wait.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Limit on the commands that are executed at the same time while the backend is cold.
-    pub cold_slots: usize,
+    pub max_running_cold: usize,
     /// How long the backend is cold after a restart.
     pub warm_up: Duration,
     /// Share of commands that are rejected with `-BUSY`.
-    pub busy: f64,
+    pub busy_share: f64,
     /// Share of commands that end with `-ERR failed`.
-    pub fail: f64,
+    pub fail_share: f64,
     /// Share of these that have been executed.
-    pub fail_runs: f64,
+    pub executed_fail_share: f64,
     /// Share of commands that are never answered.
-    pub silent: f64,
+    pub silent_share: f64,
     /// Share of these that have been executed.
-    pub silent_runs: f64,
+    pub executed_silent_share: f64,
     /// Limit on the throughput of answers in bytes per second.
-    pub rate: Option<u32>,
+    pub max_bytes_s: Option<u32>,
 }
 
 impl Default for Behavior {
     fn default() -> Self {
         Behavior {
-            service: Duration::from_millis(4),
-            slots: 16,
-            queue: 64,
-            cold_slots: 4,
+            service_time: Duration::from_millis(4),
+            max_running: 16,
+            max_queued: 64,
+            max_running_cold: 4,
             warm_up: Duration::from_secs(2),
-            busy: 0.0,
-            fail: 0.0,
-            fail_runs: 0.5,
-            silent: 0.0,
-            silent_runs: 0.5,
-            rate: None,
+            busy_share: 0.0,
+            fail_share: 0.0,
+            executed_fail_share: 0.5,
+            silent_share: 0.0,
+            executed_silent_share: 0.5,
+            max_bytes_s: None,
         }
     }
 }
@@ -83,7 +83,7 @@
     /// The volume, and the piece or block.
     pub key: Key,
     /// Whether it is a write.
-    pub write: bool,
+    pub is_write: bool,
     /// The shard that it names.
     pub shard: i64,
     /// Its units.
@@ -91,7 +91,7 @@
     /// How long the gateway waits for it according to the command, in milliseconds.
     pub wait_ms: u64,
     /// Time and sequence number of its execution; none if it was not executed.
-    pub ran: Option<(Duration, u64)>,
+    pub executed: Option<(Duration, u64)>,
     /// The answer.
     pub answer: Answer,
 }
--- a/crates/test-cluster/src/checks/mod.rs
+++ b/crates/test-cluster/src/checks/mod.rs
@@ -125,8 +125,9 @@
 
 fn describe_command(e: &CommandRecord) -> String {
     let s = |d: Duration| d.as_secs_f64();
-    let verb = if e.write { "PWRITE" } else { "PREAD" };
-    let ran = e.ran.map_or("not run".into(), |(at, sequence)| format!("ran {:.3} order {sequence}", s(at)));
+    let verb = if e.is_write { "PWRITE" } else { "PREAD" };
+    let ran =
+        e.executed.map_or("not run".into(), |(at, sequence)| format!("ran {:.3} order {sequence}", s(at)));
     format!(
         "{} from {} {verb} {} volume={} number={:x} first {:.3} whole {:.3} order {} {ran} {:?}",
         e.backend,
--- a/crates/test-cluster/src/checks/requests.rs
+++ b/crates/test-cluster/src/checks/requests.rs
@@ -1,7 +1,7 @@
 //! Checks on requests and writes.
 use super::{describe_command, describe_request, CheckResult, RunRecord};
 use crate::backends::store::{Key, SharedStore, NEVER_WRITTEN};
-use crate::backends::{trim_padding, Answer, CommandRecord};
+use crate::backends::{unpad, Answer, CommandRecord};
 use crate::clients::{Request, RequestEnd};
 use crate::runtime::lock;
 use std::collections::BTreeMap;
@@ -52,7 +52,8 @@
 pub fn writes_run_once(run_record: &RunRecord) -> CheckResult {
     let mut result = CheckResult::new("every write is executed at most once");
     for (id, commands) in run_record.commands_by_request() {
-        let ran: Vec<&CommandRecord> = commands.into_iter().filter(|e| e.write && e.ran.is_some()).collect();
+        let ran: Vec<&CommandRecord> =
+            commands.into_iter().filter(|e| e.is_write && e.executed.is_some()).collect();
         if !ran.is_empty() {
             result.record(
                 (ran.len() > 1)
@@ -71,7 +72,7 @@
         |r: &&Request| r.written.is_some() && matches!(r.end, RequestEnd::Busy(_) | RequestEnd::Unsent);
     for r in run_record.requests.iter().filter(refused) {
         let candidates = commands_by_request.get(r.id.as_str()).into_iter().flatten().copied();
-        let ran: Vec<&CommandRecord> = candidates.filter(|e| e.ran.is_some()).collect();
+        let ran: Vec<&CommandRecord> = candidates.filter(|e| e.executed.is_some()).collect();
         result
             .record((!ran.is_empty()).then(|| format!("{}{}", describe_request(r), describe_commands(&ran))));
     }
@@ -83,12 +84,13 @@
     let mut result = CheckResult::new("served values come from a backend");
     let commands_by_request = run_record.commands_by_request();
     for r in &run_record.requests {
-        let RequestEnd::Served(value) = &r.end else { continue };
+        let RequestEnd::Served(got) = &r.end else { continue };
         let own = commands_by_request.get(r.id.as_str()).cloned().unwrap_or_default();
-        let returned_value = |e: &CommandRecord| matches!(&e.answer, Answer::Value(v) if e.write || trim_padding(v) == trim_padding(value));
+        let has_value =
+            |e: &CommandRecord| matches!(&e.answer, Answer::Value(v) if e.is_write || unpad(v) == unpad(got));
         // A read over iSCSI carries no id: it is matched by the value that it returned.
-        let tagged = || run_record.commands.iter().any(|e| e.id.starts_with("task-") && returned_value(e));
-        let good = own.iter().any(|e| e.ran.is_some() && returned_value(e))
+        let tagged = || run_record.commands.iter().any(|e| e.id.starts_with("task-") && has_value(e));
+        let good = own.iter().any(|e| e.executed.is_some() && has_value(e))
             || (r.written.is_none() && own.is_empty() && tagged());
         result.record((!good).then(|| format!("{}{}", describe_request(r), describe_commands(&own))));
     }
@@ -124,13 +126,10 @@
         let is_served = |r: &&&Request| matches!(r.end, RequestEnd::Served(_));
         let before =
             candidates.iter().filter(is_served).filter(|r| r.ended.1 < read.sent.1).max_by_key(|r| r.sent.1);
-        let source =
-            candidates.iter().find(|r| r.written.as_deref().is_some_and(|b| b == trim_padding(value)));
+        let source = candidates.iter().find(|r| r.written.as_deref().is_some_and(|b| b == unpad(value)));
         let violation = match (before, source) {
             (Some(newer), None) => Some(format!("{} returned what no write stored", describe_request(newer))),
-            (None, None) if trim_padding(value) != NEVER_WRITTEN => {
-                Some("returned what no write stored".into())
-            }
+            (None, None) if unpad(value) != NEVER_WRITTEN => Some("returned what no write stored".into()),
             (Some(newer), Some(source))
                 if matches!(source.end, RequestEnd::Served(_)) && source.ended.1 < newer.sent.1 =>
             {
--- a/crates/test-cluster/src/clients/iscsi_client.rs
+++ b/crates/test-cluster/src/clients/iscsi_client.rs
@@ -1,6 +1,6 @@
 //! An iSCSI client: an initiator with a session to each gateway.
 use super::{is_open, Client, Request, RequestEnd, Volume};
-use crate::backends::trim_padding;
+use crate::backends::unpad;
 use iscsi::initiator::{Initiator, Response};
 use iscsi::scsi::{self, status};
 use iscsi::BLOCK_BYTES;
@@ -114,7 +114,7 @@
             match self.next(deadline) {
                 Ok(Response::Completed { tag, status: code, data, sense, .. }) if tag == task_tag => {
                     return match code {
-                        status::GOOD => RequestEnd::Served(trim_padding(&data).to_vec()),
+                        status::GOOD => RequestEnd::Served(unpad(&data).to_vec()),
                         status::BUSY | status::TASK_SET_FULL => RequestEnd::Busy(None),
                         _ => RequestEnd::Failed(format!("status {code:#x} sense {sense:x?}")),
                     }
--- a/crates/test-cluster/src/links.rs
+++ b/crates/test-cluster/src/links.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Condition {
     /// Nothing passes.
-    pub cut: bool,
+    pub is_cut: bool,
     /// Delay of everything that passes.
     pub delay: Duration,
     /// Limit on the throughput in bytes per second.
-    pub rate: Option<u32>,
+    pub max_bytes_s: Option<u32>,
     /// Share of datagrams that is lost; has no effect on TCP.
-    pub loss: f64,
+    pub loss_share: f64,
 }
 
 /// A time in which a direction was impaired; `until` is none while it still is.
@@ -74,7 +74,7 @@
 impl Pair {
     /// Whether a new connection can be established, which takes both directions.
     pub(crate) fn is_open(&self) -> bool {
-        !self.directions.iter().any(|w| w.condition().cut)
+        !self.directions.iter().any(|w| w.condition().is_cut)
     }
 
     fn wake_listeners(&self) {
@@ -186,7 +186,7 @@
 
     /// Cuts one direction.
     pub fn cut(&self, from: &str, to: &str) {
-        self.set_condition(from, to, Condition { cut: true, ..self.condition(from, to) });
+        self.set_condition(from, to, Condition { is_cut: true, ..self.condition(from, to) });
     }
 
     /// Cuts both directions.
--- a/crates/test-cluster/src/schedule_runner.rs
+++ b/crates/test-cluster/src/schedule_runner.rs
@@ -61,10 +61,10 @@
             Fault::ZonePartition { one, other } => self.split(one, other, false),
             Fault::Delay { a, b, by } => set_both_directions(a, b, Condition { delay: *by, ..unimpaired }),
             Fault::Slow { from, to, rate } => {
-                self.links.set_condition(from, to, Condition { rate: Some(*rate), ..unimpaired })
+                self.links.set_condition(from, to, Condition { max_bytes_s: Some(*rate), ..unimpaired })
             }
             Fault::Loss { a, b, share } => {
-                set_both_directions(a, b, Condition { loss: *share, ..unimpaired })
+                set_both_directions(a, b, Condition { loss_share: *share, ..unimpaired })
             }
             Fault::Reset { a, b } => self.links.reset(a, b),
             Fault::Stall { gateway } => self.gateway(gateway)?.stall()?,
@@ -77,15 +77,15 @@
             Fault::Unreliable { backend, busy, fail, silent } => {
                 let backend = self.backend(backend)?;
                 backend.set_behavior(Behavior {
-                    busy: *busy,
-                    fail: *fail,
-                    silent: *silent,
+                    busy_share: *busy,
+                    fail_share: *fail,
+                    silent_share: *silent,
                     ..backend.behavior()
                 });
             }
             Fault::SlowBackend { backend, service } => {
                 let backend = self.backend(backend)?;
-                backend.set_behavior(Behavior { service: *service, ..backend.behavior() });
+                backend.set_behavior(Behavior { service_time: *service, ..backend.behavior() });
             }
             Fault::DiscoverySilent => self.discovery.set_mode(discovery::Mode::Silent),
             Fault::DiscoveryUnavailable => self.discovery.set_mode(discovery::Mode::Unavailable),
--- a/crates/test-cluster/src/tcp_forwarder.rs
+++ b/crates/test-cluster/src/tcp_forwarder.rs
@@ -168,7 +168,7 @@
             };
             let part_bytes = pair.directions[direction]
                 .condition()
-                .rate
+                .max_bytes_s
                 .map_or(READ_BYTES, |r| (r as usize / 50).clamp(1, READ_BYTES));
             for part in bytes.chunks(part_bytes) {
                 if let Err(e) = stream.write_all(part).await {
@@ -177,7 +177,7 @@
                     return Err(e);
                 }
                 pair.directions[direction].traffic.bytes.fetch_add(part.len() as u64, Ordering::Relaxed);
-                if let Some(rate) = pair.directions[direction].condition().rate {
+                if let Some(rate) = pair.directions[direction].condition().max_bytes_s {
                     sleep(Duration::from_secs_f64(part.len() as f64 / f64::from(rate.max(1)))).await;
                 }
                 wait_until_passable(pair, direction).await;
@@ -189,7 +189,7 @@
 }
 
 async fn wait_until_passable(pair: &Pair, direction: usize) {
-    while pair.directions[direction].condition().cut {
+    while pair.directions[direction].condition().is_cut {
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/test-cluster/src/udp_forwarder.rs
+++ b/crates/test-cluster/src/udp_forwarder.rs
@@ -29,13 +29,13 @@
         let Ok((count, _)) = source.recv_from(&mut bytes).await else { continue };
         let traffic = &pair.directions[direction].traffic;
         let condition = pair.directions[direction].condition();
-        let is_lost = rng.random_bool(condition.loss.clamp(0.0, 1.0));
-        if condition.cut || is_lost || delayed.load(Ordering::Relaxed) >= MAX_DELAYED_DATAGRAMS {
+        let is_lost = rng.random_bool(condition.loss_share.clamp(0.0, 1.0));
+        if condition.is_cut || is_lost || delayed.load(Ordering::Relaxed) >= MAX_DELAYED_DATAGRAMS {
             traffic.lost.fetch_add(1, Ordering::Relaxed);
             continue;
         }
         traffic.datagrams.fetch_add(1, Ordering::Relaxed);
-        let transmit_s = condition.rate.map_or(0.0, |r| count as f64 / f64::from(r.max(1)));
+        let transmit_s = condition.max_bytes_s.map_or(0.0, |r| count as f64 / f64::from(r.max(1)));
         let delay = condition.delay + std::time::Duration::from_secs_f64(transmit_s);
         if delay.is_zero() {
             let _ = destination.send_to(&bytes[..count], target);
--- a/crates/test-cluster/tests/checks.rs
+++ b/crates/test-cluster/tests/checks.rs
@@ -30,7 +30,7 @@
 }
 
 /// An entry of a backend's command log.
-fn entry(id: &str, write: bool, at: u64, ran: bool, answer: Answer) -> CommandRecord {
+fn entry(id: &str, is_write: bool, at: u64, executed: bool, answer: Answer) -> CommandRecord {
     CommandRecord {
         sequence: at,
         first_byte_at: ms(at),
@@ -39,11 +39,11 @@
         gateway: "f".into(),
         id: id.into(),
         key: ("v".into(), 1),
-        write,
+        is_write,
         shard: 0,
         units: 1,
         wait_ms: 100,
-        ran: ran.then_some((ms(at), at)),
+        executed: executed.then_some((ms(at), at)),
         answer,
     }
 }
--- a/crates/test-cluster/tests/fake_backends.rs
+++ b/crates/test-cluster/tests/fake_backends.rs
@@ -95,7 +95,7 @@
     assert_eq!(send_command(&mut one, &read("r4", 2, 1)), "-BUSY cost=2\r\n");
     assert_eq!(send_command(&mut one, &command(&["PREAD", "7", "r5", "c=x"])), "-SYNTAX\r\n");
     let log = fixture.backend.command_log();
-    let summary = |i: usize| (log[i].id.as_str(), log[i].gateway.as_str(), log[i].ran.is_some());
+    let summary = |i: usize| (log[i].id.as_str(), log[i].gateway.as_str(), log[i].executed.is_some());
     assert_eq!(
         (summary(0), summary(1), summary(4)),
         (("r1", "one", true), ("b1", "one", true), ("r4", "one", false))
@@ -110,9 +110,9 @@
     let fixture = fixture(Protocol::Resp);
     let mut one = connect(&fixture, 7001);
     let behavior = Behavior::default();
-    fixture.backend.set_behavior(Behavior { busy: 1.0, ..behavior.clone() });
+    fixture.backend.set_behavior(Behavior { busy_share: 1.0, ..behavior.clone() });
     assert_eq!(send_command(&mut one, &write("b1", "x")), "-BUSY\r\n");
-    fixture.backend.set_behavior(Behavior { fail: 0.6, ..behavior.clone() });
+    fixture.backend.set_behavior(Behavior { fail_share: 0.6, ..behavior.clone() });
     let failed = (0..60)
         .filter(|n| send_command(&mut one, &write(&format!("c{n}"), "y")).starts_with("-ERR failed"))
         .count();
@@ -120,14 +120,16 @@
         .backend
         .command_log()
         .iter()
-        .filter(|e| e.answer == Answer::Failed && e.ran.is_some())
+        .filter(|e| e.answer == Answer::Failed && e.executed.is_some())
         .count();
     assert!((20..52).contains(&failed) && (5..failed).contains(&ran), "{failed} failed, {ran} ran");
-    assert!(fixture.backend.command_log().iter().all(|e| e.answer != Answer::Busy || e.ran.is_none()));
-    fixture.backend.set_behavior(Behavior { silent: 1.0, silent_runs: 1.0, ..behavior });
+    assert!(fixture.backend.command_log().iter().all(|e| e.answer != Answer::Busy || e.executed.is_none()));
+    fixture.backend.set_behavior(Behavior { silent_share: 1.0, executed_silent_share: 1.0, ..behavior });
     one.write_all(&write("b2", "quiet")).unwrap();
-    poll_until(TIMEOUT, || fixture.backend.command_log().last().filter(|e| e.id == "b2").and_then(|e| e.ran))
-        .unwrap();
+    poll_until(TIMEOUT, || {
+        fixture.backend.command_log().last().filter(|e| e.id == "b2").and_then(|e| e.executed)
+    })
+    .unwrap();
     one.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     assert!(one.read(&mut [0; 8]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock));
 }
@@ -141,17 +143,19 @@
     assert_eq!(one.read(&mut [0; 8]).unwrap_err().kind(), ErrorKind::ConnectionReset);
     assert!(fixture.backend.started().is_some());
     let cold = Behavior {
-        cold_slots: 1,
-        queue: 0,
-        service: Duration::from_millis(400),
+        max_running_cold: 1,
+        max_queued: 0,
+        service_time: Duration::from_millis(400),
         warm_up: Duration::from_secs(3600),
         ..Behavior::default()
     };
     fixture.backend.set_behavior(cold);
     let (mut one, mut two) = (connect(&fixture, 7001), connect(&fixture, 7002));
     one.write_all(&read("r1", 3, 1)).unwrap();
-    poll_until(TIMEOUT, || fixture.backend.command_log().last().filter(|e| e.id == "r1").and_then(|e| e.ran))
-        .unwrap();
+    poll_until(TIMEOUT, || {
+        fixture.backend.command_log().last().filter(|e| e.id == "r1").and_then(|e| e.executed)
+    })
+    .unwrap();
     assert_eq!(
         send_command(&mut two, &read("r2", 3, 1)),
         "-BUSY cost=1\r\n",
@@ -176,9 +180,9 @@
     for (protocol, target) in [(Protocol::Resp, None), (Protocol::Iscsi, Some(target_name("box-0")))] {
         let fixture = fixture(protocol);
         fixture.backend.set_behavior(Behavior {
-            service: Duration::from_millis(1),
-            busy: 0.1,
-            fail: 0.1,
+            service_time: Duration::from_millis(1),
+            busy_share: 0.1,
+            fail_share: 0.1,
             ..Behavior::default()
         });
         let load = Load {
--- a/crates/test-cluster/tests/links.rs
+++ b/crates/test-cluster/tests/links.rs
@@ -158,7 +158,7 @@
     a.write_all(b"later").unwrap();
     expect_bytes(&mut b, b"later");
     assert!(since.elapsed() >= Duration::from_millis(120));
-    fixture.links.set_condition("a", "b", Condition { rate: Some(10_000), ..Condition::default() });
+    fixture.links.set_condition("a", "b", Condition { max_bytes_s: Some(10_000), ..Condition::default() });
     let since = Instant::now();
     a.write_all(&[7; 4000]).unwrap();
     expect_bytes(&mut b, &[7; 4000]);
@@ -187,7 +187,7 @@
             );
             b.send_to(b"back", link_addresses[1]).unwrap();
             assert_eq!(a.recv_from(&mut bytes).unwrap(), (4, link_addresses[0]));
-            links.set_condition("a", "b", Condition { loss: 0.5, ..Condition::default() });
+            links.set_condition("a", "b", Condition { loss_share: 0.5, ..Condition::default() });
             for n in 0..100 {
                 a.send_to(b"maybe", link_addresses[0]).unwrap();
                 let seen = || Some(links.traffic("a", "b")).filter(|c| c.1 + c.2 == n + 2);
