--- a/crates/config-distribution/src/catalogue.rs
+++ b/crates/config-distribution/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The state that the configuration log produces: of each key the newest value.
+//! The state that results from applying the configuration log: the newest value of each key.
 //!
 //! A catalogue is a deterministic state machine: replicas that have applied the same entries hold the same values.
 mod chunks;
@@ -17,14 +17,15 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// Tombstones of deleted keys that are held for subscribers that still have the keys; beyond it the oldest are dropped.
+/// The maximum number of tombstones that are held for subscribers that still have the deleted keys; beyond it, the
+/// oldest are dropped.
 const MAX_TOMBSTONES: usize = 4_096;
 
 #[derive(Clone, Debug)]
 struct Entry {
     version: Index,
     class: Class,
-    /// None for a tombstone.
+    /// None for a tombstone, which marks a deleted key.
     value: Option<Arc<[u8]>>,
 }
 
@@ -52,32 +53,32 @@
     applied: Index,
     floor: Index,
     topics: BTreeMap<Topic, TopicEntries>,
-    /// All entries in the order of the log, tombstones included.
+    /// The positions of all entries in log order, tombstones included.
     by_version: BTreeSet<LogPosition>,
     tombstones: BTreeSet<LogPosition>,
     value_bytes: usize,
 }
 
-/// How much a catalogue holds.
+/// The size of a catalogue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CatalogueSize {
     /// Keys that have a value.
     pub keys: usize,
-    /// The bytes of all values.
+    /// The total size of all values.
     pub value_bytes: usize,
 }
 
-/// What has changed since a version.
+/// The changes since a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangesSince {
-    /// These changes, in the order of the log.
+    /// The changes, in log order.
     Changes(Vec<Change>),
-    /// The history does not reach back so far, or there is more than was asked for: a snapshot is needed.
+    /// The history does not reach back that far, or the changes exceed the requested size: a snapshot is needed.
     SnapshotRequired,
 }
 
 impl Catalogue {
-    /// An empty catalogue of a log. Independent logs have different ids; 0 stands for no log.
+    /// An empty catalogue of a log. Each log has its own id; 0 means that there is no log yet.
     pub fn new(log_id: u64) -> Catalogue {
         Catalogue { log_id, ..Catalogue::default() }
     }
@@ -87,23 +88,23 @@
         self.log_id
     }
 
-    /// The last log index that is applied.
+    /// The last applied log index.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// The oldest version after which all changes are known one by one.
+    /// The oldest version since which the history of changes is complete.
     pub fn floor(&self) -> Index {
         self.floor
     }
 
-    /// How much it holds.
+    /// The number of keys and the size of their values.
     pub fn size(&self) -> CatalogueSize {
         let keys = self.by_version.len() - self.tombstones.len();
         CatalogueSize { keys, value_bytes: self.value_bytes }
     }
 
-    /// Applies an entry of the log and returns its changes. An entry that was applied before changes nothing.
+    /// Applies a log entry and returns its changes. An entry that was applied before has no effect.
     pub fn apply(&mut self, version: Index, batch: &WriteBatch) -> Vec<Change> {
         if version <= self.applied {
             return vec![];
@@ -117,21 +118,21 @@
         changes
     }
 
-    /// Merges changes of another catalogue, which holds everything up to and including `up_to` with them.
+    /// Merges changes from another catalogue, after which all changes up to and including `up_to` are applied.
     pub fn merge(&mut self, changes: &[Change], up_to: Index) {
         changes.iter().for_each(|change| self.put(change));
         self.advance(up_to);
         self.drop_old_tombstones();
     }
 
-    /// Replaces everything by a snapshot of a version. There is no history before it.
+    /// Replaces all contents by a snapshot as of a version. There is no history before that version.
     pub fn restore(&mut self, log_id: u64, entries: &[Change], version: Index) {
         *self = Catalogue::new(log_id);
         self.merge(entries, version);
         self.floor = version;
     }
 
-    /// The log has reached a version without a further change of the catalogue.
+    /// Records that the log has reached a version without further changes to the catalogue.
     pub fn advance(&mut self, version: Index) {
         self.applied = self.applied.max(version);
     }
@@ -140,7 +141,7 @@
         let key = &change.key;
         let topic = self.topics.entry(key.topic.clone()).or_default();
         let old = topic.by_name.get(&key.name);
-        // Guards against an older value replacing a newer one, in whatever order changes arrive.
+        // Changes may arrive in any order: an older value must not replace a newer one.
         if old.is_some_and(|old| old.version >= change.version) {
             return;
         }
@@ -176,7 +177,7 @@
         }
     }
 
-    /// The newest value of a key and its version; none where it has none.
+    /// The newest value of a key and its version; none where the key has no value.
     pub fn get(&self, key: &Key) -> Option<(Index, &Arc<[u8]>)> {
         let entry = self.entry(key)?;
         Some((entry.version, entry.value.as_ref()?))
@@ -197,7 +198,7 @@
         self.by_version.range((Bound::Included(first), Bound::Unbounded))
     }
 
-    /// All changes in a scope after a version, if they are within so many bytes.
+    /// All changes in a scope after a version, if their total size is at most `max_bytes`.
     pub fn changes_since(&self, scope: &Scope, from: Index, max_bytes: usize) -> ChangesSince {
         if from < self.floor {
             return ChangesSince::SnapshotRequired;
--- a/crates/config-distribution/src/catalogue/chunks.rs
+++ b/crates/config-distribution/src/catalogue/chunks.rs
@@ -1,4 +1,4 @@
-//! Snapshots in chunks, while the catalogue goes on changing.
+//! Reading a snapshot in chunks while the catalogue continues to change.
 use super::{Catalogue, Entry, LogPosition, TopicEntries};
 use crate::change::Change;
 use crate::key::{Key, Topic};
@@ -10,22 +10,22 @@
 /// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
-    /// The values, in the order of their keys.
+    /// The values, in key order.
     pub entries: Vec<Change>,
     /// The key after which the next chunk begins; none after the last one.
     pub next_after: Option<Key>,
 }
 
-/// Changes that were made while a snapshot was sent.
+/// Changes made while a snapshot was being sent.
 pub(crate) struct LaterChanges {
-    /// The changes in the order of the log, deletions included.
+    /// The changes in log order, deletions included.
     pub changes: Vec<Change>,
-    /// The position after which there are more; none after the last one.
+    /// The position after which more changes follow; none if there are no more.
     pub next_after: Option<LogPosition>,
 }
 
 impl Catalogue {
-    /// What has changed in a scope after a position: at most so many bytes, but one change at least.
+    /// The changes in a scope after a position: at most `max_bytes`, but at least one change.
     pub(crate) fn changes_after(&self, scope: &Scope, after: &LogPosition, max_bytes: usize) -> LaterChanges {
         let (mut changes, mut bytes, mut last) = (vec![], 0, after);
         let later = self.by_version.range((Bound::Excluded(after), Bound::Unbounded));
@@ -41,25 +41,25 @@
         LaterChanges { changes, next_after: None }
     }
 
-    /// The values of a scope after a key (none: from the first): at most so many bytes, but one value at least.
+    /// The values of a scope after a key (none: from the first): at most `max_bytes`, but at least one value.
     pub fn chunk(&self, scope: &Scope, after: Option<&Key>, max_bytes: usize) -> Chunk {
         let from = after.map_or(Bound::Unbounded, |key| Bound::Included(&key.topic));
         match scope {
             Scope::Everything => {
                 let topics = self.topics.range::<Topic, _>((from, Bound::Unbounded));
-                fill(topics, after, max_bytes)
+                fill_chunk(topics, after, max_bytes)
             }
-            // Through the topics of the scope, which are fewer than those of the catalogue.
+            // Iterates over the topics of the scope, which are fewer than those of the catalogue.
             Scope::Topics(topics) => {
                 let topics = topics.range::<Topic, _>((from, Bound::Unbounded));
                 let present = topics.filter_map(|topic| Some((topic, self.topics.get(topic)?)));
-                fill(present, after, max_bytes)
+                fill_chunk(present, after, max_bytes)
             }
         }
     }
 }
 
-fn fill<'a>(
+fn fill_chunk<'a>(
     topics: impl Iterator<Item = (&'a Topic, &'a TopicEntries)>,
     after: Option<&Key>,
     max_bytes: usize,
--- a/crates/config-distribution/src/catalogue/position.rs
+++ b/crates/config-distribution/src/catalogue/position.rs
@@ -2,7 +2,7 @@
 use crate::key::{Key, Topic};
 use cluster_types::Index;
 
-/// A position in the log, down to the key: the keys of one batch share its version.
+/// A position in the log. It includes the key because all keys of a batch share its version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LogPosition {
     pub version: Index,
@@ -10,7 +10,7 @@
 }
 
 impl LogPosition {
-    /// The position before all changes that come after a version: the least topic, and a name shorter than any key's.
+    /// A position that sorts before all changes after a version: it has the least topic and an empty name.
     pub fn first_after(version: Index) -> LogPosition {
         LogPosition { version: Index(version.0.saturating_add(1)), key: Key::new(Topic::Fleet, "") }
     }
--- a/crates/config-distribution/src/change.rs
+++ b/crates/config-distribution/src/change.rs
@@ -1,4 +1,4 @@
-//! A change of one key, as the log wrote it.
+//! A change of one key, as written in the log.
 use crate::key::{Key, MAX_NAME_BYTES};
 use cluster_types::Index;
 use serde::{Deserialize, Serialize};
@@ -7,24 +7,24 @@
 /// The longest value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 16 * 1024;
 
-/// Bytes that a change takes in a message beside its name and value, roughly.
+/// The approximate overhead of a change in a message, in addition to its name and value.
 const CHANGE_OVERHEAD_BYTES: usize = 24;
 
-/// How soon a change has to be applied.
+/// How urgently a change has to be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Class {
-    /// Settings, limits, volumes: batched, the newest value of each key wins.
+    /// Settings, limits, volumes: sent in batches that hold the newest value of each key.
     Configuration,
-    /// The backend of a shard: sent ahead of everything else.
+    /// The backend of a shard: sent immediately.
     Primary,
 }
 
-/// The value that a key has from a version on; none where it was deleted.
+/// The value of a key as of a version; none where the key was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The log index of the write.
     pub version: Index,
-    /// How soon it has to be applied.
+    /// How urgently it has to be applied.
     pub class: Class,
     /// The key.
     pub key: Key,
@@ -44,7 +44,7 @@
         self.value.as_ref().map_or(0, |value| value.len())
     }
 
-    /// Whether its names and its value are no longer than a write's may be.
+    /// Whether its names and its value are within the limits for writes.
     pub(crate) fn is_bounded(&self) -> bool {
         self.value_bytes() <= MAX_VALUE_BYTES && self.key.is_bounded()
     }
--- a/crates/config-distribution/src/checksum.rs
+++ b/crates/config-distribution/src/checksum.rs
@@ -1,11 +1,11 @@
-//! Checksums by which a relay and a subscriber find out whether they hold the same values.
+//! Checksums that show whether a relay and a subscriber hold the same values.
 use crate::key::{Key, Topic};
 use cluster_types::Index;
 use xxhash_rust::xxh3::Xxh3;
 
 /// The checksum of one key's value.
 ///
-/// The checksum of a set of keys is the exclusive or of theirs: a key is removed from it by combining it once more.
+/// The checksum of a set of keys is the XOR of the checksums of its entries, so XORing an entry again removes it.
 pub(crate) fn entry_checksum(key: &Key, version: Index, value: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     let (kind, name): (u8, &[u8]) = match &key.topic {
--- a/crates/config-distribution/src/fleet_status.rs
+++ b/crates/config-distribution/src/fleet_status.rs
@@ -1,4 +1,4 @@
-//! How far the fleet has applied the log: the newest report of each relay.
+//! The fleet's progress in applying the log, from the newest report of each relay.
 use crate::report::{GatewayRejection, Lag, Report};
 use cluster_types::{Index, Time};
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The most relays whose reports are held; beyond it the one heard from least recently is dropped.
+/// The maximum number of relays whose reports are held; beyond it, the least recently received report is dropped.
 const MAX_RELAYS: usize = 256;
 
-/// A report and when it arrived.
+/// A report and its time of arrival.
 #[derive(Clone, Debug)]
 struct Received {
     report: Report,
@@ -23,47 +23,47 @@
     expected: BTreeSet<Arc<str>>,
 }
 
-/// How far a version is rolled out, and what it waits for.
+/// The rollout of a version, and what is still missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// Whether every gateway that a relay serves has acknowledged it.
-    pub is_everywhere: bool,
-    /// The number of gateways that are served.
+    /// Whether every gateway served by a relay has acknowledged the version, and no relay is lagging or silent.
+    pub is_complete: bool,
+    /// The number of gateways served by relays.
     pub gateways: u32,
-    /// Gateways that have not acknowledged it, as far as they are named.
+    /// Gateways that have not acknowledged it, as far as the reports name them.
     pub lags: Vec<Lag>,
-    /// How many more may not have.
+    /// The number of further gateways that may not have acknowledged it.
     pub unnamed_lagging: u32,
-    /// Relays that do not hold it themselves.
+    /// Relays that have not applied it themselves.
     pub lagging_relays: Vec<Arc<str>>,
-    /// Relays that have not reported for a while: their gateways may be served by others by now.
+    /// Relays without a recent report: their gateways may meanwhile be served by other relays.
     pub silent_relays: Vec<Arc<str>>,
-    /// Rejections of exactly that version.
+    /// Rejections of exactly this version.
     pub rejections: Vec<GatewayRejection>,
-    /// How many gateways reject a value, of that or another version.
+    /// The number of gateways that reject a value of this or another version.
     pub rejecting: u32,
 }
 
 impl FleetStatus {
-    /// Names the relays that are expected to report: one without a report counts as silent.
+    /// Sets the relays that are expected to report: one without a report counts as silent.
     pub fn expect_reports(&mut self, relays: impl IntoIterator<Item = Arc<str>>) {
         self.expected = relays.into_iter().collect();
     }
 
-    /// Takes a relay's report; returns whether it is newer than the one held. A repeated report is not, and is ignored.
+    /// Records a relay's report, and returns whether it is newer than the one held. Repeated and older reports are ignored.
     pub fn record(&mut self, now: Time, report: Report) -> bool {
         let held = self.reports.get(&report.relay);
         if held.is_some_and(|held| held.report.sequence >= report.sequence) {
             return false;
         }
         if held.is_none() && self.reports.len() >= MAX_RELAYS {
-            self.drop_oldest();
+            self.drop_oldest_report();
         }
         self.reports.insert(report.relay.clone(), Received { report, at: now });
         true
     }
 
-    fn drop_oldest(&mut self) {
+    fn drop_oldest_report(&mut self) {
         let oldest = self.reports.iter().min_by_key(|(_, held)| held.at);
         if let Some(relay) = oldest.map(|(relay, _)| relay.clone()) {
             self.reports.remove(&relay);
@@ -75,20 +75,20 @@
         self.reports.values().map(|held| &held.report)
     }
 
-    /// Reports that arrived within that span.
+    /// Reports that arrived within the last `within`.
     pub fn recent_reports(&self, now: Time, within: Duration) -> impl Iterator<Item = &Report> {
         let recent = self.reports.values().filter(move |held| now.since(held.at) <= within);
         recent.map(|held| &held.report)
     }
 
-    /// Drops reports that were not renewed within that span.
+    /// Drops reports that were not renewed for `after`.
     pub fn expire(&mut self, now: Time, after: Duration) {
         self.reports.retain(|_, held| now.since(held.at) < after);
     }
 
-    /// How far a version is rolled out. Relays whose report is older than `silence` count as silent.
+    /// The rollout of a version. Relays whose report is older than `silence` count as silent.
     pub fn rollout(&self, now: Time, version: Index, silence: Duration) -> RolloutStatus {
-        let mut status = RolloutStatus { is_everywhere: !self.reports.is_empty(), ..Default::default() };
+        let mut status = RolloutStatus { is_complete: !self.reports.is_empty(), ..Default::default() };
         for (relay, Received { report, at }) in &self.reports {
             if now.since(*at) > silence {
                 status.silent_relays.push(relay.clone());
@@ -97,7 +97,7 @@
         }
         let missing = self.expected.iter().filter(|relay| !self.reports.contains_key(*relay));
         status.silent_relays.extend(missing.cloned());
-        status.is_everywhere &= status.silent_relays.is_empty();
+        status.is_complete &= status.silent_relays.is_empty();
         status
     }
 }
@@ -110,13 +110,13 @@
         self.gateways += report.gateways;
         self.rejecting += report.rejecting;
         let lags: Vec<&Lag> = report.lags.iter().filter(|lag| lag.first_pending <= version).collect();
-        // The unnamed ones lag less than all that are named: they may lack the version only if all of those do.
+        // Reports name the gateways that lag furthest: the unnamed ones may lack the version only if all the named ones do.
         if lags.len() == report.lags.len() {
             self.unnamed_lagging += report.lagging.saturating_sub(lags.len() as u32);
         }
         self.lags.extend(lags.into_iter().cloned());
         let of_version = report.rejections.iter().filter(|found| found.rejection.version == version);
         self.rejections.extend(of_version.cloned());
-        self.is_everywhere &= report.is_settled(version);
+        self.is_complete &= report.is_acknowledged(version);
     }
 }
--- a/crates/config-distribution/src/key.rs
+++ b/crates/config-distribution/src/key.rs
@@ -6,7 +6,7 @@
 /// The longest name of a key, a region, a zone or a volume, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// What a key belongs to. Subscribers name the topics that they serve.
+/// A group of keys. Subscribers request the topics that concern them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Topic {
     /// Every gateway.
@@ -22,7 +22,7 @@
 }
 
 impl Topic {
-    /// Whether its name is not too long.
+    /// Whether its name is within the length limit.
     pub(crate) fn is_bounded(&self) -> bool {
         match self {
             Topic::Fleet | Topic::Shard(_) => true,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether its name is one that may be written.
+    /// Whether its name is allowed in a write.
     pub(crate) fn is_valid(&self) -> bool {
         match self {
             Topic::Fleet | Topic::Shard(_) => true,
@@ -49,12 +49,12 @@
 }
 
 impl Key {
-    /// The key of that name in a topic.
+    /// The key with a given name in a topic.
     pub fn new(topic: Topic, name: &str) -> Key {
         Key { topic, name: name.into() }
     }
 
-    /// Whether its names are not too long.
+    /// Whether its names are within the length limit.
     pub(crate) fn is_bounded(&self) -> bool {
         self.topic.is_bounded() && self.name.len() <= MAX_NAME_BYTES
     }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether a region, a zone, a volume or a key may have that name.
+/// Whether a name is allowed for a region, a zone, a volume or a key.
 pub fn is_valid_name(name: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(|char| char.is_control() || char == '/')
 }
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -1,16 +1,19 @@
-//! Distribution of configuration changes to every gateway, free of I/O: events, time and randomness in, actions out.
+//! Distribution of configuration changes to every gateway.
 //!
-//! A few voters hold one ordered log of [`WriteBatch`]es. Applying it gives a [`Catalogue`]: of each key the newest value,
-//! with the log index that wrote it. A [`Relay`] serves a catalogue to subscribers. Relays without a vote follow a voter's
-//! as [`Subscriber`]s themselves; gateways are subscribers only. What a subscriber is sent depends on nothing but its scope
-//! and the version that it holds, so nothing is queued for it: a slow one later receives the newest values.
+//! The crate does no I/O: its host, the program that embeds it, passes in events and the current time, and performs the
+//! returned actions.
+//!
+//! A few voters hold one ordered log of [`WriteBatch`]es. Applying it gives a [`Catalogue`]: the newest value of each
+//! key, with the log index that wrote it. A [`Relay`] serves a catalogue to subscribers. Relays without a vote follow a voter's
+//! as [`Subscriber`]s themselves; gateways are subscribers only. What a subscriber is sent depends only on its scope
+//! and the version that it holds, so no queue is kept for it: a slow subscriber skips to the newest values.
 //!
 //! - A message is applied completely or not at all, and an older value never replaces a newer one.
-//! - The cost of a change at a gateway depends on the size of the change, the memory on the size of the scope.
-//! - [`Class::Primary`] is sent at once; [`Class::Configuration`] is batched for [`Settings::batch_interval`].
-//! - Acknowledgements are aggregated in [`Report`]s of bounded size: what is not applied yet, where, and why.
+//! - At a gateway, the cost of a change depends on the size of the change, and the memory on the size of the scope.
+//! - [`Class::Primary`] is sent immediately; [`Class::Configuration`] is batched for [`Settings::batch_interval`].
+//! - Acknowledgements are aggregated in [`Report`]s of bounded size: what is not applied yet, at which gateway, and why.
 //!
-//! Spans are [`std::time::Duration`]s, sizes are bytes.
+//! Time spans are [`std::time::Duration`]s; sizes are in bytes.
 #![deny(missing_docs)]
 
 mod catalogue;
--- a/crates/config-distribution/src/message.rs
+++ b/crates/config-distribution/src/message.rs
@@ -1,6 +1,6 @@
-//! The messages between subscribers and relays. Each is sent in a signed frame of its own.
+//! The messages between subscribers and relays. Each is sent in its own signed frame.
 //!
-//! The encoding (postcard) counts variants and fields: their order is part of the protocol.
+//! Postcard encodes variants and fields by position: their order is part of the protocol.
 use crate::change::Change;
 use crate::rejection::Rejection;
 use crate::report::Report;
@@ -12,25 +12,25 @@
 /// From a subscriber to its relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubscriberMessage {
-    /// Asks for all changes in a scope after a version (0: from the beginning).
+    /// Requests all changes in a scope after a version (0: from the beginning).
     Subscribe {
         /// The log that the version belongs to.
         log_id: u64,
-        /// The topics asked for.
+        /// The requested topics.
         scope: Scope,
-        /// The version up to which the subscriber holds everything.
+        /// The version up to which the subscriber holds all changes.
         from: Index,
     },
-    /// Everything up to a version is applied, except for what is rejected.
+    /// All changes up to a version are applied, except for the rejected ones.
     Acknowledge {
         /// The version.
         up_to: Index,
-        /// Values that are rejected and still the newest of their keys, [`crate::MAX_REPORTED_GATEWAYS`] at most.
+        /// Rejected values that are still the newest of their keys, at most [`crate::MAX_REPORTED_GATEWAYS`].
         rejected: Vec<Rejection>,
     },
-    /// A chunk of a snapshot was received: the next one may be sent.
+    /// Confirms a chunk of a snapshot: the next one may be sent.
     NextChunk,
-    /// From relays: the state of the gateways that they serve.
+    /// From a relay: the progress of the gateways that it serves.
     Report(Report),
 }
 
@@ -42,37 +42,37 @@
         /// The log that the relay serves.
         log_id: u64,
     },
-    /// The relay is at its limits: the subscriber is to try again later, at this or another relay.
+    /// The relay can't serve the subscriber now: it should retry later, at this or another relay.
     RetryLater,
-    /// All changes from one version to another, to be applied together.
+    /// All changes after one version up to another, to be applied together.
     Changes {
-        /// The version that the subscriber must hold.
+        /// The version that the subscriber must already hold.
         from: Index,
-        /// The version that it holds with them.
+        /// The version that the subscriber holds after applying them.
         up_to: Index,
         /// The changes, in the order of the log.
         changes: Vec<Change>,
     },
-    /// A chunk of a snapshot of the scope. What has changed since `base` follows the last one.
+    /// A chunk of a snapshot of the scope. The changes since `base` follow the last chunk.
     SnapshotChunk {
         /// The version as of the first chunk.
         base: Index,
-        /// Whether it is the first chunk: chunks of an earlier snapshot are to be discarded.
+        /// Whether it is the first chunk: chunks of an earlier snapshot must be discarded.
         is_first: bool,
         /// Whether it is the last chunk.
         is_last: bool,
         /// Values of the scope.
         entries: Vec<Change>,
     },
-    /// The relay is there, and nothing more has changed in the scope up to a version.
+    /// The relay is alive, and nothing more has changed in the scope up to a version.
     Heartbeat {
         /// The version.
         up_to: Index,
-        /// In some of them the checksum over all values in the scope.
+        /// The checksum over all values in the scope; only in some heartbeats.
         checksum: Option<u64>,
-        /// For how long the relay itself has not heard of the log; none while it does.
+        /// How long the relay itself has had no contact with the log; none while it has contact.
         isolated_for: Option<Duration>,
     },
-    /// To relays: the reports of all other relays.
+    /// To a relay: the recent reports of all relays.
     Reports(Vec<Report>),
 }
--- a/crates/config-distribution/src/persisted.rs
+++ b/crates/config-distribution/src/persisted.rs
@@ -1,7 +1,7 @@
-//! The form in which a subscriber's state is stored (`changes.kept.*`): the values of its scope, as of a version.
+//! The format of a subscriber's persisted state (`changes.kept.*`): the values of its scope, as of a version.
 //!
-//! A file is the magic `chgs`, the number of the form (two bytes, big endian), a [`PersistedState`] in postcard, and the
-//! XXH3 checksum over all bytes before it (eight bytes, big endian).
+//! A file consists of the magic `chgs`, the format version (two bytes, big endian), a [`PersistedState`] encoded with
+//! postcard, and the XXH3 checksum over all preceding bytes (eight bytes, big endian).
 use crate::change::Change;
 use crate::rejection::Rejection;
 use crate::scope::Scope;
@@ -11,39 +11,39 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 const MAGIC: &[u8; 4] = b"chgs";
-/// The number of the form that this program writes and reads.
-const FORM: u16 = 1;
+/// The format version that this release writes and reads.
+const FORMAT_VERSION: u16 = 1;
 const CHECKSUM_BYTES: usize = 8;
 const OVERHEAD_BYTES: usize = MAGIC.len() + size_of::<u16>() + CHECKSUM_BYTES;
 
-/// Why a stored state can't be used.
+/// Why a persisted state can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PersistedStateError {
-    /// It does not begin with the magic.
+    /// It does not begin with the magic bytes.
     #[error("it is not a stored state of configuration changes")]
     UnknownFile,
-    /// It has another form, perhaps a newer program's.
-    #[error("it has form {0}, this program's has {form}", form = FORM)]
-    UnsupportedForm(u16),
+    /// It has another format version, perhaps of a newer release.
+    #[error("it has form {0}, this program's has {form}", form = FORMAT_VERSION)]
+    UnsupportedVersion(u16),
     /// It is truncated or damaged.
     #[error("it is cut off or damaged")]
     Corrupt,
 }
 
-/// What is stored. Fields keep their order, which is all that the encoding knows of them.
+/// The persisted state. The encoding depends on the order of the fields, which must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// The log that the values come from.
     pub log_id: u64,
     /// The scope whose values are stored.
     pub scope: Scope,
-    /// The version up to which everything in the scope was applied or rejected.
+    /// The version up to which all changes in the scope were applied or rejected.
     pub up_to: Index,
-    /// The greatest that `up_to` ever was.
+    /// The greatest value that `up_to` ever had.
     pub highest: Index,
     /// The applied values, in the order of their keys.
     pub entries: Vec<Change>,
-    /// Values that were rejected and are the newest of their keys.
+    /// Rejected values that are the newest of their keys.
     pub rejected: Vec<Rejection>,
 }
 
@@ -53,7 +53,7 @@
     let body = postcard::to_stdvec(state).unwrap_or_default();
     let mut bytes = Vec::with_capacity(body.len() + OVERHEAD_BYTES);
     bytes.extend(MAGIC);
-    bytes.extend(FORM.to_be_bytes());
+    bytes.extend(FORMAT_VERSION.to_be_bytes());
     bytes.extend(&body);
     bytes.extend(xxh3_64(&bytes).to_be_bytes());
     bytes
@@ -62,23 +62,23 @@
 /// Decodes a state, completely or not at all.
 ///
 /// # Errors
-/// Says why the bytes can't be used: another program's, another form's, or damaged.
+/// Says why the bytes can't be used: not a persisted state, another format version, or damaged.
 pub fn decode(bytes: &[u8]) -> Result<PersistedState, PersistedStateError> {
     let rest = match bytes.strip_prefix(MAGIC.as_slice()) {
         Some(rest) => rest,
         None if bytes.len() < MAGIC.len() => return Err(PersistedStateError::Corrupt),
         None => return Err(PersistedStateError::UnknownFile),
     };
-    let (form, rest) = rest.split_first_chunk::<2>().ok_or(PersistedStateError::Corrupt)?;
-    let form = u16::from_be_bytes(*form);
-    if form != FORM {
-        return Err(PersistedStateError::UnsupportedForm(form));
+    let (version, rest) = rest.split_first_chunk::<2>().ok_or(PersistedStateError::Corrupt)?;
+    let version = u16::from_be_bytes(*version);
+    if version != FORMAT_VERSION {
+        return Err(PersistedStateError::UnsupportedVersion(version));
     }
     let (body, checksum) = rest.split_last_chunk::<CHECKSUM_BYTES>().ok_or(PersistedStateError::Corrupt)?;
     if xxh3_64(&bytes[..bytes.len() - CHECKSUM_BYTES]) != u64::from_be_bytes(*checksum) {
         return Err(PersistedStateError::Corrupt);
     }
-    // The details that postcard gives are of no use: with a correct checksum, another program wrote it.
+    // The details of postcard's error don't help: since the checksum is correct, another program wrote the file.
     let Ok(state) = postcard::from_bytes::<PersistedState>(body) else {
         return Err(PersistedStateError::Corrupt);
     };
--- a/crates/config-distribution/src/rejection.rs
+++ b/crates/config-distribution/src/rejection.rs
@@ -1,11 +1,11 @@
-//! A value that a subscriber does not accept.
+//! Rejections of values by subscribers.
 use crate::key::Key;
 use cluster_types::Index;
 use serde::{Deserialize, Serialize};
 
-/// The longest reason that a subscriber sends, in characters.
+/// The maximum length of a reason that a subscriber sends, in characters.
 pub(crate) const MAX_REASON_CHARS: usize = 200;
-/// The longest reason that is accepted, in bytes: a character takes four at most.
+/// The maximum length of a reason that is accepted, in bytes: a character takes at most four.
 pub(crate) const MAX_REASON_BYTES: usize = 4 * MAX_REASON_CHARS;
 
 /// A value that a subscriber does not accept.
@@ -15,12 +15,12 @@
     pub key: Key,
     /// The version that was rejected.
     pub version: Index,
-    /// Why, in plain words; names the setting at fault.
+    /// The reason in prose; it names the invalid setting.
     pub reason: String,
 }
 
 impl Rejection {
-    /// Whether it is no longer than a subscriber's may be.
+    /// Whether it is within the limits for rejections of subscribers.
     pub(crate) fn is_bounded(&self) -> bool {
         self.key.is_bounded() && self.reason.len() <= MAX_REASON_BYTES
     }
--- a/crates/config-distribution/src/relay.rs
+++ b/crates/config-distribution/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay: serves a catalogue to subscribers. Voters and relays without a vote are the same here.
+//! A relay: serves a catalogue to subscribers. Voters and relays without a vote behave the same here.
 mod event;
 mod flush;
 mod reports;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use subscription::{Phase, Subscription};
 
-/// How soon the relay is to be woken while chunks wait for tokens.
+/// How often the relay is woken while chunks wait for tokens.
 const CHUNK_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The state of a relay.
@@ -28,12 +28,12 @@
     settings: Settings,
     name: Arc<str>,
     catalogue: Catalogue,
-    /// Whether there is a log to serve yet.
+    /// Whether there is a catalogue to serve yet.
     is_ready: bool,
     subscriptions: BTreeMap<u64, Subscription>,
     connections_by_name: BTreeMap<Arc<str>, u64>,
     subscription_tokens: TokenBucket,
-    /// Connections that wait for their next chunk of a snapshot, in turn.
+    /// Connections that wait for their next chunk of a snapshot, in order of arrival.
     chunk_queue: VecDeque<u64>,
     fleet_status: FleetStatus,
     reported_at: Time,
@@ -43,7 +43,7 @@
 }
 
 impl Relay {
-    /// A relay that serves a catalogue; where that is of no log yet (id 0), it accepts no subscriber until
+    /// A relay that serves a catalogue. While the catalogue belongs to no log (id 0), it accepts no subscribers until
     /// [`Relay::catalogue_replaced`].
     pub fn new(settings: Settings, name: &str, catalogue: Catalogue, now: Time) -> Relay {
         let rate = settings.subscription_rate;
@@ -64,27 +64,27 @@
         }
     }
 
-    /// Sets the sequence number before that of the next report. It must be above those of any earlier incarnation, such as the
-    /// microseconds of the wall clock.
+    /// Sets the sequence number that precedes the next report. It must exceed those of all earlier incarnations, for example
+    /// the wall clock time in microseconds.
     pub fn set_report_sequence(&mut self, sequence: u64) {
         self.report_sequence = sequence;
     }
 
-    /// Sets since when the relay has not heard of the log: [`crate::Subscriber::isolated_since`] of its own, or what a voter
-    /// knows. Subscribers learn of it by heartbeats.
+    /// Sets since when the relay has had no contact with the log: [`crate::Subscriber::isolated_since`] of its own
+    /// subscriber, or the time that a voter knows. Subscribers are informed by heartbeats.
     pub fn set_isolated_since(&mut self, since: Option<Time>) {
         self.isolated_since = since;
     }
 
-    /// Names all control machines: until each has reported, no version counts as being everywhere.
+    /// Sets the names of all control machines: until each has reported, no rollout counts as complete.
     pub fn expect_reports(&mut self, relays: impl IntoIterator<Item = Arc<str>>) {
         self.fleet_status.expect_reports(relays);
     }
 
-    /// Handles an event and appends the actions that follow.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: RelayEvent, out: &mut Vec<RelayAction>) {
-        // The message of one subscriber is no reason to look at all the others.
-        let only = match &event {
+        // A message from one subscriber can only make actions due for that subscriber.
+        let only_connection = match &event {
             RelayEvent::Message { connection, .. } => Some(*connection),
             _ => None,
         };
@@ -98,7 +98,7 @@
             RelayEvent::CatalogueChanged(changes) => self.mark_pending(now, &changes),
             RelayEvent::PeerReports(reports) => self.record_peer_reports(now, reports),
         }
-        self.flush(now, only, out);
+        self.flush(now, only_connection, out);
         self.report_if_due(now, out);
     }
 
@@ -107,13 +107,13 @@
         &self.catalogue
     }
 
-    /// The catalogue, to apply changes to it; [`RelayEvent::CatalogueChanged`] has to follow.
+    /// The catalogue, to apply changes to it; [`RelayEvent::CatalogueChanged`] must follow.
     pub fn catalogue_mut(&mut self) -> &mut Catalogue {
         &mut self.catalogue
     }
 
     /// The catalogue was replaced through [`Relay::catalogue_mut`]: subscribers that can't be sent the changes since their
-    /// version are disconnected, and receive a snapshot when they come again.
+    /// version are disconnected, and receive a snapshot when they reconnect.
     pub fn catalogue_replaced(&mut self, now: Time, out: &mut Vec<RelayAction>) {
         self.is_ready = true;
         let connections: Vec<u64> = self.subscriptions.keys().copied().collect();
@@ -130,7 +130,7 @@
         self.handle(now, RelayEvent::CatalogueChanged(vec![]), out);
     }
 
-    /// How far the fleet has applied the log, by the reports of all relays.
+    /// The fleet's progress in applying the log, from the reports of all relays.
     pub fn fleet_status(&self) -> &FleetStatus {
         &self.fleet_status
     }
@@ -148,12 +148,12 @@
         &self.stats
     }
 
-    /// The number of subscribers that are served.
+    /// The number of accepted subscribers.
     pub fn subscriber_count(&self) -> usize {
         self.subscriptions.values().filter(|subscription| subscription.is_accepted()).count()
     }
 
-    /// Marks the subscriptions that changes concern.
+    /// Marks changes as pending for the subscriptions whose scope contains them.
     fn mark_pending(&mut self, now: Time, changes: &[Change]) {
         let accepted = self.subscriptions.values_mut().filter(|subscription| subscription.is_accepted());
         for subscription in accepted {
@@ -174,9 +174,9 @@
     }
 
     fn disconnected(&mut self, connection: u64) {
-        let Some(ended) = self.subscriptions.remove(&connection) else { return };
-        if self.connections_by_name.get(&ended.name) == Some(&connection) {
-            self.connections_by_name.remove(&ended.name);
+        let Some(removed) = self.subscriptions.remove(&connection) else { return };
+        if self.connections_by_name.get(&removed.name) == Some(&connection) {
+            self.connections_by_name.remove(&removed.name);
         }
     }
 
--- a/crates/config-distribution/src/relay/event.rs
+++ b/crates/config-distribution/src/relay/event.rs
@@ -1,4 +1,4 @@
-//! The events and the actions of a relay.
+//! Events and actions of a relay.
 use crate::change::Change;
 use crate::message::{RelayMessage, SubscriberMessage};
 use crate::report::Report;
@@ -28,7 +28,7 @@
         /// The message.
         message: SubscriberMessage,
     },
-    /// The catalogue has changed, by the log or by the relay that is followed.
+    /// The catalogue has changed, through the log or the followed relay.
     CatalogueChanged(Vec<Change>),
     /// Reports of other control machines.
     PeerReports(Vec<Report>),
@@ -37,17 +37,17 @@
 /// Why a relay closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The subscriber is to try again later.
+    /// The subscriber should retry later.
     RetryLater,
-    /// The subscriber did not answer in time.
+    /// The subscriber did not reply in time.
     ReplyTimeout,
-    /// The subscriber sent a message that breaks the protocol.
+    /// The subscriber sent a message that violates the protocol.
     ProtocolError,
-    /// The subscriber has another connection by now.
+    /// The subscriber has opened another connection.
     Replaced,
 }
 
-/// What a relay asks its host to do.
+/// An action that a relay requests from its host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RelayAction {
     /// Send a message.
@@ -57,7 +57,7 @@
         /// The message.
         message: RelayMessage,
     },
-    /// Close a connection, once what was sent before is written.
+    /// Close a connection after the messages sent before are written.
     Close {
         /// The connection.
         connection: u64,
@@ -71,18 +71,18 @@
 /// Counters of a relay since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayStats {
-    /// Subscriptions that were accepted.
+    /// Accepted subscriptions.
     pub accepted: u64,
-    /// Subscriptions that were deferred: the subscriber is to try again later.
+    /// Deferred subscriptions: the subscriber should retry later.
     pub deferred: u64,
-    /// Messages of changes.
+    /// Messages of changes sent.
     pub change_messages: u64,
-    /// Chunks of snapshots.
+    /// Chunks of snapshots sent.
     pub chunks: u64,
-    /// Connections closed because the subscriber did not answer in time.
+    /// Connections closed because the subscriber did not reply in time.
     pub reply_timeouts: u64,
     /// Subscribers that lagged too far behind and were sent a snapshot.
     pub resnapshots: u64,
-    /// Messages that broke the protocol; they changed nothing.
+    /// Messages that violated the protocol; they had no effect.
     pub protocol_errors: u64,
 }
--- a/crates/config-distribution/src/relay/flush.rs
+++ b/crates/config-distribution/src/relay/flush.rs
@@ -1,4 +1,4 @@
-//! What is due for subscribers: changes, heartbeats, chunks of snapshots, the end of those that do not answer.
+//! Actions that are due for subscribers: changes, heartbeats, chunks of snapshots, and closing those that do not reply.
 use super::subscription::CHECKSUM_INTERVAL;
 use super::{CloseReason, Relay, RelayAction};
 use crate::catalogue::ChangesSince;
@@ -6,9 +6,9 @@
 use cluster_types::{Index, Time};
 
 impl Relay {
-    /// Does what is due for all connections, or for one.
-    pub(super) fn flush(&mut self, now: Time, only: Option<u64>, out: &mut Vec<RelayAction>) {
-        let subscriptions = match only {
+    /// Performs the actions due for all connections, or for one.
+    pub(super) fn flush(&mut self, now: Time, only_connection: Option<u64>, out: &mut Vec<RelayAction>) {
+        let subscriptions = match only_connection {
             Some(connection) => self.subscriptions.range(connection..=connection),
             None => self.subscriptions.range(..),
         };
@@ -63,12 +63,12 @@
         let Some(subscription) = self.subscriptions.get_mut(&connection) else { return };
         subscription.sent_at = now;
         if !subscription.is_idle() {
-            // Says no more than that the relay is there.
+            // Shows only that the relay is alive.
             let message = RelayMessage::Heartbeat { up_to: Index(0), checksum: None, isolated_for };
             out.push(RelayAction::Send { connection, message });
             return;
         }
-        // A subscriber may hold more than this relay does yet: their checksums would differ.
+        // A subscriber may be ahead of this relay: their checksums would differ.
         let is_ahead = subscription.sent_up_to > applied;
         subscription.sent_up_to = subscription.sent_up_to.max(applied);
         let is_checksum_due = now.since(subscription.checksum_sent_at) >= CHECKSUM_INTERVAL;
--- a/crates/config-distribution/src/relay/reports.rs
+++ b/crates/config-distribution/src/relay/reports.rs
@@ -1,4 +1,4 @@
-//! Reports on how far changes are applied: this relay's own, and those of others.
+//! Reports on the progress of gateways: this relay's own, and those of other relays.
 use super::subscription::{Phase, Subscription};
 use super::{Relay, RelayAction};
 use crate::message::RelayMessage;
@@ -7,11 +7,11 @@
 use cluster_types::Time;
 use std::time::Duration;
 
-/// A report that was not renewed for so long is of a relay that is gone.
+/// Reports that were not renewed for this long are dropped: their relay is assumed to be gone.
 const REPORT_LIFETIME: Duration = Duration::from_secs(60);
 
 impl Relay {
-    /// Makes the report that is due: it goes to the other control machines, and to the relays that follow this one.
+    /// Creates a report if one is due, and sends it to the other control machines and to the relays that follow this one.
     pub(super) fn report_if_due(&mut self, now: Time, out: &mut Vec<RelayAction>) {
         if now.since(self.reported_at) < self.settings.report_interval {
             return;
@@ -22,22 +22,22 @@
         let report = self.own_report(now);
         self.fleet_status.record(now, report.clone());
         out.push(RelayAction::ShareReports(vec![report]));
-        // An old report is not passed on: its receiver would take it for a sign of life.
+        // Old reports are not forwarded: the receiver would conclude that their relay is alive.
         let recent = self.fleet_status.recent_reports(now, self.settings.report_interval * 2);
         let reports: Vec<Report> = recent.cloned().collect();
-        let is_following_relay = |subscription: &Subscription| {
+        let is_relay_following = |subscription: &Subscription| {
             subscription.scope == Scope::Everything && subscription.phase == Phase::Live
         };
         for (connection, _) in
-            self.subscriptions.iter().filter(|(_, subscription)| is_following_relay(subscription))
+            self.subscriptions.iter().filter(|(_, subscription)| is_relay_following(subscription))
         {
             let message = RelayMessage::Reports(reports.clone());
             out.push(RelayAction::Send { connection: *connection, message });
         }
     }
 
-    /// Records reports of other control machines. They are not passed on to the others: each report is shared once, by the
-    /// machine that received it first.
+    /// Records reports of other control machines. They are not forwarded: each report is shared once, by the machine that
+    /// received it first.
     pub(super) fn record_peer_reports(&mut self, now: Time, reports: Vec<Report>) {
         for report in reports {
             if !report.is_bounded() {
@@ -66,7 +66,7 @@
         lagging.sort_by_key(|gateway| (gateway.first_unacknowledged, gateway.name.clone()));
         let lags = lagging.iter().take(MAX_REPORTED_GATEWAYS).filter_map(|gateway| lag(gateway, now));
         let rejecting = gateways.iter().filter(|gateway| !gateway.rejections.is_empty()).count();
-        let rejections = gateways.iter().flat_map(|gateway| rejections(gateway));
+        let rejections = gateways.iter().flat_map(|gateway| gateway_rejections(gateway));
         Report {
             relay: self.name.clone(),
             sequence: self.report_sequence,
@@ -80,7 +80,7 @@
     }
 }
 
-fn rejections(gateway: &Subscription) -> impl Iterator<Item = GatewayRejection> + '_ {
+fn gateway_rejections(gateway: &Subscription) -> impl Iterator<Item = GatewayRejection> + '_ {
     let of_gateway = |rejection| GatewayRejection { gateway: gateway.name.clone(), rejection };
     gateway.rejections.iter().cloned().map(of_gateway)
 }
--- a/crates/config-distribution/src/relay/snapshot.rs
+++ b/crates/config-distribution/src/relay/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots for subscribers: chunk by chunk, each after the one before is confirmed, within the token bucket's rate.
+//! Snapshots for subscribers: sent in chunks, each after the previous one is confirmed, at the rate of the token bucket.
 use super::subscription::{Phase, SnapshotProgress, Subscription};
 use super::{Relay, RelayAction};
 use crate::catalogue::{Catalogue, LogPosition};
@@ -6,16 +6,16 @@
 use crate::message::RelayMessage;
 use cluster_types::Time;
 
-/// The least that a chunk takes of the tokens, in bytes.
+/// The minimum number of tokens that a chunk takes.
 const MIN_CHUNK_BYTES: usize = 128;
 
-/// What follows a chunk.
-enum Following {
+/// The continuation after a chunk.
+enum Continuation {
     /// More chunks.
     Chunks,
-    /// All later changes, in one message: with them the snapshot is complete.
+    /// All later changes, in one message that completes the snapshot.
     LastChanges(Vec<Change>),
-    /// A new snapshot: deletions made meanwhile are no longer in the history.
+    /// A new snapshot, since the tombstones of keys deleted meanwhile were dropped from the history.
     NewSnapshot,
 }
 
@@ -31,10 +31,10 @@
         }
     }
 
-    /// Sends the next chunk to each subscriber whose turn it is, as far as there are tokens.
+    /// Sends the next chunk to each queued subscriber while there are tokens.
     pub(super) fn send_chunks(&mut self, now: Time, out: &mut Vec<RelayAction>) {
         for _ in 0..self.chunk_queue.len() {
-            // Those that wait keep their turn.
+            // Waiting subscribers keep their place in the queue.
             if !self.subscription_tokens.admit(now, 0) {
                 return;
             }
@@ -49,7 +49,8 @@
         let is_first = progress.after_key.is_none() && progress.after_change.is_none();
         let (entries, progress) =
             next_chunk(&self.catalogue, subscription, progress.clone(), self.settings.chunk_bytes);
-        let following = following(&self.catalogue, subscription, &progress, self.settings.max_message_bytes);
+        let continuation =
+            continuation(&self.catalogue, subscription, &progress, self.settings.max_message_bytes);
         let base = progress.base;
         subscription.awaiting_reply_since = now;
         subscription.sent_at = now;
@@ -57,12 +58,12 @@
         self.stats.chunks += 1;
         let bytes = entries.iter().map(Change::bytes).sum::<usize>().max(MIN_CHUNK_BYTES);
         self.subscription_tokens.admit(now, bytes);
-        let is_last = !matches!(following, Following::Chunks);
+        let is_last = !matches!(continuation, Continuation::Chunks);
         let message = RelayMessage::SnapshotChunk { base, is_first, is_last, entries };
         out.push(RelayAction::Send { connection, message });
-        match following {
-            Following::Chunks => {}
-            Following::LastChanges(changes) => {
+        match continuation {
+            Continuation::Chunks => {}
+            Continuation::LastChanges(changes) => {
                 let up_to = self.catalogue.applied();
                 subscription.phase = Phase::Live;
                 subscription.mark_sent(now, up_to);
@@ -71,12 +72,12 @@
                 let message = RelayMessage::Changes { from: base, up_to, changes };
                 out.push(RelayAction::Send { connection, message });
             }
-            Following::NewSnapshot => self.start_snapshot(connection),
+            Continuation::NewSnapshot => self.start_snapshot(connection),
         }
     }
 }
 
-/// The entries of the next chunk, and the progress with it in flight.
+/// The entries of the next chunk, and the progress once it is in flight.
 fn next_chunk(
     catalogue: &Catalogue,
     subscription: &Subscription,
@@ -101,20 +102,20 @@
     }
 }
 
-/// What follows the chunk that led to this progress.
-fn following(
+/// The continuation after the chunk that led to this progress.
+fn continuation(
     catalogue: &Catalogue,
     subscription: &Subscription,
     progress: &SnapshotProgress,
     max_bytes: usize,
-) -> Following {
-    let Some(after) = &progress.after_change else { return Following::Chunks };
+) -> Continuation {
+    let Some(after) = &progress.after_change else { return Continuation::Chunks };
     if catalogue.floor() >= after.version {
-        return Following::NewSnapshot;
+        return Continuation::NewSnapshot;
     }
     let later = catalogue.changes_after(&subscription.scope, after, max_bytes);
     match later.next_after {
-        Some(_) => Following::Chunks,
-        None => Following::LastChanges(later.changes),
+        Some(_) => Continuation::Chunks,
+        None => Continuation::LastChanges(later.changes),
     }
 }
--- a/crates/config-distribution/src/relay/subscribe.rs
+++ b/crates/config-distribution/src/relay/subscribe.rs
@@ -1,4 +1,4 @@
-//! The messages of subscribers.
+//! Handling of messages from subscribers.
 use super::subscription::{Phase, SnapshotProgress};
 use super::{CloseReason, Relay, RelayAction};
 use crate::catalogue::ChangesSince;
@@ -9,7 +9,7 @@
 use crate::scope::Scope;
 use cluster_types::{Index, Time};
 
-/// What accepting a subscription costs beside the changes that are sent, in bytes.
+/// The tokens that accepting a subscription takes in addition to those for the changes sent.
 const SUBSCRIPTION_OVERHEAD_BYTES: usize = 256;
 
 impl Relay {
@@ -25,7 +25,7 @@
         }
         match message {
             SubscriberMessage::Subscribe { log_id, scope, from } => {
-                // A version of another log means nothing here.
+                // Versions of different logs can't be compared.
                 let from = if log_id == self.catalogue.log_id() { from } else { Index(0) };
                 self.subscribe(now, connection, scope, from, out);
             }
@@ -48,7 +48,7 @@
         self.close(connection, CloseReason::ProtocolError, out);
     }
 
-    /// Whether a report is by the relay on that connection: only relays ask for everything.
+    /// Whether a report was made by the relay on this connection. Only relays subscribe to everything.
     fn is_own_report(&self, connection: u64, report: &Report) -> bool {
         self.subscriptions.get(&connection).is_some_and(|subscription| {
             subscription.is_accepted()
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether the subscription of a connection can be accepted now: the catalogue is there, and there is capacity for it.
+    /// Whether the subscription of a connection can be accepted now: there is a catalogue to serve, and capacity is left.
     fn admit(&mut self, now: Time, connection: u64, changes: &ChangesSince) -> bool {
         let is_renewed =
             self.subscriptions.get(&connection).is_some_and(|subscription| subscription.is_accepted());
@@ -114,7 +114,7 @@
         self.subscription_tokens.admit(now, SUBSCRIPTION_OVERHEAD_BYTES + bytes)
     }
 
-    /// Sends the changes since the subscriber's version; from now on it is sent changes as they are made.
+    /// Sends the changes since the subscriber's version, and makes the subscription live.
     fn start_live(
         &mut self,
         now: Time,
@@ -138,7 +138,7 @@
         out.push(RelayAction::Send { connection, message });
     }
 
-    /// The subscriber has received a chunk of a snapshot.
+    /// Handles the confirmation of a chunk of a snapshot.
     fn chunk_confirmed(&mut self, now: Time, connection: u64, out: &mut Vec<RelayAction>) {
         let Some(subscription) = self.subscriptions.get_mut(&connection) else { return };
         match &mut subscription.phase {
@@ -169,7 +169,7 @@
             return self.protocol_error(connection, out);
         }
         subscription.rejections = rejected;
-        // Only the acknowledgement of the message in flight ends the wait: others do not extend a slow subscriber's time.
+        // Only an acknowledgement of the message in flight ends the wait; others must not extend a slow subscriber's timeout.
         if subscription.in_flight.is_some_and(|in_flight| in_flight.up_to <= up_to) {
             subscription.in_flight = None;
             subscription.awaiting_reply_since = now;
--- a/crates/config-distribution/src/relay/subscription.rs
+++ b/crates/config-distribution/src/relay/subscription.rs
@@ -1,6 +1,6 @@
-//! What a relay knows of one subscriber.
+//! The state of one subscriber at a relay.
 //!
-//! Nothing is queued for a subscriber: what it is sent follows from its scope and version.
+//! No queue is kept for a subscriber: its scope and version determine what it is sent.
 use crate::catalogue::LogPosition;
 use crate::key::Key;
 use crate::rejection::Rejection;
@@ -10,19 +10,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a heartbeat has the checksum over the subscriber's scope.
+/// How often a heartbeat includes the checksum over the subscriber's scope.
 pub(super) const CHECKSUM_INTERVAL: Duration = Duration::from_secs(10);
 
 const NEVER: Time = Time(u64::MAX);
 
-/// A snapshot that is being sent: first all keys, in chunks; then what has changed meanwhile, in chunks too.
+/// The progress of sending a snapshot: first all keys in chunks, then the changes made meanwhile, in chunks too.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct SnapshotProgress {
     /// The version as of the first chunk.
     pub base: Index,
     /// The key after which the next chunk begins; none for the first.
     pub after_key: Option<Key>,
-    /// Once all keys were sent: the position in the log up to which later changes were sent.
+    /// The log position up to which later changes were sent; none until all keys were sent.
     pub after_change: Option<LogPosition>,
     /// Whether a chunk was sent that the subscriber has not confirmed.
     pub is_in_flight: bool,
@@ -38,26 +38,26 @@
 /// The phase of a subscription.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Connected, without a [`crate::SubscriberMessage::Subscribe`] yet.
+    /// Connected, before a [`crate::SubscriberMessage::Subscribe`] is received.
     Connected,
-    /// It is being sent a snapshot.
+    /// A snapshot is being sent.
     Snapshot(SnapshotProgress),
-    /// It is sent changes as they are made.
+    /// Changes are sent as they are made.
     Live,
 }
 
-/// A message that the subscriber has not acknowledged.
+/// A message of changes that the subscriber has not acknowledged.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct InFlight {
     pub sent_at: Time,
     pub up_to: Index,
 }
 
-/// Changes that were not sent yet.
+/// Changes that have not been sent yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingChanges {
     pub since: Time,
-    /// Whether one of them is of [`crate::Class::Primary`].
+    /// Whether any of them is of [`crate::Class::Primary`].
     pub is_urgent: bool,
 }
 
@@ -67,23 +67,23 @@
     pub scope: Scope,
     pub log_id: u64,
     pub phase: Phase,
-    /// The version up to which it was sent everything.
+    /// The version up to which all changes were sent.
     pub sent_up_to: Index,
     pub in_flight: Option<InFlight>,
     pub pending: Option<PendingChanges>,
     /// The first version in its scope that it has not acknowledged.
     pub first_unacknowledged: Option<Index>,
-    /// When it was last sent anything.
+    /// When the last message was sent.
     pub sent_at: Time,
-    /// When it was last sent a checksum.
+    /// When the last checksum was sent.
     pub checksum_sent_at: Time,
-    /// Since when its reply is awaited; meaningful while [`Subscription::is_reply_awaited`].
+    /// Since when a reply is awaited; meaningful while [`Subscription::is_reply_awaited`].
     pub awaiting_reply_since: Time,
     pub rejections: Vec<Rejection>,
 }
 
 impl Subscription {
-    /// The subscription of a connection that was just opened.
+    /// The subscription of a newly opened connection.
     pub fn new(name: Arc<str>, now: Time) -> Subscription {
         Subscription {
             name,
@@ -101,19 +101,19 @@
         }
     }
 
-    /// Whether its request was accepted.
+    /// Whether the subscribe request was accepted.
     pub fn is_accepted(&self) -> bool {
         self.phase != Phase::Connected
     }
 
-    /// Whether it is up to date as far as it is known: live, and everything that was sent is acknowledged.
+    /// Whether it is live and has acknowledged everything that was sent.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Live && self.in_flight.is_none()
     }
 
-    /// A change in its scope was made.
+    /// Records a change in its scope.
     pub fn mark_pending(&mut self, now: Time, version: Index, is_urgent: bool) {
-        // The relay was behind its subscriber and has only now reached a version that the subscriber holds.
+        // The relay was behind its subscriber, and only now applies a version that the subscriber already holds.
         if self.phase == Phase::Live && version <= self.sent_up_to {
             return;
         }
@@ -122,13 +122,13 @@
         self.pending = Some(PendingChanges { is_urgent: before.is_urgent || is_urgent, ..before });
     }
 
-    /// Everything up to a version was sent and waits for its acknowledgement.
+    /// Records that all changes up to a version were sent and await acknowledgement.
     pub fn mark_sent(&mut self, now: Time, up_to: Index) {
         self.sent_up_to = up_to;
         self.in_flight = Some(InFlight { sent_at: now, up_to });
     }
 
-    /// Whether a reply of the subscriber is due.
+    /// Whether the relay awaits a reply of the subscriber.
     pub fn is_reply_awaited(&self) -> bool {
         match &self.phase {
             Phase::Connected => true,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// When the next thing is due for it.
+    /// When the next action is due for it.
     pub fn due_at(&self, settings: &Settings) -> Time {
         let timeout = self.is_reply_awaited().then(|| self.awaiting_reply_since + settings.reply_timeout);
         let pending = self.pending.filter(|_| self.is_idle());
@@ -149,7 +149,7 @@
             }
         });
         let checksum = if self.is_idle() { self.checksum_sent_at + CHECKSUM_INTERVAL } else { NEVER };
-        // A subscriber that waits for its turn, or takes long to apply changes, is sent heartbeats too.
+        // A subscriber that waits for its next chunk, or takes long to apply changes, is sent heartbeats too.
         let heartbeat =
             self.is_accepted().then(|| (self.sent_at + settings.heartbeat_interval).min(checksum));
         [timeout, changes, heartbeat].into_iter().flatten().fold(NEVER, Time::min)
--- a/crates/config-distribution/src/scope.rs
+++ b/crates/config-distribution/src/scope.rs
@@ -1,12 +1,12 @@
-//! The part of the catalogue that a subscriber asks for.
+//! The part of the catalogue that a subscriber requests.
 use crate::key::Topic;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The most topics that a scope may name.
+/// The maximum number of topics in a scope.
 pub const MAX_SCOPE_TOPICS: usize = 16_384;
 
-/// The topics that a subscriber serves. [`Topic::Fleet`] is always among them.
+/// The topics that a subscriber requests. [`Topic::Fleet`] is always among them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// All topics: the scope of relays.
@@ -16,12 +16,12 @@
 }
 
 impl Scope {
-    /// The scope of those topics and [`Topic::Fleet`].
+    /// The scope of the given topics and [`Topic::Fleet`].
     pub fn of(topics: impl IntoIterator<Item = Topic>) -> Scope {
         Scope::Topics(topics.into_iter().chain([Topic::Fleet]).collect())
     }
 
-    /// Whether it is of bounded size and contains [`Topic::Fleet`]: a relay serves no other.
+    /// Whether its size is within limits and it contains [`Topic::Fleet`]: relays accept no other scope.
     pub(crate) fn is_valid(&self) -> bool {
         match self {
             Scope::Everything => true,
--- a/crates/config-distribution/src/settings.rs
+++ b/crates/config-distribution/src/settings.rs
@@ -4,29 +4,29 @@
 /// The rate and the burst of a [`crate::TokenBucket`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Bytes a second.
+    /// The average rate, in bytes per second.
     pub bytes_per_second: f64,
-    /// Bytes that may be saved up.
+    /// The maximum burst, in bytes.
     pub burst_bytes: f64,
 }
 
 /// Limits and intervals of relays.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How long changes of [`crate::Class::Configuration`] are batched.
+    /// How long changes of [`crate::Class::Configuration`] are collected before they are sent.
     pub batch_interval: Duration,
-    /// The longest pause between two messages to a subscriber. Must be below `backoff::IDLE_TIMEOUT_US`, after which a subscriber
-    /// takes its relay for dead.
+    /// The longest pause between two messages to a subscriber. Must be below `backoff::IDLE_TIMEOUT_US`, after which a
+    /// subscriber considers its relay dead.
     pub heartbeat_interval: Duration,
-    /// How long a subscriber may take to answer before its connection is closed.
+    /// How long a subscriber may take to reply before its connection is closed.
     pub reply_timeout: Duration,
-    /// The most subscribers that a relay serves.
+    /// The maximum number of subscribers of a relay.
     pub max_subscribers: usize,
-    /// The most bytes of one message of changes; a subscriber that lacks more is sent a snapshot.
+    /// The maximum size of a message of changes; a subscriber that lacks more is sent a snapshot.
     pub max_message_bytes: usize,
-    /// The bytes of one chunk of a snapshot.
+    /// The maximum size of a chunk of a snapshot.
     pub chunk_bytes: usize,
-    /// How much a relay sends for new subscriptions and snapshots.
+    /// The rate limit for new subscriptions and snapshots.
     pub subscription_rate: RateLimit,
     /// How often a relay reports.
     pub report_interval: Duration,
--- a/crates/config-distribution/src/subscriber.rs
+++ b/crates/config-distribution/src/subscriber.rs
@@ -1,5 +1,5 @@
-//! A subscriber: follows the changes in its scope. Gateways are subscribers, and so are relays without a vote, whose scope is
-//! everything.
+//! A subscriber: receives the changes in its scope from a relay. Gateways are subscribers, and so are relays without a
+//! vote, whose scope is [`Scope::Everything`].
 mod apply;
 mod connections;
 mod event;
@@ -22,17 +22,18 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The least time between two writes of the state: a write costs by all that is held, a change by its own size only.
+/// The minimum time between two writes of the state. The cost of a write depends on the size of the whole state, not on
+/// that of a change.
 const PERSIST_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a subscriber is started with.
+/// The configuration of a subscriber.
 #[derive(Clone, Debug)]
 pub struct SubscriberConfig {
     /// The topics that it follows.
     pub scope: Scope,
-    /// The number of relays that it may connect to; they are named by their place in the order of preference.
+    /// The number of relays that it may connect to; they are identified by their position in the order of preference.
     pub relay_count: usize,
-    /// The number of subscribers in the fleet: it decides how far connection attempts are spread.
+    /// The number of subscribers in the fleet: it determines how far connection attempts are spread over time.
     pub fleet_size: u32,
     /// The seed of the random pauses between connection attempts.
     pub seed: u64,
@@ -44,39 +45,40 @@
     scope: Scope,
     relay_count: usize,
     caller: Caller,
-    /// Attempts that failed since a relay was last followed: each moves on to the next relay in the order of preference.
+    /// The number of failed attempts since a relay was last followed: each failure selects the next relay in the order of
+    /// preference.
     failed_attempts: usize,
     /// Connections that are open or being opened.
     attempts: Vec<Attempt>,
     /// The connection whose relay is followed.
     followed: Option<u64>,
-    /// When the followed relay last sent anything.
+    /// When the followed relay last sent a message.
     last_message_at: Time,
-    /// Since when the relay has not heard of the log, by its last heartbeat.
+    /// Since when the relay has had no contact with the log, from its last heartbeat.
     relay_isolated_since: Option<Time>,
     state: SubscriberState,
-    /// The version of the last subscribe request: what is being applied may have moved on since.
+    /// The version of the last subscribe request; the state may have advanced since.
     requested_from: Index,
     /// The log of the relay that is followed.
     relay_log_id: u64,
     staging: Option<Staging>,
     pending: Option<PendingApply>,
-    /// Messages, by connection, that arrived while something was applied.
+    /// Messages, with their connections, that arrived while the host was applying values.
     queued: VecDeque<(u64, RelayMessage)>,
-    /// It has subscribed again on the connection that it follows: until that is answered, messages there are ignored.
+    /// Whether it has subscribed again on the followed connection: until the relay replies, its messages are ignored.
     is_resubscribing: bool,
-    /// The scope was changed while something was applied.
+    /// Whether the scope was changed while the host was applying values.
     is_rescoped: bool,
     is_persistent: bool,
-    /// Whether something was applied that is not persisted yet.
+    /// Whether the state has changed since it was last persisted.
     is_dirty: bool,
     persisted_at: Option<Time>,
     stats: SubscriberStats,
 }
 
 impl Subscriber {
-    /// A subscriber that starts from its persisted state, where there is one. A state that can't be used is returned as an
-    /// error beside a subscriber that holds nothing.
+    /// A subscriber that starts from its persisted state, if there is one. If that state can't be used, the subscriber is
+    /// empty and the error is returned along with it.
     pub fn new(
         config: SubscriberConfig,
         now: Time,
@@ -115,7 +117,7 @@
         (subscriber, error)
     }
 
-    /// Applies the persisted state when the program starts; to be called once, before any event.
+    /// Applies the persisted state when the program starts; must be called once, before any event.
     pub fn start(&mut self, out: &mut Vec<SubscriberAction>) {
         let entries = self.state.applied_entries();
         if !entries.is_empty() {
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Handles an event and appends the actions that follow.
+    /// Handles an event and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: SubscriberEvent, out: &mut Vec<SubscriberAction>) {
         match event {
             SubscriberEvent::Tick => {}
@@ -157,8 +159,8 @@
         &self.state
     }
 
-    /// Since when nothing was heard of the log: no relay is followed, or the relay does not hear of it itself. None while
-    /// changes arrive.
+    /// Since when there has been no contact with the log: no relay is followed, or the relay itself has no contact. None
+    /// while there is contact.
     pub fn isolated_since(&self) -> Option<Time> {
         let own = self.followed.is_none().then_some(self.last_message_at);
         self.relay_isolated_since.or(own)
@@ -174,7 +176,7 @@
         &self.stats
     }
 
-    /// Changes the scope: all of the new one is requested.
+    /// Changes the scope, and requests a snapshot of the new one.
     pub fn set_scope(&mut self, scope: Scope, out: &mut Vec<SubscriberAction>) {
         if scope == self.scope {
             return;
@@ -199,7 +201,7 @@
     }
 }
 
-/// The time as `backoff` counts it: microseconds, signed.
+/// The time in the representation of `backoff`: signed microseconds.
 fn caller_time(now: Time) -> i64 {
     now.0 as i64
 }
--- a/crates/config-distribution/src/subscriber/apply.rs
+++ b/crates/config-distribution/src/subscriber/apply.rs
@@ -1,4 +1,4 @@
-//! Applying values at the host: together, or not at all.
+//! Applying values at the host: all together, or none.
 use super::{Subscriber, SubscriberAction};
 use crate::change::{Change, Class};
 use crate::key::Key;
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 use std::mem;
 
-/// The reason of a value that is rejected because its batch has another one that is.
+/// The reason for rejecting a value because another value of its batch is rejected.
 const REJECTED_WITH_BATCH: &str = "ordered together with a value that is refused";
-/// The reason of a value where the host names none.
+/// The reason where the host gives none.
 const REJECTED: &str = "refused";
 
-/// Where and up to which version the result is acknowledged.
+/// The connection on which the result is acknowledged, and the version.
 #[derive(Clone, Copy, Debug)]
 struct AcknowledgeTo {
     connection: u64,
@@ -26,7 +26,7 @@
     /// The log of a snapshot; none for changes.
     snapshot_of: Option<u64>,
     changes: Vec<Change>,
-    /// What was rejected so far, and why.
+    /// The changes rejected so far, with reasons.
     rejected: Vec<(Change, String)>,
     acknowledge_to: Option<AcknowledgeTo>,
 }
@@ -37,12 +37,12 @@
         PendingApply { snapshot_of: Some(log_id), ..PendingApply::changes(up_to, values) }
     }
 
-    /// What has changed up to a version.
+    /// The changes up to a version.
     pub(super) fn changes(up_to: Index, changes: Vec<Change>) -> PendingApply {
         PendingApply { up_to, snapshot_of: None, changes, rejected: vec![], acknowledge_to: None }
     }
 
-    /// The same, with the result acknowledged on a connection.
+    /// Sets the connection on which the result is acknowledged, and the version.
     pub(super) fn acknowledged_to(self, connection: u64, up_to: Index) -> PendingApply {
         PendingApply { acknowledge_to: Some(AcknowledgeTo { connection, up_to }), ..self }
     }
@@ -53,7 +53,7 @@
 }
 
 impl Subscriber {
-    /// Asks the host to apply values. Without any change there is nothing to ask.
+    /// Asks the host to apply values. Without any changes, the result is recorded immediately.
     pub(super) fn request_apply(&mut self, pending: PendingApply, out: &mut Vec<SubscriberAction>) {
         let (is_snapshot, changes) = (pending.is_snapshot(), pending.changes.clone());
         if changes.is_empty() && !is_snapshot {
@@ -63,7 +63,7 @@
         out.push(SubscriberAction::Apply { is_snapshot, changes });
     }
 
-    /// The host has answered; messages that were queued meanwhile are handled then.
+    /// Handles the host's answer, and then the messages that were queued meanwhile.
     pub(super) fn apply_finished(
         &mut self,
         now: Time,
@@ -74,7 +74,7 @@
             if rejected.is_empty() {
                 self.commit(pending, out);
             } else {
-                self.apply_rest(pending, &rejected, out);
+                self.apply_remaining(pending, &rejected, out);
             }
         }
         while self.pending.is_none() {
@@ -83,39 +83,39 @@
         }
     }
 
-    /// Removes what is rejected, with the batches that it belongs to, and asks the host to apply the rest.
-    fn apply_rest(
+    /// Removes the rejected changes with their batches, and asks the host to apply the remaining ones.
+    fn apply_remaining(
         &mut self,
         mut pending: PendingApply,
         rejected: &[(Key, String)],
         out: &mut Vec<SubscriberAction>,
     ) {
-        let (fallen, mut rest) = self.split_rejected(&mut pending, rejected);
-        if fallen.is_empty() {
-            // Guards against a host that rejects only keys that it was not given: everything is rejected.
-            let all = rest.into_iter().map(|change| (change, REJECTED.to_string()));
+        let (newly_rejected, mut remaining) = self.split_rejected(&mut pending, rejected);
+        if newly_rejected.is_empty() {
+            // The host rejected only keys that it was not asked to apply: everything is rejected, so that the loop ends.
+            let all = remaining.into_iter().map(|change| (change, REJECTED.to_string()));
             pending.rejected.extend(all);
             return self.commit(pending, out);
         }
-        // A key that is rejected for the second time is the old value that was to stay in place of the new one.
+        // A key that is rejected a second time is the old value that was to be retained in place of the new one.
         let rejected_before: BTreeSet<Key> =
             pending.rejected.iter().map(|(change, _)| change.key.clone()).collect();
-        let fallen: Vec<Change> =
-            fallen.into_iter().filter(|change| !rejected_before.contains(&change.key)).collect();
-        self.stats.rejected += fallen.len() as u64;
+        let newly_rejected: Vec<Change> =
+            newly_rejected.into_iter().filter(|change| !rejected_before.contains(&change.key)).collect();
+        self.stats.rejected += newly_rejected.len() as u64;
         if let Some(log_id) = pending.snapshot_of {
-            rest.extend(fallen.iter().filter_map(|change| self.retained_value(change, log_id)));
+            remaining.extend(newly_rejected.iter().filter_map(|change| self.retained_value(change, log_id)));
         }
         let with_reason = |change: Change| {
             let reason = reason_for(&change.key, rejected).unwrap_or(REJECTED_WITH_BATCH).to_string();
             (change, reason)
         };
-        pending.rejected.extend(fallen.into_iter().map(with_reason));
-        pending.changes = rest;
+        pending.rejected.extend(newly_rejected.into_iter().map(with_reason));
+        pending.changes = remaining;
         self.request_apply(pending, out);
     }
 
-    /// Takes the changes apart: those that are rejected, or belong to a batch with one that is, and the rest.
+    /// Splits the changes into those that are rejected, or belong to a batch with a rejected one, and the remaining ones.
     fn split_rejected(
         &self,
         pending: &mut PendingApply,
@@ -125,28 +125,28 @@
         let is_rejected = |change: &Change| reason_for(&change.key, rejected).is_some();
         let batches: BTreeSet<Index> =
             changes.iter().filter(|change| is_rejected(change)).map(|change| change.version).collect();
-        // In a snapshot a value that was applied before stays, though its batch has another value that is rejected now.
+        // In a snapshot, a value that was applied before is retained even if another value of its batch is rejected now.
         let is_same_log = pending.snapshot_of == Some(self.state.log_id());
-        let was_applied = |change: &Change| {
+        let was_applied_before = |change: &Change| {
             is_same_log && self.state.get(&change.key).is_some_and(|(held, _)| held == change.version)
         };
-        let falls = |change: &Change| {
-            is_rejected(change) || batches.contains(&change.version) && !was_applied(change)
+        let is_rejected_with_batch = |change: &Change| {
+            is_rejected(change) || batches.contains(&change.version) && !was_applied_before(change)
         };
-        changes.into_iter().partition(falls)
+        changes.into_iter().partition(is_rejected_with_batch)
     }
 
-    /// The applied value that stays in a snapshot in place of one that is rejected.
+    /// The applied value that is retained in a snapshot in place of a rejected one.
     fn retained_value(&self, rejected: &Change, log_id: u64) -> Option<Change> {
         let applied = self.state.applied_as_of(&rejected.key, log_id)?;
         (applied.version < rejected.version).then_some(applied)
     }
 
-    /// Records a result and acknowledges it.
+    /// Records the result of applying values, and acknowledges it.
     fn commit(&mut self, pending: PendingApply, out: &mut Vec<SubscriberAction>) {
         let PendingApply { up_to, snapshot_of, changes, rejected, acknowledge_to } = pending;
         self.stats.applied += changes.len() as u64;
-        // A shard's backend and a snapshot are persisted at once; configuration waits for the interval.
+        // A shard's backend and a snapshot are persisted immediately; configuration waits for the interval.
         if snapshot_of.is_some() || changes.iter().any(|change| change.class == Class::Primary) {
             self.persisted_at = None;
         }
--- a/crates/config-distribution/src/subscriber/connections.rs
+++ b/crates/config-distribution/src/subscriber/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to relays, at the rate that `backoff` gives.
+//! Connections to relays, at the rate set by `backoff`.
 use super::{caller_time, Subscriber, SubscriberAction};
 use crate::message::SubscriberMessage;
 use backoff::{Failure, IDLE_TIMEOUT_US};
@@ -13,7 +13,7 @@
 }
 
 impl Subscriber {
-    /// Leaves a relay that is silent for too long, and opens the next connection when it is due.
+    /// Disconnects from a relay that has been silent for too long, and opens the next connection when it is due.
     pub(super) fn connect_if_due(&mut self, now: Time, out: &mut Vec<SubscriberAction>) {
         let silence_limit = Duration::from_micros(IDLE_TIMEOUT_US as u64);
         let silent = self.followed.filter(|_| now.since(self.last_message_at) >= silence_limit);
@@ -61,11 +61,11 @@
 
     pub(super) fn disconnected(&mut self, now: Time, connection: u64, failure: Failure) {
         if self.followed == Some(connection) {
-            // An incomplete snapshot is discarded; what is being applied goes on.
+            // An incomplete snapshot is discarded; values that the host is applying are not affected.
             self.followed = None;
             self.staging = None;
             self.is_resubscribing = false;
-            // Whatever the reason, the next attempt goes to another relay: there is no time for two pauses.
+            // The next attempt goes to another relay whatever the reason: a second failure at this one would cost another pause.
             self.failed_attempts = self.relay_of(connection).unwrap_or(0) + 1;
             self.caller.watch_ended(caller_time(now), failure);
         } else if self.relay_of(connection).is_some() {
@@ -88,7 +88,7 @@
         self.disconnected(now, connection, failure);
     }
 
-    /// A relay has accepted the subscription: all other connections are given up.
+    /// Follows a relay that has accepted the subscription, and closes all other connections.
     pub(super) fn follow(&mut self, now: Time, connection: u64, out: &mut Vec<SubscriberAction>) {
         self.caller.watch_established(caller_time(now));
         self.followed = Some(connection);
--- a/crates/config-distribution/src/subscriber/event.rs
+++ b/crates/config-distribution/src/subscriber/event.rs
@@ -1,4 +1,4 @@
-//! The events and the actions of a subscriber.
+//! Events and actions of a subscriber.
 use crate::change::Change;
 use crate::key::Key;
 use crate::message::{RelayMessage, SubscriberMessage};
@@ -9,7 +9,7 @@
 pub enum SubscriberEvent {
     /// Time has passed.
     Tick,
-    /// A connection that was asked for is open.
+    /// A requested connection is open.
     Connected {
         /// The connection.
         connection: u64,
@@ -18,7 +18,7 @@
     Disconnected {
         /// The connection.
         connection: u64,
-        /// What that shows of the relay.
+        /// The kind of failure.
         failure: Failure,
     },
     /// A relay has sent a message.
@@ -30,22 +30,22 @@
     },
     /// The host has answered [`SubscriberAction::Apply`]: everything is applied, or nothing.
     ApplyFinished {
-        /// The keys at fault, each with the reason; empty where everything is applied.
+        /// The rejected keys, each with the reason; empty if everything is applied.
         rejected: Vec<(Key, String)>,
     },
 }
 
-/// What a subscriber asks its host to do.
+/// An action that a subscriber requests from its host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriberAction {
     /// Open a connection to a relay.
     Connect {
         /// The number of the connection, never used again.
         connection: u64,
-        /// The relay, by its place in the order of preference.
+        /// The relay's position in the order of preference.
         relay: usize,
     },
-    /// Close a connection, or give up opening it.
+    /// Close a connection, or abort opening it.
     Close {
         /// The connection.
         connection: u64,
@@ -57,32 +57,32 @@
         /// The message.
         message: SubscriberMessage,
     },
-    /// Apply these values together, or none of them, and answer with [`SubscriberEvent::ApplyFinished`]. Until then the
-    /// host is asked to apply nothing else.
+    /// Apply these values together, or none of them, and answer with [`SubscriberEvent::ApplyFinished`]. No other request
+    /// to apply values is made before that.
     Apply {
-        /// Whether they are all values that there are: a key that is missing is deleted.
+        /// Whether these are all values of the scope: keys that are not included are deleted.
         is_snapshot: bool,
-        /// The values, newer than those held. One of none deletes the key.
+        /// The values, newer than those held. A change without a value deletes the key.
         changes: Vec<Change>,
     },
-    /// Write this state to the disk in place of the last one.
+    /// Replace the state on disk by this one.
     Persist(Vec<u8>),
 }
 
 /// Counters of a subscriber since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberStats {
-    /// Changes that were applied.
+    /// Applied changes.
     pub applied: u64,
-    /// Changes that were rejected.
+    /// Rejected changes.
     pub rejected: u64,
-    /// Snapshots that were applied.
+    /// Applied snapshots.
     pub snapshots: u64,
-    /// Checksums that differed from the relay's: something was missed.
+    /// Checksums that differed from the relay's: a change was missed.
     pub checksum_mismatches: u64,
-    /// Messages that were malformed, unexpected, or older than what is held; they changed nothing.
+    /// Messages that were malformed, unexpected, or older than the state; they had no effect.
     pub protocol_errors: u64,
-    /// Relays that were left because they follow another log.
+    /// Relays that were disconnected because they serve another log.
     pub foreign_relays: u64,
     /// Connection attempts.
     pub connection_attempts: u64,
--- a/crates/config-distribution/src/subscriber/receive.rs
+++ b/crates/config-distribution/src/subscriber/receive.rs
@@ -1,4 +1,4 @@
-//! The messages of relays.
+//! Handling of messages from relays.
 use super::apply::PendingApply;
 use super::snapshot::SnapshotChunk;
 use super::{Subscriber, SubscriberAction};
@@ -8,7 +8,8 @@
 use cluster_types::{Index, Time};
 use std::mem;
 
-/// The most messages that wait while something is applied: the last chunk of a snapshot and the changes that complete it.
+/// The maximum number of messages queued while the host applies values: the last chunk of a snapshot, and the changes
+/// that complete it.
 const MAX_QUEUED_MESSAGES: usize = 2;
 
 impl Subscriber {
@@ -26,12 +27,12 @@
             RelayMessage::Subscribed { log_id } => self.subscribed(now, connection, log_id, out),
             RelayMessage::RetryLater => self.leave(now, connection, Failure::Overloaded, out),
             _ if self.followed != Some(connection) => self.protocol_error(now, connection, out),
-            message => self.followed_relay_sent(now, connection, message, out),
+            message => self.handle_followed_message(now, connection, message, out),
         }
     }
 
-    /// A message of the relay that is followed.
-    fn followed_relay_sent(
+    /// Handles a message from the followed relay.
+    fn handle_followed_message(
         &mut self,
         now: Time,
         connection: u64,
@@ -43,7 +44,7 @@
             self.relay_isolated_since = isolated_for.map(|span| now - span);
         }
         if self.is_resubscribing {
-            // It was sent before the relay received the new request.
+            // The message was sent before the relay received the new request.
             return;
         }
         match message {
@@ -62,13 +63,13 @@
                 let chunk = SnapshotChunk { base, is_first, is_last, entries };
                 self.snapshot_chunk(now, connection, chunk, out);
             }
-            // Reports concern the host of a relay; the others were handled before.
+            // Reports are handled by the host of a relay; the other messages were handled by the caller.
             RelayMessage::Reports(_) | RelayMessage::Subscribed { .. } | RelayMessage::RetryLater => {}
         }
     }
 
-    /// Holds a message back until what is being applied has ended. That was received on an earlier connection: on the same one
-    /// a relay sends nothing more before it has its acknowledgement.
+    /// Queues a message until the host has finished applying values. Those values came on an earlier connection: on the
+    /// same connection, a relay sends nothing more before it receives the acknowledgement.
     fn queue(&mut self, now: Time, connection: u64, message: RelayMessage, out: &mut Vec<SubscriberAction>) {
         if self.queued.len() >= MAX_QUEUED_MESSAGES {
             return self.protocol_error(now, connection, out);
@@ -83,7 +84,8 @@
 
     fn subscribed(&mut self, now: Time, connection: u64, log_id: u64, out: &mut Vec<SubscriberAction>) {
         if self.followed == Some(connection) {
-            // A relay whose log has been replaced meanwhile closes the connection instead.
+            // Only the reply to a new subscription is expected, and for the same log: a relay whose log was replaced closes the
+            // connection instead.
             if mem::take(&mut self.is_resubscribing) && log_id == self.relay_log_id {
                 self.send_rejections(connection, out);
             } else {
@@ -91,7 +93,7 @@
             }
             return;
         }
-        // The upper bits of a log's id are the time of its bootstrap: the fleet follows the latest.
+        // The upper bits of a log's id are the time of its bootstrap: the fleet follows the newest log.
         if self.followed.is_some() || log_id < self.state.log_id() || log_id == 0 {
             self.stats.foreign_relays += u64::from(self.followed.is_none());
             return self.leave(now, connection, Failure::Overloaded, out);
@@ -102,7 +104,7 @@
         self.send_rejections(connection, out);
     }
 
-    /// Tells a new relay what is rejected.
+    /// Sends the rejected values to a new relay.
     fn send_rejections(&mut self, connection: u64, out: &mut Vec<SubscriberAction>) {
         let rejected = self.state.rejections();
         if !rejected.is_empty() && self.is_same_log() {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Whether the relay that is followed serves the log that the state comes from.
+    /// Whether the followed relay serves the log that the state comes from.
     pub(super) fn is_same_log(&self) -> bool {
         self.relay_log_id == self.state.log_id()
     }
@@ -149,7 +151,7 @@
         out: &mut Vec<SubscriberAction>,
     ) {
         let held_up_to = self.state.up_to();
-        // A relay that is behind may send changes that are held already: they change nothing.
+        // A relay that is behind may send changes that are already held: they have no effect.
         if up_to <= held_up_to && !changes.is_empty() {
             self.stats.protocol_errors += 1;
         }
@@ -159,7 +161,7 @@
         self.request_apply(pending.acknowledged_to(connection, up_to), out);
     }
 
-    /// Whether a newer value of its key is held.
+    /// Whether a newer value of the change's key is held.
     pub(super) fn is_older(&self, change: &Change) -> bool {
         let held = self.state.version(&change.key).filter(|_| self.is_same_log());
         held.is_some_and(|held| held > change.version)
@@ -179,7 +181,7 @@
             return;
         }
         if checksum.is_some_and(|checksum| checksum != self.state.checksum()) {
-            // A change was missed, or a deleted key is still held: everything is requested.
+            // A change was missed, or a deleted key is still held: requests a snapshot.
             self.stats.checksum_mismatches += 1;
             self.state.rewind();
             self.is_resubscribing = true;
--- a/crates/config-distribution/src/subscriber/snapshot.rs
+++ b/crates/config-distribution/src/subscriber/snapshot.rs
@@ -25,7 +25,7 @@
     ) {
         let staging = self.staging.take();
         let staging = if chunk.is_first { Some(Staging::new(chunk.base)) } else { staging };
-        // Guards against older values coming back through a snapshot: a relay that is behind is left.
+        // A snapshot from a relay that is behind would bring back older values: disconnects from that relay.
         if self.is_same_log() && chunk.base < self.state.highest() {
             return self.leave(now, connection, Failure::Overloaded, out);
         }
--- a/crates/config-distribution/src/subscriber/staging.rs
+++ b/crates/config-distribution/src/subscriber/staging.rs
@@ -1,15 +1,15 @@
-//! The chunks of a snapshot until it is complete.
+//! Collects the chunks of a snapshot until it is complete.
 use crate::change::Change;
 use crate::key::Key;
 use cluster_types::Index;
 use std::collections::BTreeMap;
 
-/// The most keys that a snapshot may have.
+/// The maximum number of keys in a snapshot.
 const MAX_SNAPSHOT_KEYS: usize = 1 << 18;
-/// The most bytes that a snapshot may have.
+/// The maximum size of a snapshot, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 28;
 
-/// What was received of a snapshot.
+/// The received part of a snapshot.
 #[derive(Debug)]
 pub(super) struct Staging {
     /// The version as of the first chunk.
@@ -21,12 +21,12 @@
 }
 
 impl Staging {
-    /// A snapshot as of a version, of which nothing was received.
+    /// A snapshot as of a version, of which nothing has been received.
     pub fn new(base: Index) -> Staging {
         Staging { base, is_complete: false, bytes: 0, entries: BTreeMap::new() }
     }
 
-    /// Whether so many more entries are within the bounds of a snapshot.
+    /// Whether `entries` more entries are within the limits of a snapshot.
     pub fn fits(&self, entries: usize) -> bool {
         self.entries.len() + entries <= MAX_SNAPSHOT_KEYS && self.bytes <= MAX_SNAPSHOT_BYTES
     }
@@ -38,7 +38,7 @@
         self.is_complete = is_last;
     }
 
-    /// Adds changes; of each key the newest counts.
+    /// Adds changes, keeping the newest of each key.
     pub fn add_changes(&mut self, changes: Vec<Change>) {
         for change in changes {
             let held = self.entries.get(&change.key);
@@ -53,7 +53,7 @@
         self.entries.values()
     }
 
-    /// The values of the snapshot.
+    /// The values of the snapshot, without deletions.
     pub fn into_values(self) -> Vec<Change> {
         self.entries.into_values().filter(|change| change.value.is_some()).collect()
     }
--- a/crates/config-distribution/src/subscriber/state.rs
+++ b/crates/config-distribution/src/subscriber/state.rs
@@ -1,4 +1,4 @@
-//! What a subscriber holds: of each key the newest value, applied or rejected.
+//! The state of a subscriber: the newest value of each key, applied or rejected.
 use crate::change::Change;
 use crate::checksum::entry_checksum;
 use crate::key::Key;
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A value that was rejected, and why.
+/// A rejected change, with the reason.
 #[derive(Clone, Debug)]
 struct RejectedChange {
     change: Change,
@@ -25,9 +25,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct Value {
-    /// What is applied; none where nothing ever was.
+    /// The applied value; none if no value was ever applied.
     applied: Option<Change>,
-    /// The newest change, where it was rejected.
+    /// The newest change, if it was rejected.
     rejected: Option<RejectedChange>,
 }
 
@@ -37,12 +37,12 @@
     }
 }
 
-/// The values that a subscriber holds of its scope.
+/// The values of a subscriber's scope.
 #[derive(Clone, Debug, Default)]
 pub struct SubscriberState {
     log_id: u64,
     up_to: Index,
-    /// The greatest that `up_to` ever was: nothing older is accepted, not even when everything is requested again.
+    /// The greatest value that `up_to` ever had: nothing older is accepted, not even after a rewind.
     highest: Index,
     values: BTreeMap<Key, Value>,
     checksum: u64,
@@ -51,12 +51,12 @@
 }
 
 impl SubscriberState {
-    /// The log that the values come from; 0 where no relay was followed yet.
+    /// The log that the values come from; 0 if no relay was followed yet.
     pub fn log_id(&self) -> u64 {
         self.log_id
     }
 
-    /// The version up to which everything was applied or rejected.
+    /// The version up to which all changes were applied or rejected.
     pub fn up_to(&self) -> Index {
         self.up_to
     }
@@ -71,23 +71,23 @@
         self.values.is_empty()
     }
 
-    /// The applied value of a key and its version; none where it has none.
+    /// The applied value of a key and its version; none if it has no value.
     pub fn get(&self, key: &Key) -> Option<(Index, &Arc<[u8]>)> {
         let change = self.values.get(key)?.applied.as_ref()?;
         Some((change.version, change.value.as_ref()?))
     }
 
-    /// The newest version known of a key, applied or rejected.
+    /// The newest known version of a key, applied or rejected.
     pub fn version(&self, key: &Key) -> Option<Index> {
         self.values.get(key)?.newest().map(|change| change.version)
     }
 
-    /// Everything that is applied.
+    /// All applied values.
     pub fn applied_entries(&self) -> Vec<Change> {
         self.values.values().filter_map(|value| value.applied.clone()).collect()
     }
 
-    /// Values that were rejected and are still the newest of their keys, as many as a message has.
+    /// Rejected values that are still the newest of their keys, as many as fit into a message.
     pub fn rejections(&self) -> Vec<Rejection> {
         let rejected = self.rejected_keys.iter().filter_map(|key| self.values.get(key)?.rejected.as_ref());
         let shortened = |rejected: &RejectedChange| {
@@ -104,18 +104,18 @@
         self.checksum
     }
 
-    /// Everything is to be requested again; what is applied stays.
+    /// Makes the next subscription request everything again; the applied values are kept.
     pub(crate) fn rewind(&mut self) {
         self.up_to = Index(0);
     }
 
-    /// The log has reached a version, and nothing more of it is in the scope.
+    /// Records that the log has reached a version without further changes in the scope.
     pub(crate) fn advance(&mut self, up_to: Index) {
         self.up_to = self.up_to.max(up_to);
         self.highest = self.highest.max(up_to);
     }
 
-    /// Adds a key's part to the checksum, or removes it.
+    /// Adds a key's newest value to the checksum, or removes it.
     fn toggle_checksum(&mut self, key: &Key) {
         let newest = self.values.get(key).and_then(Value::newest);
         if let Some(Change { version, value: Some(value), .. }) = newest {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A change was applied.
+    /// Records an applied change.
     pub(crate) fn record_applied(&mut self, change: Change) {
         let key = change.key.clone();
         self.toggle_checksum(&key);
@@ -136,7 +136,7 @@
         self.toggle_checksum(&key);
     }
 
-    /// A change was rejected; the value that is applied stays.
+    /// Records a rejected change; the applied value is kept.
     pub(crate) fn record_rejected(&mut self, change: Change, reason: String) {
         let key = change.key.clone();
         self.toggle_checksum(&key);
@@ -145,13 +145,14 @@
         self.toggle_checksum(&key);
     }
 
-    /// Drops all values: those of a snapshot of a log follow.
+    /// Drops all values, before those of a snapshot of a log are recorded.
     pub(crate) fn clear(&mut self, log_id: u64) {
         let highest = if log_id == self.log_id { self.highest } else { Index(0) };
         *self = SubscriberState { log_id, highest, ..SubscriberState::default() };
     }
 
-    /// The applied value of a key as a value of a log. One that comes from another log is older than all of this one.
+    /// The applied value of a key, with a version of the given log. A value from another log counts as older than all values
+    /// of this one.
     pub(crate) fn applied_as_of(&self, key: &Key, log_id: u64) -> Option<Change> {
         let mut applied = self.values.get(key)?.applied.clone()?;
         if log_id != self.log_id {
@@ -160,8 +161,8 @@
         Some(applied)
     }
 
-    /// Drops values outside of a scope.
-    fn narrow(&mut self, scope: &Scope) {
+    /// Drops values outside a scope.
+    fn restrict_to(&mut self, scope: &Scope) {
         let is_outside = |key: &&Key| !scope.contains(&key.topic);
         let outside: Vec<Key> = self.values.keys().filter(is_outside).cloned().collect();
         for key in outside {
@@ -170,8 +171,8 @@
         }
     }
 
-    /// From the persisted state, for the scope as it is now. What was rejected is requested again, because this program may
-    /// accept it; so is the entire scope, where it was another one.
+    /// Restores a persisted state for the current scope. Everything is requested again if values were rejected, because this
+    /// release may accept them, or if the scope has changed.
     pub(crate) fn from_persisted(persisted: PersistedState, scope: &Scope) -> SubscriberState {
         let PersistedState { log_id, highest, .. } = persisted;
         let mut state = SubscriberState { log_id, highest, ..SubscriberState::default() };
@@ -181,11 +182,11 @@
         for entry in persisted.entries {
             state.record_applied(entry);
         }
-        state.narrow(scope);
+        state.restrict_to(scope);
         state
     }
 
-    /// The state in its persisted form.
+    /// Encodes the state for the disk.
     pub(crate) fn to_persisted(&self, scope: &Scope) -> Vec<u8> {
         let rejected = self.values.values().filter_map(|value| value.rejected.as_ref());
         encode(&PersistedState {
--- a/crates/config-distribution/src/token_bucket.rs
+++ b/crates/config-distribution/src/token_bucket.rs
@@ -1,7 +1,7 @@
 //! A token bucket that limits how many bytes a relay sends for subscriptions.
 use cluster_types::Time;
 
-/// A token bucket whose tokens are bytes. It may go into debt by one transfer.
+/// A token bucket whose tokens are bytes. Its balance may become negative by one transfer.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     bytes_per_second: f64,
@@ -22,8 +22,8 @@
         self.refilled_at = now.max(self.refilled_at);
     }
 
-    /// Whether a transfer of about so many bytes may start. It may while any token is left: a transfer larger than what is
-    /// available leaves a debt.
+    /// Takes tokens for a transfer of about `bytes`, and returns whether it may start. It may while any token is left: a
+    /// transfer larger than the available tokens makes the balance negative.
     pub fn admit(&mut self, now: Time, bytes: usize) -> bool {
         self.refill(now);
         let is_admitted = self.available_bytes > 0.0;
--- a/crates/config-distribution/src/write_batch.rs
+++ b/crates/config-distribution/src/write_batch.rs
@@ -1,4 +1,4 @@
-//! What an operator writes: one entry of the configuration log.
+//! Batches of values that an operator writes: the entries of the configuration log.
 use crate::change::{Class, MAX_VALUE_BYTES};
 use crate::key::Key;
 use serde::{Deserialize, Serialize};
@@ -6,13 +6,13 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The most values that one batch may write.
+/// The maximum number of values in a batch.
 pub const MAX_BATCH_PUTS: usize = 256;
 
 /// One value that a batch writes or deletes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// How soon it has to be applied.
+    /// How urgently it has to be applied.
     pub class: Class,
     /// The key.
     pub key: Key,
@@ -20,17 +20,17 @@
     pub value: Option<Arc<[u8]>>,
 }
 
-/// Values that are applied together: one entry of the log.
+/// Values that are applied together: one log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteBatch {
-    /// The values; each key once.
+    /// The values, with distinct keys.
     pub puts: Vec<Put>,
 }
 
-/// Why a batch can't go into the log.
+/// Why a batch is not allowed in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WriteBatchError {
-    /// It has no value, or too many.
+    /// It has no values, or too many.
     #[error("order: one value at least, {max} at most", max = MAX_BATCH_PUTS)]
     PutCount,
     /// The name of a key, or of its topic, is empty, too long or has characters that are not allowed.
@@ -45,10 +45,10 @@
 }
 
 impl WriteBatch {
-    /// Checks whether the batch may go into the log.
+    /// Checks whether the batch is allowed in the log.
     ///
     /// # Errors
-    /// Names the first key at fault, or says that the batch is empty or too large.
+    /// Names the first invalid key, or says that the batch is empty or too large.
     pub fn check(&self) -> Result<(), WriteBatchError> {
         if self.puts.is_empty() || self.puts.len() > MAX_BATCH_PUTS {
             return Err(WriteBatchError::PutCount);
--- a/crates/config-distribution/tests/arbitrary_input.rs
+++ b/crates/config-distribution/tests/arbitrary_input.rs
@@ -1,8 +1,8 @@
-//! No input makes a subscriber or a relay panic, or a subscriber apply an older value.
+//! Property tests: no input makes a subscriber or a relay panic, or makes a subscriber apply an older value.
 mod common;
 use backoff::Failure;
 use cluster_types::{Index, Time};
-use common::{change, Host};
+use common::{change, TestHost};
 use config_distribution::*;
 use proptest::prelude::*;
 
@@ -74,11 +74,11 @@
 
 proptest! {
     #[test]
-    fn subscriber_survives_any_input_and_never_goes_back(
+    fn subscriber_handles_any_input_and_applies_nothing_older(
         inputs in prop::collection::vec((relay_message(), 0u8..8, 0u64..400_000), 1..60)
     ) {
-        let mut host = Host::following(&[("a", 10, "ten")], 12);
-        let log_id = |host: &Host| host.subscriber.state().log_id();
+        let mut host = TestHost::following(&[("a", 10, "ten")], 12);
+        let log_id = |host: &TestHost| host.subscriber.state().log_id();
         let mut held = (log_id(&host), 10);
         for (message, choice, pause) in inputs {
             host.now.0 += pause;
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn relay_survives_any_input(
+    fn relay_handles_any_input(
         inputs in prop::collection::vec((subscriber_message(), 0u64..4, 0u8..6, 0u64..400_000), 1..60),
     ) {
         let mut relay = common::relay::TestRelay::new();
@@ -117,8 +117,8 @@
     }
 
     #[test]
-    fn handles_whatever_decodes_from_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut host = Host::following(&[("a", 10, "ten")], 12);
+    fn handles_any_decodable_message(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        let mut host = TestHost::following(&[("a", 10, "ten")], 12);
         if let Ok(message) = postcard::from_bytes::<RelayMessage>(&bytes) {
             host.receive(message);
         }
--- a/crates/config-distribution/tests/catalogue.rs
+++ b/crates/config-distribution/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! What a catalogue holds, and what it gives to others.
+//! The contents of a catalogue, and the changes, chunks and checksums that it provides.
 use cluster_types::Index;
 use config_distribution::{
     Catalogue, CatalogueSize, Change, ChangesSince, Class, Key, Put, Scope, Topic, WriteBatch,
@@ -42,7 +42,7 @@
     model
 }
 
-fn applied(batches: &[WriteBatch]) -> Catalogue {
+fn catalogue_of(batches: &[WriteBatch]) -> Catalogue {
     let mut catalogue = Catalogue::new(7);
     for (n, batch) in batches.iter().enumerate() {
         catalogue.apply(Index(n as u64 + 1), batch);
@@ -57,7 +57,7 @@
 proptest! {
     #[test]
     fn holds_newest_value_of_each_key(batches in batches()) {
-        let catalogue = applied(&batches);
+        let catalogue = catalogue_of(&batches);
         for (key, (version, value)) in model(&batches) {
             let held = catalogue.get(&key).map(|(version, value)| (version, value.to_vec()));
             prop_assert_eq!(held, value.map(|value| (version, value)));
@@ -66,11 +66,11 @@
 
     #[test]
     fn merging_in_any_order_gives_same_state(batches in batches(), seed in any::<u64>()) {
-        let catalogue = applied(&batches);
+        let catalogue = catalogue_of(&batches);
         let ChangesSince::Changes(mut changes) = catalogue.changes_since(&Scope::Everything, Index(0), usize::MAX) else {
             return Err(TestCaseError::fail("the history is complete"));
         };
-        // Older changes between them too, and some twice.
+        // Includes older changes, and some changes twice.
         let old = batches.iter().enumerate().flat_map(|(n, batch)| batch.puts.iter().map(move |put| Change {
             version: Index(n as u64 + 1), class: put.class, key: put.key.clone(), value: put.value.clone(),
         }));
@@ -91,7 +91,7 @@
 
     #[test]
     fn changes_since_any_version_give_current_state(batches in batches(), from in 0usize..40) {
-        let (before, after) = (applied(&batches[..from.min(batches.len())]), applied(&batches));
+        let (before, after) = (catalogue_of(&batches[..from.min(batches.len())]), catalogue_of(&batches));
         for scope in scopes() {
             let ChangesSince::Changes(changes) = after.changes_since(&scope, before.applied(), usize::MAX) else {
                 return Err(TestCaseError::fail("the history is complete"));
@@ -104,8 +104,8 @@
     }
 
     #[test]
-    fn chunks_of_any_size_cover_the_scope(batches in batches(), size in 1usize..400) {
-        let catalogue = applied(&batches);
+    fn chunks_of_any_size_cover_scope(batches in batches(), size in 1usize..400) {
+        let catalogue = catalogue_of(&batches);
         for scope in scopes() {
             let (mut after, mut all) = (None, vec![]);
             loop {
@@ -124,7 +124,7 @@
 
     #[test]
     fn checksum_excludes_deleted_keys(batches in batches()) {
-        let catalogue = applied(&batches);
+        let catalogue = catalogue_of(&batches);
         let mut snapshot = Catalogue::new(0);
         snapshot.restore(7, &catalogue.chunk(&Scope::Everything, None, usize::MAX).entries, catalogue.applied());
         for scope in scopes() {
--- a/crates/config-distribution/tests/common/mod.rs
+++ b/crates/config-distribution/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A subscriber whose relay and host are driven by the test.
-// Each test file uses a part of it.
+// Each test file uses only some of the items.
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 pub mod relay;
 
@@ -14,7 +14,7 @@
     Scope::of([Topic::Shard(1), Topic::Zone("zone-a".into())])
 }
 
-/// A subscriber of that scope among three, with so many relays.
+/// The configuration of a subscriber with a given scope and number of relays, in a fleet of three subscribers.
 pub fn config(scope: Scope, relay_count: usize) -> SubscriberConfig {
     SubscriberConfig { scope, relay_count, fleet_size: 3, seed: 1 }
 }
@@ -24,7 +24,7 @@
     Change { version: Index(version), class: Class::Configuration, key, value }
 }
 
-pub struct Host {
+pub struct TestHost {
     pub subscriber: Subscriber,
     pub now: Time,
     /// All actions so far.
@@ -32,18 +32,18 @@
     connection: Option<u64>,
 }
 
-impl Host {
-    pub fn of(subscriber: Subscriber) -> Host {
-        Host { subscriber, now: Time(1_000_000), actions: vec![], connection: None }
+impl TestHost {
+    pub fn with_subscriber(subscriber: Subscriber) -> TestHost {
+        TestHost { subscriber, now: Time(1_000_000), actions: vec![], connection: None }
     }
 
-    pub fn fresh() -> Host {
-        Host::of(Subscriber::new(config(scope(), 3), Time(1_000_000), None).0)
+    pub fn new() -> TestHost {
+        TestHost::with_subscriber(Subscriber::new(config(scope(), 3), Time(1_000_000), None).0)
     }
 
-    /// A host whose subscriber holds these values as of a version.
-    pub fn following(held: &[(&str, u64, &str)], up_to: u64) -> Host {
-        let mut host = Host::fresh();
+    /// A host whose subscriber follows a relay of log 7 and holds the given values as of a version.
+    pub fn following(held: &[(&str, u64, &str)], up_to: u64) -> TestHost {
+        let mut host = TestHost::new();
         host.connect();
         let entries = held.iter().map(|(name, version, value)| change(name, *version, Some(value))).collect();
         host.receive_snapshot(entries, up_to);
@@ -58,23 +58,23 @@
         actions
     }
 
-    /// Lets time pass until the subscriber has connected to a relay of log 7; returns its request.
+    /// Advances the time until the subscriber has connected to a relay of log 7; returns its request.
     pub fn connect(&mut self) -> SubscriberMessage {
         self.connect_to(7).0
     }
 
-    /// The same with a relay of another log; returns the request and the relay.
+    /// Advances the time until the subscriber has connected to a relay of a given log; returns the request and the relay.
     pub fn connect_to(&mut self, log_id: u64) -> (SubscriberMessage, usize) {
         let (connection, relay) = self.next_attempt();
         let opened = self.handle(SubscriberEvent::Connected { connection });
-        let request = opened.into_iter().find_map(sent).unwrap();
+        let request = opened.into_iter().find_map(sent_message).unwrap();
         self.connection = Some(connection);
         let message = RelayMessage::Subscribed { log_id };
         self.handle(SubscriberEvent::Message { connection, message });
         (request, relay)
     }
 
-    /// Lets time pass until the subscriber opens a connection; returns it and the relay.
+    /// Advances the time until the subscriber opens a connection; returns the connection and the relay.
     pub fn next_attempt(&mut self) -> (u64, usize) {
         loop {
             self.now.0 += 50_000;
@@ -99,12 +99,12 @@
         actions
     }
 
-    /// Applies what the subscriber asked for.
+    /// Applies the values that the subscriber requested.
     pub fn accept(&mut self) -> Vec<SubscriberAction> {
         self.handle(SubscriberEvent::ApplyFinished { rejected: vec![] })
     }
 
-    /// Rejects one key, and applies the rest.
+    /// Rejects one key, and applies the remaining values.
     pub fn reject(&mut self, name: &str, reason: &str) -> Vec<SubscriberAction> {
         let rejected = vec![(Key::new(Topic::Fleet, name), reason.into())];
         let actions = self.handle(SubscriberEvent::ApplyFinished { rejected });
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Lets seconds pass, with heartbeats of the relay.
-    pub fn pass_time(&mut self, seconds: u64) {
+    /// Advances the time by some seconds, with a heartbeat from the relay in each.
+    pub fn advance_time(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now.0 += 1_000_000;
             self.receive(RelayMessage::Heartbeat { up_to: Index(0), checksum: None, isolated_for: None });
@@ -132,7 +132,7 @@
         self.subscriber.followed_connection()
     }
 
-    /// The state that was persisted last.
+    /// The last persisted state.
     pub fn persisted(&self) -> Option<Vec<u8>> {
         self.actions.iter().rev().find_map(|action| match action {
             SubscriberAction::Persist(bytes) => Some(bytes.clone()),
@@ -147,7 +147,7 @@
     }
 }
 
-pub fn sent(action: SubscriberAction) -> Option<SubscriberMessage> {
+pub fn sent_message(action: SubscriberAction) -> Option<SubscriberMessage> {
     match action {
         SubscriberAction::Send { message, .. } => Some(message),
         _ => None,
@@ -158,10 +158,10 @@
     RelayMessage::Changes { from: Index(from), up_to: Index(up_to), changes }
 }
 
-/// The first acknowledgement: the version, and what is rejected.
+/// The first acknowledgement: its version, and the rejected keys with reasons.
 pub fn acknowledgement(actions: Vec<SubscriberAction>) -> Option<(u64, Vec<String>)> {
     let text = |rejection: Rejection| format!("{} {}", rejection.key, rejection.reason);
-    actions.into_iter().filter_map(sent).find_map(|message| match message {
+    actions.into_iter().filter_map(sent_message).find_map(|message| match message {
         SubscriberMessage::Acknowledge { up_to, rejected } => {
             Some((up_to.0, rejected.into_iter().map(text).collect()))
         }
@@ -169,8 +169,8 @@
     })
 }
 
-/// The values that the host is asked to apply: their names and versions.
-pub fn requested(actions: &[SubscriberAction]) -> Option<Vec<(String, u64)>> {
+/// The values that the host is requested to apply: their names and versions.
+pub fn requested_values(actions: &[SubscriberAction]) -> Option<Vec<(String, u64)>> {
     actions.iter().find_map(|action| match action {
         SubscriberAction::Apply { changes, .. } => {
             Some(changes.iter().map(|change| (change.key.name.to_string(), change.version.0)).collect())
@@ -190,12 +190,12 @@
             let SubscriberAction::Connect { connection, .. } = action else { continue };
             let mut actions = vec![];
             subscriber.handle(now, SubscriberEvent::Connected { connection }, &mut actions);
-            return actions.into_iter().find_map(sent).unwrap();
+            return actions.into_iter().find_map(sent_message).unwrap();
         }
     }
 }
 
-/// A relay's report of gateways that have acknowledged everything.
+/// The report of a relay whose gateways have acknowledged everything.
 pub fn report(relay: &str, sequence: u64, applied: u64) -> config_distribution::Report {
     config_distribution::Report {
         relay: relay.into(),
@@ -209,7 +209,7 @@
     }
 }
 
-/// The bytes of a message.
-pub fn bytes(message: &impl serde::Serialize) -> usize {
+/// The encoded size of a message.
+pub fn encoded_size(message: &impl serde::Serialize) -> usize {
     postcard::to_stdvec(message).unwrap().len()
 }
--- a/crates/config-distribution/tests/common/relay.rs
+++ b/crates/config-distribution/tests/common/relay.rs
@@ -9,13 +9,13 @@
 pub struct TestRelay {
     pub inner: Relay,
     pub now: Time,
-    /// The last version that was written.
+    /// The last written version.
     pub version: u64,
-    /// All actions so far, without reports.
+    /// All actions so far, except for reports.
     pub actions: Vec<RelayAction>,
 }
 
-/// A chunk of a snapshot as it was sent.
+/// A sent chunk of a snapshot.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SentChunk {
     pub is_first: bool,
@@ -29,16 +29,16 @@
 
 impl TestRelay {
     pub fn new() -> TestRelay {
-        TestRelay::with(Settings::default())
+        TestRelay::with_settings(Settings::default())
     }
 
-    pub fn with(settings: Settings) -> TestRelay {
+    pub fn with_settings(settings: Settings) -> TestRelay {
         let now = Time(1_000_000);
         let inner = Relay::new(settings, "relay-1", Catalogue::new(7), now);
         TestRelay { inner, now, version: 0, actions: vec![] }
     }
 
-    /// The actions upon an event, without reports.
+    /// Handles an event, and returns the actions except for reports.
     pub fn handle(&mut self, event: RelayEvent) -> Vec<RelayAction> {
         let mut actions = vec![];
         self.inner.handle(self.now, event, &mut actions);
@@ -47,7 +47,7 @@
         actions
     }
 
-    /// Connects a subscriber and subscribes it from a version on.
+    /// Connects a subscriber and requests changes after a version.
     pub fn subscribe(&mut self, connection: u64, scope: Scope, from: u64) -> Vec<RelayAction> {
         let name = format!("gateway-{connection}").as_str().into();
         self.handle(RelayEvent::Connected { connection, name });
@@ -111,7 +111,7 @@
     })
 }
 
-/// Messages of changes to a connection: from, up to, and the names.
+/// The messages of changes sent to a connection: `from`, `up_to` and the names of the keys.
 pub fn sent_changes(actions: &[RelayAction], to: u64) -> Vec<(u64, u64, Vec<String>)> {
     let one = |message: &RelayMessage| match message {
         RelayMessage::Changes { from, up_to, changes } => {
@@ -122,7 +122,7 @@
     messages(actions, to).filter_map(one).collect()
 }
 
-/// Why a connection was closed, if it was.
+/// The reason for closing a connection, if it was closed.
 pub fn close_reason(actions: &[RelayAction], of: u64) -> Option<CloseReason> {
     actions.iter().find_map(|action| match action {
         RelayAction::Close { connection, reason } if *connection == of => Some(*reason),
@@ -130,7 +130,7 @@
     })
 }
 
-/// The chunks that were sent to a connection.
+/// The chunks sent to a connection.
 pub fn sent_chunks(actions: &[RelayAction], to: u64) -> Vec<SentChunk> {
     let one = |message: &RelayMessage| match message {
         RelayMessage::SnapshotChunk { is_first, is_last, entries, .. } => {
@@ -142,7 +142,7 @@
     messages(actions, to).filter_map(one).collect()
 }
 
-/// How many messages were sent to a connection.
+/// The number of messages sent to a connection.
 pub fn message_count(actions: &[RelayAction], to: u64) -> usize {
     messages(actions, to).count()
 }
--- a/crates/config-distribution/tests/connections.rs
+++ b/crates/config-distribution/tests/connections.rs
@@ -1,14 +1,14 @@
-//! Which relay a subscriber connects to, when it leaves one, and how old its values are.
+//! The choice of relays by a subscriber, disconnecting from them, and the time since contact with the log was lost.
 mod common;
 use backoff::{Failure, IDLE_TIMEOUT_US};
 use cluster_types::Index;
-use common::{change, Host};
+use common::{change, TestHost};
 use config_distribution::{RelayMessage, SubscriberAction, SubscriberEvent};
 use std::time::Duration;
 
 #[test]
-fn leaves_silent_relay_for_the_next_and_reports_age_of_values() {
-    let mut host = Host::following(&[("a", 1, "one")], 1);
+fn switches_from_silent_relay_to_next_and_reports_isolation() {
+    let mut host = TestHost::following(&[("a", 1, "one")], 1);
     let heard_at = host.now;
     host.now.0 += IDLE_TIMEOUT_US as u64;
     host.handle(SubscriberEvent::Tick);
@@ -20,7 +20,7 @@
 
 #[test]
 fn adopts_isolation_of_relay() {
-    let mut host = Host::following(&[("a", 1, "one")], 1);
+    let mut host = TestHost::following(&[("a", 1, "one")], 1);
     let heartbeat = |isolated_s: Option<u64>| RelayMessage::Heartbeat {
         up_to: Index(1),
         checksum: None,
@@ -38,7 +38,7 @@
 
 #[test]
 fn deferred_subscriber_tries_next_relay() {
-    let mut host = Host::fresh();
+    let mut host = TestHost::new();
     let started = host.now;
     let (connection, relay) = host.next_attempt();
     assert_eq!(relay, 0);
@@ -51,7 +51,7 @@
 
 #[test]
 fn queues_complete_snapshot_while_applying() {
-    let mut host = Host::following(&[("a", 3, "three")], 3);
+    let mut host = TestHost::following(&[("a", 3, "three")], 3);
     let changes = vec![change("a", 4, Some("four"))];
     host.receive(RelayMessage::Changes { from: Index(3), up_to: Index(4), changes });
     host.disconnect();
--- a/crates/config-distribution/tests/costs.rs
+++ b/crates/config-distribution/tests/costs.rs
@@ -1,16 +1,16 @@
-//! The cost of one change: at a subscriber by the size of the change, at a relay by the number of subscribers. Times are the
-//! least of five runs, compared with a wide margin because the machine may be busy.
+//! The cost of a change depends on its size at a subscriber, and on the number of subscribers at a relay, but not on the
+//! number of keys. Times are the minimum of five runs, compared with a wide margin because the machine may be busy.
 mod common;
 use cluster_types::Index;
 use common::relay::{shard_scope, TestRelay};
-use common::{change, Host};
+use common::{change, TestHost};
 use config_distribution::{Class, RelayMessage, Topic};
 use std::time::{Duration, Instant};
 
 #[test]
 fn cost_at_subscriber_does_not_grow_with_held_keys() {
-    let least_time = |keys: u64| {
-        let mut host = Host::fresh();
+    let minimum_time = |keys: u64| {
+        let mut host = TestHost::new();
         host.connect();
         host.receive_snapshot(
             (0..keys).map(|n| change(&format!("k{n}"), n + 1, Some("value"))).collect(),
@@ -30,13 +30,13 @@
         });
         times.min().unwrap_or_default()
     };
-    let (few, many) = (least_time(200), least_time(20_000));
+    let (few, many) = (minimum_time(200), minimum_time(20_000));
     assert!(many < few * 4 + Duration::from_millis(5), "{few:?} with 200 keys, {many:?} with 20,000");
 }
 
 #[test]
 fn cost_at_relay_does_not_grow_with_keys() {
-    let least_time = |keys: u32| {
+    let minimum_time = |keys: u32| {
         let mut relay = TestRelay::new();
         for n in 0..keys {
             relay.write(Class::Configuration, Topic::Shard(n), "box", Some(b"x"));
@@ -52,6 +52,6 @@
         });
         times.min().unwrap_or_default()
     };
-    let (few, many) = (least_time(500), least_time(50_000));
+    let (few, many) = (minimum_time(500), minimum_time(50_000));
     assert!(many < few * 4 + Duration::from_millis(5), "{few:?} with 500 keys, {many:?} with 50,000");
 }
--- a/crates/config-distribution/tests/end_to_end.rs
+++ b/crates/config-distribution/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! Batches through a relay to three subscribers.
+//! Batches are distributed through one relay to three subscribers.
 use backoff::Failure;
 use cluster_types::{Index, Time};
 use config_distribution::*;
@@ -40,23 +40,23 @@
     }
 }
 
-struct World {
+struct Fleet {
     now: Time,
     relay: Relay,
     gateways: Vec<Gateway>,
 }
 
-/// The number at the relay of a gateway's connection.
+/// The relay's number for a gateway's connection.
 fn relay_connection(gateway: usize, connection: u64) -> u64 {
     connection * 100 + gateway as u64
 }
 
-/// The gateway and its connection of a number at the relay.
+/// The gateway, and its own number for a connection, from the relay's number.
 fn gateway_connection(connection: u64) -> (usize, u64) {
     ((connection % 100) as usize, connection / 100)
 }
 
-impl World {
+impl Fleet {
     fn step(&mut self) {
         self.now = self.now + STEP;
         let mut actions = vec![];
@@ -67,7 +67,7 @@
         self.deliver(actions);
     }
 
-    fn steps(&mut self, count: usize) {
+    fn run_steps(&mut self, count: usize) {
         (0..count).for_each(|_| self.step());
     }
 
@@ -130,7 +130,7 @@
         self.deliver(actions);
     }
 
-    /// How many keys each gateway has applied.
+    /// The number of applied keys at each gateway.
     fn applied(&self) -> Vec<usize> {
         self.gateways.iter().map(|gateway| gateway.applied.len()).collect()
     }
@@ -141,18 +141,22 @@
     let now = Time(1_000_000);
     let relay = Relay::new(Settings::default(), "relay-1", Catalogue::new(7), now);
     let gateways = (0..3).map(|number| Gateway::new(number, now)).collect();
-    let mut world = World { now, relay, gateways };
-    world.steps(100);
-    assert_eq!(world.relay.subscriber_count(), 3);
-    world.write(1, vec![put(Topic::Shard(1), "box", "box-9", Class::Primary)]);
-    world.steps(2);
-    assert_eq!(world.applied(), [0, 1, 0], "a shard's backend is sent ahead, to those that serve the shard");
-    world.write(2, vec![put(Topic::Fleet, "settings", "{}", Class::Configuration)]);
-    world.steps(10);
-    let status = world.relay.fleet_status().rollout(world.now, Index(2), SILENCE);
-    assert!(!status.is_everywhere, "configuration is batched first");
-    world.steps(400);
-    assert_eq!(world.applied(), [1, 2, 1]);
-    let status = world.relay.fleet_status().rollout(world.now, Index(2), SILENCE);
-    assert!(status.is_everywhere && status.gateways == 3, "{status:?}");
+    let mut fleet = Fleet { now, relay, gateways };
+    fleet.run_steps(100);
+    assert_eq!(fleet.relay.subscriber_count(), 3);
+    fleet.write(1, vec![put(Topic::Shard(1), "box", "box-9", Class::Primary)]);
+    fleet.run_steps(2);
+    assert_eq!(
+        fleet.applied(),
+        [0, 1, 0],
+        "a shard's backend is sent immediately, to the gateways that serve the shard"
+    );
+    fleet.write(2, vec![put(Topic::Fleet, "settings", "{}", Class::Configuration)]);
+    fleet.run_steps(10);
+    let status = fleet.relay.fleet_status().rollout(fleet.now, Index(2), SILENCE);
+    assert!(!status.is_complete, "configuration is batched first");
+    fleet.run_steps(400);
+    assert_eq!(fleet.applied(), [1, 2, 1]);
+    let status = fleet.relay.fleet_status().rollout(fleet.now, Index(2), SILENCE);
+    assert!(status.is_complete && status.gateways == 3, "{status:?}");
 }
--- a/crates/config-distribution/tests/golden.rs
+++ b/crates/config-distribution/tests/golden.rs
@@ -1,13 +1,13 @@
-//! The stored and sent forms, byte for byte, as files under `tests/golden/`.
+//! The encodings on disk and on the wire match the files under `tests/golden/` byte for byte.
 //!
-//! Each value is encoded and must give exactly the file; the file is decoded and must give the value; what was decoded is
-//! encoded again and must give the file. Enum variants and struct fields keep their order, which is all that the encoding
-//! knows of them. The files were written before the types had their present names, and have names of their own.
+//! Each value is encoded and compared to the file; the file is decoded and compared to the value; the decoded value is
+//! encoded again and compared to the file. The encoding depends on the order of enum variants and struct fields, which must
+//! not change. The files are older than the present names of the types, so their names differ.
 #![allow(clippy::unwrap_used)]
 mod common;
 
 use cluster_types::{Index, Time};
-use common::{change, config, Host};
+use common::{change, config, TestHost};
 use config_distribution::persisted::{decode, encode, PersistedState};
 use config_distribution::{
     Catalogue, Change, Class, GatewayRejection, Key, Lag, Put, Rejection, RelayMessage, Report,
@@ -41,8 +41,8 @@
     topics().into_iter().enumerate().map(value).collect()
 }
 
-/// The same, and a deleted key.
-fn with_deletion() -> Vec<Change> {
+/// The same values, and a deleted key.
+fn values_and_deletion() -> Vec<Change> {
     let mut changes = values();
     changes.push(Change { version: Index(u64::MAX), ..change("gone", 0, None) });
     changes
@@ -73,17 +73,17 @@
 
 fn batch() -> WriteBatch {
     let put = |Change { class, key, value, .. }| Put { class, key, value };
-    WriteBatch { puts: with_deletion().into_iter().map(put).collect() }
+    WriteBatch { puts: values_and_deletion().into_iter().map(put).collect() }
 }
 
-fn assert_stored(file: &[u8], state: &PersistedState) {
+fn assert_matches_file(file: &[u8], state: &PersistedState) {
     assert_eq!(encode(state), file);
     assert_eq!(&decode(file).unwrap(), state);
     assert_eq!(encode(&decode(file).unwrap()), file);
 }
 
 #[test]
-fn stored_form_is_held() {
+fn persisted_state_matches_golden_file() {
     let file = include_bytes!("golden/stored_topics.bin");
     let state = PersistedState {
         log_id: LOG_ID,
@@ -93,12 +93,12 @@
         entries: values(),
         rejected: vec![rejection()],
     };
-    assert_stored(file, &state);
-    assert_eq!(file[..6], *b"chgs\x00\x01", "the header: magic and form");
+    assert_matches_file(file, &state);
+    assert_eq!(file[..6], *b"chgs\x00\x01", "the header: magic and format version");
 }
 
 #[test]
-fn stored_form_of_an_empty_state_is_held() {
+fn empty_persisted_state_matches_golden_file() {
     let state = PersistedState {
         log_id: 0,
         scope: Scope::Everything,
@@ -107,30 +107,30 @@
         entries: vec![],
         rejected: vec![],
     };
-    assert_stored(include_bytes!("golden/stored_empty.bin"), &state);
+    assert_matches_file(include_bytes!("golden/stored_empty.bin"), &state);
 }
 
 #[test]
-fn file_written_by_a_subscriber_is_held_and_read_again() {
+fn subscriber_writes_and_reads_golden_file() {
     let file = include_bytes!("golden/stored_by_subscriber.bin");
-    let mut host = Host::following(&[("a", 3, "one"), ("b", 5, "two")], 6);
+    let mut host = TestHost::following(&[("a", 3, "one"), ("b", 5, "two")], 6);
     let changes = vec![change("a", 8, Some("bad"))];
     host.receive(RelayMessage::Changes { from: Index(6), up_to: Index(8), changes });
     host.reject("a", "no");
-    host.pass_time(6);
+    host.advance_time(6);
     assert_eq!(host.persisted().unwrap(), file);
     let (subscriber, error) = Subscriber::new(config(common::scope(), 3), Time(1), Some(file));
     assert_eq!((error, subscriber.state().log_id(), subscriber.state().len()), (None, 7, 2));
 }
 
 #[test]
-fn write_batch_is_held() {
+fn write_batch_matches_golden_files() {
     GOLDEN.assert_postcard("order.bin", &batch());
     GOLDEN.assert_postcard("order_empty.bin", &WriteBatch::default());
 }
 
 #[test]
-fn subscriber_messages_are_held() {
+fn subscriber_messages_match_golden_files() {
     let subscribe = |scope| SubscriberMessage::Subscribe { log_id: LOG_ID, scope, from: Index(300) };
     GOLDEN.assert_postcard("to_relay_subscribe_topics.bin", &subscribe(Scope::of(topics())));
     GOLDEN.assert_postcard("to_relay_subscribe_everything.bin", &subscribe(Scope::Everything));
@@ -141,11 +141,12 @@
 }
 
 #[test]
-fn relay_messages_are_held() {
+fn relay_messages_match_golden_files() {
     let subscribed = RelayMessage::Subscribed { log_id: LOG_ID };
     GOLDEN.assert_postcard("from_relay_subscribed.bin", &subscribed);
     GOLDEN.assert_postcard("from_relay_later.bin", &RelayMessage::RetryLater);
-    let changes = RelayMessage::Changes { from: Index(299), up_to: Index(305), changes: with_deletion() };
+    let changes =
+        RelayMessage::Changes { from: Index(299), up_to: Index(305), changes: values_and_deletion() };
     GOLDEN.assert_postcard("from_relay_changes.bin", &changes);
     let base = Index(305);
     let chunk = |is_first, is_last, entries| RelayMessage::SnapshotChunk { base, is_first, is_last, entries };
@@ -162,10 +163,10 @@
 }
 
 #[test]
-fn reports_and_rollout_status_are_held() {
+fn reports_and_rollout_status_match_golden_files() {
     GOLDEN.assert_postcard("reports.bin", &vec![report()]);
     let status = RolloutStatus {
-        is_everywhere: false,
+        is_complete: false,
         gateways: 2_300,
         lags: report().lags,
         unnamed_lagging: 92,
@@ -175,13 +176,13 @@
         rejecting: 3,
     };
     GOLDEN.assert_postcard("where.bin", &status);
-    let everywhere = RolloutStatus { is_everywhere: true, gateways: 1, ..RolloutStatus::default() };
-    GOLDEN.assert_postcard("where_everywhere.bin", &everywhere);
+    let complete = RolloutStatus { is_complete: true, gateways: 1, ..RolloutStatus::default() };
+    GOLDEN.assert_postcard("where_everywhere.bin", &complete);
 }
 
-/// Checksums are sent too: a relay and a subscriber of different releases must find the same ones.
+/// Checksums are exchanged: a relay and a subscriber of different releases must calculate the same ones.
 #[test]
-fn checksums_over_a_scope_and_names_of_keys_are_held() {
+fn scope_checksums_and_key_names_match_golden_files() {
     let mut catalogue = Catalogue::new(LOG_ID);
     catalogue.merge(&values(), Index(304));
     let scopes = [Scope::Everything].into_iter().chain(topics().map(|topic| Scope::of([topic])));
--- a/crates/config-distribution/tests/relay.rs
+++ b/crates/config-distribution/tests/relay.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 
 /// A relay with a live subscriber of shard 1 on connection 1, as of version 1.
-fn live() -> TestRelay {
+fn relay_with_live_subscriber() -> TestRelay {
     let mut relay = TestRelay::new();
     relay.write_primary();
     let actions = relay.subscribe(1, shard_scope(1), 1);
@@ -19,7 +19,7 @@
 
 #[test]
 fn sends_primary_at_once_to_its_scope_only() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     relay.subscribe(2, shard_scope(2), 1);
     let actions = relay.write_primary();
     assert_eq!(sent_changes(&actions, 1), [(1, 2, vec!["box".to_string()])]);
@@ -28,7 +28,7 @@
 
 #[test]
 fn batches_configuration_with_newest_value_of_each_key() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     for n in 0..5u8 {
         let actions = relay.write_setting("limit", &[n]);
         assert_eq!(sent_changes(&actions, 1), []);
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn primary_takes_pending_configuration_along() {
-    let mut relay = live();
+fn sends_pending_configuration_with_primary() {
+    let mut relay = relay_with_live_subscriber();
     relay.write_setting("limit", b"x");
     let actions = relay.write_primary();
     assert_eq!(sent_changes(&actions, 1), [(1, 3, vec!["limit".to_string(), "box".to_string()])]);
@@ -50,7 +50,7 @@
 
 #[test]
 fn sends_nothing_before_acknowledgement_and_then_newest_values() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     relay.write_primary();
     for n in 0..100u8 {
         assert_eq!(sent_changes(&relay.write_setting("limit", &[n]), 1), []);
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn closes_subscriber_without_reply_and_delays_no_other() {
-    let mut relay = live();
+fn closes_unresponsive_subscriber_without_delaying_others() {
+    let mut relay = relay_with_live_subscriber();
     relay.subscribe(2, shard_scope(1), 1);
     relay.write_primary();
     relay.acknowledge(2, 2);
@@ -74,13 +74,13 @@
         (close_reason(&actions, 1), close_reason(&actions, 2)),
         (Some(CloseReason::ReplyTimeout), None)
     );
-    assert!(message_count(&actions, 1) >= 2, "heartbeats went on meanwhile");
+    assert!(message_count(&actions, 1) >= 2, "heartbeats continue meanwhile");
     assert_eq!(relay.inner.stats().reply_timeouts, 1);
 }
 
 #[test]
 fn acknowledgement_of_older_version_does_not_extend_timeout() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     relay.write_primary();
     for _ in 0..10 {
         relay.wait(700);
@@ -90,15 +90,15 @@
 }
 
 #[test]
-fn subscriber_ahead_of_relay_is_sent_nothing_older_and_does_not_lag() {
-    let mut relay = live();
+fn subscriber_ahead_of_relay_receives_nothing_older_and_is_not_lagging() {
+    let mut relay = relay_with_live_subscriber();
     let actions = relay.subscribe(2, shard_scope(1), 5);
     assert!(
         matches!(&actions[..], [RelayAction::Send { message: RelayMessage::Subscribed { .. }, .. }]),
         "{actions:?}"
     );
     (0..4).for_each(|n| drop(relay.write_setting(&format!("s{n}"), b"x")));
-    // Also while the changes are batched.
+    // It does not lag while the changes are batched either.
     relay.wait(1_200);
     let report = relay.inner.fleet_status().reports().next().unwrap().clone();
     assert!(report.lags.iter().all(|lag| *lag.gateway != *"gateway-2"), "{report:?}");
@@ -111,7 +111,7 @@
 
 #[test]
 fn sends_snapshot_to_subscriber_of_another_log() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     relay.handle(RelayEvent::Connected { connection: 3, name: "gateway-3".into() });
     let actions =
         relay.receive(3, SubscriberMessage::Subscribe { log_id: 6, scope: shard_scope(1), from: Index(90) });
@@ -129,7 +129,7 @@
 
 #[test]
 fn limits_number_of_subscribers() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     relay.inner =
         Relay::new(Settings { max_subscribers: 3, ..Settings::default() }, "r", Catalogue::new(7), relay.now);
     let subscribe = |connection| close_reason(&relay.subscribe(connection, shard_scope(1), 1), connection);
@@ -142,7 +142,7 @@
 
 #[test]
 fn replaces_earlier_connection_of_same_subscriber() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     let actions = relay.handle(RelayEvent::Connected { connection: 2, name: "gateway-1".into() });
     assert_eq!(close_reason(&actions, 1), Some(CloseReason::Replaced));
     relay.handle(RelayEvent::Disconnected { connection: 1 });
@@ -159,25 +159,25 @@
 #[rstest]
 #[case::acknowledged_ahead(SubscriberMessage::Acknowledge { up_to: Index(9), rejected: vec![] })]
 #[case::too_many_rejections(rejections(9, 3))]
-#[case::a_long_reason(rejections(1, 5_000))]
+#[case::oversized_reason(rejections(1, 5_000))]
 #[case::next_chunk_without_snapshot(SubscriberMessage::NextChunk)]
-#[case::a_report_of_a_gateway(SubscriberMessage::Report(common::report("gateway-1", 1, 1)))]
-#[case::a_scope_without_the_fleet_topic(SubscriberMessage::Subscribe { log_id: 7, scope: Scope::Topics([].into()), from: Index(1) })]
-#[case::a_scope_too_big(SubscriberMessage::Subscribe { log_id: 7, scope: Scope::of((0..20_000).map(Topic::Shard)), from: Index(1) })]
+#[case::report_of_gateway(SubscriberMessage::Report(common::report("gateway-1", 1, 1)))]
+#[case::scope_without_fleet_topic(SubscriberMessage::Subscribe { log_id: 7, scope: Scope::Topics([].into()), from: Index(1) })]
+#[case::oversized_scope(SubscriberMessage::Subscribe { log_id: 7, scope: Scope::of((0..20_000).map(Topic::Shard)), from: Index(1) })]
 fn closes_connection_on_protocol_error(#[case] message: SubscriberMessage) {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     relay.subscribe(2, shard_scope(1), 1);
     let actions = relay.receive(1, message);
     assert_eq!(
         (close_reason(&actions, 1), relay.inner.stats().protocol_errors),
         (Some(CloseReason::ProtocolError), 1)
     );
-    assert_eq!(sent_changes(&relay.write_primary(), 2).len(), 1, "other subscribers are served on");
+    assert_eq!(sent_changes(&relay.write_primary(), 2).len(), 1, "other subscribers are still served");
 }
 
 #[test]
 fn sends_checksum_periodically_when_idle() {
-    let mut relay = live();
+    let mut relay = relay_with_live_subscriber();
     let actions = relay.wait(21_000);
     let has_checksum = |action: &&RelayAction| {
         matches!(action, RelayAction::Send { message: RelayMessage::Heartbeat { checksum: Some(_), .. }, .. })
--- a/crates/config-distribution/tests/reports.rs
+++ b/crates/config-distribution/tests/reports.rs
@@ -1,4 +1,4 @@
-//! How far changes are applied, by reports whose size does not grow with the fleet.
+//! Reports on the progress of gateways, and the rollout status derived from them. Their size does not grow with the fleet.
 mod common;
 use cluster_types::{Index, Time};
 use common::relay::{shard_scope, TestRelay};
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn is_everywhere_once_all_have_acknowledged() {
+fn rollout_is_complete_once_all_have_acknowledged() {
     let status = rollout(vec![report("a", 1, 9), report("b", 1, 9)], 9);
-    assert!(status.is_everywhere);
+    assert!(status.is_complete);
     assert_eq!(status.gateways, 20);
-    assert!(!rollout(vec![], 0).is_everywhere, "nothing is known without a report");
+    assert!(!rollout(vec![], 0).is_complete, "nothing is known without a report");
 }
 
 #[test]
@@ -38,8 +38,8 @@
     let reports = vec![report("a", 1, 9), lagging("b", vec![lag("gateway-3", 8)], 1)];
     let status = rollout(reports.clone(), 9);
     let expected = (false, vec![lag("gateway-3", 8)], 0);
-    assert_eq!((status.is_everywhere, status.lags, status.unnamed_lagging), expected);
-    assert!(rollout(reports, 7).is_everywhere, "what it lacks is later");
+    assert_eq!((status.is_complete, status.lags, status.unnamed_lagging), expected);
+    assert!(rollout(reports, 7).is_complete, "the pending change is newer");
 }
 
 #[test]
@@ -58,18 +58,18 @@
     let status = fleet.rollout(Time(7_000_000), Index(9), SILENCE);
     assert_eq!(status.lagging_relays, ["b".into()]);
     assert_eq!(status.silent_relays, ["a".into(), "c".into()]);
-    assert!(!fleet.rollout(Time(7_000_000), Index(3), SILENCE).is_everywhere);
+    assert!(!fleet.rollout(Time(7_000_000), Index(3), SILENCE).is_complete);
     fleet.expire(Time(100_000_000), Duration::from_secs(60));
     let status = fleet.rollout(Time(100_000_000), Index(3), SILENCE);
     assert_eq!(status.silent_relays.len(), 3, "an expired report does not settle a version");
 }
 
 #[test]
-fn repeated_report_is_neither_new_nor_sign_of_life() {
+fn ignores_repeated_and_older_reports() {
     let mut fleet = FleetStatus::default();
     assert!(fleet.record(Time(0), report("a", 5, 9)));
     assert!(!fleet.record(Time(6_000_000), report("a", 5, 9)));
-    assert!(!fleet.record(Time(6_000_000), report("a", 4, 3)), "an older one that arrives late");
+    assert!(!fleet.record(Time(6_000_000), report("a", 4, 3)), "an older report that arrives late");
     let status = fleet.rollout(Time(6_000_000), Index(9), SILENCE);
     assert_eq!((status.silent_relays.len(), status.lagging_relays.len()), (1, 0));
     assert!(fleet.record(Time(6_000_000), report("a", 6, 9)));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn shares_reports_of_following_relays_once_and_of_peers_never() {
+fn forwards_reports_of_following_relays_once_and_of_peers_never() {
     let mut relay = TestRelay::new();
     relay.subscribe(1, Scope::Everything, 1);
     let mut actions = vec![];
@@ -123,7 +123,7 @@
     relay.acknowledge_rejecting(1, 2, &Key::new(Topic::Shard(1), "box"));
     relay.wait(1_100);
     let status = relay.inner.fleet_status().rollout(relay.now, Index(2), SILENCE);
-    assert_eq!((status.is_everywhere, status.gateways), (false, 20));
+    assert_eq!((status.is_complete, status.gateways), (false, 20));
     assert_eq!((status.lags.len(), status.unnamed_lagging), (8, 11));
     assert_eq!((status.rejecting, status.rejections.len()), (1, 1));
     let GatewayRejection { gateway, rejection } = &status.rejections[0];
@@ -131,12 +131,12 @@
     (1..=20).for_each(|connection| drop(relay.acknowledge(connection, 2)));
     relay.wait(1_100);
     let status = relay.inner.fleet_status().rollout(relay.now, Index(2), SILENCE);
-    assert!(status.is_everywhere, "a rejected value is acknowledged: {status:?}");
+    assert!(status.is_complete, "a rejected value is acknowledged: {status:?}");
     assert_eq!(status.rejecting, 0);
 }
 
 #[test]
-fn size_of_status_does_not_grow_with_fleet() {
+fn rollout_status_size_does_not_grow_with_fleet() {
     let size = |gateways: u32| {
         let one = |n: u32| {
             let lags = (0..MAX_REPORTED_GATEWAYS).map(|k| lag(&format!("gateway-{n}-{k}"), 8)).collect();
--- a/crates/config-distribution/tests/sim/build.rs
+++ b/crates/config-distribution/tests/sim/build.rs
@@ -1,7 +1,7 @@
-//! Fleets of all sizes.
+//! Construction of simulated fleets.
 use super::defect::Defect;
 use super::gateway::Gateway;
-use super::log::{region_name, volume_name, zone_name, Log, Universe};
+use super::log::{region_name, volume_name, zone_name, KeySpace, Log};
 use super::machine::Machine;
 use super::measurements::Measurements;
 use super::World;
@@ -16,26 +16,26 @@
 
 const LOG_ID: u64 = 7;
 
-/// How big a fleet is.
+/// The size of a fleet.
 pub struct FleetSize {
     pub voters: usize,
     pub relays: usize,
     pub gateways: usize,
     pub shards_per_gateway: u32,
-    pub universe: Universe,
+    pub key_space: KeySpace,
 }
 
 impl FleetSize {
-    /// A fleet of which hundreds of seeds can be run.
+    /// A fleet small enough to run hundreds of seeds.
     pub fn small() -> FleetSize {
-        let universe = Universe { shards: 60, volumes: 20, zones: 4, regions: 2 };
-        FleetSize { voters: 3, relays: 4, gateways: 30, shards_per_gateway: 12, universe }
+        let key_space = KeySpace { shards: 60, volumes: 20, zones: 4, regions: 2 };
+        FleetSize { voters: 3, relays: 4, gateways: 30, shards_per_gateway: 12, key_space }
     }
 
     /// The largest fleet.
     pub fn full() -> FleetSize {
-        let universe = Universe { shards: 23_000, volumes: 5_000, zones: 12, regions: 5 };
-        FleetSize { voters: 5, relays: 35, gateways: 2_300, shards_per_gateway: 30, universe }
+        let key_space = KeySpace { shards: 23_000, volumes: 5_000, zones: 12, regions: 5 };
+        FleetSize { voters: 5, relays: 35, gateways: 2_300, shards_per_gateway: 30, key_space }
     }
 
     fn machines(&self) -> usize {
@@ -43,12 +43,12 @@
     }
 }
 
-/// The first so many machines by their distance from a zone; equally distant ones are rotated.
-fn machines_by_distance(zone: usize, universe: &Universe, count: usize, rotation: usize) -> Vec<usize> {
+/// The machines `0..count` by their distance from a zone; equally distant ones are rotated.
+fn machines_by_distance(zone: usize, key_space: &KeySpace, count: usize, rotation: usize) -> Vec<usize> {
     let distance = |other: usize| {
         if other == zone {
             0
-        } else if other % universe.regions == zone % universe.regions {
+        } else if other % key_space.regions == zone % key_space.regions {
             1
         } else {
             2
@@ -56,7 +56,7 @@
     };
     let mut machines: Vec<usize> = (0..count).collect();
     machines
-        .sort_by_key(|machine| (distance(machine % universe.zones), (machine + rotation) % count, *machine));
+        .sort_by_key(|machine| (distance(machine % key_space.zones), (machine + rotation) % count, *machine));
     machines
 }
 
@@ -69,7 +69,7 @@
             scheduled_count: 0,
             settings,
             voter_count: size.voters,
-            region_count: size.universe.regions,
+            region_count: size.key_space.regions,
             names: (0..size.machines()).map(|number| format!("relay-{number}").as_str().into()).collect(),
             machines: vec![],
             gateways: vec![],
@@ -81,9 +81,9 @@
             measurements: Measurements::new(),
             violations: vec![],
             defect,
-            is_spoiling: true,
+            is_losing_changes: true,
             is_timed: false,
-            checks_fleet: true,
+            checks_fleet_invariants: true,
             random: SmallRng::seed_from_u64(random.random()),
         };
         for number in 0..size.machines() {
@@ -102,8 +102,8 @@
 
     fn new_machine(&mut self, number: usize, size: &FleetSize, random: &mut SmallRng) -> Machine {
         let is_voter = number < size.voters;
-        let zone = number % size.universe.zones;
-        let relays = machines_by_distance(zone, &size.universe, size.voters, number);
+        let zone = number % size.key_space.zones;
+        let relays = machines_by_distance(zone, &size.key_space, size.voters, number);
         let subscriber = (!is_voter).then(|| self.new_follower(relays.len()));
         let name = self.names[number].clone();
         Machine {
@@ -124,7 +124,7 @@
 }
 
 fn new_gateway(number: usize, size: &FleetSize, random: &mut SmallRng, now: Time) -> Gateway {
-    let Universe { shards, volumes, zones, regions } = size.universe;
+    let KeySpace { shards, volumes, zones, regions } = size.key_space;
     let zone = number % zones;
     let mut topics: Vec<Topic> = vec![
         Topic::Region(region_name(zone % regions).as_str().into()),
@@ -138,7 +138,7 @@
     Gateway {
         zone,
         scope,
-        relays: machines_by_distance(zone, &size.universe, size.machines(), number / zones),
+        relays: machines_by_distance(zone, &size.key_space, size.machines(), number / zones),
         subscriber: Subscriber::new(config, now, None).0,
         is_up: false,
         incarnation: 0,
--- a/crates/config-distribution/tests/sim/defect.rs
+++ b/crates/config-distribution/tests/sim/defect.rs
@@ -1,16 +1,16 @@
-//! Defects that a run has on purpose, to show that the invariants detect them.
+//! Defects that are injected to show that the invariants detect them.
 
-/// What a run does wrong on purpose.
+/// An injected defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Hosts apply a value again that was replaced before.
+    /// Hosts apply an old value of a key again.
     OldValue,
-    /// Relays lose a change now and then, and send no checksums.
+    /// Relays occasionally lose a change, and send no checksums.
     LostChangeWithoutChecksum,
-    /// Relays lose a change now and then. Checksums find it: the end state has to be exact all the same.
+    /// Relays occasionally lose a change. Checksums detect it, so the final state must still be exact.
     LostChange,
-    /// Hosts apply half of a batch.
+    /// Hosts apply only half of the changes.
     PartialBatch,
-    /// Hosts acknowledge first, and apply 8 s later.
+    /// Hosts acknowledge values first, and apply them 8 s later.
     EarlyAcknowledgement,
 }
--- a/crates/config-distribution/tests/sim/gateway.rs
+++ b/crates/config-distribution/tests/sim/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway and its host: what is applied there.
+//! A simulated gateway: its subscriber, and the host that applies values.
 use super::defect::Defect;
 use super::log::REJECTED_MARK;
 use super::{Node, SimEvent, World};
@@ -11,13 +11,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How late a host applies what it has acknowledged, with [`Defect::EarlyAcknowledgement`].
-const EARLY_ACKNOWLEDGEMENT: Duration = Duration::from_secs(8);
+/// The delay between acknowledging and applying values with [`Defect::EarlyAcknowledgement`].
+const EARLY_ACKNOWLEDGEMENT_DELAY: Duration = Duration::from_secs(8);
 
 pub struct Gateway {
     pub zone: usize,
     pub scope: Scope,
-    /// The machines that it may follow, in the order of preference.
+    /// The machines that it may follow, in order of preference.
     pub relays: Vec<usize>,
     pub subscriber: Subscriber,
     pub is_up: bool,
@@ -27,15 +27,15 @@
     /// Whether its host rejects marked values.
     pub rejects_marked: bool,
     pub persisted: Option<Vec<u8>>,
-    /// The values that its host has applied, with their versions.
+    /// The values applied by its host, with their versions.
     pub applied: BTreeMap<Key, (Index, Arc<[u8]>)>,
-    /// Of each key the newest version that this incarnation has applied.
+    /// The newest version of each key that this incarnation has applied.
     pub newest_applied: BTreeMap<Key, Index>,
-    /// Of each key the newest version that any incarnation has applied: each is measured once.
+    /// The newest version of each key that any incarnation has applied: the latency of each is measured once.
     pub measured: BTreeMap<Key, Index>,
 }
 
-/// Values that a host is asked to apply.
+/// Values that a host is requested to apply.
 pub struct ApplyRequest {
     pub gateway: usize,
     pub incarnation: u32,
@@ -43,7 +43,7 @@
     pub changes: Vec<Change>,
 }
 
-/// Whether a value is one that some hosts reject.
+/// Whether a value is marked to be rejected by some hosts.
 pub fn is_marked(value: &Option<Arc<[u8]>>) -> bool {
     value.as_ref().is_some_and(|value| value.first() == Some(&REJECTED_MARK))
 }
@@ -69,7 +69,7 @@
                     let delay = Duration::from_micros(self.random.random_range(200..4_000));
                     let incarnation = self.gateways[number].incarnation;
                     let request = ApplyRequest { gateway: number, incarnation, is_snapshot, changes };
-                    self.schedule_after(delay, SimEvent::HostDecides(request));
+                    self.schedule_after(delay, SimEvent::HostValidates(request));
                 }
             }
         }
@@ -90,8 +90,8 @@
         }
     }
 
-    /// The host applies everything, or rejects the marked values.
-    pub fn host_decides(&mut self, request: ApplyRequest) {
+    /// The host validates values, and applies all of them if it rejects none.
+    pub fn host_validates(&mut self, request: ApplyRequest) {
         let number = request.gateway;
         let gateway = &self.gateways[number];
         if !gateway.is_up || gateway.incarnation != request.incarnation {
@@ -105,7 +105,7 @@
             .collect();
         if rejected.is_empty() {
             if self.defect == Some(Defect::EarlyAcknowledgement) {
-                self.schedule_after(EARLY_ACKNOWLEDGEMENT, SimEvent::HostAppliesLate(request));
+                self.schedule_after(EARLY_ACKNOWLEDGEMENT_DELAY, SimEvent::HostAppliesLate(request));
             } else {
                 self.host_applies(request);
             }
@@ -130,10 +130,11 @@
             let newest = gateway.newest_applied.entry(change.key.clone()).or_default();
             *newest = change.version.max(*newest);
             let measured = gateway.measured.entry(change.key.clone()).or_default();
-            // A host that rejects a batch applies its values when the rejected one is replaced: that time tells nothing.
+            // A host that rejects a batch applies its values only when the rejected one is replaced: that latency is not
+            // measured.
             if *measured < change.version && !gateway.rejects_marked {
                 *measured = change.version;
-                let written_at = self.log.batch(change.version).written_at;
+                let written_at = self.log.entry(change.version).written_at;
                 self.measurements.record_applied(self.now, written_at, change.class);
             }
             match &change.value {
@@ -144,7 +145,7 @@
         self.check_batches(number, &changes);
     }
 
-    /// A change that puts an older version of an applied key.
+    /// A change with an older version of an applied key.
     fn old_value(&self, number: usize) -> Option<Change> {
         let (key, (version, _)) = self.gateways[number].applied.iter().next()?;
         let value: Arc<[u8]> = b"old".as_slice().into();
@@ -172,7 +173,7 @@
         let gateway = &mut self.gateways[number];
         gateway.is_up = false;
         gateway.incarnation += 1;
-        // The process loses what is applied, and the versions that are not persisted.
+        // The process loses the applied values, and the versions that are not persisted.
         gateway.applied.clear();
         gateway.newest_applied.clear();
         self.drop_links(Node::Gateway(number), false);
--- a/crates/config-distribution/tests/sim/invariants.rs
+++ b/crates/config-distribution/tests/sim/invariants.rs
@@ -1,4 +1,4 @@
-//! What has to hold after each step, and at the end.
+//! Invariants that hold after each step, and at the end.
 use super::defect::Defect;
 use super::gateway::is_marked;
 use super::{Node, World};
@@ -7,13 +7,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The most violations that are recorded.
+/// The maximum number of recorded violations.
 const MAX_VIOLATIONS: usize = 2_000;
-/// How long a gateway that has just connected may lag.
+/// How long a newly connected gateway may lag.
 const CATCH_UP_TIME: Duration = Duration::from_secs(5);
-/// After how long without a report a relay counts as silent.
+/// How long a relay may be without a report before it counts as silent.
 const SILENCE: Duration = Duration::from_secs(5);
-/// The most bytes that may be in flight to one gateway.
+/// The maximum number of bytes in flight to one gateway.
 const MAX_BYTES_IN_FLIGHT: usize = 256 * 1024;
 
 impl World {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Before a gateway applies changes: none is older than what it has, and each is as the log has it.
+    /// Checks changes before a gateway applies them: none is older than the applied value, and each matches the log.
     pub fn check_changes(&mut self, number: usize, changes: &[Change]) {
         let mut violations = vec![];
         let gateway = &self.gateways[number];
@@ -40,22 +40,23 @@
             }
         }
         let held = gateway.subscriber.state().len();
-        if self.checks_fleet && held > self.key_count(&gateway.scope) {
+        if self.checks_fleet_invariants && held > self.key_count(&gateway.scope) {
             violations.push(format!("gateway {number} holds {held} keys, more than its scope has"));
         }
         violations.into_iter().for_each(|violation| self.violation(violation));
     }
 
-    /// After it: of each batch that has an applied value, all values in the gateway's scope are applied, or newer ones.
+    /// Checks batches after changes are applied: of each batch with an applied value, all values in the gateway's scope, or
+    /// newer ones, are applied.
     pub fn check_batches(&mut self, number: usize, changes: &[Change]) {
         let versions: BTreeSet<Index> =
             changes.iter().map(|change| change.version).filter(|version| version.0 > 0).collect();
         let mut violations = vec![];
         let scope = &self.gateways[number].scope;
         for version in versions {
-            let puts = self.log.batch(version).batch.puts.iter();
+            let puts = self.log.entry(version).batch.puts.iter();
             for put in puts.filter(|put| scope.contains(&put.key.topic)) {
-                if !self.is_settled(number, version, put) {
+                if !self.is_applied_or_superseded(number, version, put) {
                     violations
                         .push(format!("gateway {number}: {version:?} is incomplete, {} is missing", put.key));
                 }
@@ -64,8 +65,8 @@
         violations.into_iter().for_each(|violation| self.violation(violation));
     }
 
-    /// Whether a value of a batch is applied at a gateway, or rightly is not.
-    fn is_settled(&self, number: usize, version: Index, put: &Put) -> bool {
+    /// Whether a value of a batch is applied at a gateway, or there is a valid reason that it is not.
+    fn is_applied_or_superseded(&self, number: usize, version: Index, put: &Put) -> bool {
         let gateway = &self.gateways[number];
         let applied = gateway.applied.get(&put.key);
         if applied.is_some_and(|(applied, _)| *applied >= version) {
@@ -75,7 +76,7 @@
         if is_deleted && applied.is_none() {
             return true;
         }
-        // A newer value was rejected with its batch; the old one was never sent.
+        // A newer value was rejected with its batch, and the old one was never sent.
         let writes = self.log.history.get(&put.key);
         let is_newer_rejected = writes.is_some_and(|writes| {
             writes
@@ -85,43 +86,44 @@
         gateway.rejects_marked && is_newer_rejected
     }
 
-    /// No machine says that the last version is everywhere while a gateway that has been connected for a while lacks a value.
+    /// Checks that no machine reports a complete rollout of the last version while a gateway that has been connected for
+    /// longer than [`CATCH_UP_TIME`] lacks a value.
     pub fn check_rollout(&mut self) {
-        if !self.checks_fleet {
+        if !self.checks_fleet_invariants {
             return;
         }
-        let version = self.log.last();
-        let is_expected = |number: &usize| self.served_for(*number) > Some(CATCH_UP_TIME);
+        let version = self.log.last_version();
+        let is_expected = |number: &usize| self.served_duration(*number) > Some(CATCH_UP_TIME);
         let missing: Vec<(usize, String)> = (0..self.gateways.len())
             .filter(is_expected)
-            .filter_map(|number| Some((number, self.missing(number)?)))
+            .filter_map(|number| Some((number, self.missing_value(number)?)))
             .collect();
         if missing.is_empty() {
             return;
         }
         for machine in 0..self.machines.len() {
             let status = self.machines[machine].relay.fleet_status().rollout(self.now, version, SILENCE);
-            if !status.is_everywhere || !self.machines[machine].is_up {
+            if !status.is_complete || !self.machines[machine].is_up {
                 continue;
             }
             for (number, missing) in &missing {
                 self.violation(format!(
-                    "machine {machine} says everywhere, gateway {number} lacks {missing}"
+                    "machine {machine} reports a complete rollout, gateway {number} lacks {missing}"
                 ));
             }
         }
     }
 
-    /// How long a gateway has been served on its present link.
-    fn served_for(&self, number: usize) -> Option<Duration> {
+    /// How long a gateway has been served on its current link.
+    fn served_duration(&self, number: usize) -> Option<Duration> {
         let gateway = &self.gateways[number];
         let connection = gateway.subscriber.followed_connection().filter(|_| gateway.is_up)?;
         let link = self.links.get(self.connections.get(&(Node::Gateway(number), connection))?)?;
         (!link.is_broken && link.is_open_at_server).then(|| self.now.since(link.opened_at))
     }
 
-    /// A key whose newest value a gateway neither has applied nor rejects.
-    pub fn missing(&self, number: usize) -> Option<String> {
+    /// A key whose newest value a gateway has neither applied nor rejected.
+    pub fn missing_value(&self, number: usize) -> Option<String> {
         let gateway = &self.gateways[number];
         for newest in self.log.catalogue.chunk(&gateway.scope, None, usize::MAX).entries {
             let applied = gateway.applied.get(&newest.key);
@@ -148,15 +150,15 @@
     /// Whether a gateway that rejects marked values rejects a batch.
     fn is_batch_rejected(&self, number: usize, version: Index) -> bool {
         let scope = &self.gateways[number].scope;
-        let puts = &self.log.batch(version).batch.puts;
+        let puts = &self.log.entry(version).batch.puts;
         puts.iter().any(|put| scope.contains(&put.key.topic) && is_marked(&put.value))
     }
 
-    /// Everything is healed and time has passed: the state is exact everywhere.
+    /// Checks that the state is exact at all nodes, after all faults have ended and time has passed.
     pub fn check_end(&mut self) {
-        let version = self.log.last();
+        let version = self.log.last_version();
         for number in 0..self.gateways.len() {
-            if let Some(missing) = self.missing(number) {
+            if let Some(missing) = self.missing_value(number) {
                 self.violation(format!("at the end gateway {number} lacks {missing}"));
             }
             let up_to = self.gateways[number].subscriber.state().up_to();
@@ -170,9 +172,9 @@
             if relay.catalogue().applied() != version {
                 self.violation(format!("at the end machine {number} is not at {version:?}"));
             }
-            let is_complete = status.is_everywhere && status.gateways == self.gateways.len() as u32;
-            if !is_complete && self.defect != Some(Defect::EarlyAcknowledgement) {
-                self.violation(format!("at the end machine {number} says {status:?}"));
+            let is_complete_for_all = status.is_complete && status.gateways == self.gateways.len() as u32;
+            if !is_complete_for_all && self.defect != Some(Defect::EarlyAcknowledgement) {
+                self.violation(format!("at the end machine {number} reports {status:?}"));
             }
         }
         let in_flight = self.measurements.max_bytes_in_flight;
@@ -181,7 +183,7 @@
         }
     }
 
-    /// How many keys were ever written in a scope.
+    /// The number of keys ever written in a scope.
     fn key_count(&self, scope: &Scope) -> usize {
         self.log.history.keys().filter(|key| scope.contains(&key.topic)).count()
     }
--- a/crates/config-distribution/tests/sim/log.rs
+++ b/crates/config-distribution/tests/sim/log.rs
@@ -1,4 +1,4 @@
-//! The one log as the voters agreed on it, and the writes to it.
+//! The log on which the voters have agreed, and random writes to it.
 use cluster_types::{Index, Time};
 use config_distribution::{Catalogue, Class, Key, Put, Topic, WriteBatch};
 use rand::rngs::SmallRng;
@@ -34,13 +34,13 @@
         Log { entries: vec![], values: HashMap::new(), history: BTreeMap::new(), catalogue }
     }
 
-    pub fn last(&self) -> Index {
+    pub fn last_version(&self) -> Index {
         Index(self.entries.len() as u64)
     }
 
     pub fn append(&mut self, now: Time, batch: WriteBatch) {
         batch.check().unwrap();
-        let version = Index(self.last().0 + 1);
+        let version = Index(self.last_version().0 + 1);
         for put in &batch.puts {
             self.values.insert((put.key.clone(), version), put.value.clone());
             let write = Write { version, is_deletion: put.value.is_none() };
@@ -50,7 +50,7 @@
         self.entries.push(LogEntry { written_at: now, batch });
     }
 
-    pub fn batch(&self, version: Index) -> &LogEntry {
+    pub fn entry(&self, version: Index) -> &LogEntry {
         &self.entries[version.0 as usize - 1]
     }
 
@@ -61,23 +61,23 @@
     }
 }
 
-/// The keys that a run may write.
-pub struct Universe {
+/// The keys that a simulation may write.
+pub struct KeySpace {
     pub shards: u32,
     pub volumes: u32,
     pub zones: usize,
     pub regions: usize,
 }
 
-impl Universe {
-    pub fn primary(&self, random: &mut SmallRng) -> WriteBatch {
+impl KeySpace {
+    pub fn random_primary(&self, random: &mut SmallRng) -> WriteBatch {
         let shard = random.random_range(0..self.shards);
         let value = format!("box-{}-{}", random.random_range(0..1_000u32), random.random_range(0..1_000u32));
         let key = Key::new(Topic::Shard(shard), "box");
         WriteBatch { puts: vec![Put { class: Class::Primary, key, value: Some(value.as_bytes().into()) }] }
     }
 
-    pub fn key(&self, random: &mut SmallRng) -> Key {
+    pub fn random_key(&self, random: &mut SmallRng) -> Key {
         let name = format!("setting-{}", random.random_range(0..3u32));
         let topic = match random.random_range(0..10) {
             0 => Topic::Fleet,
@@ -89,14 +89,14 @@
         Key::new(topic, &name)
     }
 
-    /// A batch of settings; each value is marked with a probability.
-    pub fn configuration(&self, random: &mut SmallRng, marked: f64) -> WriteBatch {
+    /// A random batch of settings; each value is marked with a probability.
+    pub fn random_configuration(&self, random: &mut SmallRng, marked_probability: f64) -> WriteBatch {
         let mut puts: BTreeMap<Key, Put> = BTreeMap::new();
         for _ in 0..random.random_range(1..=4) {
-            let key = self.key(random);
+            let key = self.random_key(random);
             let mut bytes = vec![b'v'; random.random_range(8..200)];
             random.fill(&mut bytes[1..8]);
-            bytes[0] = if random.random_bool(marked) { REJECTED_MARK } else { b'v' };
+            bytes[0] = if random.random_bool(marked_probability) { REJECTED_MARK } else { b'v' };
             let value = random.random_bool(0.9).then(|| bytes.into());
             puts.insert(key.clone(), Put { class: Class::Configuration, key, value });
         }
--- a/crates/config-distribution/tests/sim/machine.rs
+++ b/crates/config-distribution/tests/sim/machine.rs
@@ -1,4 +1,4 @@
-//! Control machines: voters apply the log, relays without a vote follow a voter.
+//! Simulated control machines: voters apply the log, relays without a vote follow a voter.
 use super::defect::Defect;
 use super::{Node, SimEvent, World};
 use cluster_types::{Index, Time};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The number of control machines that relays take for the size of their fleet.
+/// The fleet size that relays use to spread their connection attempts.
 const RELAY_FLEET_SIZE: u32 = 35;
 /// How often a voter that is partitioned from the log tries again.
 const LOG_RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -21,7 +21,7 @@
     pub relay: Relay,
     /// None for a voter.
     pub subscriber: Option<Subscriber>,
-    /// The voters that it may follow, in the order of preference.
+    /// The voters that it may follow, in order of preference.
     pub relays: Vec<usize>,
     pub is_up: bool,
     /// Whether it is down without its connections being closed.
@@ -31,7 +31,7 @@
     pub stalled_until: Time,
     /// Since when a voter is partitioned from the log.
     pub partitioned_since: Option<Time>,
-    /// How late a voter applies an entry.
+    /// The delay before a voter applies a log entry.
     pub apply_delay: Duration,
 }
 
@@ -73,7 +73,7 @@
         for action in actions {
             match action {
                 RelayAction::Send { connection, message } => {
-                    let message = self.spoil(message);
+                    let message = self.inject_message_defect(message);
                     self.send_to_client(connection, message);
                 }
                 RelayAction::Close { connection, .. } => self.close_from_server(connection),
@@ -82,8 +82,8 @@
         }
     }
 
-    /// What a relay with a defect makes of a message.
-    fn spoil(&mut self, message: RelayMessage) -> RelayMessage {
+    /// Modifies a message according to the injected defect.
+    fn inject_message_defect(&mut self, message: RelayMessage) -> RelayMessage {
         match (message, self.defect) {
             (
                 RelayMessage::Heartbeat { up_to, isolated_for, .. },
@@ -92,7 +92,7 @@
             (
                 RelayMessage::Changes { from, up_to, mut changes },
                 Some(Defect::LostChangeWithoutChecksum | Defect::LostChange),
-            ) if self.is_spoiling && self.random.random_bool(0.02) => {
+            ) if self.is_losing_changes && self.random.random_bool(0.02) => {
                 changes.pop();
                 RelayMessage::Changes { from, up_to, changes }
             }
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Voters send reports to each other, the others to the voter that they follow.
+    /// Sends the reports of a voter to the other voters, and those of a relay to the voter that it follows.
     fn share_reports(&mut self, number: usize, reports: Vec<Report>) {
         let machine = &self.machines[number];
         if let Some(subscriber) = &machine.subscriber {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// A relay without a vote applies what it received, and serves it.
+    /// Applies received changes at a relay without a vote, which then serves them.
     fn relay_applies(&mut self, number: usize, is_snapshot: bool, changes: Vec<Change>) {
         let machine = &mut self.machines[number];
         let Some(subscriber) = &mut machine.subscriber else { return };
@@ -182,7 +182,7 @@
         self.follower_actions(number, later_actions);
     }
 
-    /// A voter applies the entries of the log that have reached it.
+    /// Applies the log entries that have reached a voter.
     pub fn apply_log(&mut self, number: usize) {
         let (zone, leader_zone) = (self.machines[number].zone, self.machines[0].zone);
         if self.is_partitioned(zone, leader_zone) {
@@ -195,8 +195,8 @@
         machine.partitioned_since = None;
         machine.relay.set_isolated_since(None);
         let mut changes = vec![];
-        for version in machine.relay.catalogue().applied().0 + 1..=self.log.last().0 {
-            let entry = self.log.batch(Index(version));
+        for version in machine.relay.catalogue().applied().0 + 1..=self.log.last_version().0 {
+            let entry = self.log.entry(Index(version));
             if entry.written_at + machine.apply_delay > self.now {
                 break;
             }
--- a/crates/config-distribution/tests/sim/measurements.rs
+++ b/crates/config-distribution/tests/sim/measurements.rs
@@ -1,4 +1,4 @@
-//! What a run measures.
+//! Measurements of a simulation.
 use super::Node;
 use cluster_types::Time;
 use config_distribution::Class;
@@ -14,16 +14,16 @@
     pub messages_upstream: u64,
     pub bytes_upstream: u64,
     pub bytes_persisted: u64,
-    /// The most bytes that were in flight to one gateway.
+    /// The maximum number of bytes in flight to one gateway.
     pub max_bytes_in_flight: usize,
-    /// Bytes that each machine sent to gateways in each second.
+    /// The bytes that each machine sent to gateways in each second.
     bytes_by_second: BTreeMap<(usize, u64), u64>,
-    /// The processor time of gateways and relays, where it is measured.
+    /// The processing time of gateways and relays, if it is measured.
     pub gateway_time: Duration,
     pub relay_time: Duration,
 }
 
-/// From the write of a value until it is applied, in seconds.
+/// The time from the write of a value until it is applied, in seconds.
 pub struct Latencies {
     pub p50_s: f64,
     pub p99_s: f64,
@@ -73,17 +73,17 @@
         self.max_bytes_in_flight = self.max_bytes_in_flight.max(bytes);
     }
 
-    /// The most bytes that any machine sent to gateways in one second.
+    /// The maximum bytes that any machine sent to gateways in one second.
     pub fn peak_bytes_per_second(&self) -> u64 {
         self.bytes_by_second.values().copied().max().unwrap_or_default()
     }
 
-    /// Returns the measurements so far and starts new ones.
+    /// Returns the measurements so far, and resets them.
     pub fn take(&mut self) -> Measurements {
         std::mem::replace(self, Measurements::new())
     }
 
-    /// How many values of a class were applied.
+    /// The number of applied values of a class.
     pub fn applied_count(&self, class: Class) -> u64 {
         self.histogram(class).len()
     }
--- a/crates/config-distribution/tests/sim/mod.rs
+++ b/crates/config-distribution/tests/sim/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet in simulated time: voters that apply one log, relays that follow them, and gateways; with links, partitions,
-//! stalls and crashes.
-// The example uses a part of it.
+//! A simulated fleet: voters that apply one log, relays that follow them, and gateways; with links, partitions, stalls
+//! and crashes.
+// The example uses only some of the items.
 #![allow(dead_code, clippy::unwrap_used)]
 pub mod build;
 pub mod defect;
@@ -36,23 +36,23 @@
 
 /// An event of the simulation.
 pub enum SimEvent {
-    /// The wakeup that a node asked for.
+    /// A wakeup that a node requested.
     Wakeup(Node),
-    /// Entries of the log have reached a voter.
+    /// Log entries have reached a voter.
     ApplyLog { machine: usize },
     /// A link is open.
     LinkOpened { link: u64 },
-    /// The end of a link has reached its client.
+    /// The client learns that a link is closed.
     ClosedAtClient { link: u64, failure: Failure },
-    /// The end of a link has reached its server.
+    /// The server learns that a link is closed.
     ClosedAtServer { link: u64 },
     /// A message has reached a server.
     ToServer { link: u64, message: SubscriberMessage },
     /// A message has reached a client.
     ToClient { link: u64, bytes: usize, message: RelayMessage },
-    /// The host of a gateway has looked at values.
-    HostDecides(ApplyRequest),
-    /// The host of a gateway applies values that it has acknowledged before.
+    /// The host of a gateway has validated values.
+    HostValidates(ApplyRequest),
+    /// The host of a gateway applies values that it has already acknowledged.
     HostAppliesLate(ApplyRequest),
     /// Reports of other voters have reached a voter.
     PeerReports { machine: usize, reports: Vec<Report> },
@@ -68,7 +68,7 @@
     pub region_count: usize,
     /// The names of all machines.
     pub names: Vec<Arc<str>>,
-    /// Voters first.
+    /// All machines, voters first.
     pub machines: Vec<Machine>,
     pub gateways: Vec<Gateway>,
     pub links: BTreeMap<u64, Link>,
@@ -79,15 +79,15 @@
     pub partitions: BTreeSet<(usize, usize)>,
     pub log: Log,
     pub measurements: Measurements,
-    /// Invariants that did not hold.
+    /// Violated invariants.
     pub violations: Vec<String>,
     pub defect: Option<Defect>,
-    /// Whether relays with a defect spoil messages.
-    pub is_spoiling: bool,
-    /// Whether the time that relays and gateways take is measured.
+    /// Whether relays with a defect lose changes at present.
+    pub is_losing_changes: bool,
+    /// Whether the processing time of relays and gateways is measured.
     pub is_timed: bool,
-    /// Whether invariants are checked that cost by the size of the fleet.
-    pub checks_fleet: bool,
+    /// Whether invariants are checked whose cost grows with the fleet.
+    pub checks_fleet_invariants: bool,
 }
 
 impl World {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Appends a batch to the log; the voters learn of it later.
+    /// Appends a batch to the log; it reaches the voters later.
     pub fn write(&mut self, batch: WriteBatch) {
         self.log.append(self.now, batch);
         for machine in 0..self.voter_count {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Processes events until a point in time.
     pub fn run(&mut self, until: Time) {
         while let Some((at, event)) = self.pop(until) {
             self.now = at;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The node that an event happens at.
+    /// The node at which an event takes place.
     fn node_of(&self, event: &SimEvent) -> Option<Node> {
         match event {
             SimEvent::Wakeup(node) => Some(*node),
@@ -164,7 +164,7 @@
             SimEvent::ClosedAtServer { link } | SimEvent::ToServer { link, .. } => {
                 self.links.get(link).map(|link| Node::Machine(link.server))
             }
-            SimEvent::HostDecides(request) | SimEvent::HostAppliesLate(request) => {
+            SimEvent::HostValidates(request) | SimEvent::HostAppliesLate(request) => {
                 Some(Node::Gateway(request.gateway))
             }
         }
@@ -178,7 +178,7 @@
                 self.relay_event(machine, RelayEvent::PeerReports(reports));
             }
             SimEvent::ApplyLog { .. } | SimEvent::PeerReports { .. } => {}
-            SimEvent::HostDecides(request) => self.host_decides(request),
+            SimEvent::HostValidates(request) => self.host_validates(request),
             SimEvent::HostAppliesLate(request) => {
                 if self.gateways[request.gateway].incarnation == request.incarnation {
                     self.host_applies(request);
@@ -210,7 +210,7 @@
         }
     }
 
-    /// An event for the subscriber of a node.
+    /// Passes an event to the subscriber of a node that is up.
     pub fn subscriber_event(&mut self, node: Node, event: SubscriberEvent) {
         match node {
             Node::Machine(number) if self.machines[number].is_up => self.follower_event(number, event),
--- a/crates/config-distribution/tests/sim/network.rs
+++ b/crates/config-distribution/tests/sim/network.rs
@@ -7,9 +7,9 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// What a signed frame takes beside the message.
+/// The overhead of a signed frame.
 const FRAME_BYTES: usize = 90;
-/// How long a server takes to find out that a link was broken silently.
+/// The time after which a server detects that a link was broken silently.
 const BROKEN_LINK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A connection between a subscriber and a relay.
@@ -17,22 +17,22 @@
 pub struct Link {
     pub client: Node,
     pub client_incarnation: u32,
-    /// The client's number of the connection.
+    /// The client's number for the connection.
     pub connection: u64,
     pub server: usize,
     pub server_incarnation: u32,
     pub is_open_at_client: bool,
     pub is_open_at_server: bool,
-    /// Something was lost on it: nothing more arrives.
+    /// Whether messages on it are lost.
     pub is_broken: bool,
-    /// When the last message arrives, by direction.
+    /// When the last message arrives, for each direction.
     pub last_at_server: Time,
     pub last_at_client: Time,
     pub bytes_to_client: usize,
     pub opened_at: Time,
 }
 
-/// The bytes of a message in its signed frame.
+/// The size of a message in its signed frame.
 pub fn frame_size(message: &impl Serialize) -> usize {
     let size = postcard::serialize_with_flavor(message, postcard::ser_flavors::Size::default());
     size.unwrap() + FRAME_BYTES
@@ -89,7 +89,7 @@
         self.links.insert(link, opened);
     }
 
-    /// When what is sent now arrives; none where it is lost.
+    /// The arrival time of a message sent now; none if it is lost.
     fn arrival(&mut self, link: u64, is_to_server: bool) -> Option<Time> {
         let sent = self.links.get(&link)?;
         let (from_zone, to_zone) = (self.zone(sent.client), self.machines[sent.server].zone);
@@ -103,7 +103,7 @@
         Some(*last)
     }
 
-    /// Nothing arrives on a link any more; its ends find out by themselves.
+    /// Breaks a link: nothing more arrives on it, and its ends detect that by their timeouts.
     pub fn break_silently(&mut self, link: u64) {
         let Some(broken) = self.links.get_mut(&link).filter(|link| !link.is_broken) else { return };
         broken.is_broken = true;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The client closes its connection: the server learns of it.
+    /// Closes a connection from the client, and informs the server.
     pub fn close_from_client(&mut self, client: Node, connection: u64) {
         let Some(link) = self.connections.remove(&(client, connection)) else { return };
         if let Some(closed) = self.links.get_mut(&link) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The server closes, once what was sent before is out.
+    /// Closes a connection from the server, after the messages sent before have arrived.
     pub fn close_from_server(&mut self, link: u64) {
         if let Some(closed) = self.links.get_mut(&link) {
             closed.is_open_at_server = false;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Ends all links of a node that has crashed: silently, or closed so that the other ends learn of it.
+    /// Drops all links of a crashed node: silently, or closed so that the other ends are informed.
     pub fn drop_links(&mut self, node: Node, is_silent: bool) {
         let is_of_node = |link: &Link| link.client == node || Node::Machine(link.server) == node;
         let of_node = self.links.iter().filter(|(_, link)| is_of_node(link));
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Whether a machine is up in the incarnation that a link was opened to.
+    /// Whether a machine is up, in the incarnation to which a link was opened.
     fn is_served(&self, server: usize, incarnation: u32) -> bool {
         self.machines[server].is_up && self.machines[server].incarnation == incarnation
     }
--- a/crates/config-distribution/tests/sim/schedule.rs
+++ b/crates/config-distribution/tests/sim/schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules of writes and faults, and runs with a single fault.
+//! Random schedules of writes and faults, and schedules with a single fault.
 use super::build::FleetSize;
 use super::defect::Defect;
 use super::{SimEvent, World};
@@ -9,7 +9,7 @@
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a schedule has beside its writes.
+/// The faults of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Faults {
     None,
@@ -21,25 +21,25 @@
         self.run(self.now + span);
     }
 
-    fn write_drawn(&mut self, size: &FleetSize, primary: f64, marked: f64) {
+    fn write_random_batch(&mut self, size: &FleetSize, primary_probability: f64, marked_probability: f64) {
         let mut random = self.random.clone();
-        let batch = if random.random_bool(primary) {
-            size.universe.primary(&mut random)
+        let batch = if random.random_bool(primary_probability) {
+            size.key_space.random_primary(&mut random)
         } else {
-            size.universe.configuration(&mut random, marked)
+            size.key_space.random_configuration(&mut random, marked_probability)
         };
         self.random = random;
         self.write(batch);
     }
 
-    /// Writes first values of many keys.
+    /// Writes initial values of many keys.
     pub fn fill(&mut self, size: &FleetSize, batches: usize) {
-        (0..batches).for_each(|_| self.write_drawn(size, 0.5, 0.02));
+        (0..batches).for_each(|_| self.write_random_batch(size, 0.5, 0.02));
     }
 
-    /// Writes a backend for each shard, and settings for each volume.
+    /// Writes a backend for each shard, and initial values of many other keys.
     pub fn fill_backends(&mut self, size: &FleetSize) {
-        let shards: Vec<u32> = (0..size.universe.shards).collect();
+        let shards: Vec<u32> = (0..size.key_space.shards).collect();
         for chunk in shards.chunks(MAX_BATCH_PUTS) {
             let put = |shard: &u32| Put {
                 class: Class::Primary,
@@ -51,9 +51,9 @@
         self.fill(size, 2_000);
     }
 
-    /// Writes a primary with a probability, otherwise settings.
-    pub fn write_random(&mut self, size: &FleetSize, primary: f64) {
-        self.write_drawn(size, primary, 0.04);
+    /// Writes a primary with a probability, and settings otherwise.
+    pub fn write_random(&mut self, size: &FleetSize, primary_probability: f64) {
+        self.write_random_batch(size, primary_probability, 0.04);
     }
 
     /// Ends all faults.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// A link breaks, and both ends learn of it.
+    /// Breaks a link, and informs both ends.
     fn break_link(&mut self, link: u64) {
         self.close_from_server(link);
         if let Some(broken) = self.links.get_mut(&link) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Writes for so long, one about every so many milliseconds, with faults meanwhile.
+    /// Writes batches for a time span, on average one per `interval_ms`, and injects faults meanwhile.
     pub fn run_with_writes(&mut self, size: &FleetSize, span: Duration, interval_ms: u64, faults: Faults) {
         let until = self.now + span;
         let mut next_fault = self.now;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Lets time pass without writes, and checks the rollout now and then.
+    /// Advances the time without writes, and checks the rollout periodically.
     pub fn run_idle(&mut self, span: Duration) {
         let until: Time = self.now + span;
         while self.now < until {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Runs a small schedule to its end, where the violations can be read.
+/// Runs a schedule on a small fleet to its end; the violations can then be read.
 pub fn run_schedule(seed: u64, faults: Faults, defect: Option<Defect>) -> World {
     let size = FleetSize::small();
     let mut world = World::new(&size, seed, Settings::default(), defect);
@@ -158,18 +158,18 @@
     world.run_with_writes(&size, Duration::from_secs(20), 400, faults);
     world.heal();
     world.run_with_writes(&size, Duration::from_secs(2), 400, Faults::None);
-    world.is_spoiling = false;
+    world.is_losing_changes = false;
     world.run_idle(Duration::from_secs(24));
     world.check_end();
     world
 }
 
-/// The fault of a run that has one.
+/// The fault of a schedule with a single fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SingleFault {
     None,
     RelayCrash,
-    /// The relay is gone without its connections being closed.
+    /// The relay crashes without its connections being closed.
     RelayVanishes,
     RelayStall,
     VoterCrash,
@@ -177,7 +177,7 @@
     AllGatewaysRestart,
 }
 
-/// Writes all the time, with a single fault; the latencies can be read at the end.
+/// Runs a schedule with continuous writes and a single fault; the latencies can then be read.
 pub fn run_single_fault(seed: u64, fault: SingleFault) -> World {
     let size = FleetSize::small();
     let mut world = World::new(&size, seed, Settings::default(), None);
