--- a/crates/config-distribution/tests/simulation.rs
+++ b/crates/config-distribution/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time, with hundreds of seeds; `SEEDS=5000` runs more, `SEED=17` one alone.
+//! A fleet in simulated time, with hundreds of seeds; `SEEDS=5000` sets their number, `SEED=17` runs a single one.
 #![allow(clippy::unwrap_used)]
 mod sim;
 use config_distribution::{Class, RateLimit, Settings};
@@ -14,15 +14,15 @@
 
 const THREADS: usize = 4;
 
-fn variable(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok().and_then(|value| value.parse().ok())
 }
 
 fn seed_count(default: u64) -> u64 {
-    variable("SEEDS").unwrap_or(default)
+    env_number("SEEDS").unwrap_or(default)
 }
 
-/// Runs worlds in parallel, and looks at each when it has ended.
+/// Runs simulations in parallel, and inspects each after its end.
 fn for_each_seed(
     seeds: Range<u64>,
     run: impl Fn(u64) -> World + Sync,
@@ -44,7 +44,7 @@
     });
 }
 
-/// The violations of schedules that had any, by seed.
+/// The violations in schedules that had any, by seed.
 fn violations(seeds: Range<u64>, faults: Faults, defect: Option<Defect>) -> Vec<(u64, Vec<String>)> {
     let mut failed = vec![];
     for_each_seed(
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn converges_exactly_and_never_goes_back_under_any_faults() {
-    let seeds = variable("SEED").map_or(0..seed_count(200), |seed| seed..seed + 1);
+fn converges_without_applying_older_values_under_random_faults() {
+    let seeds = env_number("SEED").map_or(0..seed_count(200), |seed| seed..seed + 1);
     let failed = violations(seeds, Faults::All, None);
-    let first: Vec<_> = failed.iter().take(3).collect();
-    assert!(failed.is_empty(), "{} seeds failed: {first:#?}", failed.len());
+    let first_failures: Vec<_> = failed.iter().take(3).collect();
+    assert!(failed.is_empty(), "{} seeds failed: {first_failures:#?}", failed.len());
 }
 
 #[rstest]
@@ -76,7 +76,7 @@
 #[case(SingleFault::VoterCrash)]
 #[case(SingleFault::VoterVanishes)]
 #[case(SingleFault::AllGatewaysRestart)]
-fn applies_changes_in_time_with_any_single_fault(#[case] fault: SingleFault) {
+fn applies_changes_within_bounds_under_single_fault(#[case] fault: SingleFault) {
     let (mut primary_s, mut configuration_s, mut failed) = (0.0f64, 0.0f64, vec![]);
     for_each_seed(
         0..seed_count(8).min(200),
@@ -99,7 +99,7 @@
 #[case(Defect::OldValue, "goes back")]
 #[case(Defect::PartialBatch, "is incomplete")]
 #[case(Defect::LostChangeWithoutChecksum, "at the end gateway")]
-#[case(Defect::EarlyAcknowledgement, "says everywhere")]
+#[case(Defect::EarlyAcknowledgement, "reports a complete rollout")]
 fn detects_injected_defects(#[case] defect: Defect, #[case] expected: &str) {
     let found = violations(0..4, Faults::None, Some(defect));
     let is_expected = |violation: &String| violation.contains(expected);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn checksum_finds_lost_changes() {
+fn checksum_detects_lost_changes() {
     let (mut mismatches, mut failed) = (0, vec![]);
     for_each_seed(
         0..8,
@@ -124,57 +124,57 @@
     assert!(failed.is_empty() && mismatches > 0, "{mismatches} mismatches, {failed:#?}");
 }
 
-/// The peaks of bytes that a relay sends in one second.
+/// The maximum bytes that a relay sends in one second, in each scenario.
 struct Peaks {
     /// When all gateways start for the first time.
     first_start: u64,
-    /// When all are killed and start again at once with their persisted state.
+    /// When all are killed and restarted immediately with their persisted state.
     with_state: u64,
-    /// The same when the persisted state is lost.
+    /// When all are killed and restarted without their persisted state.
     without_state: u64,
 }
 
-fn peaks(settings: Settings) -> Peaks {
+fn measure_peaks(settings: Settings) -> Peaks {
     let size = FleetSize { gateways: 200, ..FleetSize::small() };
     let mut world = World::new(&size, 1, settings, None);
-    world.checks_fleet = false;
+    world.checks_fleet_invariants = false;
     world.fill(&size, 600);
-    // The relays hold everything, as they do when all gateways restart.
+    // The relays have applied the whole log, as they have when all gateways restart.
     world.wait(Duration::from_secs(20));
-    let first_start = peak_of_start(&mut world);
+    let first_start = measure_start_peak(&mut world);
     world.kill_gateways();
-    let with_state = peak_of_start(&mut world);
+    let with_state = measure_start_peak(&mut world);
     world.kill_gateways();
     world.gateways.iter_mut().for_each(|gateway| gateway.persisted = None);
-    let without_state = peak_of_start(&mut world);
+    let without_state = measure_start_peak(&mut world);
     world.check_end();
     assert_eq!(world.violations, Vec::<String>::new());
     Peaks { first_start, with_state, without_state }
 }
 
-fn peak_of_start(world: &mut World) -> u64 {
+fn measure_start_peak(world: &mut World) -> u64 {
     world.start_gateways();
     world.wait(Duration::from_secs(60));
     world.measurements.take().peak_bytes_per_second()
 }
 
 #[test]
-fn full_restart_peaks_no_higher_than_first_start() {
+fn full_restart_peak_does_not_exceed_first_start() {
     let subscription_rate = RateLimit { bytes_per_second: 20_000.0, burst_bytes: 5_000.0 };
     let settings = Settings { subscription_rate, ..Settings::default() };
-    let Peaks { first_start, with_state, without_state } = peaks(settings.clone());
+    let Peaks { first_start, with_state, without_state } = measure_peaks(settings.clone());
     println!("bytes in one second: first {first_start}, with state {with_state}, without {without_state}");
     assert!(with_state <= first_start, "first {first_start}, second {with_state}");
-    // The tokens of a second, the burst, one debt, and heartbeats, which take no tokens.
+    // The tokens of one second, the burst, one transfer beyond the tokens, and heartbeats, which take no tokens.
     let bound = 20_000 + 5_000 + 6_000 + 2_000;
     assert!(first_start <= bound && without_state <= bound, "first {first_start}, without {without_state}");
     let unlimited = RateLimit { bytes_per_second: f64::MAX, burst_bytes: f64::MAX };
-    let at_once = peaks(Settings { subscription_rate: unlimited, ..settings }).without_state;
-    assert!(at_once > bound, "a peak without the limit is measured: {at_once}");
+    let unlimited_peak = measure_peaks(Settings { subscription_rate: unlimited, ..settings }).without_state;
+    assert!(unlimited_peak > bound, "without the limit, the peak must exceed the bound: {unlimited_peak}");
 }
 
 #[test]
-fn partitioned_regions_keep_values_report_their_age_and_converge() {
+fn partitioned_regions_keep_values_report_isolation_and_converge() {
     let size = FleetSize::small();
     let mut world = World::new(&size, 3, Settings::default(), None);
     world.start_gateways();
--- a/crates/config-distribution/tests/subscriber.rs
+++ b/crates/config-distribution/tests/subscriber.rs
@@ -1,14 +1,14 @@
-//! What a subscriber applies and ignores.
+//! Which messages a subscriber applies and which it ignores.
 mod common;
 use cluster_types::Index;
-use common::{acknowledgement, change, changes, requested, sent, Host};
+use common::{acknowledgement, change, changes, requested_values, sent_message, TestHost};
 use config_distribution::{RelayMessage, Scope, SubscriberAction, SubscriberMessage, Topic};
 
 #[test]
 fn applies_changes_together_and_then_acknowledges() {
-    let mut host = Host::following(&[("a", 1, "one")], 3);
+    let mut host = TestHost::following(&[("a", 1, "one")], 3);
     let actions = host.receive(changes(3, 6, vec![change("a", 4, Some("two")), change("b", 6, Some("x"))]));
-    assert_eq!(requested(&actions), Some(vec![("a".into(), 4), ("b".into(), 6)]));
+    assert_eq!(requested_values(&actions), Some(vec![("a".into(), 4), ("b".into(), 6)]));
     assert_eq!(acknowledgement(actions), None, "not before it is applied");
     assert_eq!(host.value("a"), Some((1, "one".into())));
     assert_eq!(acknowledgement(host.accept()), Some((6, vec![])));
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn leaves_relay_of_older_log() {
-    let mut host = Host::following(&[("a", 3, "three")], 3);
+fn disconnects_from_relay_of_older_log() {
+    let mut host = TestHost::following(&[("a", 3, "three")], 3);
     host.disconnect();
     host.connect_to(6);
     assert_eq!((host.followed(), host.subscriber.stats().foreign_relays), (None, 1));
@@ -27,7 +27,7 @@
 
 #[test]
 fn later_log_replaces_all_values() {
-    let mut host = Host::following(&[("a", 300, "three"), ("b", 7, "x")], 400);
+    let mut host = TestHost::following(&[("a", 300, "three"), ("b", 7, "x")], 400);
     host.disconnect();
     host.connect_to(8);
     assert_eq!(host.value("a"), Some((300, "three".into())), "until the snapshot is complete");
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn leaves_relay_with_older_snapshot_for_the_next() {
-    let mut host = Host::following(&[("a", 3, "three")], 10);
+fn switches_to_next_relay_on_older_snapshot() {
+    let mut host = TestHost::following(&[("a", 3, "three")], 10);
     host.subscriber.set_scope(Scope::of([Topic::Shard(5)]), &mut vec![]);
     host.receive(RelayMessage::Subscribed { log_id: 7 });
     host.receive(RelayMessage::SnapshotChunk {
@@ -53,14 +53,14 @@
 
 #[test]
 fn rejects_snapshot_with_older_value() {
-    let mut host = Host::following(&[("a", 3, "three")], 10);
+    let mut host = TestHost::following(&[("a", 3, "three")], 10);
     host.receive_snapshot(vec![change("a", 2, Some("older"))], 12);
     assert_eq!((host.followed(), host.value("a")), (None, Some((3, "three".into()))));
 }
 
 #[test]
 fn snapshot_includes_changes_between_chunks() {
-    let mut host = Host::fresh();
+    let mut host = TestHost::new();
     host.connect();
     let chunk = |is_first, is_last, entries| RelayMessage::SnapshotChunk {
         base: Index(5),
@@ -75,22 +75,22 @@
     // Later changes may arrive in chunks too.
     host.receive(chunk(false, true, vec![change("b", 6, None), change("c", 4, Some("c1"))]));
     let actions = host.receive(changes(5, 8, vec![change("a", 8, Some("a2"))]));
-    assert_eq!(requested(&actions), Some(vec![("a".into(), 8), ("c".into(), 7)]));
+    assert_eq!(requested_values(&actions), Some(vec![("a".into(), 8), ("c".into(), 7)]));
     assert_eq!(acknowledgement(host.accept()), Some((8, vec![])));
     assert_eq!((host.value("b"), host.value("c")), (None, Some((7, "c2".into()))));
 }
 
 #[test]
 fn checksum_mismatch_requests_snapshot_and_ignores_messages_in_flight() {
-    let mut host = Host::following(&[("a", 3, "three")], 3);
+    let mut host = TestHost::following(&[("a", 3, "three")], 3);
     let actions =
         host.receive(RelayMessage::Heartbeat { up_to: Index(3), checksum: Some(1), isolated_for: None });
     assert!(matches!(
-        actions.into_iter().find_map(sent),
+        actions.into_iter().find_map(sent_message),
         Some(SubscriberMessage::Subscribe { from: Index(0), .. })
     ));
     host.receive(changes(3, 4, vec![change("a", 4, Some("four"))]));
-    assert!(host.followed().is_some(), "this is no fault of the relay");
+    assert!(host.followed().is_some(), "the relay sent it before it received the new request");
     assert_eq!(host.value("a"), Some((3, "three".into())));
     host.receive(RelayMessage::Subscribed { log_id: 7 });
     host.receive_snapshot(vec![change("a", 4, Some("four"))], 4);
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn new_scope_while_applying_is_requested_completely() {
-    let mut host = Host::following(&[("a", 3, "three")], 3);
+fn requests_snapshot_of_scope_changed_while_applying() {
+    let mut host = TestHost::following(&[("a", 3, "three")], 3);
     host.receive(changes(3, 4, vec![change("a", 4, Some("four"))]));
     host.subscriber.set_scope(Scope::of([Topic::Shard(5)]), &mut vec![]);
     host.accept();
@@ -110,11 +110,11 @@
 
 #[test]
 fn queues_changes_while_values_of_earlier_connection_are_applied() {
-    let mut host = Host::following(&[("a", 3, "three")], 3);
+    let mut host = TestHost::following(&[("a", 3, "three")], 3);
     host.receive(changes(3, 9, vec![change("a", 9, Some("nine"))]));
     host.disconnect();
     host.connect();
-    // The new relay is behind: it sends what the host is applying already.
+    // The new relay is behind: it sends a change older than the one that the host is applying.
     host.receive(changes(3, 8, vec![change("a", 8, Some("eight"))]));
     let actions = host.accept();
     assert_eq!(acknowledgement(actions), Some((8, vec![])), "up to the version of that relay");
@@ -123,7 +123,7 @@
 
 #[test]
 fn persists_state_at_most_once_per_interval() {
-    let mut host = Host::following(&[("a", 1, "one")], 1);
+    let mut host = TestHost::following(&[("a", 1, "one")], 1);
     host.actions.clear();
     for n in 2..=100 {
         host.receive(changes(n - 1, n, vec![change("a", n, Some("x"))]));
@@ -132,6 +132,6 @@
     }
     let writes = host.actions.iter().filter(|a| matches!(a, SubscriberAction::Persist(_))).count();
     assert_eq!(writes, 0, "within 5 s of the first");
-    host.pass_time(1);
+    host.advance_time(1);
     assert!(host.persisted().is_some());
 }
--- a/crates/config-distribution/tests/subscription_rate.rs
+++ b/crates/config-distribution/tests/subscription_rate.rs
@@ -1,4 +1,4 @@
-//! The rate at which a relay serves new subscriptions: a wave of subscribers is spread over time.
+//! The rate limit for new subscriptions at a relay: it spreads a wave of subscribers over time.
 mod common;
 use cluster_types::Time;
 use common::relay::{close_reason, shard_scope, TestRelay};
@@ -40,8 +40,8 @@
     assert!(bucket.admit(Time(6_100_000), 1));
 }
 
-/// A wave of subscribers that each try again until they are accepted; returns the bytes sent in each second.
-fn wave(relay: &mut TestRelay, base: u64) -> Vec<usize> {
+/// Simulates a wave of subscribers that each retry until they are accepted; returns the bytes sent in each second.
+fn run_wave(relay: &mut TestRelay, base: u64) -> Vec<usize> {
     let mut waiting: Vec<u64> = (0..200).collect();
     let mut seconds: BTreeMap<u64, usize> = BTreeMap::new();
     let started = relay.now.0;
@@ -55,7 +55,7 @@
         relay.wait(100);
         let bytes = |action: &RelayAction| {
             if let RelayAction::Send { message, .. } = action {
-                common::bytes(message)
+                common::encoded_size(message)
             } else {
                 0
             }
@@ -66,7 +66,7 @@
             break;
         }
     }
-    assert_eq!(waiting.len(), 0, "all are accepted in the end");
+    assert_eq!(waiting.len(), 0, "all are eventually accepted");
     seconds.into_values().collect()
 }
 
@@ -76,12 +76,12 @@
         subscription_rate: RateLimit { bytes_per_second: 100_000.0, burst_bytes: 100_000.0 },
         ..Settings::default()
     };
-    let mut relay = TestRelay::with(settings);
+    let mut relay = TestRelay::with_settings(settings);
     (0..4).for_each(|n| drop(relay.write_setting(&format!("s{n}"), &[0; 1_000])));
-    let first = wave(&mut relay, 1_000_000);
-    let second = wave(&mut relay, 2_000_000);
-    let third = wave(&mut relay, 3_000_000);
+    let first = run_wave(&mut relay, 1_000_000);
+    let second = run_wave(&mut relay, 2_000_000);
+    let third = run_wave(&mut relay, 3_000_000);
     let peak = |seconds: &[usize]| seconds.iter().copied().max().unwrap();
     assert!(peak(&second) <= peak(&first) && peak(&third) <= peak(&first), "{first:?} {second:?} {third:?}");
-    assert!(first.len() > 4, "all at once would take less");
+    assert!(first.len() > 4, "it would take less time without the limit");
 }
--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -192,7 +192,7 @@
         value
     };
     json!({
-        "everywhere": rollout.is_everywhere,
+        "everywhere": rollout.is_complete,
         "fronts": rollout.gateways,
         "lags": rollout.lags.iter().map(lag).collect::<Vec<_>>(),
         "more": rollout.unnamed_lagging,
