--- a/crates/coordination/src/distribution/connection.rs
+++ b/crates/coordination/src/distribution/connection.rs
@@ -47,7 +47,7 @@
         if with_timeout(async { stream.write_all(&frame).await.ok() }).await.is_none() {
             return CloseReason::WriteTimeout;
         }
-        outbox.note_written(&frame);
+        outbox.record_written(&frame);
     }
     CloseReason::ClosedLocally(outbox.close_code())
 }
@@ -105,7 +105,7 @@
 /// Serves a subscriber's connection to its end.
 pub(crate) async fn serve_subscriber(
     stream: Async<TcpStream>,
-    link: u64,
+    connection_id: u64,
     context: ConnectionContext,
 ) -> ConnectionEnd {
     set_nodelay(&stream);
@@ -124,27 +124,33 @@
                 Err(reason) => return reason,
             };
             if let (Some(outbox), Some(name)) = (outbox.take(), &reader.peer) {
-                context.report(ConnectionEvent::Joined { link, name: name.clone(), outbox }).await;
+                context
+                    .report(ConnectionEvent::SubscriberConnected {
+                        connection_id,
+                        name: name.clone(),
+                        outbox,
+                    })
+                    .await;
             }
-            context.report(ConnectionEvent::FromSubscriber { link, message }).await;
+            context.report(ConnectionEvent::FromSubscriber { connection_id, message }).await;
         }
     };
     let reason = future::or(read, write_frames(&stream, &outbox_reader)).await;
     let (name, frames) = (reader.peer.take(), reader.state.frames);
-    context.report(ConnectionEvent::Left { link, name }).await;
+    context.report(ConnectionEvent::SubscriberDisconnected { connection_id, name }).await;
     ConnectionEnd { frames, reason }
 }
 
 /// Connects to a relay and follows it to the end of the connection.
 pub(crate) async fn follow_relay(
-    call: u64,
+    connection_id: u64,
     relay: MemberId,
     address: SocketAddr,
     context: ConnectionContext,
 ) -> ConnectionEnd {
     let connected = with_timeout(async { Async::<TcpStream>::connect(address).await.ok() }).await;
     let Some(stream) = connected else {
-        context.report(ConnectionEvent::Ended { call, frames: None }).await;
+        context.report(ConnectionEvent::RelayDisconnected { connection_id, frames: None }).await;
         return ConnectionEnd { frames: 0, reason: CloseReason::ConnectFailed };
     };
     set_nodelay(&stream);
@@ -155,16 +161,16 @@
         if let Err(reason) = reader.read_hello().await {
             return reason;
         }
-        context.report(ConnectionEvent::Established { call, outbox }).await;
+        context.report(ConnectionEvent::RelayConnected { connection_id, outbox }).await;
         loop {
             match reader.read_message().await {
-                Ok(message) => context.report(ConnectionEvent::FromRelay { call, message }).await,
+                Ok(message) => context.report(ConnectionEvent::FromRelay { connection_id, message }).await,
                 Err(reason) => return reason,
             }
         }
     };
     let reason = future::or(read, write_frames(&stream, &outbox_reader)).await;
     let frames = reader.state.frames;
-    context.report(ConnectionEvent::Ended { call, frames: Some(frames) }).await;
+    context.report(ConnectionEvent::RelayDisconnected { connection_id, frames: Some(frames) }).await;
     ConnectionEnd { frames, reason }
 }
--- a/crates/coordination/src/distribution/connection_event.rs
+++ b/crates/coordination/src/distribution/connection_event.rs
@@ -7,15 +7,15 @@
 /// relay.
 pub(crate) enum ConnectionEvent {
     /// A subscriber has shown that it holds the key.
-    Joined { link: u64, name: MemberId, outbox: Outbox },
+    SubscriberConnected { connection_id: u64, name: MemberId, outbox: Outbox },
     /// A subscriber has sent a message.
-    FromSubscriber { link: u64, message: SubscriberMessage },
+    FromSubscriber { connection_id: u64, message: SubscriberMessage },
     /// A subscriber's connection has ended.
-    Left { link: u64, name: Option<MemberId> },
+    SubscriberDisconnected { connection_id: u64, name: Option<MemberId> },
     /// A call is established.
-    Established { call: u64, outbox: Outbox },
+    RelayConnected { connection_id: u64, outbox: Outbox },
     /// A relay has sent a message.
-    FromRelay { call: u64, message: RelayMessage },
+    FromRelay { connection_id: u64, message: RelayMessage },
     /// A call could not be established, or has ended after `frames` frames.
-    Ended { call: u64, frames: Option<u64> },
+    RelayDisconnected { connection_id: u64, frames: Option<u64> },
 }
--- a/crates/coordination/src/distribution/handle.rs
+++ b/crates/coordination/src/distribution/handle.rs
@@ -21,9 +21,9 @@
     /// Reports which keys of the last update could not be applied, each with the reason; empty where all were.
     ///
     /// Cancel safe: a report that is cancelled was not sent.
-    pub async fn report_decided(&self, rejected: Vec<(Key, String)>) {
+    pub async fn report_apply_result(&self, rejected: Vec<(Key, String)>) {
         // This fails only once the host has ended, which needs the report no longer.
-        drop(self.host.send(HostMessage::Decided { rejected }).await);
+        drop(self.host.send(HostMessage::ApplyFinished { rejected }).await);
     }
 
     /// Asks a question without waiting; returns false where the mailbox is full.
--- a/crates/coordination/src/distribution/host.rs
+++ b/crates/coordination/src/distribution/host.rs
@@ -27,14 +27,14 @@
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A subscriber's connection to this relay.
-pub(crate) struct Link {
+pub(crate) struct SubscriberConnection {
     pub(crate) name: MemberId,
     /// None once this side has closed it.
     pub(crate) outbox: Option<Outbox>,
 }
 
 /// A connection of this subscriber to a relay.
-pub(crate) struct Call {
+pub(crate) struct RelayConnection {
     pub(crate) relay: MemberId,
     /// What runs the connection.
     pub(crate) task: Task<()>,
@@ -50,14 +50,14 @@
     pub(crate) context: ConnectionContext,
     /// The state machine that serves subscribers.
     pub(crate) relay: Option<Relay>,
-    pub(crate) links: BTreeMap<u64, Link>,
+    pub(crate) subscriber_connections: BTreeMap<u64, SubscriberConnection>,
     /// The state machine that follows a relay.
     pub(crate) subscriber: Option<Subscriber>,
-    pub(crate) calls: BTreeMap<u64, Call>,
+    pub(crate) relay_connections: BTreeMap<u64, RelayConnection>,
     /// When a message of a relay last arrived.
     pub(crate) relay_message_at: Time,
     /// Messages that were too long to be sent, and connections closed because too much waited.
-    pub(crate) cut_connections: u64,
+    pub(crate) outbox_overflows: u64,
     pub(crate) gateway: Sender<ConfigUpdate>,
     /// The mailbox of the replicated log, where this member has one.
     pub(crate) log_thread: Option<SyncSender<LogMessage>>,
@@ -123,7 +123,7 @@
                 self.handle_relay_event(RelayEvent::CatalogueChanged(changes.unwrap_or_default()));
             }
             HostMessage::Reports(reports) => self.handle_relay_event(RelayEvent::PeerReports(reports)),
-            HostMessage::Decided { rejected } => {
+            HostMessage::ApplyFinished { rejected } => {
                 self.handle_subscriber_event(SubscriberEvent::ApplyFinished { rejected });
             }
             HostMessage::Query { query, respond_to } => {
@@ -140,14 +140,24 @@
 
     fn handle_connection_event(&mut self, event: ConnectionEvent) {
         match event {
-            ConnectionEvent::Joined { link, name, outbox } => self.add_link(link, name, outbox),
-            ConnectionEvent::FromSubscriber { link, message } => {
-                self.handle_relay_event(RelayEvent::Message { connection: link, message });
+            ConnectionEvent::SubscriberConnected { connection_id, name, outbox } => {
+                self.add_subscriber_connection(connection_id, name, outbox)
+            }
+            ConnectionEvent::FromSubscriber { connection_id, message } => {
+                self.handle_relay_event(RelayEvent::Message { connection: connection_id, message });
+            }
+            ConnectionEvent::SubscriberDisconnected { connection_id, name } => {
+                self.remove_subscriber_connection(connection_id, name)
+            }
+            ConnectionEvent::RelayConnected { connection_id, outbox } => {
+                self.note_relay_connected(connection_id, outbox)
+            }
+            ConnectionEvent::FromRelay { connection_id, message } => {
+                self.handle_relay_message(connection_id, message)
+            }
+            ConnectionEvent::RelayDisconnected { connection_id, frames } => {
+                self.note_relay_disconnected(connection_id, frames)
             }
-            ConnectionEvent::Left { link, name } => self.remove_link(link, name),
-            ConnectionEvent::Established { call, outbox } => self.note_established(call, outbox),
-            ConnectionEvent::FromRelay { call, message } => self.handle_relay_message(call, message),
-            ConnectionEvent::Ended { call, frames } => self.note_ended(call, frames),
         }
     }
 
--- a/crates/coordination/src/distribution/mailbox.rs
+++ b/crates/coordination/src/distribution/mailbox.rs
@@ -23,7 +23,7 @@
     /// Rollout reports of other control members.
     Reports(Vec<Report>),
     /// The gateway has applied an update, but for the keys named, with the reason for each.
-    Decided {
+    ApplyFinished {
         /// What it rejected.
         rejected: Vec<(Key, String)>,
     },
--- a/crates/coordination/src/distribution/outbox.rs
+++ b/crates/coordination/src/distribution/outbox.rs
@@ -59,7 +59,7 @@
     }
 
     /// Notes that a frame was written.
-    pub fn note_written(&self, frame: &[u8]) {
+    pub fn record_written(&self, frame: &[u8]) {
         self.waiting_bytes.set(self.waiting_bytes.get().saturating_sub(frame.len()));
     }
 
--- a/crates/coordination/src/distribution/relay_host.rs
+++ b/crates/coordination/src/distribution/relay_host.rs
@@ -1,5 +1,5 @@
 //! Runs the relay: carries out what it asks for.
-use crate::distribution::host::{Host, Link};
+use crate::distribution::host::{Host, SubscriberConnection};
 use crate::distribution::outbox::Outbox;
 use crate::frame;
 use crate::log_thread::LogMessage;
@@ -10,7 +10,7 @@
 };
 
 /// The reason code of a connection that was closed because too much waits on it.
-pub(crate) const CLOSE_CODE_BOUND: &str = "bound";
+pub(crate) const CLOSE_CODE_OUTBOX_FULL: &str = "bound";
 
 impl Host {
     /// Hands an event to the relay and carries out the actions.
@@ -35,17 +35,20 @@
         self.carry_out_relay_actions(actions);
     }
 
-    pub(crate) fn add_link(&mut self, link: u64, name: MemberId, outbox: Outbox) {
+    pub(crate) fn add_subscriber_connection(&mut self, connection_id: u64, name: MemberId, outbox: Outbox) {
         let subscriber = name.0.to_string().into();
-        self.links.insert(link, Link { name, outbox: Some(outbox) });
-        self.handle_relay_event(RelayEvent::Connected { connection: link, name: subscriber });
+        self.subscriber_connections
+            .insert(connection_id, SubscriberConnection { name, outbox: Some(outbox) });
+        self.handle_relay_event(RelayEvent::Connected { connection: connection_id, name: subscriber });
     }
 
-    pub(crate) fn remove_link(&mut self, link: u64, name: Option<MemberId>) {
-        self.links.remove(&link);
-        self.handle_relay_event(RelayEvent::Disconnected { connection: link });
+    pub(crate) fn remove_subscriber_connection(&mut self, connection_id: u64, name: Option<MemberId>) {
+        self.subscriber_connections.remove(&connection_id);
+        self.handle_relay_event(RelayEvent::Disconnected { connection: connection_id });
         // No link of that name is left: its keys may be forgotten where there are too many.
-        if let Some(name) = name.filter(|name| !self.links.values().any(|link| link.name == *name)) {
+        if let Some(name) = name
+            .filter(|name| !self.subscriber_connections.values().any(|connection| connection.name == *name))
+        {
             self.context.opener.borrow_mut().allow_eviction(&name);
             self.context.sealer.borrow_mut().forget_incarnation(&name);
         }
@@ -54,9 +57,11 @@
     fn carry_out_relay_actions(&mut self, actions: Vec<RelayAction>) {
         for action in actions {
             match action {
-                RelayAction::Send { connection: link, message } => self.send_to_subscriber(link, &message),
-                RelayAction::Close { connection: link, reason } => {
-                    self.close_link(link, close_code(reason));
+                RelayAction::Send { connection: connection_id, message } => {
+                    self.send_to_subscriber(connection_id, &message)
+                }
+                RelayAction::Close { connection: connection_id, reason } => {
+                    self.close_subscriber_connection(connection_id, close_code(reason));
                 }
                 RelayAction::ShareReports(reports) => self.send_reports(reports),
             }
@@ -64,22 +69,29 @@
     }
 
     /// Closes a link; it stays known until its connection has ended.
-    fn close_link(&mut self, link: u64, code: &'static str) {
-        let outbox = self.links.get_mut(&link).and_then(|link| link.outbox.take());
+    fn close_subscriber_connection(&mut self, connection_id: u64, code: &'static str) {
+        let outbox = self
+            .subscriber_connections
+            .get_mut(&connection_id)
+            .and_then(|connection| connection.outbox.take());
         if let Some(outbox) = outbox {
             outbox.set_close_code(code);
         }
     }
 
-    fn send_to_subscriber(&mut self, link: u64, message: &RelayMessage) {
-        let Some(Link { name, outbox: Some(outbox) }) = self.links.get(&link) else { return };
+    fn send_to_subscriber(&mut self, connection_id: u64, message: &RelayMessage) {
+        let Some(SubscriberConnection { name, outbox: Some(outbox) }) =
+            self.subscriber_connections.get(&connection_id)
+        else {
+            return;
+        };
         let mut bytes = Vec::new();
         let is_sealed = frame::encode(message)
             .is_ok_and(|body| append_frame(&mut bytes, Some(name), &body, &self.context.sealer).is_ok());
         if !is_sealed || !outbox.send(bytes) {
             // Guards memory: a subscriber that does not read is disconnected, and asks again for what is newest then.
-            self.cut_connections += 1;
-            self.close_link(link, CLOSE_CODE_BOUND);
+            self.outbox_overflows += 1;
+            self.close_subscriber_connection(connection_id, CLOSE_CODE_OUTBOX_FULL);
         }
     }
 
@@ -88,10 +100,10 @@
         if let Some(log_thread) = &self.log_thread {
             // Reports that find no room are replaced by those of the next second.
             drop(log_thread.try_send(LogMessage::Reports(reports)));
-        } else if let Some(call) = self.followed_call() {
-            let me = self.settings.me.clone();
-            for report in reports.into_iter().filter(|report| *report.relay == *me.0) {
-                self.send_to_relay(call, &SubscriberMessage::Report(report));
+        } else if let Some(connection_id) = self.followed_connection() {
+            let own_id = self.settings.own_id.clone();
+            for report in reports.into_iter().filter(|report| *report.relay == *own_id.0) {
+                self.send_to_relay(connection_id, &SubscriberMessage::Report(report));
             }
         }
     }
--- a/crates/coordination/src/distribution/settings.rs
+++ b/crates/coordination/src/distribution/settings.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The name of this member.
-    pub me: MemberId,
+    pub own_id: MemberId,
     /// Its role.
     pub role: Role,
     /// The relays that it may follow, in the order of preference.
--- a/crates/coordination/src/distribution/start.rs
+++ b/crates/coordination/src/distribution/start.rs
@@ -141,7 +141,7 @@
 }
 
 fn start_relay(settings: &Settings, now: Time) -> Relay {
-    let mut relay = Relay::new(settings.limits.clone(), &settings.me.0, Catalogue::new(0), now);
+    let mut relay = Relay::new(settings.limits.clone(), &settings.own_id.0, Catalogue::new(0), now);
     relay.set_report_sequence(u64::try_from(unix_time().as_micros()).unwrap_or(u64::MAX));
     relay.expect_reports(settings.expected_reporters.iter().map(|name: &MemberId| name.0.clone()));
     relay
@@ -151,10 +151,10 @@
 fn connection_context(settings: &Settings) -> (ConnectionContext, Receiver<ConnectionEvent>) {
     let keys = Keys::new(settings.keys.0, settings.keys.1);
     let incarnation = message_auth::new_incarnation(unix_time(), 0);
-    let sealer = Sealer::new(keys.clone(), settings.me.clone(), incarnation)
+    let sealer = Sealer::new(keys.clone(), settings.own_id.clone(), incarnation)
         .on_channel(DISTRIBUTION_CHANNEL)
         .with_max_bytes(MAX_RELAY_FRAME_BYTES);
-    let opener = Opener::new(keys, settings.me.clone())
+    let opener = Opener::new(keys, settings.own_id.clone())
         .with_incarnation(incarnation)
         .with_max_bytes(MAX_RELAY_FRAME_BYTES)
         .with_max_senders(MAX_REMEMBERED_SENDERS);
@@ -171,10 +171,10 @@
 /// Accepts the connections of subscribers and numbers them.
 fn accept_subscribers(acceptor: Acceptor, context: ConnectionContext) {
     let executor = acceptor.executor.clone();
-    let last_link = Cell::new(0);
+    let last_connection_id = Cell::new(0);
     let serve = move |stream| {
-        last_link.set(last_link.get() + 1);
-        serve_subscriber(stream, last_link.get(), context.clone())
+        last_connection_id.set(last_connection_id.get() + 1);
+        serve_subscriber(stream, last_connection_id.get(), context.clone())
     };
     executor.spawn(accept_connections(acceptor, serve)).detach();
 }
@@ -202,11 +202,11 @@
         executor: executor.clone(),
         context,
         relay,
-        links: BTreeMap::new(),
+        subscriber_connections: BTreeMap::new(),
         subscriber,
-        calls: BTreeMap::new(),
+        relay_connections: BTreeMap::new(),
         relay_message_at: started_at,
-        cut_connections: 0,
+        outbox_overflows: 0,
         gateway: parts.gateway,
         log_thread: parts.log_thread,
         saver: parts.saver,
--- a/crates/coordination/src/distribution/status.rs
+++ b/crates/coordination/src/distribution/status.rs
@@ -19,7 +19,7 @@
         status.counters.extend([
             ("refused_frames", counters.rejected_frames.load(Ordering::Relaxed)),
             ("unread_frames", counters.undecodable_frames.load(Ordering::Relaxed)),
-            ("cut", self.cut_connections),
+            ("cut", self.outbox_overflows),
         ]);
         if let Some(relay) = &self.relay {
             self.add_relay_status(relay, &mut status);
@@ -50,15 +50,15 @@
     }
 
     fn add_subscriber_status(&self, subscriber: &Subscriber, now: Time, status: &mut DistributionStatus) {
-        let (held, stats) = (subscriber.state(), subscriber.stats());
-        status.log_id = held.log_id();
-        status.decided_up_to = held.up_to();
+        let (subscriber_state, stats) = (subscriber.state(), subscriber.stats());
+        status.log_id = subscriber_state.log_id();
+        status.decided_up_to = subscriber_state.up_to();
         status.since_relay_message = Some(now.since(self.relay_message_at));
-        let call = self.followed_call().and_then(|call| self.calls.get(&call));
-        status.follows = call.map(|call| call.relay.clone());
-        status.rejections = held.rejections();
+        let relay_connection = self.followed_connection().and_then(|id| self.relay_connections.get(&id));
+        status.follows = relay_connection.map(|connection| connection.relay.clone());
+        status.rejections = subscriber_state.rejections();
         status.counters.extend([
-            ("held", held.len() as u64),
+            ("held", subscriber_state.len() as u64),
             ("taken", stats.applied),
             ("calls", stats.connection_attempts),
             ("refused", stats.rejected),
--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -11,7 +11,7 @@
     Store(#[from] StoreError),
     /// What the store holds for this member's part in maintenance cannot be decoded.
     #[error("accord.state: what the front kept can't be read: {0}")]
-    SavedLocalState(postcard::Error),
+    SavedAgentState(postcard::Error),
     /// The replicated log rejects its configuration or its stored state.
     #[error("accord.state: {0}")]
     Log(#[from] consensus::StartError),
--- a/crates/coordination/src/log_thread/apply.rs
+++ b/crates/coordination/src/log_thread/apply.rs
@@ -13,10 +13,10 @@
         for effect in &applied.effects {
             self.log_effect(effect);
         }
-        self.note_catalogue_change(&applied.catalogue);
-        let own = applied.by.filter(|(member, _)| *member == self.settings.me);
-        let Some((_, ticket)) = own else { return };
-        let Some(respond_to) = self.complete(ticket) else { return };
+        self.forward_catalogue_change(&applied.catalogue);
+        let own_ticket = applied.by.filter(|(member, _)| *member == self.settings.own_id);
+        let Some((_, ticket)) = own_ticket else { return };
+        let Some(respond_to) = self.complete_command(ticket) else { return };
         let response = match applied.catalogue {
             CatalogueChange::Ordered { version, .. } => OperatorResponse::Done(version.0.to_string()),
             CatalogueChange::Unchanged | CatalogueChange::Replaced => maintenance_response(&applied.effects),
@@ -25,7 +25,7 @@
     }
 
     /// Forgets a command that is in the log; returns who waits for its outcome.
-    fn complete(&mut self, ticket: u64) -> Option<ResponseSender> {
+    fn complete_command(&mut self, ticket: u64) -> Option<ResponseSender> {
         self.pending.remove(&ticket)?.respond_to
     }
 }
--- a/crates/coordination/src/log_thread/effect_log.rs
+++ b/crates/coordination/src/log_thread/effect_log.rs
@@ -6,34 +6,38 @@
 
 impl LogThread {
     pub(crate) fn log_effect(&self, effect: &Effect) {
-        if let Some(line) = line(effect) {
+        if let Some(line) = effect_line(effect) {
             (self.log)(&line);
         }
     }
 }
 
-fn names(backends: &BTreeSet<BackendId>) -> String {
+fn backend_names(backends: &BTreeSet<BackendId>) -> String {
     backends.iter().map(|backend| &*backend.0).collect::<Vec<_>>().join(",")
 }
 
 /// The line about an effect; none for those that only concern the caller.
-fn line(effect: &Effect) -> Option<String> {
+fn effect_line(effect: &Effect) -> Option<String> {
     let line = match effect {
         Effect::Drain { grant, backends } => {
-            format!("maintenance drain grant={} backends={}", grant.0, names(backends))
+            format!("maintenance drain grant={} backends={}", grant.0, backend_names(backends))
         }
         Effect::Drained { grant, name, backends } => {
-            format!("maintenance open grant={} request={name} backends={}", grant.0, names(backends))
+            format!("maintenance open grant={} request={name} backends={}", grant.0, backend_names(backends))
         }
         Effect::Recovering { backend, step, stage } => {
             format!("maintenance return backend={backend} step={} stage={stage:?}", step.0)
         }
         Effect::InService { backend } => format!("maintenance returned backend={backend}"),
         Effect::DeadlineMissed { name, backends } => {
-            format!("maintenance missed request={name} backends={}", names(backends))
+            format!("maintenance missed request={name} backends={}", backend_names(backends))
         }
         Effect::Overdue { grant, name, backends } => {
-            format!("maintenance overdue grant={} request={name} backends={}", grant.0, names(backends))
+            format!(
+                "maintenance overdue grant={} request={name} backends={}",
+                grant.0,
+                backend_names(backends)
+            )
         }
         Effect::Unlisted { name, backend } => {
             format!("maintenance unlisted request={name} backend={backend}")
--- a/crates/coordination/src/log_thread/facts.rs
+++ b/crates/coordination/src/log_thread/facts.rs
@@ -1,5 +1,5 @@
 //! What all members have measured, combined for the leader.
-use crate::log_thread::measured::Measured;
+use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::measurements::{BackendMeasurement, VolumeMeasurement};
 use cluster_types::{BackendId, Index, MemberId, Volume};
 use maintenance::{BackendFacts, ClusterView, MaintenanceState};
@@ -7,7 +7,7 @@
 
 /// The backends at which an attempt has failed since the last reports.
 pub(crate) fn failing_backends<'a>(
-    measured: impl Iterator<Item = (&'a MemberId, &'a Measured)>,
+    measured: impl Iterator<Item = (&'a MemberId, &'a ReceivedMeasurements)>,
 ) -> BTreeSet<BackendId> {
     let backends = measured.flat_map(|(_, measured)| &measured.measurements.backends);
     backends.filter(|(_, backend)| backend.has_failed).map(|(id, _)| id.clone()).collect()
@@ -60,7 +60,7 @@
 /// Combines the measurements of all members. A backend is listed, or warming up, where one member finds it so, and dead where more
 /// than half of them do.
 pub(crate) fn maintenance_view<'a>(
-    measured: impl Iterator<Item = (&'a MemberId, &'a Measured)>,
+    measured: impl Iterator<Item = (&'a MemberId, &'a ReceivedMeasurements)>,
     healthy_ms: BTreeMap<BackendId, u64>,
     applied_index: Index,
     maintenance: &MaintenanceState,
--- a/crates/coordination/src/log_thread/frames.rs
+++ b/crates/coordination/src/log_thread/frames.rs
@@ -1,8 +1,8 @@
 //! Handling frames, and sending commands to the leader.
 use crate::clock::unix_time_ms;
 use crate::frame::Frame;
-use crate::log_thread::measured::Measured;
 use crate::log_thread::pending_command::PendingCommand;
+use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::log_thread::thread::LogThread;
 use crate::operator_call::ResponseSender;
 use crate::state_machine::{Command, Entry};
@@ -19,8 +19,9 @@
             }
             Frame::Forward { ticket, command } => self.propose(now, from, ticket, command),
             Frame::Measured { requested_at, applied_index, measurements } => {
-                let measured = Measured { received_at: now, applied_index, measurements: *measurements };
-                self.measured.insert(from.clone(), measured);
+                let measured =
+                    ReceivedMeasurements { received_at: now, applied_index, measurements: *measurements };
+                self.latest_measurements.insert(from.clone(), measured);
                 self.grant_lease(now, &from, requested_at);
             }
             Frame::Reports(reports) => self.forward_reports(reports),
@@ -46,7 +47,7 @@
         let span = span.min(self.settings.lease).mul_f64(1.0 - self.settings.max_clock_drift);
         let until = requested_at + span;
         let now = self.clock.now();
-        self.handle_local_event(now, maintenance::Event::LeaseRenewed { until });
+        self.handle_agent_event(now, maintenance::Event::LeaseRenewed { until });
     }
 
     /// Proposes a command, where this member leads.
@@ -74,8 +75,8 @@
     /// Sends a command to the leader, where one is known.
     pub(crate) fn send_to_leader(&mut self, now: Time, ticket: u64, command: Command) {
         if self.raft.role() == Role::Leader {
-            let me = self.settings.me.clone();
-            self.propose(now, me, ticket, command);
+            let own_id = self.settings.own_id.clone();
+            self.propose(now, own_id, ticket, command);
         } else if let Some(leader) = self.raft.leader() {
             self.outboxes.send(leader, &Frame::Forward { ticket, command });
         }
--- a/crates/coordination/src/log_thread/leader.rs
+++ b/crates/coordination/src/log_thread/leader.rs
@@ -2,7 +2,7 @@
 use crate::clock::unix_time_ms;
 use crate::log_thread::facts::{failing_backends, maintenance_view};
 use crate::log_thread::maintenance_host::NO_TICKET;
-use crate::log_thread::measured::Measured;
+use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::log_thread::thread::LogThread;
 use crate::state_machine::Command;
 use cluster_types::{MemberId, Time};
@@ -33,14 +33,15 @@
         } else {
             vec![maintenance::Command::SetRules(self.settings.rules.clone())]
         };
-        let me = self.settings.me.clone();
+        let own_id = self.settings.own_id.clone();
         for command in commands {
-            self.propose(now, me.clone(), NO_TICKET, Command::Maintenance(command));
+            self.propose(now, own_id.clone(), NO_TICKET, Command::Maintenance(command));
         }
     }
 
-    fn recent_measurements(&self, now: Time) -> impl Iterator<Item = (&MemberId, &Measured)> {
-        let is_recent = move |measured: &Measured| now.since(measured.received_at) < MAX_MEASUREMENT_AGE;
-        self.measured.iter().filter(move |(_, measured)| is_recent(measured))
+    fn recent_measurements(&self, now: Time) -> impl Iterator<Item = (&MemberId, &ReceivedMeasurements)> {
+        let is_recent =
+            move |measured: &ReceivedMeasurements| now.since(measured.received_at) < MAX_MEASUREMENT_AGE;
+        self.latest_measurements.iter().filter(move |(_, measured)| is_recent(measured))
     }
 }
--- a/crates/coordination/src/log_thread/maintenance_host.rs
+++ b/crates/coordination/src/log_thread/maintenance_host.rs
@@ -12,15 +12,15 @@
 
 impl LogThread {
     /// Hands an event to the local part and carries out the actions.
-    pub(crate) fn handle_local_event(&mut self, now: Time, event: Event) {
+    pub(crate) fn handle_agent_event(&mut self, now: Time, event: Event) {
         let mut actions = Vec::new();
-        self.local.handle(now, event, &mut actions);
+        self.member_agent.handle(now, event, &mut actions);
         for action in actions {
-            self.carry_out_local_action(now, action);
+            self.carry_out_agent_action(now, action);
         }
     }
 
-    pub(crate) fn carry_out_local_action(&mut self, now: Time, action: Action) {
+    pub(crate) fn carry_out_agent_action(&mut self, now: Time, action: Action) {
         match action {
             Action::Drain { backend, order } => {
                 self.unsent.push_back(GatewayMessage::Drain { backend, order });
@@ -29,7 +29,7 @@
                 self.unsent.push_back(GatewayMessage::Undrain { backend, quota });
             }
             Action::Report(report) => {
-                let member = self.settings.me.clone();
+                let member = self.settings.own_id.clone();
                 let command = match report {
                     Report::Drained { grant } => maintenance::Command::ReportDrained { grant, member },
                     Report::StageAcknowledged { backend, step } => {
@@ -42,20 +42,20 @@
             Action::Persist { serial, orders } => {
                 if let Ok(bytes) = postcard::to_stdvec(&orders) {
                     // Where the mailbox is full, the local part goes on waiting for the write, as after a failure of the disk.
-                    drop(self.storage.try_send(WriteRequest::LocalState { serial, bytes }));
+                    drop(self.storage.try_send(WriteRequest::AgentState { serial, bytes }));
                 }
             }
         }
     }
 
     /// Tells the local part of new orders, and sends the gateway what waits.
-    pub(crate) fn follow_state(&mut self, now: Time) {
+    pub(crate) fn update_agent_and_gateway(&mut self, now: Time) {
         if std::mem::take(&mut self.has_new_state) {
             let index = self.state.applied_index;
-            let orders = self.state.maintenance.orders(&self.settings.me);
-            self.handle_local_event(now, Event::Orders { index, orders });
+            let orders = self.state.maintenance.orders(&self.settings.own_id);
+            self.handle_agent_event(now, Event::Orders { index, orders });
         }
-        self.handle_local_event(now, Event::Tick);
+        self.handle_agent_event(now, Event::Tick);
         while let Some(message) = self.unsent.pop_front() {
             match self.gateway.try_send(message) {
                 Ok(()) => {}
--- a/crates/coordination/src/log_thread/operator_calls.rs
+++ b/crates/coordination/src/log_thread/operator_calls.rs
@@ -63,12 +63,12 @@
     fn status(&self) -> String {
         let view = self.view.lock();
         status_text(&Status {
-            me: &self.settings.me,
+            own_id: &self.settings.own_id,
             role: self.raft.role(),
             term: self.raft.term(),
             leader: self.raft.leader(),
             commit_index: self.raft.commit_index(),
-            has_lease: self.local.has_lease(self.clock.now()),
+            has_lease: self.member_agent.has_lease(self.clock.now()),
             view: &view,
             link_counters: &self.link_counters,
             raft_counters: self.raft.counters(),
--- a/crates/coordination/src/log_thread/periodic.rs
+++ b/crates/coordination/src/log_thread/periodic.rs
@@ -2,7 +2,7 @@
 //! proposes what is next.
 use crate::frame::Frame;
 use crate::log_thread::maintenance_host::NO_TICKET;
-use crate::log_thread::measured::Measured;
+use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::log_thread::thread::LogThread;
 use crate::measurements::{time_before, Measurements};
 use crate::state_machine::Command;
@@ -23,11 +23,11 @@
             let last_send = measured.since_last_send_us.map(|span_us| time_before(now, span_us));
             let (backend, in_flight) = (backend.clone(), measured.in_flight);
             let event = Event::InFlight { backend, in_flight, last_send, measured_at: now };
-            self.handle_local_event(now, event);
+            self.handle_agent_event(now, event);
         }
         let applied_index = self.state.applied_index;
-        let measured = Measured { received_at: now, applied_index, measurements };
-        self.measured.insert(self.settings.me.clone(), measured);
+        let measured = ReceivedMeasurements { received_at: now, applied_index, measurements };
+        self.latest_measurements.insert(self.settings.own_id.clone(), measured);
     }
 
     pub(crate) fn run_periodic(&mut self, now: Time) {
@@ -48,12 +48,12 @@
     /// Announces that this member is present, under this incarnation of its process.
     fn announce_presence(&mut self, now: Time) {
         let incarnation = self.process_incarnation;
-        let is_known = self.state.maintenance.member_status(&self.settings.me)
+        let is_known = self.state.maintenance.member_status(&self.settings.own_id)
             == Some(MemberStatus::Present { incarnation });
         let is_due = now.since(self.last_runs.presence) >= RESEND_INTERVAL;
         if !is_known && !self.is_leaving && is_due {
             self.last_runs.presence = now;
-            let (member, presence) = (self.settings.me.clone(), Presence::Present { incarnation });
+            let (member, presence) = (self.settings.own_id.clone(), Presence::Present { incarnation });
             let command = maintenance::Command::SetPresence { member, presence };
             self.send_to_leader(now, NO_TICKET, Command::Maintenance(command));
         }
@@ -82,8 +82,8 @@
             }
             return;
         }
-        let own = self.measured.get(&self.settings.me);
-        let (Some(leader), Some(own)) = (self.raft.leader(), own) else { return };
+        let own_measurements = self.latest_measurements.get(&self.settings.own_id);
+        let (Some(leader), Some(own)) = (self.raft.leader(), own_measurements) else { return };
         let frame = Frame::Measured {
             requested_at: now.0,
             applied_index: own.applied_index,
--- a/crates/coordination/src/log_thread/raft_host.rs
+++ b/crates/coordination/src/log_thread/raft_host.rs
@@ -40,7 +40,9 @@
             }
             // This host requests no read barriers.
             Action::Readable { .. } => {}
-            Action::RoleChanged { role, term, leader } => self.note_role(role, term, leader.as_ref()),
+            Action::RoleChanged { role, term, leader } => {
+                self.handle_role_change(role, term, leader.as_ref())
+            }
         }
     }
 
@@ -57,7 +59,7 @@
             Ok(state) => {
                 self.state = state;
                 self.has_new_state = true;
-                self.note_catalogue_change(&CatalogueChange::Replaced);
+                self.forward_catalogue_change(&CatalogueChange::Replaced);
                 (self.log)(&format!("coordination restored index={}", index.0));
             }
             // Nothing may rest on a part of the state.
@@ -75,7 +77,7 @@
         }
     }
 
-    fn note_role(&mut self, role: Role, term: u64, leader: Option<&MemberId>) {
+    fn handle_role_change(&mut self, role: Role, term: u64, leader: Option<&MemberId>) {
         let leader = leader.map_or("none", |leader| &leader.0);
         (self.log)(&format!("coordination role={role:?} term={term} leader={leader}"));
         // A leader starts without what an earlier one knew.
--- a/crates/coordination/src/log_thread/measured.rs
+++ b/crates/coordination/src/log_thread/received_measurements.rs
@@ -3,7 +3,7 @@
 use cluster_types::{Index, Time};
 
 /// What a member measured, as it arrived here.
-pub(crate) struct Measured {
+pub(crate) struct ReceivedMeasurements {
     pub(crate) received_at: Time,
     /// The index up to which the member had applied the log.
     pub(crate) applied_index: Index,
--- a/crates/coordination/src/log_thread/serve_catalogue.rs
+++ b/crates/coordination/src/log_thread/serve_catalogue.rs
@@ -14,7 +14,7 @@
 
 impl LogThread {
     /// Passes a change of the catalogue on to the relay.
-    pub(crate) fn note_catalogue_change(&mut self, change: &CatalogueChange) {
+    pub(crate) fn forward_catalogue_change(&mut self, change: &CatalogueChange) {
         let Some(feed) = &mut self.catalogue_feed else { return };
         match change {
             CatalogueChange::Unchanged => {}
--- a/crates/coordination/src/log_thread/status.rs
+++ b/crates/coordination/src/log_thread/status.rs
@@ -9,7 +9,7 @@
 /// What the status of a member is made of.
 pub struct Status<'a> {
     /// The member.
-    pub me: &'a MemberId,
+    pub own_id: &'a MemberId,
     /// Its role in the group of the log.
     pub role: Role,
     /// Its term.
@@ -35,22 +35,25 @@
     let mut out = String::new();
     let (role, term) = (status.role, status.term);
     let leader = status.leader.map_or("none", |leader| &leader.0);
-    push(&mut out, format_args!("accord me={} role={role:?} term={term} leader={leader}", status.me));
+    push_line(
+        &mut out,
+        format_args!("accord me={} role={role:?} term={term} leader={leader}", status.own_id),
+    );
     let (commit, applied) = (status.commit_index.0, status.state.applied_index.0);
-    push(&mut out, format_args!("log commit={commit} applied={applied} lease={}", status.has_lease));
+    push_line(&mut out, format_args!("log commit={commit} applied={applied} lease={}", status.has_lease));
     push_membership(&mut out, status);
     let maintenance = &status.state.maintenance;
     let counters = raft_counters_text(&status.raft_counters);
     let (commands, unread) = (maintenance.rejected_commands(), status.state.undecodable_entries);
-    push(&mut out, format_args!("refused {counters} commands={commands} unread={unread}"));
-    push_doubts(&mut out, status);
+    push_line(&mut out, format_args!("refused {counters} commands={commands} unread={unread}"));
+    push_verdicts(&mut out, status);
     for (name, _) in maintenance.open_requests() {
         if let Some(request) = maintenance.status(name) {
             out.push_str(&maintenance_text(&request));
         }
     }
     for backend in maintenance.out_of_service() {
-        push(&mut out, format_args!("out {backend}"));
+        push_line(&mut out, format_args!("out {backend}"));
     }
     out
 }
@@ -58,22 +61,22 @@
 /// The status of a maintenance request, one thing a line.
 pub fn maintenance_text(status: &maintenance::RequestStatus) -> String {
     let mut out = String::new();
-    push(&mut out, format_args!("wish {}", status.name));
+    push_line(&mut out, format_args!("wish {}", status.name));
     for (backend, outcome) in &status.request.backends {
-        push(&mut out, format_args!("box {backend} {}", outcome));
+        push_line(&mut out, format_args!("box {backend} {}", outcome));
     }
     for (grant, members) in &status.undrained_members {
         let members: Vec<_> = members.iter().map(|member| &*member.0).collect();
-        push(&mut out, format_args!("grant {} waits for {}", grant.0, members.join(" ")));
+        push_line(&mut out, format_args!("grant {} waits for {}", grant.0, members.join(" ")));
     }
     if let Some(reason) = &status.waiting_reason {
-        push(&mut out, format_args!("waits because {reason}"));
+        push_line(&mut out, format_args!("waits because {reason}"));
     }
     out
 }
 
 /// Adds a line.
-fn push(out: &mut String, line: std::fmt::Arguments<'_>) {
+fn push_line(out: &mut String, line: std::fmt::Arguments<'_>) {
     // Writing to a string cannot fail.
     out.write_fmt(line).ok();
     out.push('\n');
@@ -82,16 +85,16 @@
 fn push_membership(out: &mut String, status: &Status<'_>) {
     for member in &status.view.members {
         let (name, zone, state) = (&member.member, &member.zone, member.state);
-        push(out, format_args!("member {name} hall={zone} state={state:?}"));
+        push_line(out, format_args!("member {name} hall={zone} state={state:?}"));
     }
-    push(out, format_args!("membership {}", status.view.counters));
-    push(out, format_args!("frames {}", link_counters_text(status.link_counters)));
+    push_line(out, format_args!("membership {}", status.view.counters));
+    push_line(out, format_args!("frames {}", link_counters_text(status.link_counters)));
 }
 
-fn push_doubts(out: &mut String, status: &Status<'_>) {
-    for (subject, verdict) in &status.view.doubts {
-        let (doubt, sources) = (verdict.score, verdict.sources);
-        push(out, format_args!("doubt {subject} doubt={doubt:.2} sources={sources}"));
+fn push_verdicts(out: &mut String, status: &Status<'_>) {
+    for (subject, verdict) in &status.view.verdicts {
+        let (score, sources) = (verdict.score, verdict.sources);
+        push_line(out, format_args!("doubt {subject} doubt={score:.2} sources={sources}"));
     }
 }
 
--- a/crates/coordination/src/log_thread/thread.rs
+++ b/crates/coordination/src/log_thread/thread.rs
@@ -4,9 +4,9 @@
 use crate::frame::{self, Frame};
 use crate::gateway_message::{CoordinationMessage, GatewayMessage};
 use crate::log_thread::catalogue_feed::CatalogueFeed;
-use crate::log_thread::measured::Measured;
 use crate::log_thread::message::LogMessage;
 use crate::log_thread::pending_command::PendingCommand;
+use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::network_thread::{LinkCounters, MembershipView};
 use crate::settings::Settings;
 use crate::state_machine::{Command, StateMachine};
@@ -64,11 +64,11 @@
     pub(crate) raft: consensus::Node,
     pub(crate) state: StateMachine,
     /// This member's own part in maintenance.
-    pub(crate) local: MemberAgent,
+    pub(crate) member_agent: MemberAgent,
     /// How long returning backends have been free of failures.
     pub(crate) stage_timer: StageTimer,
     /// The latest measurements of each member.
-    pub(crate) measured: BTreeMap<MemberId, Measured>,
+    pub(crate) latest_measurements: BTreeMap<MemberId, ReceivedMeasurements>,
     /// Commands of this member that are not in the log yet, by ticket.
     pub(crate) pending: BTreeMap<u64, PendingCommand>,
     pub(crate) last_ticket: u64,
@@ -101,7 +101,7 @@
     pub(crate) process_incarnation: u64,
     pub(crate) store_incarnation: u64,
     pub(crate) raft: consensus::Node,
-    pub(crate) local: MemberAgent,
+    pub(crate) member_agent: MemberAgent,
     pub(crate) outboxes: Outboxes,
     pub(crate) storage: SyncSender<WriteRequest>,
     pub(crate) gateway: async_channel::Sender<GatewayMessage>,
@@ -120,9 +120,9 @@
             store_incarnation: parts.store_incarnation,
             raft: parts.raft,
             state: StateMachine::new(),
-            local: parts.local,
+            member_agent: parts.member_agent,
             stage_timer: StageTimer::new(),
-            measured: BTreeMap::new(),
+            latest_measurements: BTreeMap::new(),
             pending: BTreeMap::new(),
             // Above the tickets of all earlier starts.
             last_ticket: parts.process_incarnation,
@@ -147,8 +147,11 @@
         let mut periodic_at = Time(0);
         loop {
             let now = self.clock.now();
-            let deadlines =
-                [self.raft.next_wakeup(), self.local.next_wakeup(), Some(periodic_at + PERIODIC_INTERVAL)];
+            let deadlines = [
+                self.raft.next_wakeup(),
+                self.member_agent.next_wakeup(),
+                Some(periodic_at + PERIODIC_INTERVAL),
+            ];
             let deadline = deadlines.into_iter().flatten().min().unwrap_or(now + PERIODIC_INTERVAL);
             match mailbox.recv_timeout(deadline.since(now).max(MIN_WAIT)) {
                 Ok(first) => {
@@ -164,7 +167,7 @@
                 periodic_at = now;
                 self.run_periodic(now);
             }
-            self.follow_state(now);
+            self.update_agent_and_gateway(now);
             self.feed_relay(now);
         }
     }
@@ -187,7 +190,7 @@
 
     fn leave(&mut self, now: Time) {
         self.is_leaving = true;
-        let (member, presence) = (self.settings.me.clone(), Presence::Left);
+        let (member, presence) = (self.settings.own_id.clone(), Presence::Left);
         let command = maintenance::Command::SetPresence { member, presence };
         self.submit(now, Command::Maintenance(command), None);
     }
@@ -200,8 +203,8 @@
             WriteReport::BatchFailed(batch_id) => {
                 self.handle_raft_event(consensus::Event::PersistFailed { batch_id });
             }
-            WriteReport::LocalStateWritten(serial) => {
-                self.handle_local_event(now, maintenance::Event::Persisted { serial });
+            WriteReport::AgentStateWritten(serial) => {
+                self.handle_agent_event(now, maintenance::Event::Persisted { serial });
             }
             WriteReport::Recovered => self.handle_raft_event(consensus::Event::StorageRecovered),
         }
--- a/crates/coordination/src/network_thread/accept.rs
+++ b/crates/coordination/src/network_thread/accept.rs
@@ -32,22 +32,22 @@
     serve: impl Fn(Async<TcpStream>) -> F,
 ) {
     let Acceptor { executor, listener, counters, max_connections, kind, log } = acceptor;
-    let open = Rc::new(Cell::new(0));
+    let open_connections = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             Timer::after(ERROR_PAUSE).await;
             continue;
         };
         // Guards file descriptors and memory against peers that only connect.
-        if open.get() >= max_connections {
+        if open_connections.get() >= max_connections {
             increment(&counters.rejected_connections);
             continue;
         }
-        open.set(open.get() + 1);
-        let (connection, open) = (serve(stream), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (connection, open_connections) = (serve(stream), open_connections.clone());
         let serving = async move {
             let ConnectionEnd { frames, reason } = connection.await;
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
             log(&format!("conn kind={kind} peer={peer} carried={frames} reason={reason}"));
         };
         executor.spawn(serving).detach();
--- a/crates/coordination/src/network_thread/membership_host.rs
+++ b/crates/coordination/src/network_thread/membership_host.rs
@@ -70,7 +70,7 @@
             let deadline = members.wake().unwrap_or(started_at + IDLE_WAIT);
             let wakeup = self.wait(deadline, &mut buffer).await;
             let now = self.clock.now();
-            if let Some(event) = self.event_of(wakeup, &buffer).await {
+            if let Some(event) = self.event_from_wakeup(wakeup, &buffer).await {
                 members.handle(now, event, &mut actions);
             }
             for action in actions.drain(..) {
@@ -92,13 +92,13 @@
             zone: peer.zone.clone(),
             address: peer.address,
         };
-        let me = membership::Seed {
-            member: self.settings.me.clone(),
+        let own_seed = membership::Seed {
+            member: self.settings.own_id.clone(),
             zone: self.settings.zone.clone(),
             address: self.settings.listen,
         };
         let seeds = self.settings.members.iter().map(seed).collect();
-        let mut settings = membership::Settings::new(me, self.process_incarnation, seeds);
+        let mut settings = membership::Settings::new(own_seed, self.process_incarnation, seeds);
         settings.bytes_per_second = u64::from(self.settings.max_membership_bytes_per_s);
         settings
     }
@@ -116,7 +116,7 @@
         future::or(future::or(event, datagram), timer).await
     }
 
-    async fn event_of(&self, wakeup: Wakeup, buffer: &[u8]) -> Option<Event> {
+    async fn event_from_wakeup(&self, wakeup: Wakeup, buffer: &[u8]) -> Option<Event> {
         match wakeup {
             Wakeup::Event(Some(Event::KeysChanged(keys))) => {
                 self.sealer.borrow_mut().set_keys(keys.clone());
@@ -154,7 +154,8 @@
 
     fn publish(&self, members: &Membership, now: Time) {
         let subjects = members.negative_subjects(now).into_iter();
-        let doubts = subjects.map(|subject| (subject.clone(), members.verdict(&subject, now))).collect();
-        *self.view.lock() = MembershipView { members: members.view(), doubts, counters: *members.counters() };
+        let verdicts = subjects.map(|subject| (subject.clone(), members.verdict(&subject, now))).collect();
+        *self.view.lock() =
+            MembershipView { members: members.view(), verdicts, counters: *members.counters() };
     }
 }
--- a/crates/coordination/src/network_thread/thread.rs
+++ b/crates/coordination/src/network_thread/thread.rs
@@ -45,11 +45,11 @@
 /// Runs until the mailbox of membership is closed.
 pub(crate) fn run(thread: NetworkThread, sockets: Sockets) {
     let executor = Rc::new(LocalExecutor::new());
-    let me = thread.settings.me.clone();
+    let own_id = thread.settings.own_id.clone();
     let keys = Keys::new(thread.settings.keys.0, thread.settings.keys.1);
-    let sealer = Sealer::new(keys.clone(), me.clone(), thread.process_incarnation);
+    let sealer = Sealer::new(keys.clone(), own_id.clone(), thread.process_incarnation);
     let sealer = Rc::new(RefCell::new(sealer.on_channel(MEMBER_CHANNEL).with_max_bytes(MAX_FRAME_BYTES)));
-    let opener = Rc::new(RefCell::new(Opener::new(keys.clone(), me).with_max_bytes(MAX_FRAME_BYTES)));
+    let opener = Rc::new(RefCell::new(Opener::new(keys.clone(), own_id).with_max_bytes(MAX_FRAME_BYTES)));
     for (member, frames) in &thread.outboxes {
         let Some(peer) = thread.settings.members.get(member) else { continue };
         let link = OutgoingLink {
--- a/crates/coordination/src/network_thread/view.rs
+++ b/crates/coordination/src/network_thread/view.rs
@@ -6,7 +6,7 @@
     /// All members with their state.
     pub members: Vec<membership::Member>,
     /// The backends and zones that members report as faulty.
-    pub doubts: Vec<(membership::Subject, membership::Verdict)>,
+    pub verdicts: Vec<(membership::Subject, membership::Verdict)>,
     /// What membership has done and rejected.
     pub counters: membership::Counters,
 }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The name of this member.
-    pub me: MemberId,
+    pub own_id: MemberId,
     /// The zone of this member.
     pub zone: Zone,
     /// Where this member listens for the others, over UDP and TCP.
--- a/crates/coordination/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -46,8 +46,8 @@
     let process_incarnation = store.next_process_incarnation(unix_time())?;
     let content = store.read()?;
     let log = stored_state(&content)?;
-    let orders = content.local_state.as_deref().map(postcard::from_bytes).transpose();
-    let orders = orders.map_err(StartError::SavedLocalState)?;
+    let orders = content.agent_state.as_deref().map(postcard::from_bytes).transpose();
+    let orders = orders.map_err(StartError::SavedAgentState)?;
     Ok(OpenedStore { store, process_incarnation, store_incarnation: content.incarnation, log, orders })
 }
 
@@ -71,7 +71,7 @@
     let seed = settings.seed ^ process_incarnation;
     let raft = Node::new(raft_config(&settings), opened.log, now, seed)?;
     let mut first_actions = Vec::new();
-    let local = MemberAgent::new(DRAIN_DELAY, opened.orders, now, &mut first_actions);
+    let member_agent = MemberAgent::new(DRAIN_DELAY, opened.orders, now, &mut first_actions);
 
     let (log_messages, log_mailbox) = sync_channel(MAX_LOG_MESSAGES);
     let (storage, write_requests) = sync_channel(MAX_WRITES);
@@ -96,7 +96,7 @@
         process_incarnation,
         store_incarnation: opened.store_incarnation,
         raft,
-        local,
+        member_agent,
         outboxes,
         storage,
         gateway,
@@ -105,7 +105,7 @@
         relay,
         log,
     });
-    first_actions.into_iter().for_each(|action| log_thread.carry_out_local_action(now, action));
+    first_actions.into_iter().for_each(|action| log_thread.carry_out_agent_action(now, action));
     spawn_threads(Threads {
         network,
         sockets,
@@ -148,7 +148,7 @@
 }
 
 fn raft_config(settings: &Settings) -> Config {
-    let mut config = Config::new(settings.me.clone(), settings.members.keys().cloned().collect());
+    let mut config = Config::new(settings.own_id.clone(), settings.members.keys().cloned().collect());
     config.heartbeat_interval = settings.election_timeout / HEARTBEATS_PER_ELECTION_TIMEOUT;
     config.min_election_timeout = settings.election_timeout;
     config.max_election_timeout = 2 * settings.election_timeout;
@@ -159,7 +159,7 @@
 /// Both ends of the mailboxes of the links to the other members.
 fn outbox_pairs(settings: &Settings) -> (Outboxes, BTreeMap<MemberId, Receiver<Vec<u8>>>) {
     let (mut senders, mut receivers) = (BTreeMap::new(), BTreeMap::new());
-    for member in settings.members.keys().filter(|member| **member != settings.me) {
+    for member in settings.members.keys().filter(|member| **member != settings.own_id) {
         let (sender, receiver) = async_channel::bounded(MAX_OUTGOING_FRAMES);
         senders.insert(member.clone(), sender);
         receivers.insert(member.clone(), receiver);
--- a/crates/coordination/src/storage_thread/batch.rs
+++ b/crates/coordination/src/storage_thread/batch.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// Returns an error where a record cannot be encoded.
-pub fn change_of(batch: &WriteBatch) -> Result<StoreChange, StoreError> {
+pub fn store_change(batch: &WriteBatch) -> Result<StoreChange, StoreError> {
     let mut change = StoreChange {
         hard_state: Some(encode(HARD_STATE, &batch.hard_state)?),
         truncate_from: batch.truncate_from.map(|index| index.0),
--- a/crates/coordination/src/storage_thread/message.rs
+++ b/crates/coordination/src/storage_thread/message.rs
@@ -6,7 +6,7 @@
     /// A batch of the log.
     Batch(WriteBatch),
     /// What this member's part in maintenance must not forget. A later one replaces one that is not written yet.
-    LocalState {
+    AgentState {
         /// Identifies the state; grows.
         serial: u64,
         /// The encoded state.
@@ -22,7 +22,7 @@
     /// The batch with this id is not on disk, or it is not known whether it is.
     BatchFailed(u64),
     /// The local state with this serial is on disk.
-    LocalStateWritten(u64),
+    AgentStateWritten(u64),
     /// The disk can be written again.
     Recovered,
 }
--- a/crates/coordination/src/storage_thread/mod.rs
+++ b/crates/coordination/src/storage_thread/mod.rs
@@ -8,7 +8,7 @@
 mod store;
 mod writer;
 
-pub use batch::{change_of, stored_state};
+pub use batch::{store_change, stored_state};
 pub use error::StoreError;
 pub use message::{WriteReport, WriteRequest};
 pub use store::{Store, StoreChange, StoreContent};
--- a/crates/coordination/src/storage_thread/store.rs
+++ b/crates/coordination/src/storage_thread/store.rs
@@ -21,7 +21,7 @@
     pub(super) const INCARNATION: &str = "life";
     pub(super) const PROCESS_INCARNATION: &str = "start";
     pub(super) const HARD_STATE: &str = "hard";
-    pub(super) const LOCAL_STATE: &str = "kept";
+    pub(super) const AGENT_STATE: &str = "kept";
     pub(super) const SNAPSHOT: &str = "snapshot";
 }
 
@@ -32,7 +32,7 @@
     pub(super) const META: &str = "the store's meta data";
     pub(super) const LOG: &str = "the store's log";
     pub(super) const HARD_STATE: &str = "the hard state";
-    pub(super) const LOCAL_STATE: &str = "the local state";
+    pub(super) const AGENT_STATE: &str = "the local state";
     pub(super) const SNAPSHOT: &str = "the snapshot";
 }
 
@@ -42,7 +42,7 @@
     /// The hard state, where it changes.
     pub hard_state: Option<Vec<u8>>,
     /// This member's part in maintenance, where it changes.
-    pub local_state: Option<Vec<u8>>,
+    pub agent_state: Option<Vec<u8>>,
     /// The snapshot and its last index, where it changes; entries up to that index are deleted.
     pub snapshot: Option<(u64, Vec<u8>)>,
     /// Entries from this index on are deleted.
@@ -59,7 +59,7 @@
     /// The hard state.
     pub hard_state: Option<Vec<u8>>,
     /// This member's part in maintenance.
-    pub local_state: Option<Vec<u8>>,
+    pub agent_state: Option<Vec<u8>>,
     /// The snapshot.
     pub snapshot: Option<Vec<u8>>,
     /// The entries by index, in order.
@@ -120,7 +120,7 @@
         {
             let mut meta = write.open_table(META).map_err(StoreError::database(operation::META))?;
             write.open_table(LOG).map_err(StoreError::database(operation::LOG))?;
-            match number(&meta, key::FORMAT)? {
+            match read_number(&meta, key::FORMAT)? {
                 None => {
                     for (key, value) in [(key::FORMAT, FORMAT), (key::INCARNATION, incarnation)] {
                         meta.insert(key, value.to_be_bytes().as_slice())
@@ -143,7 +143,7 @@
         let write = self.begin_write()?;
         let incarnation = {
             let mut meta = write.open_table(META).map_err(StoreError::database(operation::META))?;
-            let earlier = number(&meta, key::PROCESS_INCARNATION)?.unwrap_or(0);
+            let earlier = read_number(&meta, key::PROCESS_INCARNATION)?.unwrap_or(0);
             let incarnation = message_auth::new_incarnation(unix_time, earlier);
             meta.insert(key::PROCESS_INCARNATION, incarnation.to_be_bytes().as_slice())
                 .map_err(StoreError::database(operation::META))?;
@@ -167,9 +167,9 @@
             Ok(found.map(|value| value.value().to_vec()))
         };
         let mut content = StoreContent {
-            incarnation: number(&meta, key::INCARNATION)?.ok_or(StoreError::MissingIncarnation)?,
+            incarnation: read_number(&meta, key::INCARNATION)?.ok_or(StoreError::MissingIncarnation)?,
             hard_state: bytes(key::HARD_STATE)?,
-            local_state: bytes(key::LOCAL_STATE)?,
+            agent_state: bytes(key::AGENT_STATE)?,
             snapshot: bytes(key::SNAPSHOT)?,
             entries: Vec::new(),
         };
@@ -194,9 +194,9 @@
                 meta.insert(key::HARD_STATE, hard_state.as_slice())
                     .map_err(StoreError::database(operation::HARD_STATE))?;
             }
-            if let Some(local_state) = &change.local_state {
-                meta.insert(key::LOCAL_STATE, local_state.as_slice())
-                    .map_err(StoreError::database(operation::LOCAL_STATE))?;
+            if let Some(agent_state) = &change.agent_state {
+                meta.insert(key::AGENT_STATE, agent_state.as_slice())
+                    .map_err(StoreError::database(operation::AGENT_STATE))?;
             }
             if let Some((last_index, snapshot)) = &change.snapshot {
                 meta.insert(key::SNAPSHOT, snapshot.as_slice())
@@ -214,7 +214,7 @@
     }
 }
 
-fn number(
+fn read_number(
     meta: &impl ReadableTable<&'static str, &'static [u8]>,
     key: &'static str,
 ) -> Result<Option<u64>, StoreError> {
--- a/crates/coordination/src/storage_thread/writer.rs
+++ b/crates/coordination/src/storage_thread/writer.rs
@@ -1,5 +1,5 @@
 //! The loop of the thread that writes.
-use crate::storage_thread::batch::change_of;
+use crate::storage_thread::batch::store_change;
 use crate::storage_thread::error::StoreError;
 use crate::storage_thread::message::{WriteReport, WriteRequest};
 use crate::storage_thread::store::{Store, StoreChange};
@@ -21,7 +21,7 @@
         };
         match next {
             Ok(WriteRequest::Batch(batch)) => writer.write_batch(&batch),
-            Ok(WriteRequest::LocalState { serial, bytes }) => writer.write_local_state(serial, bytes),
+            Ok(WriteRequest::AgentState { serial, bytes }) => writer.write_agent_state(serial, bytes),
             Err(RecvTimeoutError::Timeout) => writer.recover(),
             Err(RecvTimeoutError::Disconnected) => return,
         }
@@ -29,7 +29,7 @@
 }
 
 /// A local state that is not on disk yet.
-struct LocalState {
+struct AgentState {
     serial: u64,
     bytes: Vec<u8>,
 }
@@ -41,7 +41,7 @@
     log: fn(&str),
     /// Whether the store has failed and was not opened again.
     has_failed: bool,
-    unwritten: Option<LocalState>,
+    unwritten: Option<AgentState>,
 }
 
 impl Writer<'_> {
@@ -51,17 +51,17 @@
             (self.report)(WriteReport::BatchFailed(batch.id));
             return;
         }
-        match change_of(batch).and_then(|change| self.store.write(&change)) {
+        match store_change(batch).and_then(|change| self.store.write(&change)) {
             Ok(()) => (self.report)(WriteReport::BatchWritten(batch.id)),
             Err(error) => {
-                self.note_failure(&error);
+                self.record_failure(&error);
                 (self.report)(WriteReport::BatchFailed(batch.id));
             }
         }
     }
 
-    fn write_local_state(&mut self, serial: u64, bytes: Vec<u8>) {
-        self.unwritten = Some(LocalState { serial, bytes });
+    fn write_agent_state(&mut self, serial: u64, bytes: Vec<u8>) {
+        self.unwritten = Some(AgentState { serial, bytes });
         if !self.has_failed {
             self.write_unwritten();
         }
@@ -69,17 +69,17 @@
 
     fn write_unwritten(&mut self) {
         let Some(state) = self.unwritten.take() else { return };
-        let change = StoreChange { local_state: Some(state.bytes.clone()), ..StoreChange::default() };
+        let change = StoreChange { agent_state: Some(state.bytes.clone()), ..StoreChange::default() };
         match self.store.write(&change) {
-            Ok(()) => (self.report)(WriteReport::LocalStateWritten(state.serial)),
+            Ok(()) => (self.report)(WriteReport::AgentStateWritten(state.serial)),
             Err(error) => {
-                self.note_failure(&error);
+                self.record_failure(&error);
                 self.unwritten = Some(state);
             }
         }
     }
 
-    fn note_failure(&mut self, error: &StoreError) {
+    fn record_failure(&mut self, error: &StoreError) {
         (self.log)(&format!("coordination disk error={error}"));
         self.has_failed = true;
     }
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -44,11 +44,11 @@
     };
     let verdict =
         membership::Verdict { score: 0.456, sources: 2, newest_age: None, kinds: Default::default() };
-    let doubts = vec![
+    let verdicts = vec![
         (membership::Subject::Backend("b-1".into()), verdict.clone()),
         (membership::Subject::Zone("h-1".into()), verdict),
     ];
-    MembershipView { members, doubts, counters }
+    MembershipView { members, verdicts, counters }
 }
 
 #[test]
@@ -88,7 +88,7 @@
     ];
     let texts = roles.map(|(role, leader)| {
         status_text(&Status {
-            me: &golden_support::member(1),
+            own_id: &golden_support::member(1),
             role,
             term: 7,
             leader: leader.as_ref(),
--- a/crates/coordination/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -7,7 +7,7 @@
 
 use cluster_types::Index;
 use consensus::{Entry, HardState, LogPosition, Payload, Snapshot, Vote, WriteBatch};
-use coordination::storage_thread::{change_of, stored_state, Store, StoreChange, StoreContent};
+use coordination::storage_thread::{store_change, stored_state, Store, StoreChange, StoreContent};
 use golden_support::{persisted_orders, GOLDEN};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use std::fmt::Write;
@@ -86,15 +86,15 @@
         append: vec![],
     };
     for batch in [first, second, third] {
-        store.write(&change_of(&batch).unwrap()).unwrap();
+        store.write(&store_change(&batch).unwrap()).unwrap();
     }
     let orders = Some(postcard::to_stdvec(&persisted_orders()).unwrap());
-    store.write(&StoreChange { local_state: orders, ..StoreChange::default() }).unwrap();
+    store.write(&StoreChange { agent_state: orders, ..StoreChange::default() }).unwrap();
 }
 
 fn check_content(content: &StoreContent) {
     let orders: maintenance::PersistedOrders =
-        postcard::from_bytes(content.local_state.as_deref().unwrap()).unwrap();
+        postcard::from_bytes(content.agent_state.as_deref().unwrap()).unwrap();
     assert_eq!(orders, persisted_orders());
     let stored = stored_state(content).unwrap();
     assert_eq!(
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -122,7 +122,7 @@
             }
         };
         let reported = rejections.into_iter().map(|rejection| (rejection.key, rejection.error.to_string()));
-        self.handle.report_decided(reported.collect()).await;
+        self.handle.report_apply_result(reported.collect()).await;
     }
 
     fn next(&self, is_snapshot: bool, changes: &[Change]) -> Result<Next, Vec<Rejection>> {
--- a/crates/gateway/src/config_overlay/host_settings.rs
+++ b/crates/gateway/src/config_overlay/host_settings.rs
@@ -24,7 +24,7 @@
     let voters = config.coordination.iter().flat_map(|accord| &accord.members).map(|member| &member.name);
     let expected_reporters = voters.chain(section.relays.iter().map(|relay| &relay.name));
     Ok(Settings {
-        me: MemberId(config.name.as_str().into()),
+        own_id: MemberId(config.name.as_str().into()),
         role: role(config, section),
         expected_reporters: expected_reporters.map(|name| MemberId(name.as_str().into())).collect(),
         relays: order_relays(&config.name, &section.relays),
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -47,7 +47,7 @@
     let keys = section.keys()?;
     rules.check()?;
     Ok(Settings {
-        me: MemberId(context.config().name.as_str().into()),
+        own_id: MemberId(context.config().name.as_str().into()),
         zone: Zone(section.zone.as_str().into()),
         listen: section.listen,
         state_dir: section.state.clone(),
