--- a/crates/coordination/src/clock.rs
+++ b/crates/coordination/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clocks of the hosts: a monotonic one with an origin of its own, and Unix time.
+//! The clocks of the hosts: a monotonic clock with its own origin, and Unix time.
 use cluster_types::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How far the origin lies before the start, so that spans can reach back before it.
+/// How far the origin is before the start, so that a time shortly before the start can be represented.
 const ORIGIN_BEFORE_START: Duration = Duration::from_secs(1);
 
 /// A monotonic clock.
@@ -12,24 +12,24 @@
 }
 
 impl Clock {
-    /// A clock whose origin lies a second before now.
+    /// Creates a clock whose origin is one second ago.
     pub(crate) fn start() -> Clock {
         let now = Instant::now();
         Clock { origin: now.checked_sub(ORIGIN_BEFORE_START).unwrap_or(now) }
     }
 
-    /// The time now.
+    /// The current time.
     pub(crate) fn now(&self) -> Time {
         Time(u64::try_from(self.origin.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// The instant of a time. Bounded, so that the addition cannot overflow.
+    /// Converts a time to an instant. The offset is capped so that the addition cannot overflow.
     pub(crate) fn instant(&self, at: Time) -> Instant {
         self.origin + Duration::from_micros(at.0.min(u64::MAX / 4))
     }
 }
 
-/// The time since the Unix epoch; zero where the system's clock is before it.
+/// The time since the Unix epoch; zero if the system clock is set before it.
 pub(crate) fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/coordination/src/distribution/connection.rs
+++ b/crates/coordination/src/distribution/connection.rs
@@ -1,7 +1,7 @@
-//! A connection between a relay and a subscriber: sealed frames in both directions, until either side ends it.
+//! A connection between a relay and a subscriber: sealed frames in both directions, until either side closes it.
 //!
-//! The relay's first frame is empty and states its incarnation; all others are sealed for the very incarnation of their receiver. So
-//! nothing that was recorded is accepted by a process that has started since.
+//! The relay's first frame is empty and states its incarnation; all others are sealed for the incarnation of their receiver. A
+//! process that was started later therefore rejects recorded frames.
 use crate::distribution::connection_event::ConnectionEvent;
 use crate::distribution::outbox::{Outbox, OutboxReader};
 use crate::frame;
@@ -21,10 +21,10 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// The longest frame of a subscriber, in bytes.
+/// The maximum length of a frame from a subscriber, in bytes.
 const MAX_SUBSCRIBER_FRAME_BYTES: usize = 64 * 1024;
 
-/// What connections share.
+/// The state shared by all connections.
 #[derive(Clone)]
 pub(crate) struct ConnectionContext {
     pub(crate) sealer: Rc<RefCell<Sealer>>,
@@ -34,13 +34,13 @@
 }
 
 impl ConnectionContext {
-    /// Reports to the host. The host outlives its connections, so that the mailbox is not closed before.
+    /// Reports an event to the host, which outlives its connections, so that its mailbox is still open.
     async fn report(&self, event: ConnectionEvent) {
         drop(self.events.send(event).await);
     }
 }
 
-/// Writes until the outbox is closed, or the peer takes nothing more.
+/// Writes frames until the outbox is closed or a write fails.
 async fn write_frames(stream: &Async<TcpStream>, outbox: &OutboxReader) -> CloseReason {
     let mut stream = stream;
     while let Some(frame) = outbox.next().await {
@@ -62,7 +62,7 @@
 }
 
 impl Reader<'_> {
-    /// Reads the next frame. All frames must be of one sender.
+    /// Reads the next frame. All frames must have the same sender.
     async fn read_frame(&mut self) -> Result<Opened, CloseReason> {
         let (context, mut stream) = (self.context, self.stream);
         let (opener, counters) = (&context.opener, &context.counters);
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// Reads the next message, which must be sealed for this very incarnation.
+    /// Reads the next message, which must be sealed for the current incarnation of this process.
     async fn read_message<T: DeserializeOwned>(&mut self) -> Result<T, CloseReason> {
         let opened = self.read_frame().await?;
         let counters = &self.context.counters;
@@ -102,7 +102,7 @@
     }
 }
 
-/// Serves a subscriber's connection to its end.
+/// Serves a subscriber's connection until it ends.
 pub(crate) async fn serve_subscriber(
     stream: Async<TcpStream>,
     connection_id: u64,
@@ -111,7 +111,7 @@
     set_nodelay(&stream);
     let (outbox, outbox_reader) = Outbox::new();
     let mut hello = Vec::new();
-    // An empty frame is never too long, and finds an empty outbox.
+    // An empty frame is never too long, and the outbox is empty.
     append_frame(&mut hello, None, &[], &context.sealer).ok();
     outbox.send(hello);
     let state = ReadState { frames: 0, max_frame_bytes: MAX_SUBSCRIBER_FRAME_BYTES };
@@ -141,7 +141,7 @@
     ConnectionEnd { frames, reason }
 }
 
-/// Connects to a relay and follows it to the end of the connection.
+/// Connects to a relay and follows it until the connection ends.
 pub(crate) async fn follow_relay(
     connection_id: u64,
     relay: MemberId,
--- a/crates/coordination/src/distribution/error.rs
+++ b/crates/coordination/src/distribution/error.rs
@@ -1,8 +1,8 @@
-//! Why the host of distributed configuration cannot start.
+//! Errors that prevent the host of distributed configuration from starting.
 use std::io;
 use std::net::SocketAddr;
 
-/// A fault that ends the start. Its text names the settings key.
+/// An error that prevents the start. Its text begins with the settings key.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The saved configuration cannot be read.
@@ -13,10 +13,10 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A thread cannot be started.
-    #[error("changes: no thread: {0}")]
+    #[error("changes: cannot start a thread: {0}")]
     Thread(io::Error),
 }
--- a/crates/coordination/src/distribution/handle.rs
+++ b/crates/coordination/src/distribution/handle.rs
@@ -18,22 +18,22 @@
         self.serves_subscribers
     }
 
-    /// Reports which keys of the last update could not be applied, each with the reason; empty where all were.
+    /// Reports which keys of the last update could not be applied, each with the reason; the list is empty if all were applied.
     ///
     /// Cancel safe: a report that is cancelled was not sent.
     pub async fn report_apply_result(&self, rejected: Vec<(Key, String)>) {
-        // This fails only once the host has ended, which needs the report no longer.
+        // This fails only after the host has ended, when the report is no longer needed.
         drop(self.host.send(HostMessage::ApplyFinished { rejected }).await);
     }
 
-    /// Asks a question without waiting; returns false where the mailbox is full.
+    /// Sends a query without waiting; returns false if the mailbox is full.
     pub fn ask(&self, query: Query, respond_to: Sender<QueryResponse>) -> bool {
         self.host.try_send(HostMessage::Query { query, respond_to }).is_ok()
     }
 
-    /// Signs with the first of these keys from now on, and accepts either.
+    /// Changes the keys: messages are signed with the first one, and accepted with either.
     pub fn set_keys(&self, keys: ([u8; 32], Option<[u8; 32]>)) {
-        // Where the mailbox is full, the old keys stay in use until the next change of the configuration.
+        // If the mailbox is full, the old keys stay in use until the next configuration change.
         drop(self.host.try_send(HostMessage::SetKeys(Keys::new(keys.0, keys.1))));
     }
 }
--- a/crates/coordination/src/distribution/host.rs
+++ b/crates/coordination/src/distribution/host.rs
@@ -1,5 +1,4 @@
-//! The thread of distributed configuration: what connections, the replicated log and the gateway report is handled one after the
-//! other.
+//! The thread of distributed configuration, which handles events of connections, the replicated log and the gateway sequentially.
 use crate::clock::Clock;
 use crate::distribution::connection::ConnectionContext;
 use crate::distribution::connection_event::ConnectionEvent;
@@ -19,9 +18,9 @@
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
 
-/// The least wait, so that a deadline that has passed does not keep the connections, which share the thread, from running.
+/// The minimum wait, so that a deadline in the past does not starve the connections, which run on the same thread.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// The longest wait.
+/// The maximum wait.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 /// A relay whose report is older than this counts as silent.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -29,16 +28,16 @@
 /// A subscriber's connection to this relay.
 pub(crate) struct SubscriberConnection {
     pub(crate) name: MemberId,
-    /// None once this side has closed it.
+    /// `None` once this side has closed it.
     pub(crate) outbox: Option<Outbox>,
 }
 
 /// A connection of this subscriber to a relay.
 pub(crate) struct RelayConnection {
     pub(crate) relay: MemberId,
-    /// What runs the connection.
+    /// The task that runs the connection.
     pub(crate) task: Task<()>,
-    /// None until it is established, and once this side has closed it.
+    /// `None` until it is established, and after this side has closed it.
     pub(crate) outbox: Option<Outbox>,
 }
 
@@ -54,20 +53,21 @@
     /// The state machine that follows a relay.
     pub(crate) subscriber: Option<Subscriber>,
     pub(crate) relay_connections: BTreeMap<u64, RelayConnection>,
-    /// When a message of a relay last arrived.
+    /// When the last message of a relay was received.
     pub(crate) relay_message_at: Time,
-    /// Messages that were too long to be sent, and connections closed because too much waited.
+    /// How often a message could not be queued for sending, because it was too long or the outbox full; the connection is then
+    /// closed.
     pub(crate) outbox_overflows: u64,
     pub(crate) gateway: Sender<ConfigUpdate>,
-    /// The mailbox of the replicated log, where this member has one.
+    /// The mailbox of the log thread, if this member has one.
     pub(crate) log_thread: Option<SyncSender<LogMessage>>,
-    /// The thread that saves the configuration: it holds the newest only.
+    /// The mailbox of the thread that saves the configuration; it holds only the newest one.
     pub(crate) saver: Option<Sender<Vec<u8>>>,
-    /// Writes a line of the log.
+    /// Writes a log line.
     pub(crate) log: fn(&str),
 }
 
-/// What has ended a wait.
+/// The reason why a wait ended.
 enum Wakeup {
     Message(Option<HostMessage>),
     Connection(Option<ConnectionEvent>),
@@ -92,7 +92,7 @@
                     self.handle_subscriber_event(SubscriberEvent::Tick);
                 }
             }
-            // Lets the connections run although the mailboxes may never be empty.
+            // Lets the connections run even if the mailboxes are never empty.
             future::yield_now().await;
         }
     }
@@ -117,9 +117,9 @@
     fn handle_message(&mut self, message: HostMessage) {
         match message {
             HostMessage::Catalogue(catalogue) => self.replace_catalogue(*catalogue),
-            HostMessage::Ordered { version, order } => {
+            HostMessage::BatchApplied { version, batch } => {
                 let relay = self.relay.as_mut();
-                let changes = relay.map(|relay| relay.catalogue_mut().apply(version, &order));
+                let changes = relay.map(|relay| relay.catalogue_mut().apply(version, &batch));
                 self.handle_relay_event(RelayEvent::CatalogueChanged(changes.unwrap_or_default()));
             }
             HostMessage::Reports(reports) => self.handle_relay_event(RelayEvent::PeerReports(reports)),
@@ -127,7 +127,7 @@
                 self.handle_subscriber_event(SubscriberEvent::ApplyFinished { rejected });
             }
             HostMessage::Query { query, respond_to } => {
-                // The caller has given up where this fails.
+                // This fails only if the caller has stopped waiting.
                 drop(respond_to.try_send(self.answer(query)));
             }
             HostMessage::SetKeys(keys) => {
--- a/crates/coordination/src/distribution/mailbox.rs
+++ b/crates/coordination/src/distribution/mailbox.rs
@@ -6,35 +6,35 @@
 use message_auth::Keys;
 use std::sync::Arc;
 
-/// Messages that may wait for the host.
+/// The maximum number of messages that wait for the host.
 const CAPACITY: usize = 1024;
 
 /// A message to the host.
 pub(crate) enum HostMessage {
     /// The whole catalogue of the replicated log.
     Catalogue(Box<Catalogue>),
-    /// An order of the replicated log.
-    Ordered {
+    /// A write batch of the replicated log.
+    BatchApplied {
         /// The index of its entry.
         version: Index,
-        /// The order.
-        order: Arc<WriteBatch>,
+        /// The write batch.
+        batch: Arc<WriteBatch>,
     },
     /// Rollout reports of other control members.
     Reports(Vec<Report>),
-    /// The gateway has applied an update, but for the keys named, with the reason for each.
+    /// The gateway has applied an update, except for the rejected keys.
     ApplyFinished {
-        /// What it rejected.
+        /// The rejected keys, each with the reason.
         rejected: Vec<(Key, String)>,
     },
-    /// A question of an operator.
+    /// A query of an operator.
     Query {
-        /// The question.
+        /// The query.
         query: Query,
-        /// Where the answer goes.
+        /// The channel for the response.
         respond_to: Sender<QueryResponse>,
     },
-    /// Sign and open with other keys.
+    /// Use other keys for sealing and opening.
     SetKeys(Keys),
 }
 
@@ -45,13 +45,13 @@
 }
 
 impl Mailbox {
-    /// An empty mailbox.
+    /// Creates an empty mailbox.
     pub fn new() -> Mailbox {
         let (sender, receiver) = async_channel::bounded(CAPACITY);
         Mailbox { sender, receiver }
     }
 
-    /// The same mailbox for the replicated log.
+    /// Returns another handle to this mailbox, for the log thread.
     pub fn for_log_thread(&self) -> Mailbox {
         Mailbox { sender: self.sender.clone(), receiver: self.receiver.clone() }
     }
--- a/crates/coordination/src/distribution/mod.rs
+++ b/crates/coordination/src/distribution/mod.rs
@@ -1,5 +1,5 @@
-//! Hosts of distributed configuration: connections between relays and subscribers, the saved copy of a subscriber, and the way
-//! from the replicated log to the relay.
+//! Hosts of distributed configuration: connections between relays and subscribers, the saved copy of a subscriber, and the
+//! transfer of changes from the replicated log to the relay.
 //!
 //! One thread runs the state machines of `config-distribution`; another one writes the saved copy.
 mod connection;
--- a/crates/coordination/src/distribution/outbox.rs
+++ b/crates/coordination/src/distribution/outbox.rs
@@ -1,21 +1,21 @@
-//! The frames that wait to be written on a connection.
+//! The queue of frames that wait to be written to a connection.
 use async_channel::{Receiver, Sender};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that may wait to be written on a connection, beside one frame.
+/// The bytes that may wait to be written to a connection; one more frame of any length may be queued.
 pub const MAX_WAITING_BYTES: usize = 128 * 1024;
-/// Frames that may wait to be written on a connection.
+/// The number of frames that may wait to be written to a connection.
 pub const MAX_WAITING_FRAMES: usize = 256;
 
-/// The end at which frames are handed in. When it is dropped, the frames that wait are written and the connection is closed.
+/// The sending end. When it is dropped, the waiting frames are written and the connection is closed.
 pub struct Outbox {
     frames: Sender<Vec<u8>>,
     waiting_bytes: Rc<Cell<usize>>,
     close_code: Rc<Cell<&'static str>>,
 }
 
-/// The end at which frames are taken to be written.
+/// The receiving end, from which frames are written to the connection.
 pub struct OutboxReader {
     frames: Receiver<Vec<u8>>,
     waiting_bytes: Rc<Cell<usize>>,
@@ -23,7 +23,7 @@
 }
 
 impl Outbox {
-    /// Both ends of an empty outbox.
+    /// Creates an empty outbox and returns both ends.
     #[allow(clippy::new_ret_no_self, reason = "the two ends belong together")]
     pub fn new() -> (Outbox, OutboxReader) {
         let (sender, receiver) = async_channel::bounded(MAX_WAITING_FRAMES);
@@ -36,7 +36,7 @@
         (Outbox { frames: sender, waiting_bytes, close_code }, reader)
     }
 
-    /// Hands in a frame; returns false where too much waits already.
+    /// Queues a frame; returns false if the outbox is full.
     pub fn send(&self, frame: Vec<u8>) -> bool {
         let waiting = self.waiting_bytes.get();
         if waiting > MAX_WAITING_BYTES {
@@ -46,24 +46,24 @@
         self.frames.try_send(frame).is_ok()
     }
 
-    /// States why this side is about to close the connection.
+    /// Sets the reason code for this side closing the connection.
     pub fn set_close_code(&self, code: &'static str) {
         self.close_code.set(code);
     }
 }
 
 impl OutboxReader {
-    /// Takes the next frame; `None` once the other end is dropped and no frame waits. Cancel safe.
+    /// Receives the next frame; returns `None` once the other end is dropped and no frame waits. Cancel safe.
     pub async fn next(&self) -> Option<Vec<u8>> {
         self.frames.recv().await.ok()
     }
 
-    /// Notes that a frame was written.
+    /// Records that a frame was written.
     pub fn record_written(&self, frame: &[u8]) {
         self.waiting_bytes.set(self.waiting_bytes.get().saturating_sub(frame.len()));
     }
 
-    /// Why this side closes the connection.
+    /// The reason code for this side closing the connection.
     pub fn close_code(&self) -> &'static str {
         self.close_code.get()
     }
--- a/crates/coordination/src/distribution/relay_host.rs
+++ b/crates/coordination/src/distribution/relay_host.rs
@@ -1,4 +1,4 @@
-//! Runs the relay: carries out what it asks for.
+//! Runs the relay and executes its actions.
 use crate::distribution::host::{Host, SubscriberConnection};
 use crate::distribution::outbox::Outbox;
 use crate::frame;
@@ -9,11 +9,11 @@
     Catalogue, CloseReason, RelayAction, RelayEvent, RelayMessage, Report, SubscriberMessage,
 };
 
-/// The reason code of a connection that was closed because too much waits on it.
+/// The reason code of a connection that was closed because its outbox is full.
 pub(crate) const CLOSE_CODE_OUTBOX_FULL: &str = "bound";
 
 impl Host {
-    /// Hands an event to the relay and carries out the actions.
+    /// Passes an event to the relay and executes the resulting actions.
     pub(crate) fn handle_relay_event(&mut self, event: RelayEvent) {
         let now = self.clock.now();
         let Some(relay) = &mut self.relay else { return };
@@ -22,7 +22,7 @@
         self.carry_out_relay_actions(actions);
     }
 
-    /// Serves another catalogue from now on.
+    /// Replaces the catalogue that the relay serves.
     pub(crate) fn replace_catalogue(&mut self, catalogue: Catalogue) {
         let now = self.clock.now();
         let Some(relay) = &mut self.relay else { return };
@@ -45,7 +45,7 @@
     pub(crate) fn remove_subscriber_connection(&mut self, connection_id: u64, name: Option<MemberId>) {
         self.subscriber_connections.remove(&connection_id);
         self.handle_relay_event(RelayEvent::Disconnected { connection: connection_id });
-        // No link of that name is left: its keys may be forgotten where there are too many.
+        // No connection of that name is left: its replay state may be evicted, and its incarnation is forgotten.
         if let Some(name) = name
             .filter(|name| !self.subscriber_connections.values().any(|connection| connection.name == *name))
         {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Closes a link; it stays known until its connection has ended.
+    /// Closes a subscriber's connection, which stays registered until it has ended.
     fn close_subscriber_connection(&mut self, connection_id: u64, code: &'static str) {
         let outbox = self
             .subscriber_connections
@@ -89,16 +89,16 @@
         let is_sealed = frame::encode(message)
             .is_ok_and(|body| append_frame(&mut bytes, Some(name), &body, &self.context.sealer).is_ok());
         if !is_sealed || !outbox.send(bytes) {
-            // Guards memory: a subscriber that does not read is disconnected, and asks again for what is newest then.
+            // Bounds memory: a subscriber that does not read is disconnected, and requests the newest state when it reconnects.
             self.outbox_overflows += 1;
             self.close_subscriber_connection(connection_id, CLOSE_CODE_OUTBOX_FULL);
         }
     }
 
-    /// Sends rollout reports: a voter to the other control members, a relay to the one that it follows.
+    /// Sends rollout reports: a voter to the other control members, a relay to the relay that it follows.
     fn send_reports(&mut self, reports: Vec<Report>) {
         if let Some(log_thread) = &self.log_thread {
-            // Reports that find no room are replaced by those of the next second.
+            // Reports that do not fit into the mailbox are dropped; the next second's reports replace them.
             drop(log_thread.try_send(LogMessage::Reports(reports)));
         } else if let Some(connection_id) = self.followed_connection() {
             let own_id = self.settings.own_id.clone();
--- a/crates/coordination/src/distribution/settings.rs
+++ b/crates/coordination/src/distribution/settings.rs
@@ -1,15 +1,15 @@
-//! What the host of distributed configuration is given at start.
+//! The settings of the host of distributed configuration.
 use cluster_types::MemberId;
 use config_distribution::Scope;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A relay that is followed.
+/// A relay that this member may follow.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// Its name.
     pub name: MemberId,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
@@ -21,16 +21,16 @@
         /// Where it listens for subscribers.
         listen: SocketAddr,
     },
-    /// Follows another relay and serves subscribers.
+    /// A member that follows another relay and serves subscribers.
     Relay {
         /// Where it listens for subscribers.
         listen: SocketAddr,
     },
-    /// Follows a relay and applies what is in its scope.
+    /// A member that follows a relay and applies the changes in its scope.
     Subscriber {
-        /// What it applies.
+        /// The scope of the changes that it applies.
         scope: Scope,
-        /// The folder of the saved configuration, if it saves any.
+        /// The directory of the saved configuration, if it is saved.
         state_dir: Option<PathBuf>,
     },
 }
@@ -42,16 +42,16 @@
     pub own_id: MemberId,
     /// Its role.
     pub role: Role,
-    /// The relays that it may follow, in the order of preference.
+    /// The relays that it may follow, in order of preference.
     pub relays: Vec<Upstream>,
-    /// The control members it knows of: no change counts as rolled out everywhere until each of them has reported.
+    /// The known control members: no change counts as rolled out everywhere until each of them has reported.
     pub expected_reporters: Vec<MemberId>,
-    /// The key that signs, and another one that is accepted.
+    /// The key for signing, and an optional second key that is accepted as well.
     pub keys: ([u8; 32], Option<[u8; 32]>),
-    /// Bounds and intervals of the state machines.
+    /// Limits and intervals of the state machines.
     pub limits: config_distribution::Settings,
-    /// How many subscribers there are in all: connection attempts are spread accordingly.
+    /// The total number of subscribers, over which connection attempts are spread.
     pub fleet_size: u32,
-    /// Drawn at random.
+    /// A random number: the seed of the subscriber's random choices.
     pub seed: u64,
 }
--- a/crates/coordination/src/distribution/start.rs
+++ b/crates/coordination/src/distribution/start.rs
@@ -1,4 +1,4 @@
-//! Starting the host: what is saved is read and the listener is bound first, so that a fault ends the start.
+//! Starts the host. The saved configuration is read and the listener is bound first, so that their errors prevent the start.
 use crate::clock::{unix_time, Clock};
 use crate::distribution::connection::{serve_subscriber, ConnectionContext};
 use crate::distribution::connection_event::ConnectionEvent;
@@ -28,24 +28,25 @@
 use std::sync::Arc;
 use std::thread::Builder;
 
-/// Connections that may be open beside those that are served: of subscribers that get the answer to retry later, and of unauthenticated peers.
+/// The number of connections that may be open in addition to those that are served: for subscribers that are told to retry later,
+/// and for unauthenticated peers.
 const SPARE_CONNECTIONS: usize = 16;
-/// Events of connections that may wait for the host.
+/// The maximum number of events of connections that wait for the host.
 const MAX_WAITING_EVENTS: usize = 256;
-/// How many senders a relay remembers, so that nothing of theirs is accepted twice.
+/// The number of senders whose replay state a relay remembers, so that it accepts none of their messages twice.
 const MAX_REMEMBERED_SENDERS: usize = 8_192;
 
-/// What the gateway needs of a host that runs.
+/// The gateway's ends of the mailboxes of a running host.
 pub struct Started {
     /// The gateway's end of the mailbox.
     pub handle: Handle,
-    /// What the gateway is to apply.
+    /// The configuration updates for the gateway to apply.
     pub updates: Receiver<ConfigUpdate>,
-    /// Whether there was a saved configuration: the first update is the whole of it.
+    /// Whether there was a saved configuration, which is then the first update, complete.
     pub has_saved_config: bool,
 }
 
-/// What the thread of the host is built from.
+/// The parameters of the host's thread.
 struct HostParts {
     settings: Settings,
     mailbox: Mailbox,
@@ -59,11 +60,11 @@
     log: fn(&str),
 }
 
-/// Starts the host. The replicated log of a voter has the same mailbox, and is sent the rollout reports.
+/// Starts the host. The log thread of a voter sends to the same mailbox, and receives the rollout reports.
 ///
 /// # Errors
 ///
-/// Returns an error that names the settings key where the saved configuration cannot be read, the listener cannot be bound, or a
+/// Returns an error that names the settings key if the saved configuration cannot be read, the listener cannot be bound, or a
 /// thread cannot be started.
 pub fn start(
     settings: Settings,
@@ -85,7 +86,7 @@
     let has_saved_config =
         subscriber.as_ref().is_some_and(|subscriber| !subscriber.state().applied_entries().is_empty());
     let (gateway, updates) = async_channel::bounded(1);
-    let saver = state_dir.map(|folder| start_saver(folder, log)).transpose()?;
+    let saver = state_dir.map(|directory| start_saver(directory, log)).transpose()?;
     let handle = Handle { host: mailbox.sender.clone(), serves_subscribers: listener.is_some() };
     let is_voter = matches!(settings.role, Role::Voter { .. });
     let log_thread = voter.filter(|_| is_voter).map(|voter| voter.log_thread.clone());
@@ -110,7 +111,7 @@
 }
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
-    // Threads run until their mailbox is closed; they are not joined.
+    // Threads run until their mailbox is closed, and are not joined.
     Builder::new().name(name.into()).spawn(work).map(drop).map_err(StartError::Thread)
 }
 
@@ -134,9 +135,9 @@
     subscriber
 }
 
-fn start_saver(folder: PathBuf, log: fn(&str)) -> Result<Sender<Vec<u8>>, StartError> {
+fn start_saver(directory: PathBuf, log: fn(&str)) -> Result<Sender<Vec<u8>>, StartError> {
     let (saver, mailbox) = async_channel::bounded(1);
-    spawn("changes-disk", move || saved_config::run(&folder, &mailbox, log))?;
+    spawn("changes-disk", move || saved_config::run(&directory, &mailbox, log))?;
     Ok(saver)
 }
 
@@ -147,7 +148,7 @@
     relay
 }
 
-/// What the connections share, and the events that they report.
+/// Creates the state that connections share, and the receiver of the events that they report.
 fn connection_context(settings: &Settings) -> (ConnectionContext, Receiver<ConnectionEvent>) {
     let keys = Keys::new(settings.keys.0, settings.keys.1);
     let incarnation = message_auth::new_incarnation(unix_time(), 0);
@@ -168,7 +169,7 @@
     (context, connections)
 }
 
-/// Accepts the connections of subscribers and numbers them.
+/// Accepts the connections of subscribers and assigns their ids.
 fn accept_subscribers(acceptor: Acceptor, context: ConnectionContext) {
     let executor = acceptor.executor.clone();
     let last_connection_id = Cell::new(0);
@@ -179,7 +180,7 @@
     executor.spawn(accept_connections(acceptor, serve)).detach();
 }
 
-/// The thread of the host.
+/// Runs the thread of the host.
 fn run(parts: HostParts) {
     let HostParts { settings, mailbox, clock, started_at, listener, subscriber, log, .. } = parts;
     let (context, connections) = connection_context(&settings);
--- a/crates/coordination/src/distribution/status.rs
+++ b/crates/coordination/src/distribution/status.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 
 impl Host {
-    /// The status. The names of roles and counters are those of the operators' interface.
+    /// Returns the status, with the names of roles and counters that the operators' interface uses.
     pub(crate) fn status(&self, now: Time) -> DistributionStatus {
         let role = match self.settings.role {
             Role::Voter { .. } => "voter",
--- a/crates/coordination/src/distribution/subscriber_host.rs
+++ b/crates/coordination/src/distribution/subscriber_host.rs
@@ -1,4 +1,4 @@
-//! Runs the subscriber: carries out what it asks for.
+//! Runs the subscriber and executes its actions.
 use crate::distribution::connection::follow_relay;
 use crate::distribution::host::{Host, RelayConnection};
 use crate::distribution::outbox::Outbox;
@@ -12,11 +12,11 @@
     Change, RelayEvent, RelayMessage, SubscriberAction, SubscriberEvent, SubscriberMessage,
 };
 
-/// The reason code of a connection that this subscriber ends.
+/// The reason code of a connection that this subscriber closes.
 const CLOSE_CODE_DISCONNECTED: &str = "left";
 
 impl Host {
-    /// Applies the saved configuration before any message of a relay arrives.
+    /// Applies the saved configuration, before any message of a relay is received.
     pub(crate) fn apply_saved_config(&mut self) {
         let Some(subscriber) = &mut self.subscriber else { return };
         let mut actions = Vec::new();
@@ -24,7 +24,7 @@
         self.carry_out_subscriber_actions(actions);
     }
 
-    /// Hands an event to the subscriber and carries out the actions.
+    /// Passes an event to the subscriber and executes the resulting actions.
     pub(crate) fn handle_subscriber_event(&mut self, event: SubscriberEvent) {
         let now = self.clock.now();
         let Some(subscriber) = &mut self.subscriber else { return };
@@ -34,7 +34,7 @@
         self.update_relay_position();
     }
 
-    /// The call whose relay is followed.
+    /// The id of the connection to the relay that is currently followed.
     pub(crate) fn followed_connection(&self) -> Option<u64> {
         self.subscriber.as_ref().and_then(|subscriber| subscriber.followed_connection())
     }
@@ -67,7 +67,7 @@
         self.handle_subscriber_event(SubscriberEvent::Message { connection: connection_id, message });
     }
 
-    /// Sends a message to the relay of a call.
+    /// Sends a message to the relay of a connection.
     pub(crate) fn send_to_relay(&mut self, connection_id: u64, message: &SubscriberMessage) {
         let Some(connection) = self.relay_connections.get_mut(&connection_id) else { return };
         let Some(outbox) = &connection.outbox else { return };
@@ -97,7 +97,8 @@
                 SubscriberAction::Apply { is_snapshot, changes } => self.apply_update(is_snapshot, changes),
                 SubscriberAction::Persist(bytes) => {
                     if let Some(saver) = &self.saver {
-                        // The newest replaces one that waits; the saver ends with the program only.
+                        // This replaces an older configuration that still waits. The receiving thread runs until the process
+                        // exits.
                         drop(saver.force_send(bytes));
                     }
                 }
@@ -106,7 +107,8 @@
     }
 
     fn close_relay_connection(&mut self, connection_id: u64) {
-        // A connection that is established ends by itself once its outbox is dropped; another one is cancelled with its task.
+        // An established connection ends once its outbox is dropped; one that is still being established is cancelled by dropping
+        // its task.
         if let Some(RelayConnection { task, outbox: Some(outbox), .. }) =
             self.relay_connections.remove(&connection_id)
         {
@@ -126,10 +128,11 @@
         self.relay_connections.insert(connection_id, RelayConnection { relay, task, outbox: None });
     }
 
-    /// Hands an update to the gateway, which decides on a thread of its own; a relay takes it into its catalogue and serves it.
+    /// Applies an update: a subscriber sends it to the gateway, which applies it on another thread; a relay adds it to its
+    /// catalogue and serves it.
     fn apply_update(&mut self, is_complete: bool, changes: Vec<Change>) {
         if self.relay.is_none() {
-            // The subscriber hands out one update at a time, so that there is room.
+            // The subscriber emits one update at a time, so the channel has room for it.
             drop(self.gateway.try_send(ConfigUpdate { is_complete, changes }));
             return;
         }
@@ -146,14 +149,14 @@
         }
     }
 
-    /// Lets the relay know up to where nothing more has changed, and whether it is cut off itself.
+    /// Tells the relay up to which version its catalogue is current, and since when it is isolated itself.
     fn update_relay_position(&mut self) {
         let (Some(relay), Some(subscriber)) = (&mut self.relay, &self.subscriber) else { return };
         let (subscriber_state, catalogue) = (subscriber.state(), relay.catalogue_mut());
         if subscriber_state.log_id() == catalogue.log_id() && subscriber_state.up_to() > catalogue.applied() {
             catalogue.advance(subscriber_state.up_to());
         }
-        // The relay sends its subscribers how old the configuration is.
+        // The relay tells its subscribers how old the configuration is.
         relay.set_isolated_since(subscriber.isolated_since());
     }
 }
--- a/crates/coordination/src/error.rs
+++ b/crates/coordination/src/error.rs
@@ -1,16 +1,16 @@
-//! Why the hosts cannot start.
+//! Errors that prevent the hosts from starting.
 use crate::storage_thread::StoreError;
 use std::io;
 use std::net::SocketAddr;
 
-/// A fault that ends the start. Its text names the settings key.
+/// An error that prevents the start. Its text begins with the settings key.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The store cannot be opened or read.
     #[error("accord.state: {0}")]
     Store(#[from] StoreError),
-    /// What the store holds for this member's part in maintenance cannot be decoded.
-    #[error("accord.state: what the front kept can't be read: {0}")]
+    /// The stored state of the maintenance agent cannot be decoded.
+    #[error("accord.state: cannot decode the stored maintenance orders: {0}")]
     SavedAgentState(postcard::Error),
     /// The replicated log rejects its configuration or its stored state.
     #[error("accord.state: {0}")]
@@ -20,10 +20,10 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The error of the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A thread cannot be started.
-    #[error("accord: no thread: {0}")]
+    #[error("accord: cannot start a thread: {0}")]
     Thread(io::Error),
 }
--- a/crates/coordination/src/frame.rs
+++ b/crates/coordination/src/frame.rs
@@ -1,17 +1,17 @@
-//! The messages between members over TCP: each travels in a frame of its own, sealed, with a version.
+//! The messages between members over TCP: each is sent in its own sealed frame and carries a version.
 use crate::measurements::Measurements;
 use crate::state_machine::Command;
 use cluster_types::Index;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The version of the messages. A member does not act on another one, and says so.
+/// The version of the messages. A member rejects messages of any other version and logs the rejection.
 pub const VERSION: u16 = 1;
 
-/// A message from member to member. The order of the variants is part of the wire format.
+/// A message from one member to another. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// The first frame on a link: it shows that the sender holds the key, so that larger frames may follow.
+    /// The first frame on a link: it proves that the sender holds the key, after which larger frames are accepted.
     Hello,
     /// A message of the replicated log.
     Log {
@@ -20,7 +20,7 @@
         /// The message.
         message: consensus::Message,
     },
-    /// To the leader: a command to be proposed.
+    /// To the leader: a command to propose.
     Forward {
         /// The sender's id of the command.
         ticket: u64,
@@ -36,11 +36,11 @@
         /// The measurements.
         measurements: Box<Measurements>,
     },
-    /// From the leader: a lease, which runs from when it was requested.
+    /// From the leader: a lease, which starts at the time of the request.
     Lease {
-        /// When it was requested, by the receiver's clock.
+        /// When the lease was requested, by the receiver's clock.
         requested_at: u64,
-        /// How long it lasts, in microseconds.
+        /// The duration of the lease, in microseconds.
         span_us: u64,
     },
     /// From a control member: how far configuration changes have been rolled out.
@@ -50,8 +50,8 @@
 /// Why a message cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The message has another version: its meaning cannot be known.
-    #[error("its messages have version {found}, this program's have {VERSION}")]
+    /// The message has a version that this program cannot interpret.
+    #[error("message version {found} is not supported; this program uses version {VERSION}")]
     UnknownVersion {
         /// The version of the message.
         found: u16,
@@ -61,7 +61,7 @@
     Malformed(#[from] postcard::Error),
 }
 
-/// Encodes a message with the version before it.
+/// Encodes a message, prefixed with the version.
 ///
 /// # Errors
 ///
--- a/crates/coordination/src/gateway_message.rs
+++ b/crates/coordination/src/gateway_message.rs
@@ -1,35 +1,35 @@
-//! Messages between the gateway and the hosts. Neither waits for the other: mailboxes are bounded, and what finds one full is
-//! counted and sent again at the next turn.
+//! Messages between the gateway and the hosts. Neither waits for the other: mailboxes are bounded, and a message
+//! that does not fit is counted and sent again later.
 use crate::measurements::Measurements;
 use crate::operator_call::{OperatorCall, OperatorResponse};
 use cluster_types::{BackendId, Index};
 use maintenance::Quota;
 
-/// What the gateway tells the hosts.
+/// A message from the gateway to the hosts.
 pub enum CoordinationMessage {
-    /// The gateway has measured.
+    /// New measurements of the gateway.
     Measured(Measurements),
-    /// An operator calls; the response goes to the channel.
+    /// A call of an operator, and the channel for the response.
     Call(OperatorCall, async_channel::Sender<OperatorResponse>),
     /// The gateway shuts down and leaves the group.
     Stopping,
 }
 
-/// What the hosts tell the gateway.
+/// A message from the hosts to the gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GatewayMessage {
-    /// Send nothing new to a backend.
+    /// Stop sending new requests to a backend.
     Drain {
         /// The backend.
         backend: BackendId,
-        /// The grant or the step that orders it; none for a drain that only an operator ends.
+        /// The index of the grant or step that ordered it; `None` for a drain that only an operator ends.
         order: Option<Index>,
     },
-    /// Send to a backend again.
+    /// Resume sending requests to a backend.
     Undrain {
         /// The backend.
         backend: BackendId,
-        /// How much of its capacity.
+        /// The share of its capacity that may be used.
         quota: Quota,
     },
 }
--- a/crates/coordination/src/handle.rs
+++ b/crates/coordination/src/handle.rs
@@ -16,26 +16,26 @@
 }
 
 impl Handle {
-    /// Sends a message to the hosts without waiting. Returns false where the mailbox is full, which is counted.
+    /// Sends a message to the hosts without waiting. Returns false if the mailbox is full; such messages are counted.
     pub fn send(&self, message: CoordinationMessage) -> bool {
         let is_sent = self.log_thread.try_send(LogMessage::FromGateway(message)).is_ok();
         self.dropped.fetch_add(u64::from(!is_sent), Ordering::Relaxed);
         is_sent
     }
 
-    /// Reports what this gateway observed of a backend or a zone, for the other members.
+    /// Reports an observation about a backend or a zone to the other members.
     pub fn observe(&self, observation: membership::Observation) {
-        // Where the mailbox is full, the observation is lost as on the network; the next one takes its place.
+        // If the mailbox is full, the observation is dropped, as on the network; the next one replaces it.
         drop(self.membership.try_send(membership::Event::Observed(observation)));
     }
 
-    /// Signs with the first of these keys from now on, and accepts either.
+    /// Changes the keys: messages are signed with the first one, and accepted with either.
     pub fn set_keys(&self, keys: ([u8; 32], Option<[u8; 32]>)) {
-        // Where the mailbox is full, the old keys stay in use until the next change of the configuration.
+        // If the mailbox is full, the old keys stay in use until the next configuration change.
         drop(self.membership.try_send(membership::Event::KeysChanged(Keys::new(keys.0, keys.1))));
     }
 
-    /// How many messages found the mailbox full.
+    /// The number of messages dropped because the mailbox was full.
     pub fn dropped_messages(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,19 +1,19 @@
 //! Hosts of the replicated control plane: threads, sockets and disk around the state machines of other packages.
 //!
-//! The gateways of a fleet act together as members of one group. Membership (`membership`), the replicated log (`consensus`)
-//! and planned maintenance (`maintenance`) decide without I/O; this package runs them. None of its threads belongs to
-//! the gateway, which meets them through two bounded mailboxes: [`Handle`] takes what the gateway reports, [`GatewayMessage`]s
-//! tell it what the members have agreed on.
+//! The gateways of a fleet form one group of members. Membership (`membership`), the replicated log (`consensus`)
+//! and planned maintenance (`maintenance`) are state machines without I/O; this package runs them. Its threads are separate from
+//! those of the gateway. The two communicate through two bounded mailboxes: the gateway reports through [`Handle`], and receives
+//! what the members have agreed on as [`GatewayMessage`]s.
 //!
 //! | thread | owns | module |
 //! | --- | --- | --- |
 //! | `accord-net` | sockets, membership, frames to and from the other members | [`network_thread`] |
-//! | `accord-log` | the replicated log, the replicated state machine, this member's part in maintenance | [`log_thread`] |
+//! | `accord-log` | the replicated log, the replicated state machine, the maintenance agent of this member | [`log_thread`] |
 //! | `accord-disk` | the store | [`storage_thread`] |
 //! | `accord-changes`, `changes-disk` | relay and subscriber of distributed configuration, its saved copy | [`distribution`] |
 //!
-//! Each thread has its own state; between them are bounded mailboxes. A full mailbox loses a message, which is sent again
-//! later, as it would be lost on the network.
+//! Each thread has its own state, and threads communicate through bounded mailboxes. A message to a full mailbox is dropped and
+//! sent again later, like a message that is lost on the network.
 mod clock;
 pub mod distribution;
 mod error;
--- a/crates/coordination/src/log_thread/apply.rs
+++ b/crates/coordination/src/log_thread/apply.rs
@@ -1,4 +1,4 @@
-//! Applying committed entries, and answering who waits for them.
+//! Applies committed entries, and responds to operators that wait for them.
 use crate::log_thread::status::maintenance_text;
 use crate::log_thread::thread::LogThread;
 use crate::operator_call::{respond, OperatorResponse, ResponseSender};
@@ -18,19 +18,19 @@
         let Some((_, ticket)) = own_ticket else { return };
         let Some(respond_to) = self.complete_command(ticket) else { return };
         let response = match applied.catalogue {
-            CatalogueChange::Ordered { version, .. } => OperatorResponse::Done(version.0.to_string()),
+            CatalogueChange::BatchApplied { version, .. } => OperatorResponse::Done(version.0.to_string()),
             CatalogueChange::Unchanged | CatalogueChange::Replaced => maintenance_response(&applied.effects),
         };
         respond(&respond_to, response);
     }
 
-    /// Forgets a command that is in the log; returns who waits for its outcome.
+    /// Removes a command that was applied; returns the channel for its outcome, if anyone waits for it.
     fn complete_command(&mut self, ticket: u64) -> Option<ResponseSender> {
         self.pending.remove(&ticket)?.respond_to
     }
 }
 
-/// The response to an operator about the effects of a command.
+/// Converts the effects of a command to the response to the operator.
 fn maintenance_response(effects: &[Effect]) -> OperatorResponse {
     let mut response = OperatorResponse::Done("done\n".into());
     for effect in effects {
--- a/crates/coordination/src/log_thread/catalogue_feed.rs
+++ b/crates/coordination/src/log_thread/catalogue_feed.rs
@@ -1,11 +1,11 @@
-//! The way from the replicated catalogue to the relay that serves it.
+//! Transfers the replicated catalogue to the relay that serves it.
 use crate::distribution::{HostMessage, Mailbox};
 use cluster_types::Time;
 
-/// The mailbox of the relay, and what it still has to be sent.
+/// The mailbox of the relay, and whether the relay is up to date.
 pub(crate) struct CatalogueFeed {
     pub(crate) relay: async_channel::Sender<HostMessage>,
-    /// Whether the relay has missed something: it is to be sent the whole catalogue.
+    /// Whether the relay has missed a change, so that the whole catalogue has to be sent.
     pub(crate) is_behind: bool,
     /// When the catalogue was last requested, while there is none.
     pub(crate) requested_at: Time,
--- a/crates/coordination/src/log_thread/effect_log.rs
+++ b/crates/coordination/src/log_thread/effect_log.rs
@@ -16,7 +16,7 @@
     backends.iter().map(|backend| &*backend.0).collect::<Vec<_>>().join(",")
 }
 
-/// The line about an effect; none for those that only concern the caller.
+/// Formats the log line of an effect; `None` for effects that only concern the caller.
 fn effect_line(effect: &Effect) -> Option<String> {
     let line = match effect {
         Effect::Drain { grant, backends } => {
--- a/crates/coordination/src/log_thread/facts.rs
+++ b/crates/coordination/src/log_thread/facts.rs
@@ -1,11 +1,11 @@
-//! What all members have measured, combined for the leader.
+//! Combines the measurements of all members for the leader.
 use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::measurements::{BackendMeasurement, VolumeMeasurement};
 use cluster_types::{BackendId, Index, MemberId, Volume};
 use maintenance::{BackendFacts, ClusterView, MaintenanceState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The backends at which an attempt has failed since the last reports.
+/// Returns the backends at which an attempt has failed since the last reports.
 pub(crate) fn failing_backends<'a>(
     measured: impl Iterator<Item = (&'a MemberId, &'a ReceivedMeasurements)>,
 ) -> BTreeSet<BackendId> {
@@ -13,7 +13,7 @@
     backends.filter(|(_, backend)| backend.has_failed).map(|(id, _)| id.clone()).collect()
 }
 
-/// How many members report on a backend, and how many of them find it dead.
+/// The number of members that report on a backend, and of those that consider it dead.
 #[derive(Clone, Copy, Default)]
 struct Reports {
     all: usize,
@@ -42,7 +42,7 @@
         reports.all += 1;
         reports.dead += usize::from(measured.is_dead);
         if measured.units > 0 {
-            // In powers of two: the parts of a stage are not to be divided again for every small change.
+            // Rounded up to a power of two, so that small changes do not cause the quotas of a stage to be divided again.
             let units = measured.units.next_power_of_two();
             self.view.traffic.entry(id.clone()).or_default().insert(member.clone(), units);
         }
@@ -57,8 +57,8 @@
     }
 }
 
-/// Combines the measurements of all members. A backend is listed, or warming up, where one member finds it so, and dead where more
-/// than half of them do.
+/// Combines the measurements of all members. A backend counts as listed, or as warming up, if one member reports it so, and as
+/// failed if more than half of the reporting members consider it dead.
 pub(crate) fn maintenance_view<'a>(
     measured: impl Iterator<Item = (&'a MemberId, &'a ReceivedMeasurements)>,
     healthy_ms: BTreeMap<BackendId, u64>,
@@ -88,7 +88,7 @@
             fact.has_failed = 2 * dead > all;
         }
     }
-    // A volume needs no more than its reservation, nor more than it uses: what it does not use cannot be missing.
+    // A volume needs at most its reservation, and at most what it uses: capacity that it does not use cannot be missing.
     for fact in view.volumes.values_mut() {
         fact.reserved = fact.reserved.min(max_reservation);
     }
--- a/crates/coordination/src/log_thread/frames.rs
+++ b/crates/coordination/src/log_thread/frames.rs
@@ -1,4 +1,4 @@
-//! Handling frames, and sending commands to the leader.
+//! Handles frames, and sends commands to the leader.
 use crate::clock::unix_time_ms;
 use crate::frame::Frame;
 use crate::log_thread::pending_command::PendingCommand;
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Grants a member a lease, only while no other member can lead: a leader that was cut off must not go on granting.
+    /// Grants a member a lease, but only while no other member can be leader: an isolated leader must not continue to grant
+    /// leases.
     fn grant_lease(&mut self, now: Time, to: &MemberId, requested_at: u64) {
         if self.raft.lease_expiry(now).is_none() {
             return;
@@ -42,7 +43,7 @@
         self.outboxes.send(to, &Frame::Lease { requested_at, span_us });
     }
 
-    /// Takes a lease. It runs from when it was requested, by this member's clock, and ends early by what clocks may differ.
+    /// Accepts a lease. It starts at the time of the request by this member's clock, and is shortened by the maximum clock drift.
     pub(crate) fn accept_lease(&mut self, requested_at: Time, span: Duration) {
         let span = span.min(self.settings.lease).mul_f64(1.0 - self.settings.max_clock_drift);
         let until = requested_at + span;
@@ -50,7 +51,7 @@
         self.handle_agent_event(now, maintenance::Event::LeaseRenewed { until });
     }
 
-    /// Proposes a command, where this member leads.
+    /// Proposes a command, if this member is the leader.
     pub(crate) fn propose(&mut self, now: Time, by: MemberId, ticket: u64, command: Command) {
         if self.raft.role() != Role::Leader {
             return;
@@ -63,7 +64,7 @@
         self.handle_raft_event(event);
     }
 
-    /// Submits a command of this member, which is sent to the leader until it is in the log or its time has run out.
+    /// Submits a command of this member, which is sent to the leader repeatedly until it is in the log or expires.
     pub(crate) fn submit(&mut self, now: Time, command: Command, respond_to: Option<ResponseSender>) {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
@@ -72,7 +73,7 @@
         self.send_to_leader(now, ticket, command);
     }
 
-    /// Sends a command to the leader, where one is known.
+    /// Sends a command to the leader, if one is known.
     pub(crate) fn send_to_leader(&mut self, now: Time, ticket: u64, command: Command) {
         if self.raft.role() == Role::Leader {
             let own_id = self.settings.own_id.clone();
--- a/crates/coordination/src/log_thread/leader.rs
+++ b/crates/coordination/src/log_thread/leader.rs
@@ -1,4 +1,4 @@
-//! What the leader proposes by itself.
+//! The leader's own proposals.
 use crate::clock::unix_time_ms;
 use crate::log_thread::facts::{failing_backends, maintenance_view};
 use crate::log_thread::maintenance_host::NO_TICKET;
@@ -8,13 +8,13 @@
 use cluster_types::{MemberId, Time};
 use std::time::Duration;
 
-/// Older measurements count as none.
+/// Measurements older than this are ignored.
 const MAX_MEASUREMENT_AGE: Duration = Duration::from_secs(3);
-/// When a proposal of which nothing was heard is made again.
+/// The time after which a proposal without outcome is given up, so that it can be made again.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl LogThread {
-    /// Proposes the next steps of planned maintenance, once the earlier ones are committed.
+    /// Proposes the next steps of planned maintenance, once the previous ones are committed.
     pub(crate) fn propose_next(&mut self, now: Time) {
         self.proposed.retain(|_, at| now.since(*at) < PROPOSAL_TIMEOUT);
         if !self.proposed.is_empty() {
--- a/crates/coordination/src/log_thread/maintenance_host.rs
+++ b/crates/coordination/src/log_thread/maintenance_host.rs
@@ -1,4 +1,4 @@
-//! Runs this member's own part in maintenance: carries out what it asks for.
+//! Runs the maintenance agent of this member and executes its actions.
 use crate::gateway_message::GatewayMessage;
 use crate::log_thread::thread::LogThread;
 use crate::state_machine::Command;
@@ -11,7 +11,7 @@
 pub(crate) const NO_TICKET: u64 = 0;
 
 impl LogThread {
-    /// Hands an event to the local part and carries out the actions.
+    /// Passes an event to the agent and executes the resulting actions.
     pub(crate) fn handle_agent_event(&mut self, now: Time, event: Event) {
         let mut actions = Vec::new();
         self.member_agent.handle(now, event, &mut actions);
@@ -36,19 +36,19 @@
                         maintenance::Command::AcknowledgeStage { backend, step, member }
                     }
                 };
-                // The local part repeats its report by itself.
+                // The agent repeats the report itself.
                 self.send_to_leader(now, NO_TICKET, Command::Maintenance(command));
             }
             Action::Persist { serial, orders } => {
                 if let Ok(bytes) = postcard::to_stdvec(&orders) {
-                    // Where the mailbox is full, the local part goes on waiting for the write, as after a failure of the disk.
+                    // If the mailbox is full, the agent continues to wait for the write, as after a disk failure.
                     drop(self.storage.try_send(WriteRequest::AgentState { serial, bytes }));
                 }
             }
         }
     }
 
-    /// Tells the local part of new orders, and sends the gateway what waits.
+    /// Passes new orders to the agent, and sends the waiting messages to the gateway.
     pub(crate) fn update_agent_and_gateway(&mut self, now: Time) {
         if std::mem::take(&mut self.has_new_state) {
             let index = self.state.applied_index;
@@ -59,7 +59,7 @@
         while let Some(message) = self.unsent.pop_front() {
             match self.gateway.try_send(message) {
                 Ok(()) => {}
-                // Guards the order of the messages: the next turn goes on with this one.
+                // Preserves the order of the messages: the next call continues with this one.
                 Err(TrySendError::Full(message)) => {
                     self.unsent.push_front(message);
                     return;
--- a/crates/coordination/src/log_thread/message.rs
+++ b/crates/coordination/src/log_thread/message.rs
@@ -15,7 +15,7 @@
     },
     /// A message of this gateway.
     FromGateway(CoordinationMessage),
-    /// A report of the storage thread.
+    /// A write report of the storage thread.
     Storage(WriteReport),
     /// Rollout reports of this member's relay, for the other control members.
     Reports(Vec<config_distribution::Report>),
--- a/crates/coordination/src/log_thread/mod.rs
+++ b/crates/coordination/src/log_thread/mod.rs
@@ -1,7 +1,7 @@
 //! The thread of the replicated log.
 //!
 //! Frames of the other members, reports of the storage, measurements and calls of this gateway arrive in one mailbox and are
-//! handled one after the other; what the state machines decide goes out to the other threads.
+//! handled sequentially; the decisions of the state machines are sent to the other threads.
 mod apply;
 mod catalogue_feed;
 mod effect_log;
--- a/crates/coordination/src/log_thread/operator_calls.rs
+++ b/crates/coordination/src/log_thread/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators: what they ask for goes into the log, and the response is what applying it led to here.
+//! Handles calls of operators. Commands go into the log, and the response is the outcome of applying them at this member.
 use crate::log_thread::status::{maintenance_text, status_text, Status};
 use crate::log_thread::thread::LogThread;
 use crate::operator_call::{respond, OperatorCall, OperatorResponse, ResponseSender};
@@ -6,9 +6,9 @@
 use cluster_types::Time;
 use std::time::Duration;
 
-/// How long a caller waits.
+/// How long a caller waits for the outcome.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_400);
-/// The most commands that wait to get into the log.
+/// The maximum number of commands that wait to be added to the log.
 pub(crate) const MAX_PENDING_COMMANDS: usize = 256;
 
 impl LogThread {
@@ -22,8 +22,8 @@
                 respond(&respond_to, self.request_status(&name));
                 return;
             }
-            OperatorCall::ChangeConfig(order) => {
-                self.change_config(now, order, respond_to);
+            OperatorCall::ChangeConfig(batch) => {
+                self.change_config(now, batch, respond_to);
                 return;
             }
             OperatorCall::RequestMaintenance { name, backends, work_ms, deadline_ms, all_at_once } => {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Gives up commands that have waited too long: their callers get a response, and they are not sent again.
+    /// Removes commands that have waited too long: their callers get a response, and the commands are not sent again.
     pub(crate) fn expire_pending(&mut self, now: Time) {
         self.pending.retain(|_, pending| {
             let is_expired = now.since(pending.created_at) >= CALL_TIMEOUT;
--- a/crates/coordination/src/log_thread/pending_command.rs
+++ b/crates/coordination/src/log_thread/pending_command.rs
@@ -8,6 +8,6 @@
     pub(crate) command: Command,
     pub(crate) created_at: Time,
     pub(crate) sent_at: Time,
-    /// Where the response goes, if anybody waits for it.
+    /// The channel for the response, if anyone waits for it.
     pub(crate) respond_to: Option<ResponseSender>,
 }
--- a/crates/coordination/src/log_thread/periodic.rs
+++ b/crates/coordination/src/log_thread/periodic.rs
@@ -1,5 +1,5 @@
-//! Periodic work: measurements and commands go to the leader, commands that are not in the log are sent again, and the leader
-//! proposes what is next.
+//! Periodic work: sends measurements to the leader, sends commands again that are not in the log, and makes the leader's next
+//! proposals.
 use crate::frame::Frame;
 use crate::log_thread::maintenance_host::NO_TICKET;
 use crate::log_thread::received_measurements::ReceivedMeasurements;
@@ -11,13 +11,13 @@
 use maintenance::{Event, MemberStatus, Presence};
 use std::time::Duration;
 
-/// When a command that is not in the log is sent again.
+/// How often a command that is not in the log is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 /// How often a member reports its measurements to the leader and requests its lease.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
 impl LogThread {
-    /// Takes what this gateway has measured.
+    /// Records the measurements of this gateway.
     pub(crate) fn record_own_measurements(&mut self, now: Time, measurements: Measurements) {
         for (backend, measured) in &measurements.backends {
             let last_send = measured.since_last_send_us.map(|span_us| time_before(now, span_us));
@@ -37,7 +37,7 @@
             self.last_runs.measurements = now;
             self.request_lease(now);
         }
-        // No more often than measurements arrive: each turn would find figures that differ a little.
+        // No more often than measurements arrive, because slightly different figures would lead to a new proposal each time.
         let is_due = now.since(self.last_runs.proposals) >= REPORT_INTERVAL;
         if is_due && self.raft.role() == Role::Leader && self.raft.lease_expiry(now).is_some() {
             self.last_runs.proposals = now;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Announces that this member is present, under this incarnation of its process.
+    /// Announces that this member is present, with the incarnation of its process.
     fn announce_presence(&mut self, now: Time) {
         let incarnation = self.process_incarnation;
         let is_known = self.state.maintenance.member_status(&self.settings.own_id)
@@ -73,8 +73,8 @@
         self.expire_pending(now);
     }
 
-    /// Reports the measurements to the leader and requests a lease. The leader gives itself what it gives the others, and like
-    /// them only while no other member can lead.
+    /// Reports the measurements to the leader and requests a lease. The leader grants itself the same lease as the others, and
+    /// like theirs only while no other member can be leader.
     fn request_lease(&mut self, now: Time) {
         if self.raft.role() == Role::Leader {
             if self.raft.lease_expiry(now).is_some() {
--- a/crates/coordination/src/log_thread/raft_host.rs
+++ b/crates/coordination/src/log_thread/raft_host.rs
@@ -1,4 +1,4 @@
-//! Runs the replicated log: carries out what it asks for.
+//! Runs the replicated log and executes its actions.
 use crate::frame::Frame;
 use crate::log_thread::thread::LogThread;
 use crate::state_machine::{CatalogueChange, StateMachine};
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 impl LogThread {
-    /// Hands an event to the log and carries out the actions.
+    /// Passes an event to the log and executes the resulting actions.
     pub(crate) fn handle_raft_event(&mut self, event: Event) {
         let now = self.clock.now();
         let mut actions = Vec::new();
@@ -49,7 +49,7 @@
     fn persist(&mut self, batch: WriteBatch) {
         let batch_id = batch.id;
         if self.storage.try_send(WriteRequest::Batch(batch)).is_err() {
-            // Guards promises: what was not even handed to the storage thread is not on disk.
+            // The batch did not reach the storage thread and is not on disk, so nothing may be acknowledged that depends on it.
             self.handle_raft_event(Event::PersistFailed { batch_id });
         }
     }
@@ -62,10 +62,10 @@
                 self.forward_catalogue_change(&CatalogueChange::Replaced);
                 (self.log)(&format!("coordination restored index={}", index.0));
             }
-            // Nothing may rest on a part of the state.
+            // The state machine must not be used with an incomplete state.
             Err(error) => {
-                let consequence = "this member follows the log no longer";
-                (self.log)(&format!("coordination error=a snapshot can't be read: {error}; {consequence}"));
+                let consequence = "this member no longer follows the log";
+                (self.log)(&format!("coordination error=cannot decode a snapshot: {error}; {consequence}"));
             }
         }
     }
@@ -80,7 +80,7 @@
     fn handle_role_change(&mut self, role: Role, term: u64, leader: Option<&MemberId>) {
         let leader = leader.map_or("none", |leader| &leader.0);
         (self.log)(&format!("coordination role={role:?} term={term} leader={leader}"));
-        // A leader starts without what an earlier one knew.
+        // A new leader must not use what an earlier leader knew.
         self.stage_timer = StageTimer::new();
         self.proposed.clear();
         self.granted_leases.clear();
--- a/crates/coordination/src/log_thread/received_measurements.rs
+++ b/crates/coordination/src/log_thread/received_measurements.rs
@@ -2,7 +2,7 @@
 use crate::measurements::Measurements;
 use cluster_types::{Index, Time};
 
-/// What a member measured, as it arrived here.
+/// The measurements of a member, with the time at which they were received.
 pub(crate) struct ReceivedMeasurements {
     pub(crate) received_at: Time,
     /// The index up to which the member had applied the log.
--- a/crates/coordination/src/log_thread/serve_catalogue.rs
+++ b/crates/coordination/src/log_thread/serve_catalogue.rs
@@ -1,4 +1,4 @@
-//! Configuration changes: from operators into the log, and from the log to the relay.
+//! Passes configuration changes from operators to the log, and from the log to the relay.
 use crate::distribution::HostMessage;
 use crate::log_thread::maintenance_host::NO_TICKET;
 use crate::log_thread::operator_calls::MAX_PENDING_COMMANDS;
@@ -9,7 +9,7 @@
 use config_distribution::{Report, WriteBatch};
 use std::time::Duration;
 
-/// When a catalogue that does not exist yet is requested again.
+/// How often the creation of a missing catalogue is requested.
 const CATALOGUE_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
 
 impl LogThread {
@@ -19,15 +19,15 @@
         match change {
             CatalogueChange::Unchanged => {}
             CatalogueChange::Replaced => feed.is_behind = true,
-            CatalogueChange::Ordered { version, order } if !feed.is_behind => {
-                let message = HostMessage::Ordered { version: *version, order: order.clone() };
+            CatalogueChange::BatchApplied { version, batch } if !feed.is_behind => {
+                let message = HostMessage::BatchApplied { version: *version, batch: batch.clone() };
                 feed.is_behind = feed.relay.try_send(message).is_err();
             }
-            CatalogueChange::Ordered { .. } => {}
+            CatalogueChange::BatchApplied { .. } => {}
         }
     }
 
-    /// Requests a catalogue where there is none, and sends the whole of it to a relay that has missed something.
+    /// Requests the creation of a catalogue if there is none, and sends the whole catalogue to a relay that has missed a change.
     pub(crate) fn feed_relay(&mut self, now: Time) {
         let has_catalogue = self.state.catalogue.log_id() != 0;
         let Some(feed) = &mut self.catalogue_feed else { return };
@@ -44,21 +44,21 @@
     /// Passes rollout reports of another control member on to the relay.
     pub(crate) fn forward_reports(&self, reports: Vec<Report>) {
         if let Some(feed) = &self.catalogue_feed {
-            // Reports that find no room are replaced by those of the next second.
+            // Reports that do not fit into the mailbox are dropped; the next second's reports replace them.
             drop(feed.relay.try_send(HostMessage::Reports(reports)));
         }
     }
 
-    /// Checks an operator's order and submits it.
-    pub(crate) fn change_config(&mut self, now: Time, order: WriteBatch, respond_to: ResponseSender) {
-        let rejection = if let Err(fault) = order.check() {
+    /// Checks the write batch of an operator and submits it.
+    pub(crate) fn change_config(&mut self, now: Time, batch: WriteBatch, respond_to: ResponseSender) {
+        let rejection = if let Err(fault) = batch.check() {
             OperatorResponse::NotFound(format!("{fault}\n"))
         } else if self.catalogue_feed.is_none() {
             OperatorResponse::Rejected("this machine serves no changes\n".into())
         } else if self.pending.len() >= MAX_PENDING_COMMANDS {
             OperatorResponse::Unsettled("too many calls wait\n".into())
         } else {
-            self.submit(now, Command::ChangeConfig(order), Some(respond_to));
+            self.submit(now, Command::ChangeConfig(batch), Some(respond_to));
             return;
         };
         respond(&respond_to, rejection);
--- a/crates/coordination/src/log_thread/status.rs
+++ b/crates/coordination/src/log_thread/status.rs
@@ -1,4 +1,5 @@
-//! The status texts of `/v1/accord`. Operators' scripts read them: the words are those of the interface, not of the code.
+//! The status texts of `/v1/accord`. Operators' scripts read them: their wording is part of the interface and may differ from the
+//! names in the code.
 use crate::network_thread::{LinkCounters, MembershipView};
 use crate::state_machine::StateMachine;
 use cluster_types::{Index, MemberId};
@@ -6,21 +7,21 @@
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What the status of a member is made of.
+/// The values shown in the status of a member.
 pub struct Status<'a> {
     /// The member.
     pub own_id: &'a MemberId,
-    /// Its role in the group of the log.
+    /// Its role in the Raft group.
     pub role: Role,
     /// Its term.
     pub term: u64,
-    /// The leader that it follows.
+    /// The leader that it knows.
     pub leader: Option<&'a MemberId>,
     /// The index up to which it knows the log to be committed.
     pub commit_index: Index,
-    /// Whether its lease runs.
+    /// Whether it has a valid lease.
     pub has_lease: bool,
-    /// What membership has found.
+    /// The view of membership.
     pub view: &'a MembershipView,
     /// The counters of its links.
     pub link_counters: &'a LinkCounters,
@@ -30,7 +31,7 @@
     pub state: &'a StateMachine,
 }
 
-/// The status of a member, one thing a line.
+/// Formats the status of a member, one item per line.
 pub fn status_text(status: &Status<'_>) -> String {
     let mut out = String::new();
     let (role, term) = (status.role, status.term);
@@ -58,7 +59,7 @@
     out
 }
 
-/// The status of a maintenance request, one thing a line.
+/// Formats the status of a maintenance request, one item per line.
 pub fn maintenance_text(status: &maintenance::RequestStatus) -> String {
     let mut out = String::new();
     push_line(&mut out, format_args!("wish {}", status.name));
@@ -75,7 +76,7 @@
     out
 }
 
-/// Adds a line.
+/// Appends a line.
 fn push_line(out: &mut String, line: std::fmt::Arguments<'_>) {
     // Writing to a string cannot fail.
     out.write_fmt(line).ok();
--- a/crates/coordination/src/log_thread/thread.rs
+++ b/crates/coordination/src/log_thread/thread.rs
@@ -1,4 +1,4 @@
-//! The state and the loop of the log thread.
+//! The state and the main loop of the log thread.
 use crate::clock::Clock;
 use crate::distribution::Mailbox;
 use crate::frame::{self, Frame};
@@ -21,12 +21,12 @@
 
 /// How often the periodic work runs.
 const PERIODIC_INTERVAL: Duration = Duration::from_millis(100);
-/// The least wait for a message.
+/// The minimum wait for a message.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// Messages that are handled in one go, beside the first, before the periodic work is looked at.
+/// The maximum number of messages, after the first, that are handled before the periodic work is checked.
 const MAX_BURST: usize = 256;
 
-/// When periodic work was last done.
+/// When each kind of periodic work was last done.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LastRuns {
     /// The leader's proposals.
@@ -41,7 +41,7 @@
 pub(crate) struct Outboxes(pub(crate) BTreeMap<MemberId, async_channel::Sender<Vec<u8>>>);
 
 impl Outboxes {
-    /// Sends a frame. One that finds no room is lost, as on the network: everything that matters is sent again.
+    /// Sends a frame. If the mailbox is full it is dropped, as on the network: senders repeat whatever has to arrive.
     pub(crate) fn send(&self, to: &MemberId, frame: &Frame) {
         if let (Some(link), Ok(bytes)) = (self.0.get(to), frame::encode(frame)) {
             drop(link.try_send(bytes));
@@ -63,7 +63,7 @@
     pub(crate) store_incarnation: u64,
     pub(crate) raft: consensus::Node,
     pub(crate) state: StateMachine,
-    /// This member's own part in maintenance.
+    /// The maintenance agent of this member.
     pub(crate) member_agent: MemberAgent,
     /// How long returning backends have been free of failures.
     pub(crate) stage_timer: StageTimer,
@@ -72,29 +72,29 @@
     /// Commands of this member that are not in the log yet, by ticket.
     pub(crate) pending: BTreeMap<u64, PendingCommand>,
     pub(crate) last_ticket: u64,
-    /// When this leader made the proposals that are not committed yet, by ticket.
+    /// When this member, as leader, made the proposals that are not committed yet, by ticket.
     pub(crate) proposed: BTreeMap<u64, Time>,
-    /// Until when the lease may run that this leader granted each member.
+    /// When the leases that this member granted as leader expire, by member.
     pub(crate) granted_leases: BTreeMap<MemberId, Time>,
     pub(crate) last_runs: LastRuns,
-    /// Whether this member shuts down.
+    /// Whether this member is shutting down.
     pub(crate) is_leaving: bool,
-    /// Whether entries were applied that the local part has not seen.
+    /// Whether the state has changed since the agent was last given its orders.
     pub(crate) has_new_state: bool,
     pub(crate) outboxes: Outboxes,
     pub(crate) storage: SyncSender<WriteRequest>,
     pub(crate) gateway: async_channel::Sender<GatewayMessage>,
-    /// Messages that found the gateway's mailbox full.
+    /// Messages that wait because the gateway's mailbox is full.
     pub(crate) unsent: VecDeque<GatewayMessage>,
     pub(crate) link_counters: Arc<LinkCounters>,
     pub(crate) view: Arc<Mutex<MembershipView>>,
-    /// The relay of configuration changes, where this member has one.
+    /// The connection to the relay of configuration changes, if this member has one.
     pub(crate) catalogue_feed: Option<CatalogueFeed>,
-    /// Writes a line of the log.
+    /// Writes a log line.
     pub(crate) log: fn(&str),
 }
 
-/// What the log thread is built from.
+/// The parameters of the log thread.
 pub(crate) struct LogThreadParts {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
@@ -124,7 +124,7 @@
             stage_timer: StageTimer::new(),
             latest_measurements: BTreeMap::new(),
             pending: BTreeMap::new(),
-            // Above the tickets of all earlier starts.
+            // Greater than the tickets of all earlier starts.
             last_ticket: parts.process_incarnation,
             proposed: BTreeMap::new(),
             granted_leases: BTreeMap::new(),
--- a/crates/coordination/src/network_thread/accept.rs
+++ b/crates/coordination/src/network_thread/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, at most so many at once.
+//! Accepts connections, up to a maximum number of open ones.
 use crate::network_thread::close_reason::ConnectionEnd;
 use crate::network_thread::counters::{increment, LinkCounters};
 use async_executor::LocalExecutor;
@@ -13,20 +13,20 @@
 /// The pause after an error of the listener, such as a shortage of file descriptors.
 const ERROR_PAUSE: Duration = Duration::from_millis(50);
 
-/// What accepting connections needs.
+/// The parameters of accepting connections.
 pub(crate) struct Acceptor {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) listener: Async<TcpListener>,
     pub(crate) counters: Arc<LinkCounters>,
-    /// The most connections that are open at once.
+    /// The maximum number of open connections.
     pub(crate) max_connections: usize,
     /// The kind of the connections, for the log.
     pub(crate) kind: &'static str,
-    /// Writes a line of the log.
+    /// Writes a log line.
     pub(crate) log: fn(&str),
 }
 
-/// Accepts connections for ever. Logs of each, once it has ended, how many frames arrived on it and why it ended.
+/// Accepts connections without end. When a connection ends, logs the number of frames received on it and the reason.
 pub(crate) async fn accept_connections<F: Future<Output = ConnectionEnd> + 'static>(
     acceptor: Acceptor,
     serve: impl Fn(Async<TcpStream>) -> F,
@@ -38,7 +38,7 @@
             Timer::after(ERROR_PAUSE).await;
             continue;
         };
-        // Guards file descriptors and memory against peers that only connect.
+        // Bounds the file descriptors and memory that peers can consume by connecting alone.
         if open_connections.get() >= max_connections {
             increment(&counters.rejected_connections);
             continue;
--- a/crates/coordination/src/network_thread/close_reason.rs
+++ b/crates/coordination/src/network_thread/close_reason.rs
@@ -1,4 +1,4 @@
-//! Why a connection ended.
+//! Reasons for the end of a connection.
 use crate::frame::DecodeError;
 use message_auth::Rejection;
 
@@ -8,22 +8,22 @@
     /// The first frame did not arrive in time.
     #[error("timeout")]
     Timeout,
-    /// The peer closed the connection between two frames, or the connection broke there.
+    /// The peer closed the connection, or the connection broke, between two frames.
     #[error("peer-closed")]
     PeerClosed,
     /// The connection broke within a frame, or the frame did not arrive in time.
     #[error("reset")]
     Reset,
-    /// A frame was longer than its bound.
+    /// A frame exceeded the maximum length.
     #[error("bound")]
     FrameTooLong,
-    /// A frame did not open.
+    /// A frame could not be authenticated.
     #[error("{0}")]
     NotAuthentic(Rejection),
     /// A frame could not be decoded.
     #[error("protocol ({0})")]
     Protocol(DecodeError),
-    /// A frame was of another sender than the first.
+    /// A frame had another sender than the first frame.
     #[error("foreign")]
     OtherSender,
     /// A frame was not sealed for this incarnation.
@@ -32,10 +32,10 @@
     /// The connection could not be established.
     #[error("connect-failed")]
     ConnectFailed,
-    /// The peer did not take a frame in time.
+    /// A frame could not be written in time.
     #[error("stuck")]
     WriteTimeout,
-    /// This side closed the connection: the code tells why.
+    /// This side closed the connection, for the reason given by the code.
     #[error("{0}")]
     ClosedLocally(&'static str),
 }
@@ -43,7 +43,7 @@
 /// How a connection ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionEnd {
-    /// How many frames arrived on it.
+    /// The number of frames received on it.
     pub frames: u64,
     /// Why it ended.
     pub reason: CloseReason,
--- a/crates/coordination/src/network_thread/counters.rs
+++ b/crates/coordination/src/network_thread/counters.rs
@@ -1,22 +1,22 @@
 //! Counters of the links.
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What was rejected or lost on the links between members.
+/// Counters of what was rejected or lost on the links between members.
 #[derive(Debug, Default)]
 pub struct LinkCounters {
-    /// Frames that could not be opened: not authentic, replayed, or too long.
+    /// Frames that were rejected as not authentic, replayed, or too long.
     pub rejected_frames: AtomicU64,
-    /// Frames that were authentic and could not be decoded.
+    /// Authentic frames that could not be decoded.
     pub undecodable_frames: AtomicU64,
-    /// Frames for which the mailbox had no room.
+    /// Received frames that were dropped because the mailbox was full.
     pub dropped_frames: AtomicU64,
-    /// Frames lost with their link.
+    /// Outgoing frames that were lost because their link failed.
     pub lost_frames: AtomicU64,
-    /// Connections beyond the bound.
+    /// Connections that were rejected because too many were open.
     pub rejected_connections: AtomicU64,
 }
 
-/// Counts one more.
+/// Adds one to a counter.
 pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
--- a/crates/coordination/src/network_thread/framing.rs
+++ b/crates/coordination/src/network_thread/framing.rs
@@ -1,4 +1,4 @@
-//! Frames on a stream: a length of four bytes, big endian, and a sealed envelope.
+//! Frames on a stream: a four-byte big-endian length, followed by a sealed envelope.
 use crate::network_thread::close_reason::CloseReason;
 use crate::network_thread::counters::{increment, LinkCounters};
 use crate::network_thread::timeout::with_timeout;
@@ -7,23 +7,23 @@
 use message_auth::{Opened, Opener, SealError, Sealer};
 use std::cell::RefCell;
 
-/// The channel of the frames between members; membership has the one before it.
+/// The channel of the frames between members; membership uses channel 0.
 pub const MEMBER_CHANNEL: u8 = 1;
 
 /// The channel of the frames between relays and subscribers.
 pub const DISTRIBUTION_CHANNEL: u8 = 2;
 
-/// The longest frame of a relay, in bytes.
+/// The maximum length of a frame from a relay, in bytes.
 pub const MAX_RELAY_FRAME_BYTES: usize = 2 << 20;
 
-/// The longest frame of a peer that has not shown yet that it holds the key, in bytes.
+/// The maximum length of the first frame of a peer, which has not yet proved that it holds the key, in bytes.
 const MAX_FIRST_FRAME_BYTES: usize = 64 * 1024;
 
 /// Seals a frame and appends it to `out`.
 ///
 /// # Errors
 ///
-/// Returns an error for a frame that is too long; `out` stays as it was.
+/// Returns an error for a frame that is too long; `out` is then unchanged.
 pub fn append_frame(
     out: &mut Vec<u8>,
     to: Option<&MemberId>,
@@ -36,18 +36,18 @@
     Ok(())
 }
 
-/// Where a connection stands: what may arrive next.
+/// The read state of a connection, which determines what the next frame may be.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReadState {
-    /// How many frames have arrived.
+    /// The number of frames received.
     pub(crate) frames: u64,
-    /// The bound of a frame after the first, in bytes.
+    /// The maximum length of frames after the first, in bytes.
     pub(crate) max_frame_bytes: usize,
 }
 
-/// Reads and opens the next frame.
+/// Reads and authenticates the next frame.
 ///
-/// Not cancel safe: a frame may be read in part, and the connection must be closed.
+/// Not cancel safe: a frame may have been read partially, and the connection must be closed.
 pub(crate) async fn read_frame(
     stream: &mut (impl AsyncRead + Unpin),
     channel: u8,
--- a/crates/coordination/src/network_thread/incoming.rs
+++ b/crates/coordination/src/network_thread/incoming.rs
@@ -1,4 +1,4 @@
-//! The link from one member, which is only read.
+//! The link from another member, which is only read.
 use crate::frame::{self, Frame};
 use crate::network_thread::close_reason::{CloseReason, ConnectionEnd};
 use crate::network_thread::counters::{increment, LinkCounters};
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Takes a frame and its sender; returns false where there is no room for it.
+/// Handles a frame and its sender; returns false if the frame was dropped because the mailbox is full.
 pub(crate) type FrameHandler = Arc<dyn Fn(MemberId, Frame) -> bool + Send + Sync>;
 
-/// Reads a link to its end.
+/// Reads a link until it ends.
 pub(crate) async fn read_link(
     mut stream: Async<TcpStream>,
     opener: Rc<RefCell<Opener>>,
--- a/crates/coordination/src/network_thread/membership_host.rs
+++ b/crates/coordination/src/network_thread/membership_host.rs
@@ -1,4 +1,4 @@
-//! Runs membership: datagrams, timers, and events of the gateway.
+//! Runs membership: handles datagrams, timers and events of the gateway, and executes the actions.
 use crate::clock::Clock;
 use crate::network_thread::view::MembershipView;
 use crate::settings::{Peer, Settings};
@@ -16,16 +16,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The least wait, so that a deadline that has passed does not keep the links, which share the thread, from running.
+/// The minimum wait, so that a deadline in the past does not starve the links, which run on the same thread.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// The longest wait.
+/// The maximum wait.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 /// How often the view is published.
 const VIEW_INTERVAL: Duration = Duration::from_millis(200);
-/// The wait where membership has no deadline.
+/// The deadline, relative to the start, that is used if membership has none.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
 
-/// What running membership needs.
+/// The parameters of running membership.
 pub(crate) struct MembershipHost<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) clock: Clock,
@@ -35,22 +35,22 @@
     pub(crate) view: &'a Arc<Mutex<MembershipView>>,
     pub(crate) log: fn(&str),
     pub(crate) socket: Async<UdpSocket>,
-    /// Seals frames; gets new keys together with membership.
+    /// Seals frames; its keys change together with those of membership.
     pub(crate) sealer: Rc<RefCell<Sealer>>,
-    /// Opens frames; gets new keys together with membership.
+    /// Opens frames; its keys change together with those of membership.
     pub(crate) opener: Rc<RefCell<Opener>>,
 }
 
-/// What has ended a wait.
+/// The reason why a wait ended.
 enum Wakeup {
-    /// An event of the gateway; none once the mailbox is closed.
+    /// An event of the gateway; `None` once the mailbox is closed.
     Event(Option<Event>),
     Datagram(io::Result<(usize, SocketAddr)>),
     Timer,
 }
 
 impl MembershipHost<'_> {
-    /// Runs until the mailbox is closed, and announces then that this member leaves.
+    /// Runs until the mailbox is closed, and then announces that this member leaves.
     pub(crate) async fn run(self, keys: Keys) {
         let started_at = self.clock.now();
         let settings = self.membership_settings();
@@ -58,7 +58,7 @@
             Ok(members) => members,
             Err(error) => {
                 (self.log)(&format!("coordination membership error={error}"));
-                // The frames go on without membership.
+                // Frames are still exchanged without membership.
                 while self.events.recv().await.is_ok() {}
                 return;
             }
@@ -129,7 +129,7 @@
             Wakeup::Datagram(Ok((length, from))) => {
                 Some(Event::Datagram { from, bytes: buffer[..length].to_vec() })
             }
-            // The answer to an earlier datagram that a port is closed may arrive as an error of this call.
+            // This call may return the ICMP error for an earlier datagram to a closed port.
             Wakeup::Datagram(Err(_)) => {
                 Timer::after(MIN_WAIT).await;
                 None
@@ -141,7 +141,7 @@
     async fn carry_out(&self, action: Action) {
         match action {
             Action::Send { to, bytes } => {
-                // What cannot be sent now is lost, as it might be on the network.
+                // A datagram that cannot be sent immediately is dropped, as if lost on the network.
                 drop(future::poll_once(self.socket.send_to(&bytes, to)).await);
             }
             Action::MemberChanged { member, state, incarnation } => {
--- a/crates/coordination/src/network_thread/mod.rs
+++ b/crates/coordination/src/network_thread/mod.rs
@@ -1,6 +1,7 @@
 //! The thread of the sockets: membership over UDP, frames to and from each member over TCP.
 //!
-//! It decides nothing. What arrives sealed is passed on; what does not open is counted and ends its connection.
+//! It makes no decisions. Authentic frames are passed on; a frame that cannot be authenticated is counted and its connection
+//! closed.
 mod accept;
 mod close_reason;
 mod counters;
--- a/crates/coordination/src/network_thread/outgoing.rs
+++ b/crates/coordination/src/network_thread/outgoing.rs
@@ -1,4 +1,4 @@
-//! The link to one member, which only sends.
+//! The link to another member, which only sends.
 use crate::frame::{self, Frame};
 use crate::network_thread::counters::{increment, LinkCounters};
 use crate::network_thread::framing::append_frame;
@@ -17,12 +17,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The pause after a connection has failed for the first time.
+/// The pause after the first failure to connect.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// The pause doubles up to this.
+/// The maximum pause: it doubles with each failure.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
-/// The link to one member.
+/// The link to another member.
 pub(crate) struct OutgoingLink {
     pub(crate) member: MemberId,
     pub(crate) address: SocketAddr,
@@ -33,12 +33,12 @@
 }
 
 impl OutgoingLink {
-    /// Sends frames until the other end of the mailbox is dropped. What a broken link held is lost: everything that matters is
-    /// sent again by its sender.
+    /// Sends frames until the other end of the mailbox is dropped. When the link breaks, its frames are lost; senders repeat
+    /// whatever has to arrive.
     pub(crate) async fn run(self) {
         let mut stream: Option<Async<TcpStream>> = None;
         let mut pause = MIN_RETRY_PAUSE;
-        // Spreads the pauses of the members that have lost the same one.
+        // Jitter, so that members that have lost the same peer do not reconnect at the same time.
         let mut rng = SmallRng::seed_from_u64(u64::from(self.address.port()) ^ u64::from(std::process::id()));
         while let Ok(frame) = self.frames.recv().await {
             let mut bytes = Vec::new();
@@ -70,7 +70,7 @@
     }
 
     fn append(&self, out: &mut Vec<u8>, frame: &[u8]) {
-        // A frame that is too long is left out, as if it were lost; none of this program's is.
+        // A frame that is too long is dropped, as if lost; this program sends none.
         append_frame(out, Some(&self.member), frame, &self.sealer).ok();
     }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Sends small frames without delay. Where the system refuses, the connection works all the same, only slower.
+/// Disables Nagle's algorithm, so that small frames are sent without delay. If this fails, the connection works, but slower.
 pub(crate) fn set_nodelay(stream: &Async<TcpStream>) {
     drop(stream.get_ref().set_nodelay(true));
 }
--- a/crates/coordination/src/network_thread/sockets.rs
+++ b/crates/coordination/src/network_thread/sockets.rs
@@ -3,7 +3,7 @@
 use async_io::Async;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// The sockets, bound before any thread is started, so that a fault ends the start.
+/// The sockets, bound before any thread is started, so that an error prevents the start.
 pub(crate) struct Sockets {
     pub(crate) udp: Async<UdpSocket>,
     pub(crate) tcp: Async<TcpListener>,
--- a/crates/coordination/src/network_thread/thread.rs
+++ b/crates/coordination/src/network_thread/thread.rs
@@ -20,10 +20,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Connections that may be open beside two for each member.
+/// The number of connections that may be open in addition to two per member.
 const SPARE_CONNECTIONS: usize = 8;
 
-/// What the network thread is given.
+/// The parameters of the network thread.
 pub(crate) struct NetworkThread {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
@@ -33,12 +33,12 @@
     pub(crate) outboxes: BTreeMap<MemberId, Receiver<Vec<u8>>>,
     /// Events for membership; closed at shutdown.
     pub(crate) membership_events: Receiver<membership::Event>,
-    /// Takes the frames that arrive.
+    /// Handles received frames.
     pub(crate) frame_handler: FrameHandler,
-    /// Where the view of membership is published.
+    /// The published view of membership.
     pub(crate) view: Arc<Mutex<MembershipView>>,
     pub(crate) counters: Arc<LinkCounters>,
-    /// Writes a line of the log.
+    /// Writes a log line.
     pub(crate) log: fn(&str),
 }
 
--- a/crates/coordination/src/operator_call.rs
+++ b/crates/coordination/src/operator_call.rs
@@ -13,11 +13,11 @@
         name: String,
         /// The backends.
         backends: BTreeSet<BackendId>,
-        /// How long each may be out, in milliseconds.
+        /// How long each backend may be out of service, in milliseconds.
         work_ms: u64,
-        /// The Unix time in milliseconds after which no maintenance of them begins.
+        /// The Unix time in milliseconds after which their maintenance may no longer begin.
         deadline_ms: Option<u64>,
-        /// Whether maintenance of all begins at once, or of none.
+        /// Whether maintenance begins for all backends at once or not at all.
         all_at_once: bool,
     },
     /// Asks for the status of a request.
@@ -30,45 +30,45 @@
         /// The name of the request.
         name: String,
     },
-    /// Reports that a backend of a request is in its place again.
+    /// Reports that a backend of a request is back in place.
     Returned {
         /// The name of the request.
         name: String,
         /// The backend.
         backend: BackendId,
     },
-    /// Reports that all backends of a request are in their places again.
+    /// Reports that all backends of a request are back in place.
     Done {
         /// The name of the request.
         name: String,
     },
-    /// Declares that a member is dead that did not leave: it counts as having left.
+    /// Declares dead a member that stopped without leaving: it is then treated as having left.
     DeclareDead {
         /// The member.
         member: MemberId,
     },
-    /// Orders configuration changes; the response is their version.
+    /// Submits configuration changes; the response is their version.
     ChangeConfig(config_distribution::WriteBatch),
 }
 
-/// The response to a call, with its text.
+/// The response to a call, with the text for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorResponse {
     /// The call succeeded.
     Done(String),
-    /// There is no such thing.
+    /// The subject of the call does not exist.
     NotFound(String),
-    /// The call cannot be granted.
+    /// The call was rejected.
     Rejected(String),
-    /// The call was not settled in time and may still be. Repeating it under the same name is safe.
+    /// The outcome was not known in time; the call may still take effect. Repeating it under the same name is safe.
     Unsettled(String),
 }
 
-/// Where the response to a call goes.
+/// The channel for the response to a call.
 pub(crate) type ResponseSender = async_channel::Sender<OperatorResponse>;
 
 /// Sends the response. A caller that has stopped waiting has dropped the other end; its channel holds one response, and
-/// each call has one, so there is nothing else to handle.
+/// each call gets one, so sending cannot fail otherwise.
 pub(crate) fn respond(to: &ResponseSender, response: OperatorResponse) {
     drop(to.try_send(response));
 }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the hosts are given at start.
+//! The settings of the hosts.
 use cluster_types::{MemberId, Zone};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 /// A member of the group.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Where this member reaches it, over UDP and TCP.
+    /// The address at which this member reaches it, over UDP and TCP.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Zone,
@@ -21,24 +21,24 @@
     pub own_id: MemberId,
     /// The zone of this member.
     pub zone: Zone,
-    /// Where this member listens for the others, over UDP and TCP.
+    /// The address at which this member listens for the others, over UDP and TCP.
     pub listen: SocketAddr,
-    /// The folder of the store.
+    /// The directory of the store.
     pub state_dir: PathBuf,
-    /// The key that signs, and another one that is accepted.
+    /// The key for signing, and an optional second key that is accepted as well.
     pub keys: ([u8; 32], Option<[u8; 32]>),
     /// All members, including this one.
     pub members: BTreeMap<MemberId, Peer>,
-    /// The most bytes a second that membership sends.
+    /// The maximum rate at which membership sends, in bytes per second.
     pub max_membership_bytes_per_s: u32,
-    /// How long a member may rely on what it was granted.
+    /// How long a member may act on a grant without renewing the lease.
     pub lease: Duration,
-    /// The fraction by which two monotonic clocks may differ.
+    /// The fraction by which the rates of two monotonic clocks may differ.
     pub max_clock_drift: f64,
-    /// How long a member waits without its leader before it campaigns.
+    /// How long a member waits for its leader before it starts an election.
     pub election_timeout: Duration,
-    /// Bounds of what may be out for maintenance.
+    /// Limits on what may be out of service for maintenance.
     pub rules: maintenance::Rules,
-    /// Drawn at random: the incarnation of a store that is created, and the seed of everything random.
+    /// A random number: the incarnation of a newly created store, and the seed of all random number generators.
     pub seed: u64,
 }
--- a/crates/coordination/src/start.rs
+++ b/crates/coordination/src/start.rs
@@ -1,4 +1,5 @@
-//! Starting the hosts: the store is read and the sockets are bound first, so that a fault ends the start.
+//! Starts the hosts. The store is read and the sockets are bound before any thread is started, so that their errors prevent the
+//! start.
 use crate::clock::{unix_time, Clock};
 use crate::distribution::Mailbox;
 use crate::error::StartError;
@@ -19,20 +20,20 @@
 use std::thread::Builder;
 use std::time::Duration;
 
-/// Messages that may wait for the log thread.
+/// The capacity of the log thread's mailbox.
 const MAX_LOG_MESSAGES: usize = 4096;
-/// Frames that may wait for one member, and events for membership.
+/// The capacity of the queue of frames for one member, and of the queue of events for membership.
 const MAX_OUTGOING_FRAMES: usize = 256;
-/// Writes that may wait for the storage thread: more than the log leaves unwritten.
+/// The capacity of the storage thread's mailbox: more than the number of batches that the log leaves unwritten.
 const MAX_WRITES: usize = 256;
-/// How long after the order to drain a backend the gateway may still send to it.
+/// How long after being told to drain a backend the gateway may still send to it.
 const DRAIN_DELAY: Duration = Duration::from_millis(250);
-/// How many heartbeats fit into the election timeout.
+/// The number of heartbeats per election timeout.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: u32 = 5;
 /// Parts per million of a whole.
 const MILLION: f64 = 1e6;
 
-/// The store and what was read from it.
+/// The store and the state that was read from it.
 struct OpenedStore {
     store: Store,
     process_incarnation: u64,
@@ -51,11 +52,11 @@
     Ok(OpenedStore { store, process_incarnation, store_incarnation: content.incarnation, log, orders })
 }
 
-/// Starts the hosts. What they tell the gateway goes to `gateway`, changes of the catalogue to `relay`, where there is one.
+/// Starts the hosts. They send messages for the gateway to `gateway`, and changes of the catalogue to `relay`, if there is one.
 ///
 /// # Errors
 ///
-/// Returns an error that names the settings key where the store cannot be opened or read, a socket cannot be bound, or a thread
+/// Returns an error that names the settings key if the store cannot be opened or read, a socket cannot be bound, or a thread
 /// cannot be started.
 pub fn start(
     settings: Settings,
@@ -118,7 +119,7 @@
     Ok(Handle { log_thread: log_messages, dropped: Arc::default(), membership })
 }
 
-/// What the threads run on.
+/// The state that is moved into the threads.
 struct Threads {
     network: NetworkThread,
     sockets: Sockets,
@@ -126,7 +127,7 @@
     write_requests: mpsc::Receiver<WriteRequest>,
     log_thread: LogThread,
     log_mailbox: mpsc::Receiver<LogMessage>,
-    /// Where the storage thread reports.
+    /// The mailbox to which the storage thread reports.
     reports: SyncSender<LogMessage>,
 }
 
@@ -135,7 +136,7 @@
     let log = log_thread.log;
     spawn("accord-net", move || network_thread::run(network, sockets))?;
     spawn("accord-disk", move || {
-        // This fails only once the log thread has ended, which needs the report no longer.
+        // This fails only after the log thread has ended, when the report is no longer needed.
         let report = |report| drop(reports.send(LogMessage::Storage(report)));
         storage_thread::run(&store, &write_requests, &report, log);
     })?;
@@ -143,7 +144,7 @@
 }
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), StartError> {
-    // Threads run until their mailbox is closed; they are not joined.
+    // Threads run until their mailbox is closed, and are not joined.
     Builder::new().name(name.into()).spawn(work).map(drop).map_err(StartError::Thread)
 }
 
@@ -156,7 +157,7 @@
     config
 }
 
-/// Both ends of the mailboxes of the links to the other members.
+/// Creates the queues of outgoing frames to the other members: their senders and their receivers.
 fn outbox_pairs(settings: &Settings) -> (Outboxes, BTreeMap<MemberId, Receiver<Vec<u8>>>) {
     let (mut senders, mut receivers) = (BTreeMap::new(), BTreeMap::new());
     for member in settings.members.keys().filter(|member| **member != settings.own_id) {
--- a/crates/coordination/src/state_machine/applied_tickets.rs
+++ b/crates/coordination/src/state_machine/applied_tickets.rs
@@ -1,19 +1,19 @@
-//! Which orders have been applied, so that one that was sent twice is applied once.
+//! Remembers which write batches were applied, so that one that is sent more than once is applied once.
 use cluster_types::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many tickets are remembered of each member.
+/// The number of tickets remembered per member.
 const REMEMBERED_TICKETS: usize = 64;
 
-/// The tickets of each member's newest applied orders. Part of the stored format.
+/// The tickets of each member's newest applied write batches. Part of the stored format.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct AppliedTickets(BTreeMap<MemberId, BTreeSet<u64>>);
 
 impl AppliedTickets {
-    /// Notes a member's order; returns whether it is the first with this ticket. Guards a newer order against an older one
-    /// that was sent again before its member knew that it had been applied.
+    /// Records a ticket of a member; returns whether it is new. This prevents an older write batch, which its member sent again
+    /// before it knew that it had been applied, from overwriting a newer one.
     pub(crate) fn insert(&mut self, member: &MemberId, ticket: u64) -> bool {
         let tickets = self.0.entry(member.clone()).or_default();
         let is_older_than_remembered =
--- a/crates/coordination/src/state_machine/entry.rs
+++ b/crates/coordination/src/state_machine/entry.rs
@@ -10,7 +10,7 @@
     Maintenance(maintenance::Command),
     /// Creates the catalogue of configuration changes, unless there is one.
     CreateCatalogue,
-    /// Configuration changes that an operator orders.
+    /// Configuration changes submitted by an operator.
     ChangeConfig(WriteBatch),
 }
 
@@ -21,7 +21,7 @@
     pub at_ms: u64,
     /// The member that sent the command.
     pub by: MemberId,
-    /// Its id of the command; 0 where the outcome is not awaited.
+    /// The id that this member gave the command; 0 if it does not wait for the outcome.
     pub ticket: u64,
     /// The command.
     pub command: Command,
--- a/crates/coordination/src/state_machine/machine.rs
+++ b/crates/coordination/src/state_machine/machine.rs
@@ -1,4 +1,4 @@
-//! The state and how an entry changes it.
+//! The replicated state, and the application of entries to it.
 use crate::state_machine::applied_tickets::AppliedTickets;
 use crate::state_machine::entry::{Command, Entry};
 use cluster_types::{Index, MemberId};
@@ -6,36 +6,36 @@
 use maintenance::{Effect, MaintenanceState, Rules};
 use std::sync::Arc;
 
-/// How far the Unix time in milliseconds is shifted in the id of a catalogue's log.
+/// The number of bits by which the Unix time in milliseconds is shifted left in a log id.
 const LOG_ID_TIME_SHIFT: u32 = 20;
 /// The bits of the log id that hold the index of the creating entry.
 const LOG_ID_INDEX_MASK: u64 = (1 << LOG_ID_TIME_SHIFT) - 1;
 
-/// What applying an entry led to.
+/// The outcome of applying an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// The member that waits for the outcome, and its id of the command. `None` where the command had no effect.
+    /// The member that waits for the outcome, and the ticket of its command. `None` if the command had no effect.
     pub by: Option<(MemberId, u64)>,
     /// The effects on planned maintenance.
     pub effects: Vec<Effect>,
-    /// What became of the catalogue.
+    /// The change of the catalogue.
     pub catalogue: CatalogueChange,
 }
 
 /// How an entry changed the catalogue.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum CatalogueChange {
-    /// Not at all.
+    /// The catalogue did not change.
     #[default]
     Unchanged,
-    /// It is another catalogue.
+    /// The catalogue was replaced by another one.
     Replaced,
-    /// An order was added.
-    Ordered {
+    /// A write batch was applied.
+    BatchApplied {
         /// The index of the entry.
         version: Index,
-        /// The order.
-        order: Arc<WriteBatch>,
+        /// The write batch.
+        batch: Arc<WriteBatch>,
     },
 }
 
@@ -46,9 +46,9 @@
     pub applied_index: Index,
     /// Planned maintenance.
     pub maintenance: MaintenanceState,
-    /// How many entries could not be decoded.
+    /// The number of entries that could not be decoded.
     pub undecodable_entries: u64,
-    /// The configuration changes.
+    /// The catalogue of configuration changes.
     pub catalogue: Catalogue,
     pub(crate) applied_tickets: AppliedTickets,
 }
@@ -59,7 +59,7 @@
         StateMachine { maintenance: MaintenanceState::new(Rules::default()), ..StateMachine::default() }
     }
 
-    /// Applies an entry. One that cannot be decoded changes nothing, the same at all members, and is counted.
+    /// Applies an entry. One that cannot be decoded is counted and changes nothing else, which is the same at all members.
     pub fn apply(&mut self, index: Index, data: &[u8]) -> Applied {
         self.applied_index = index;
         let Ok(Entry { at_ms, by, ticket, command }) = postcard::from_bytes::<Entry>(data) else {
@@ -72,7 +72,7 @@
                 applied.effects = self.maintenance.apply(index, at_ms, &by, &command);
             }
             Command::CreateCatalogue => applied.catalogue = self.create_catalogue(index, at_ms),
-            Command::ChangeConfig(order) => match self.change_config(index, &by, ticket, order) {
+            Command::ChangeConfig(batch) => match self.change_config(index, &by, ticket, batch) {
                 Some(change) => applied.catalogue = change,
                 None => return applied,
             },
@@ -81,7 +81,8 @@
         applied
     }
 
-    /// Creates the catalogue, unless there is one. A later one has a greater log id, and no two fleets have the same.
+    /// Creates the catalogue, unless there is one. The log id contains the time and the index, so that a later catalogue has a
+    /// greater one and fleets have different ones.
     fn create_catalogue(&mut self, index: Index, at_ms: u64) -> CatalogueChange {
         if self.catalogue.log_id() != 0 {
             return CatalogueChange::Unchanged;
@@ -92,21 +93,21 @@
         CatalogueChange::Replaced
     }
 
-    /// Adds an order; `None` where there is no catalogue yet, the order is invalid, or it was applied before.
+    /// Applies a write batch; returns `None` if there is no catalogue yet, or the batch is invalid or was applied before.
     fn change_config(
         &mut self,
         index: Index,
         by: &MemberId,
         ticket: u64,
-        order: WriteBatch,
+        batch: WriteBatch,
     ) -> Option<CatalogueChange> {
-        if self.catalogue.log_id() == 0 || order.check().is_err() {
+        if self.catalogue.log_id() == 0 || batch.check().is_err() {
             return None;
         }
         if !self.applied_tickets.insert(by, ticket) {
             return None;
         }
-        self.catalogue.apply(index, &order);
-        Some(CatalogueChange::Ordered { version: index, order: Arc::new(order) })
+        self.catalogue.apply(index, &batch);
+        Some(CatalogueChange::BatchApplied { version: index, batch: Arc::new(batch) })
     }
 }
--- a/crates/coordination/src/state_machine/mod.rs
+++ b/crates/coordination/src/state_machine/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine: every member applies the same entries in the same order and has the same state. It reads no
-//! clock and draws nothing at random.
+//! The replicated state machine: every member applies the same entries in the same order and so has the same state. It uses
+//! neither clocks nor random numbers.
 mod applied_tickets;
 mod entry;
 mod machine;
--- a/crates/coordination/src/state_machine/snapshot.rs
+++ b/crates/coordination/src/state_machine/snapshot.rs
@@ -19,11 +19,11 @@
     ///
     /// # Errors
     ///
-    /// Returns the encoder's error; none is known for a state that entries have led to.
+    /// Returns the encoder's error; none is known for a state that results from entries.
     pub fn snapshot(&self) -> Result<Vec<u8>, postcard::Error> {
         let state = (self.applied_index, &self.maintenance, self.undecodable_entries);
         let bytes = postcard::to_stdvec(&state)?;
-        // A program that knows no catalogue reads what is before it.
+        // The catalogue comes last, so that versions without catalogues can decode what precedes it.
         if self.catalogue.log_id() == 0 {
             return Ok(bytes);
         }
--- a/crates/coordination/src/storage_thread/batch.rs
+++ b/crates/coordination/src/storage_thread/batch.rs
@@ -1,4 +1,4 @@
-//! Batches of the log as changes of the store, and back.
+//! Converts batches of the log to changes of the store, and the content of the store to the state of the log.
 use crate::storage_thread::error::StoreError;
 use crate::storage_thread::store::{StoreChange, StoreContent};
 use consensus::{Entry, StoredState, WriteBatch};
@@ -17,11 +17,11 @@
     postcard::from_bytes(bytes).map_err(|source| StoreError::Decode { record, source })
 }
 
-/// The change of the store that a batch stands for.
+/// Converts a batch to a change of the store.
 ///
 /// # Errors
 ///
-/// Returns an error where a record cannot be encoded.
+/// Returns an error if a record cannot be encoded.
 pub fn store_change(batch: &WriteBatch) -> Result<StoreChange, StoreError> {
     let mut change = StoreChange {
         hard_state: Some(encode(HARD_STATE, &batch.hard_state)?),
@@ -37,11 +37,11 @@
     Ok(change)
 }
 
-/// The state of the log that the store holds.
+/// Decodes the state of the log from the content of the store.
 ///
 /// # Errors
 ///
-/// Returns an error where a record cannot be decoded, or an entry is stored under the index of another one.
+/// Returns an error if a record cannot be decoded, or an entry is stored under the index of another one.
 pub fn stored_state(content: &StoreContent) -> Result<StoredState, StoreError> {
     let mut stored = StoredState::empty(content.incarnation);
     if let Some(bytes) = &content.hard_state {
@@ -52,7 +52,7 @@
     }
     for (key, bytes) in &content.entries {
         let entry: Entry = decode(ENTRY, bytes)?;
-        // Guards against records that were duplicated or moved.
+        // Detects records that were duplicated or moved.
         if entry.index.0 != *key {
             return Err(StoreError::MisplacedEntry { key: *key, index: entry.index.0 });
         }
--- a/crates/coordination/src/storage_thread/error.rs
+++ b/crates/coordination/src/storage_thread/error.rs
@@ -1,19 +1,19 @@
-//! What can go wrong with the store.
+//! Errors of the store.
 use std::io;
 
 /// An error of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The folder cannot be created.
-    #[error("the folder can't be made: {0}")]
-    CreateFolder(io::Error),
+    /// The directory cannot be created.
+    #[error("cannot create the directory: {0}")]
+    CreateDirectory(io::Error),
     /// The file is not a store, is locked, or cannot be read.
     #[error("the store can't be opened: {0}")]
     Open(Box<redb::Error>),
-    /// An earlier attempt to open the store again has failed.
+    /// The store is closed because an attempt to reopen it failed.
     #[error("the store is not open")]
     NotOpen,
-    /// The database rejects an operation.
+    /// An operation of the database failed.
     #[error("{operation}: {source}")]
     Database {
         /// The operation.
@@ -21,16 +21,16 @@
         /// The error of the database.
         source: Box<redb::Error>,
     },
-    /// The store was written in another format, whose records would be misread.
-    #[error("the store has form {found}, this program knows {supported}")]
+    /// The store has another format, whose records this program would misread.
+    #[error("the store has format {found}, this program supports format {supported}")]
     UnknownFormat {
         /// The format of the store.
         found: u64,
         /// The format that this program writes.
         supported: u64,
     },
-    /// A number of the store has another length.
-    #[error("the store's {key} is no number")]
+    /// A number in the store does not have the expected length.
+    #[error("the value of {key} in the store is not a 64-bit number")]
     InvalidNumber {
         /// The key of the number.
         key: &'static str,
@@ -39,7 +39,7 @@
     #[error("the store has no incarnation")]
     MissingIncarnation,
     /// A record cannot be decoded.
-    #[error("{record} in the store can't be read: {source}")]
+    #[error("cannot decode {record} in the store: {source}")]
     Decode {
         /// What the record holds.
         record: &'static str,
@@ -47,7 +47,7 @@
         source: postcard::Error,
     },
     /// A record cannot be encoded.
-    #[error("{record} can't be encoded: {source}")]
+    #[error("cannot encode {record}: {source}")]
     Encode {
         /// What the record holds.
         record: &'static str,
@@ -55,17 +55,17 @@
         source: postcard::Error,
     },
     /// An entry is stored under the index of another one.
-    #[error("entry {key} in the store says that it is {index}")]
+    #[error("the entry stored under index {key} has index {index}")]
     MisplacedEntry {
         /// The index under which it is stored.
         key: u64,
-        /// The index that it states.
+        /// The index that the entry itself contains.
         index: u64,
     },
 }
 
 impl StoreError {
-    /// Turns an error of the database in `operation` into an error of the store.
+    /// Returns a function that converts a database error in `operation` to an error of the store.
     pub(crate) fn database<E: Into<redb::Error>>(operation: &'static str) -> impl Fn(E) -> StoreError {
         move |source| StoreError::Database { operation, source: Box::new(source.into()) }
     }
--- a/crates/coordination/src/storage_thread/message.rs
+++ b/crates/coordination/src/storage_thread/message.rs
@@ -1,28 +1,28 @@
-//! The messages to and from the thread that writes.
+//! Messages to and from the storage thread.
 use consensus::WriteBatch;
 
-/// What is to be written.
+/// A request to write.
 pub enum WriteRequest {
     /// A batch of the log.
     Batch(WriteBatch),
-    /// What this member's part in maintenance must not forget. A later one replaces one that is not written yet.
+    /// The state that the maintenance agent persists. A later state replaces one that is not written yet.
     AgentState {
-        /// Identifies the state; grows.
+        /// Identifies the state; it increases with each one.
         serial: u64,
         /// The encoded state.
         bytes: Vec<u8>,
     },
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteReport {
-    /// The batch with this id is on disk.
+    /// The batch with this id is durably on disk.
     BatchWritten(u64),
-    /// The batch with this id is not on disk, or it is not known whether it is.
+    /// The batch with this id failed to be written; it may or may not be on disk.
     BatchFailed(u64),
-    /// The local state with this serial is on disk.
+    /// The agent state with this serial is durably on disk.
     AgentStateWritten(u64),
-    /// The disk can be written again.
+    /// Writing to disk works again after a failure.
     Recovered,
 }
--- a/crates/coordination/src/storage_thread/mod.rs
+++ b/crates/coordination/src/storage_thread/mod.rs
@@ -1,7 +1,7 @@
 //! The thread that writes to disk.
 //!
-//! Batches of the log and this member's part in maintenance are written in the order in which they arrive. After a write has
-//! failed, none that arrived later is carried out until the store has been opened again.
+//! Batches of the log and states of the maintenance agent are written in the order in which they arrive. After a write has
+//! failed, no later one is executed until the store has been reopened.
 mod batch;
 mod error;
 mod message;
--- a/crates/coordination/src/storage_thread/store.rs
+++ b/crates/coordination/src/storage_thread/store.rs
@@ -1,7 +1,7 @@
-//! The store: one `redb` file with everything that must outlive the process.
+//! The store: one `redb` file with all state that must survive a restart of the process.
 //!
-//! It holds the incarnation of the store, the log's hard state, entries and snapshot, and this member's part in maintenance. Each
-//! change is one transaction, which is on disk before anything is promised on the strength of it.
+//! It holds the incarnation of the store, the log's hard state, entries and snapshot, and the state of the maintenance agent.
+//! Each change is one transaction, which is durable before any other member is told of it.
 use crate::storage_thread::error::StoreError;
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction};
 use std::cell::RefCell;
@@ -25,77 +25,77 @@
     pub(super) const SNAPSHOT: &str = "snapshot";
 }
 
-/// What an operation worked on, for errors.
+/// Descriptions of database operations, for error messages.
 mod operation {
-    pub(super) const READ: &str = "the store can't be read";
-    pub(super) const WRITE: &str = "the store can't be written";
-    pub(super) const META: &str = "the store's meta data";
-    pub(super) const LOG: &str = "the store's log";
+    pub(super) const READ: &str = "cannot read the store";
+    pub(super) const WRITE: &str = "cannot write the store";
+    pub(super) const META: &str = "the metadata of the store";
+    pub(super) const LOG: &str = "the log in the store";
     pub(super) const HARD_STATE: &str = "the hard state";
-    pub(super) const AGENT_STATE: &str = "the local state";
+    pub(super) const AGENT_STATE: &str = "the state of the maintenance agent";
     pub(super) const SNAPSHOT: &str = "the snapshot";
 }
 
-/// A change of the store: all of it is on disk, or none.
+/// A change of the store, applied atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreChange {
-    /// The hard state, where it changes.
+    /// The new hard state, if it changes.
     pub hard_state: Option<Vec<u8>>,
-    /// This member's part in maintenance, where it changes.
+    /// The new state of the maintenance agent, if it changes.
     pub agent_state: Option<Vec<u8>>,
-    /// The snapshot and its last index, where it changes; entries up to that index are deleted.
+    /// The last index of a new snapshot, and the snapshot; entries up to that index are deleted.
     pub snapshot: Option<(u64, Vec<u8>)>,
-    /// Entries from this index on are deleted.
+    /// The index from which on entries are deleted.
     pub truncate_from: Option<u64>,
     /// Entries to add, by index.
     pub append: Vec<(u64, Vec<u8>)>,
 }
 
-/// Everything that a store holds.
+/// The whole content of a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreContent {
-    /// Drawn at random when the store was created.
+    /// The incarnation of the store: a random number, drawn when the store was created.
     pub incarnation: u64,
     /// The hard state.
     pub hard_state: Option<Vec<u8>>,
-    /// This member's part in maintenance.
+    /// The state of the maintenance agent.
     pub agent_state: Option<Vec<u8>>,
     /// The snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// The entries by index, in order.
+    /// The entries with their indexes, in ascending order.
     pub entries: Vec<(u64, Vec<u8>)>,
 }
 
 /// An open store.
 pub struct Store {
     file: PathBuf,
-    /// None where it could not be opened again.
+    /// `None` if it could not be reopened.
     database: RefCell<Option<Database>>,
 }
 
 impl Store {
-    /// Opens the store in a folder, which is created where it is missing. A new store gets the incarnation given.
+    /// Opens the store in a directory, which is created if it does not exist. A new store gets the given incarnation.
     ///
     /// # Errors
     ///
-    /// Returns an error where the folder cannot be created, the file is not a store, or it has another format.
-    pub fn open(folder: &Path, incarnation: u64) -> Result<Store, StoreError> {
-        std::fs::create_dir_all(folder).map_err(StoreError::CreateFolder)?;
-        let file = folder.join(FILE_NAME);
+    /// Returns an error if the directory cannot be created, the file is not a store, or the store has another format.
+    pub fn open(directory: &Path, incarnation: u64) -> Result<Store, StoreError> {
+        std::fs::create_dir_all(directory).map_err(StoreError::CreateDirectory)?;
+        let file = directory.join(FILE_NAME);
         let database = Database::create(&file).map_err(StoreError::open)?;
         let store = Store { file, database: RefCell::new(Some(database)) };
         store.initialize(incarnation)?;
         Ok(store)
     }
 
-    /// Opens the file again. After an error of the file system the database accepts nothing until then; it holds what was on
-    /// disk, with the change that failed or without it.
+    /// Reopens the file. After a file system error the database rejects all operations until it is reopened; it then has the
+    /// content that is on disk, with or without the change that failed.
     ///
     /// # Errors
     ///
-    /// Returns an error where the file cannot be opened; the store stays closed.
+    /// Returns an error if the file cannot be opened; the store is then closed.
     pub fn reopen(&self) -> Result<(), StoreError> {
-        // The old database holds a lock on the file.
+        // The old database holds a lock on the file, so it has to be dropped first.
         drop(self.database.take());
         let database = Database::create(&self.file).map_err(StoreError::open)?;
         self.database.replace(Some(database));
@@ -114,7 +114,7 @@
         database.begin_read().map_err(StoreError::database(operation::READ))
     }
 
-    /// Creates the tables of a new store, or checks the format of an old one.
+    /// Creates the tables of a new store, or checks the format of an existing one.
     fn initialize(&self, incarnation: u64) -> Result<(), StoreError> {
         let write = self.begin_write()?;
         {
@@ -134,11 +134,11 @@
         write.commit().map_err(StoreError::database(operation::WRITE))
     }
 
-    /// Draws the incarnation of this start of the process, above those of all earlier starts, and stores it.
+    /// Creates and stores the incarnation of this process, which is greater than those of all earlier starts.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store cannot be read or written.
+    /// Returns an error if the store cannot be read or written.
     pub fn next_process_incarnation(&self, unix_time: Duration) -> Result<u64, StoreError> {
         let write = self.begin_write()?;
         let incarnation = {
@@ -153,11 +153,11 @@
         Ok(incarnation)
     }
 
-    /// Reads everything, as at start.
+    /// Reads the whole content, as is done at start.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store cannot be read or has no incarnation.
+    /// Returns an error if the store cannot be read or has no incarnation.
     pub fn read(&self) -> Result<StoreContent, StoreError> {
         let read = self.begin_read()?;
         let meta = read.open_table(META).map_err(StoreError::database(operation::META))?;
@@ -180,11 +180,11 @@
         Ok(content)
     }
 
-    /// Carries out a change; once this returns, it is on disk.
+    /// Applies a change, which is durable on return.
     ///
     /// # Errors
     ///
-    /// Returns an error where the store cannot be written; the change is on disk whole or not at all.
+    /// Returns an error if the store cannot be written; the change is then applied completely or not at all.
     pub fn write(&self, change: &StoreChange) -> Result<(), StoreError> {
         let write = self.begin_write()?;
         {
--- a/crates/coordination/src/storage_thread/writer.rs
+++ b/crates/coordination/src/storage_thread/writer.rs
@@ -1,4 +1,4 @@
-//! The loop of the thread that writes.
+//! The main loop of the storage thread.
 use crate::storage_thread::batch::store_change;
 use crate::storage_thread::error::StoreError;
 use crate::storage_thread::message::{WriteReport, WriteRequest};
@@ -7,10 +7,10 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// How long after a failure the store is opened again.
+/// How often reopening the store is tried after a failure.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Carries out requests until the other end of the mailbox is dropped.
+/// Executes requests until the other end of the mailbox is dropped.
 pub fn run(store: &Store, requests: &Receiver<WriteRequest>, report: &dyn Fn(WriteReport), log: fn(&str)) {
     let mut writer = Writer { store, report, log, has_failed: false, unwritten: None };
     loop {
@@ -28,24 +28,24 @@
     }
 }
 
-/// A local state that is not on disk yet.
+/// A state of the maintenance agent that is not on disk yet.
 struct AgentState {
     serial: u64,
     bytes: Vec<u8>,
 }
 
-/// Writes, and remembers what the disk did not accept.
+/// Executes requests, and holds an agent state that could not be written.
 struct Writer<'a> {
     store: &'a Store,
     report: &'a dyn Fn(WriteReport),
     log: fn(&str),
-    /// Whether the store has failed and was not opened again.
+    /// Whether a write has failed and the store has not been reopened since.
     has_failed: bool,
     unwritten: Option<AgentState>,
 }
 
 impl Writer<'_> {
-    /// Writes a batch. One that fails is written again by the log.
+    /// Writes a batch. If this fails, the log requests the write again.
     fn write_batch(&mut self, batch: &WriteBatch) {
         if self.has_failed {
             (self.report)(WriteReport::BatchFailed(batch.id));
@@ -84,7 +84,7 @@
         self.has_failed = true;
     }
 
-    /// Opens the store again and tries it with an empty change.
+    /// Reopens the store and checks with an empty change that it can be written.
     fn recover(&mut self) {
         let recovered = self.store.reopen().and_then(|()| self.store.write(&StoreChange::default()));
         if recovered.is_ok() {
--- a/crates/coordination/tests/frame.rs
+++ b/crates/coordination/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of the messages between members.
+//! Tests the encoding and decoding of messages between members.
 #![allow(clippy::unwrap_used)]
 use coordination::frame::{decode, encode, DecodeError, Frame, VERSION};
 
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Holds the bytes of what members send to each other over TCP, and of what the replicated state machine reads from the log and
-//! puts into its snapshots.
+//! Compares with golden files the bytes of the messages that members send to each other over TCP, of log entries, and of
+//! snapshots of the replicated state machine.
 //!
-//! Members of different versions run side by side: none of these bytes may change.
+//! Members of different versions run in the same group, so these bytes must not change.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 mod golden_support;
 
@@ -20,13 +20,13 @@
 
 const KEY: [u8; 32] = [7; 32];
 
-/// Bytes as they stand in a golden file, which is read.
-fn file(name: &str) -> Vec<u8> {
+/// Reads the bytes of a golden file.
+fn golden_bytes(name: &str) -> Vec<u8> {
     GOLDEN.bytes(&format!("{name}.bin"))
 }
 
-/// What a link carries: a length and a sealed envelope around `body`.
-fn sent(channel: u8, body: &[u8]) -> Vec<u8> {
+/// Encodes `body` as it is sent on a link: a length and a sealed envelope.
+fn seal_frame(channel: u8, body: &[u8]) -> Vec<u8> {
     let sealer = Sealer::new(Keys::new(KEY, None), member(1), 1 << 60)
         .on_channel(channel)
         .with_max_bytes(message_auth::MAX_FRAME_BYTES);
@@ -35,8 +35,8 @@
     out
 }
 
-/// The body that a link's bytes carry.
-fn received(channel: u8, bytes: &[u8]) -> Vec<u8> {
+/// Decodes the body from the bytes sent on a link.
+fn open_frame(channel: u8, bytes: &[u8]) -> Vec<u8> {
     let (length, sealed) = bytes.split_at(4);
     assert_eq!(u32::from_be_bytes(length.try_into().unwrap()) as usize, sealed.len());
     let mut opener =
@@ -46,16 +46,16 @@
     opened.body.to_vec()
 }
 
-/// Checks that a message goes out as the golden file, and that the file is read as that message.
+/// Checks that a message is encoded as in the golden file, and that the file is decoded to the message.
 fn check_frame<T>(name: &str, channel: u8, message: &T)
 where
     T: serde::Serialize + serde::de::DeserializeOwned + PartialEq + std::fmt::Debug,
 {
-    let bytes = file(name);
-    assert_eq!(sent(channel, &encode(message).unwrap()), bytes, "{name}: writing");
-    let decoded: T = decode(&received(channel, &bytes)).unwrap();
+    let bytes = golden_bytes(name);
+    assert_eq!(seal_frame(channel, &encode(message).unwrap()), bytes, "{name}: writing");
+    let decoded: T = decode(&open_frame(channel, &bytes)).unwrap();
     assert_eq!(&decoded, message, "{name}: reading");
-    assert_eq!(sent(channel, &encode(&decoded).unwrap()), bytes, "{name}: writing what was read");
+    assert_eq!(seal_frame(channel, &encode(&decoded).unwrap()), bytes, "{name}: writing what was read");
 }
 
 fn report() -> Report {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn frames_between_members_keep_their_bytes() {
+fn member_frames_match_golden_files() {
     let last = consensus::LogPosition { term: 6, index: 200 };
     let log = Frame::Log { incarnation: 1 << 40, message: consensus::Message::VoteRequest { term: 7, last } };
     check_frame("frame.hello", MEMBER_CHANNEL, &Frame::Hello);
@@ -115,20 +115,20 @@
 }
 
 #[test]
-fn frames_between_relays_and_subscribers_keep_their_bytes() {
+fn distribution_frames_match_golden_files() {
     check_frame("relay.next", DISTRIBUTION_CHANNEL, &SubscriberMessage::NextChunk);
     check_frame("relay.later", DISTRIBUTION_CHANNEL, &RelayMessage::RetryLater);
-    let hello = file("relay.hello");
-    assert_eq!(sent(DISTRIBUTION_CHANNEL, &[]), hello);
-    assert_eq!(received(DISTRIBUTION_CHANNEL, &hello), b"");
+    let hello = golden_bytes("relay.hello");
+    assert_eq!(seal_frame(DISTRIBUTION_CHANNEL, &[]), hello);
+    assert_eq!(open_frame(DISTRIBUTION_CHANNEL, &hello), b"");
 }
 
 #[test]
-fn entries_of_the_state_machine_keep_their_bytes() {
+fn log_entries_match_golden_files() {
     for (number, (name, by, command)) in (1..).zip(entries()) {
         let entry =
             Entry { at_ms: 1_700_000_000_000 + number, by: member(by), ticket: 299 + number, command };
-        let bytes = file(&format!("entry.{name}"));
+        let bytes = golden_bytes(&format!("entry.{name}"));
         assert_eq!(postcard::to_stdvec(&entry).unwrap(), bytes, "{name}: writing");
         let read: Entry = postcard::from_bytes(&bytes).unwrap();
         assert_eq!(read, entry, "{name}: reading");
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn snapshots_of_the_state_machine_keep_their_bytes() {
+fn snapshots_match_golden_files() {
     let mut state = StateMachine::new();
     for (number, (name, ..)) in (1..).zip(entries()) {
-        state.apply(Index(number), &file(&format!("entry.{name}")));
+        state.apply(Index(number), &golden_bytes(&format!("entry.{name}")));
         if !["drained.other", "staged", "tick", "config_change"].contains(&name) {
             continue;
         }
-        let golden = file(&format!("snapshot.{name}"));
+        let golden = golden_bytes(&format!("snapshot.{name}"));
         assert_eq!(state.snapshot().unwrap(), golden, "{name}: writing");
         let read = StateMachine::restore(&golden).unwrap();
         assert_eq!(
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -1,4 +1,4 @@
-//! Holds the text that operators read of a member's status.
+//! Compares the status texts for operators with golden files.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 mod golden_support;
 
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn status_matches_its_golden_text() {
+fn status_text_matches_golden_file() {
     let mut state = StateMachine::new();
     for (number, (name, ..)) in (1..=6).zip(entries()) {
         state.apply(Index(number), &GOLDEN.bytes(&format!("entry.{name}.bin")));
     }
     state.undecodable_entries = 3;
     let view = membership_view();
-    let frames = LinkCounters::default();
+    let link_counters = LinkCounters::default();
     let counters = [
-        &frames.rejected_frames,
-        &frames.undecodable_frames,
-        &frames.dropped_frames,
-        &frames.lost_frames,
-        &frames.rejected_connections,
+        &link_counters.rejected_frames,
+        &link_counters.undecodable_frames,
+        &link_counters.dropped_frames,
+        &link_counters.lost_frames,
+        &link_counters.rejected_connections,
     ];
     for (counter, value) in counters.into_iter().zip(21..) {
         counter.store(value, std::sync::atomic::Ordering::Relaxed);
@@ -95,7 +95,7 @@
             commit_index: Index(9),
             has_lease: role == consensus::Role::Leader,
             view: &view,
-            link_counters: &frames,
+            link_counters: &link_counters,
             raft_counters,
             state: &state,
         })
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn maintenance_status_matches_its_golden_text() {
+fn maintenance_status_text_matches_golden_file() {
     let outcomes = [
         ("b-1", BackendOutcome::Waiting),
         ("b-2", BackendOutcome::Granted(Index(300))),
--- a/crates/coordination/tests/golden_store.rs
+++ b/crates/coordination/tests/golden_store.rs
@@ -1,7 +1,7 @@
-//! Holds the store's file: one that an earlier version wrote is opened, read and written on as it was.
+//! Checks that the format of the store does not change: a file written by an earlier version can be opened, read and written to.
 //!
-//! `accord.redb` is such a file. The database lays its pages out as it likes, so what is compared is every key and value of every
-//! table, as the text in `accord.redb.txt`.
+//! `accord.redb` is such a file. The page layout of the database may vary, so the tests compare every key and value of every
+//! table, as dumped to `accord.redb.txt`.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 mod golden_support;
 
@@ -22,10 +22,10 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Every key and value of every table, one on a line.
+/// Dumps the keys and values of all tables, one pair per line.
 fn dump(file: &Path) -> String {
-    let base = Database::open(file).unwrap();
-    let read = base.begin_read().unwrap();
+    let database = Database::open(file).unwrap();
+    let read = database.begin_read().unwrap();
     let mut names: Vec<_> = read.list_tables().unwrap().map(|table| table.name().to_owned()).collect();
     names.sort();
     let mut out = format!("tables {}\n", names.join(" "));
@@ -57,7 +57,7 @@
     Snapshot { last: LogPosition { term: 7, index: 2 }, incarnations, data: b"state".as_slice().into() }
 }
 
-/// The writes of a member: entries, one of them written again, a snapshot that takes the place of two, and what the front keeps.
+/// Writes entries, rewrites the last two, replaces the first two with a snapshot, and writes the state of the maintenance agent.
 fn write_all(store: &Store) {
     let bootstrap = Payload::Bootstrap(snapshot().incarnations);
     let readmit = Payload::Readmit { member: "front-2".into(), incarnation: 300 };
@@ -107,9 +107,9 @@
 }
 
 #[test]
-fn new_store_holds_the_same_keys_and_values() {
-    let folder = tempfile::tempdir().unwrap();
-    let store = Store::open(folder.path(), INCARNATION).unwrap();
+fn new_store_matches_golden_dump() {
+    let directory = tempfile::tempdir().unwrap();
+    let store = Store::open(directory.path(), INCARNATION).unwrap();
     assert_eq!(
         store.next_process_incarnation(Duration::from_millis(1_700_000_000_000)).unwrap(),
         1_700_000_000_000 << 20
@@ -118,25 +118,25 @@
     check_content(&store.read().unwrap());
     drop(store);
     let text = GOLDEN.text("accord.redb.txt");
-    assert_eq!(dump(&folder.path().join("accord.redb")), text);
+    assert_eq!(dump(&directory.path().join("accord.redb")), text);
 }
 
 #[test]
-fn store_of_an_earlier_version_is_read_and_written_on() {
-    let folder = tempfile::tempdir().unwrap();
-    let file = folder.path().join("accord.redb");
+fn reads_and_writes_store_of_earlier_version() {
+    let directory = tempfile::tempdir().unwrap();
+    let file = directory.path().join("accord.redb");
     std::fs::copy(GOLDEN.path("accord.redb"), &file).unwrap();
     let text = GOLDEN.text("accord.redb.txt");
     assert_eq!(dump(&file), text);
-    let store = Store::open(folder.path(), 99).unwrap();
+    let store = Store::open(directory.path(), 99).unwrap();
     check_content(&store.read().unwrap());
-    // All of it written again, over what is there, is the same.
+    // Writing the same content again over the existing one leaves the same content.
     store.write(&StoreChange { truncate_from: Some(0), ..StoreChange::default() }).unwrap();
     write_all(&store);
     check_content(&store.read().unwrap());
     drop(store);
     assert_eq!(dump(&file), text);
-    let store = Store::open(folder.path(), 99).unwrap();
+    let store = Store::open(directory.path(), 99).unwrap();
     let next = store.next_process_incarnation(Duration::from_millis(1_600_000_000_000)).unwrap();
     assert_eq!(next, (1_700_000_000_000 << 20) + 1, "above the stored one");
 }
--- a/crates/coordination/tests/golden_support/entries.rs
+++ b/crates/coordination/tests/golden_support/entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the replicated state machine, one of each kind.
+//! Log entries of the replicated state machine, one of each kind.
 use super::member;
 use cluster_types::{BackendId, Index};
 use config_distribution::{Class, Key, Put, Topic, WriteBatch};
@@ -33,7 +33,7 @@
     }
 }
 
-/// One command of maintenance of each kind, with its name and the member that sends it.
+/// One maintenance command of each kind, with the name of its golden file and the member that sends it.
 fn maintenance_commands() -> [(&'static str, u8, maintenance::Command); 17] {
     let backends: std::collections::BTreeSet<BackendId> = ["b-1".into()].into();
     let (name, id): (String, BackendId) = ("w-1".into(), "b-1".into());
@@ -84,7 +84,7 @@
     ]
 }
 
-/// One entry of each kind, in an order in which applying them makes the state hold something of everything.
+/// One entry of each kind, ordered so that applying them fills every part of the state.
 pub fn entries() -> Vec<(&'static str, u8, Command)> {
     let mut all: Vec<_> = maintenance_commands()
         .into_iter()
--- a/crates/coordination/tests/golden_support/mod.rs
+++ b/crates/coordination/tests/golden_support/mod.rs
@@ -1,4 +1,4 @@
-//! What the golden tests share.
+//! Support code of the golden tests.
 #[allow(dead_code, reason = "the tests of the store need none")]
 pub mod entries;
 
@@ -10,7 +10,7 @@
 /// The golden files of this package.
 pub const GOLDEN: GoldenFiles = GoldenFiles::of_package(env!("CARGO_MANIFEST_DIR"));
 
-/// What a member persists of two orders of the replicated state, as its state machine writes it.
+/// The orders that a maintenance agent persists after it has received two orders.
 #[allow(dead_code, reason = "used by the tests of the store alone")]
 pub fn persisted_orders() -> PersistedOrders {
     let mut actions = Vec::new();
@@ -26,10 +26,10 @@
         Action::Persist { orders, .. } => Some(orders),
         _ => None,
     });
-    persisted.last().expect("it persists what it was ordered")
+    persisted.last().expect("the agent persists its orders")
 }
 
-/// A member of the tests.
+/// The id of a test member.
 #[allow(dead_code, reason = "used by the tests of frames and entries alone")]
 pub fn member(number: u8) -> MemberId {
     format!("front-{number}").as_str().into()
