--- a/crates/coordination/src/log_thread/measured.rs
+++ b/crates/coordination/src/log_thread/received_measurements.rs
@@ -2,8 +2,8 @@
 use crate::measurements::Measurements;
 use cluster_types::{Index, Time};
 
-/// What a member measured, as it arrived here.
-pub(crate) struct Measured {
+/// The measurements of a member, with the time at which they were received.
+pub(crate) struct ReceivedMeasurements {
     pub(crate) received_at: Time,
     /// The index up to which the member had applied the log.
     pub(crate) applied_index: Index,
--- a/crates/coordination/src/log_thread/thread.rs
+++ b/crates/coordination/src/log_thread/thread.rs
@@ -1,12 +1,12 @@
-//! The state and the loop of the log thread.
+//! The state and the main loop of the log thread.
 use crate::clock::Clock;
 use crate::distribution::Mailbox;
 use crate::frame::{self, Frame};
 use crate::gateway_message::{CoordinationMessage, GatewayMessage};
 use crate::log_thread::catalogue_feed::CatalogueFeed;
-use crate::log_thread::measured::Measured;
 use crate::log_thread::message::LogMessage;
 use crate::log_thread::pending_command::PendingCommand;
+use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::network_thread::{LinkCounters, MembershipView};
 use crate::settings::Settings;
 use crate::state_machine::{Command, StateMachine};
@@ -21,12 +21,12 @@
 
 /// How often the periodic work runs.
 const PERIODIC_INTERVAL: Duration = Duration::from_millis(100);
-/// The least wait for a message.
+/// The minimum wait for a message.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// Messages that are handled in one go, beside the first, before the periodic work is looked at.
+/// The maximum number of messages, after the first, that are handled before the periodic work is checked.
 const MAX_BURST: usize = 256;
 
-/// When periodic work was last done.
+/// When each kind of periodic work was last done.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LastRuns {
     /// The leader's proposals.
@@ -41,7 +41,7 @@
 pub(crate) struct Outboxes(pub(crate) BTreeMap<MemberId, async_channel::Sender<Vec<u8>>>);
 
 impl Outboxes {
-    /// Sends a frame. One that finds no room is lost, as on the network: everything that matters is sent again.
+    /// Sends a frame. If the mailbox is full it is dropped, as on the network: senders repeat whatever has to arrive.
     pub(crate) fn send(&self, to: &MemberId, frame: &Frame) {
         if let (Some(link), Ok(bytes)) = (self.0.get(to), frame::encode(frame)) {
             drop(link.try_send(bytes));
@@ -63,45 +63,45 @@
     pub(crate) store_incarnation: u64,
     pub(crate) raft: consensus::Node,
     pub(crate) state: StateMachine,
-    /// This member's own part in maintenance.
-    pub(crate) local: MemberAgent,
+    /// The maintenance agent of this member.
+    pub(crate) member_agent: MemberAgent,
     /// How long returning backends have been free of failures.
     pub(crate) stage_timer: StageTimer,
     /// The latest measurements of each member.
-    pub(crate) measured: BTreeMap<MemberId, Measured>,
+    pub(crate) latest_measurements: BTreeMap<MemberId, ReceivedMeasurements>,
     /// Commands of this member that are not in the log yet, by ticket.
     pub(crate) pending: BTreeMap<u64, PendingCommand>,
     pub(crate) last_ticket: u64,
-    /// When this leader made the proposals that are not committed yet, by ticket.
+    /// When this member, as leader, made the proposals that are not committed yet, by ticket.
     pub(crate) proposed: BTreeMap<u64, Time>,
-    /// Until when the lease may run that this leader granted each member.
+    /// When the leases that this member granted as leader expire, by member.
     pub(crate) granted_leases: BTreeMap<MemberId, Time>,
     pub(crate) last_runs: LastRuns,
-    /// Whether this member shuts down.
+    /// Whether this member is shutting down.
     pub(crate) is_leaving: bool,
-    /// Whether entries were applied that the local part has not seen.
+    /// Whether the state has changed since the agent was last given its orders.
     pub(crate) has_new_state: bool,
     pub(crate) outboxes: Outboxes,
     pub(crate) storage: SyncSender<WriteRequest>,
     pub(crate) gateway: async_channel::Sender<GatewayMessage>,
-    /// Messages that found the gateway's mailbox full.
+    /// Messages that wait because the gateway's mailbox is full.
     pub(crate) unsent: VecDeque<GatewayMessage>,
     pub(crate) link_counters: Arc<LinkCounters>,
     pub(crate) view: Arc<Mutex<MembershipView>>,
-    /// The relay of configuration changes, where this member has one.
+    /// The connection to the relay of configuration changes, if this member has one.
     pub(crate) catalogue_feed: Option<CatalogueFeed>,
-    /// Writes a line of the log.
+    /// Writes a log line.
     pub(crate) log: fn(&str),
 }
 
-/// What the log thread is built from.
+/// The parameters of the log thread.
 pub(crate) struct LogThreadParts {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
     pub(crate) process_incarnation: u64,
     pub(crate) store_incarnation: u64,
     pub(crate) raft: consensus::Node,
-    pub(crate) local: MemberAgent,
+    pub(crate) member_agent: MemberAgent,
     pub(crate) outboxes: Outboxes,
     pub(crate) storage: SyncSender<WriteRequest>,
     pub(crate) gateway: async_channel::Sender<GatewayMessage>,
@@ -120,11 +120,11 @@
             store_incarnation: parts.store_incarnation,
             raft: parts.raft,
             state: StateMachine::new(),
-            local: parts.local,
+            member_agent: parts.member_agent,
             stage_timer: StageTimer::new(),
-            measured: BTreeMap::new(),
+            latest_measurements: BTreeMap::new(),
             pending: BTreeMap::new(),
-            // Above the tickets of all earlier starts.
+            // Greater than the tickets of all earlier starts.
             last_ticket: parts.process_incarnation,
             proposed: BTreeMap::new(),
             granted_leases: BTreeMap::new(),
@@ -147,8 +147,11 @@
         let mut periodic_at = Time(0);
         loop {
             let now = self.clock.now();
-            let deadlines =
-                [self.raft.next_wakeup(), self.local.next_wakeup(), Some(periodic_at + PERIODIC_INTERVAL)];
+            let deadlines = [
+                self.raft.next_wakeup(),
+                self.member_agent.next_wakeup(),
+                Some(periodic_at + PERIODIC_INTERVAL),
+            ];
             let deadline = deadlines.into_iter().flatten().min().unwrap_or(now + PERIODIC_INTERVAL);
             match mailbox.recv_timeout(deadline.since(now).max(MIN_WAIT)) {
                 Ok(first) => {
@@ -164,7 +167,7 @@
                 periodic_at = now;
                 self.run_periodic(now);
             }
-            self.follow_state(now);
+            self.update_agent_and_gateway(now);
             self.feed_relay(now);
         }
     }
@@ -187,7 +190,7 @@
 
     fn leave(&mut self, now: Time) {
         self.is_leaving = true;
-        let (member, presence) = (self.settings.me.clone(), Presence::Left);
+        let (member, presence) = (self.settings.own_id.clone(), Presence::Left);
         let command = maintenance::Command::SetPresence { member, presence };
         self.submit(now, Command::Maintenance(command), None);
     }
@@ -200,8 +203,8 @@
             WriteReport::BatchFailed(batch_id) => {
                 self.handle_raft_event(consensus::Event::PersistFailed { batch_id });
             }
-            WriteReport::LocalStateWritten(serial) => {
-                self.handle_local_event(now, maintenance::Event::Persisted { serial });
+            WriteReport::AgentStateWritten(serial) => {
+                self.handle_agent_event(now, maintenance::Event::Persisted { serial });
             }
             WriteReport::Recovered => self.handle_raft_event(consensus::Event::StorageRecovered),
         }
--- a/crates/coordination/tests/golden_status.rs
+++ b/crates/coordination/tests/golden_status.rs
@@ -1,4 +1,4 @@
-//! Holds the text that operators read of a member's status.
+//! Compares the status texts for operators with golden files.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 mod golden_support;
 
@@ -44,28 +44,28 @@
     };
     let verdict =
         membership::Verdict { score: 0.456, sources: 2, newest_age: None, kinds: Default::default() };
-    let doubts = vec![
+    let verdicts = vec![
         (membership::Subject::Backend("b-1".into()), verdict.clone()),
         (membership::Subject::Zone("h-1".into()), verdict),
     ];
-    MembershipView { members, doubts, counters }
+    MembershipView { members, verdicts, counters }
 }
 
 #[test]
-fn status_matches_its_golden_text() {
+fn status_text_matches_golden_file() {
     let mut state = StateMachine::new();
     for (number, (name, ..)) in (1..=6).zip(entries()) {
         state.apply(Index(number), &GOLDEN.bytes(&format!("entry.{name}.bin")));
     }
     state.undecodable_entries = 3;
     let view = membership_view();
-    let frames = LinkCounters::default();
+    let link_counters = LinkCounters::default();
     let counters = [
-        &frames.rejected_frames,
-        &frames.undecodable_frames,
-        &frames.dropped_frames,
-        &frames.lost_frames,
-        &frames.rejected_connections,
+        &link_counters.rejected_frames,
+        &link_counters.undecodable_frames,
+        &link_counters.dropped_frames,
+        &link_counters.lost_frames,
+        &link_counters.rejected_connections,
     ];
     for (counter, value) in counters.into_iter().zip(21..) {
         counter.store(value, std::sync::atomic::Ordering::Relaxed);
@@ -88,14 +88,14 @@
     ];
     let texts = roles.map(|(role, leader)| {
         status_text(&Status {
-            me: &golden_support::member(1),
+            own_id: &golden_support::member(1),
             role,
             term: 7,
             leader: leader.as_ref(),
             commit_index: Index(9),
             has_lease: role == consensus::Role::Leader,
             view: &view,
-            link_counters: &frames,
+            link_counters: &link_counters,
             raft_counters,
             state: &state,
         })
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn maintenance_status_matches_its_golden_text() {
+fn maintenance_status_text_matches_golden_file() {
     let outcomes = [
         ("b-1", BackendOutcome::Waiting),
         ("b-2", BackendOutcome::Granted(Index(300))),
