--- a/crates/gateway/src/admin/config_calls.rs
+++ b/crates/gateway/src/admin/config_calls.rs
@@ -1,5 +1,5 @@
-//! Operators' calls about the distributed configuration. The names in bodies and answers are those that operators know; they are
-//! mapped here.
+//! Operators' HTTP calls about the distributed configuration. Request and response bodies use the names of the public HTTP interface
+//! (`front` for a gateway); this module maps them.
 use crate::config_overlay::actor::ConfigOverlay;
 use crate::config_overlay::effective::encode;
 use async_io::Timer;
@@ -14,15 +14,15 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Where these calls are.
-pub const FOLDER: &str = "/v1/changes";
-/// A caller is answered within this time, whatever the hosts do.
+/// The path prefix of these calls.
+pub const PATH_PREFIX: &str = "/v1/changes";
+/// The time within which a caller is answered, even if the voters or relays don't respond.
 const TIMEOUT: Duration = Duration::from_millis(1_700);
-/// The answer where the voters did not settle a change in time.
+/// The answer if the voters did not decide on a change in time.
 const UNSETTLED: &str =
     "no majority of the voters could be reached: it may come yet; ordering it again does no harm\n";
 
-/// The body of a change.
+/// The JSON body of a change.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct BatchBody {
@@ -48,10 +48,10 @@
 /// Why the body of a change is not valid; the text begins with the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// It is not the JSON of a change.
+    /// The body is not the JSON of a change.
     #[error("{path}: {source}")]
     Json {
-        /// The path of the key.
+        /// The path of the key at fault.
         path: String,
         /// The error of the parser.
         source: serde_json::Error,
@@ -103,7 +103,7 @@
     Ok(batch)
 }
 
-/// The answer to a call under the folder.
+/// Answers a call below [`PATH_PREFIX`].
 pub async fn answer(
     overlay: Option<&ConfigOverlay>,
     coordination: Option<&coordination::Handle>,
@@ -114,7 +114,7 @@
     let Some(overlay) = overlay else {
         return http::response(404, "Not Found", "changes: not in the configuration\n");
     };
-    let rest = target.strip_prefix(FOLDER).unwrap_or_default();
+    let rest = target.strip_prefix(PATH_PREFIX).unwrap_or_default();
     let version = rest.strip_prefix('/').filter(|version| !version.is_empty());
     match (method, version, coordination) {
         ("POST", None, Some(coordination)) if overlay.is_voter => change(coordination, body).await,
@@ -141,17 +141,17 @@
     future::or(answer, timed_out).await
 }
 
-/// Proposes a change to the voters, and answers with its version.
+/// Proposes a change to the voters, and answers with the version that it got.
 async fn change(coordination: &coordination::Handle, body: &[u8]) -> Vec<u8> {
     let batch = match parse(body) {
         Ok(batch) => batch,
         Err(error) => return http::response(400, "Bad Request", &format!("{error}\n")),
     };
-    let (to, from) = async_channel::bounded(1);
-    if !coordination.send(CoordinationMessage::Call(OperatorCall::ChangeConfig(batch), to)) {
+    let (response_sender, responses) = async_channel::bounded(1);
+    if !coordination.send(CoordinationMessage::Call(OperatorCall::ChangeConfig(batch), response_sender)) {
         return http::response(503, "Service Unavailable", "too many calls wait\n");
     }
-    match with_timeout(async { from.recv().await.ok() }).await {
+    match with_timeout(async { responses.recv().await.ok() }).await {
         Some(OperatorResponse::Done(version)) => {
             http::response(200, "OK", &format!("{{\"version\":{version}}}\n"))
         }
@@ -162,9 +162,9 @@
 }
 
 async fn query(overlay: &ConfigOverlay, query: Query) -> Vec<u8> {
-    let (to, from) = async_channel::bounded(1);
-    let is_sent = overlay.handle.ask(query, to);
-    match with_timeout(async { from.recv().await.ok().filter(|_| is_sent) }).await {
+    let (response_sender, responses) = async_channel::bounded(1);
+    let is_sent = overlay.handle.ask(query, response_sender);
+    match with_timeout(async { responses.recv().await.ok().filter(|_| is_sent) }).await {
         Some(QueryResponse::Rollout(rollout)) => {
             http::response(200, "OK", &format!("{}\n", rollout_json(&rollout)))
         }
@@ -183,7 +183,7 @@
     json!({ "key": rejection.key.to_string(), "version": rejection.version.0, "why": rejection.reason })
 }
 
-/// Where a version has not taken effect yet.
+/// Encodes where a version has not taken effect yet.
 fn rollout_json(rollout: &RolloutStatus) -> Value {
     let lag = |lag: &Lag| json!({ "front": lag.gateway, "owes": lag.first_pending.0, "why": lag.reason });
     let rejection = |GatewayRejection { gateway, rejection }: &GatewayRejection| {
@@ -203,7 +203,7 @@
     })
 }
 
-/// The state of this machine.
+/// Encodes this gateway's view of the distributed configuration.
 fn status_json(status: &DistributionStatus, unknown_keys: u64) -> Value {
     let counters: serde_json::Map<String, Value> =
         status.counters.iter().map(|(name, count)| (name.to_string(), json!(count))).collect();
--- a/crates/gateway/src/admin/health_checks.rs
+++ b/crates/gateway/src/admin/health_checks.rs
@@ -1,5 +1,5 @@
-//! The listeners of load balancers and operators: the agent check (one line on connecting, as HAProxy reads it), HTTP health checks, and
-//! operators' HTTP calls, one call to a connection.
+//! The listeners for load balancers and operators: the agent check (one line sent on connect, in HAProxy's agent-check format), HTTP
+//! health checks, and operators' HTTP calls, one call per connection.
 use crate::admin::config_calls;
 use crate::admin::operators::{self, Operators};
 use crate::context::Context;
@@ -25,13 +25,13 @@
     Operators(Operators),
 }
 
-/// Connections to a listener at once; further ones are closed.
+/// The maximum number of concurrent connections to a listener; further ones are closed.
 const MAX_CONNECTIONS: usize = 16;
-/// How long one check or call may take.
+/// The time limit of one check or call.
 const TIMEOUT: Duration = Duration::from_secs(2);
-/// Capacities of a check's input and output buffer, in bytes.
+/// Capacities of the input and output buffers of a check, in bytes.
 const CHECK_BUFFER_BYTES: (usize, usize) = (16 * 1024, 4096);
-/// The same for operators' calls, which may have bodies and long answers.
+/// Capacities of the input and output buffers of an operator's call, which may have a body and a long answer, in bytes.
 const CALL_BUFFER_BYTES: (usize, usize) = (16 * 1024 + http::MAX_BODY_BYTES, 256 * 1024);
 
 /// Serves checks or calls until the process ends.
@@ -44,7 +44,8 @@
     accept(listener, || true, async || {}, on_accept, async || future::pending().await).await;
 }
 
-/// The agent's line: whether to send requests here, and a weight that falls with the open and the rejected requests.
+/// The line of the agent check: whether this gateway takes requests, and a weight that decreases with its load (open requests, or the
+/// share of rejected ones).
 fn agent_line(context: &Context) -> String {
     if context.lifecycle.stopping.get().is_some() {
         return "drain\n".into();
@@ -57,16 +58,16 @@
     format!("up {weight}%\n")
 }
 
-/// The body of a call that has one; `None` while it is incomplete.
+/// Returns the body of a call, empty for calls without one; `None` while it is incomplete.
 fn body<'a>(target: &str, bytes: &'a [u8]) -> Result<Option<&'a [u8]>, http::ParseError> {
-    if target.starts_with(config_calls::FOLDER) {
+    if target.starts_with(config_calls::PATH_PREFIX) {
         http::request_body(bytes)
     } else {
         Ok(Some(&[]))
     }
 }
 
-/// The answer to an HTTP request; `None` while the request is incomplete.
+/// Answers an HTTP request; returns `None` while the request is incomplete.
 async fn answer(context: &Rc<Context>, bytes: &[u8], service: &Service) -> Option<Vec<u8>> {
     let (method, target) = match http::request_head(bytes) {
         Ok(None) => return None,
@@ -122,11 +123,11 @@
         CloseReason::Timeout
     };
     let reason = future::or(exchange(&context, &mut stream, &service), timed_out).await;
-    stream.carried += 1;
+    stream.exchange_count += 1;
     stream.reason = reason;
 }
 
-/// Reads the request, where there is one, and sends the answer. Returns why the connection is to be closed.
+/// Reads the request (the agent check has none) and sends the answer. Returns why the connection is to be closed.
 async fn exchange(context: &Rc<Context>, stream: &mut Connection, service: &Service) -> CloseReason {
     let mut is_answered = false;
     if matches!(service, Service::Agent) {
--- a/crates/gateway/src/admin/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' calls over HTTP/1.1, one call to a connection: readiness, metrics, and suspending a backend or resuming it.
+//! Operators' calls over HTTP/1.1, one call per connection: readiness, metrics, and suspending or resuming a backend.
 use crate::admin::config_calls;
 use crate::admin::coordination_calls;
 use crate::admin::suspensions::{Persistence, Suspensions};
@@ -14,14 +14,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the scheduler has to answer; callers give up after 1 s.
+/// How long to wait for the scheduler's answer; callers give up after 1 s.
 const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Where calls about a backend are.
+/// The path prefix of calls about a backend.
 const BACKENDS_PATH: &str = "/v1/chunk-servers/";
-/// The answer to a call that has taken effect and would not survive a kill yet.
+/// The answer to a call that has taken effect but is not persisted yet, so that it would not survive a kill.
 const NOT_PERSISTED: &str = "in force, but the folder takes no file: it is tried on; ask again\n";
 
-/// What operators' calls act on.
+/// The components that operators' calls act on.
 #[derive(Clone)]
 pub struct Operators {
     /// The gateway's shared state.
@@ -32,21 +32,21 @@
     pub pool: Rc<BackendPool>,
     /// The suspended backends.
     pub suspensions: Rc<Suspensions>,
-    /// The coordination host, where the configuration has `[accord]`.
+    /// The coordination host, if the configuration has `[accord]`.
     pub coordination: Option<coordination::Handle>,
-    /// The distributed configuration, where the configuration has `[changes]`.
+    /// The distributed configuration, if the configuration has `[changes]`.
     pub config_overlay: Option<Rc<ConfigOverlay>>,
-    /// The scatter-gather actor, where the configuration has policies for it.
+    /// The scatter-gather actor, if the configuration has policies for it.
     pub gathering: Option<Gathering>,
 }
 
-/// The answer to one call.
+/// Answers one call.
 pub async fn answer(operators: &Operators, method: &str, target: &str, body: &[u8]) -> Vec<u8> {
     let coordination = operators.coordination.as_ref();
-    if target.starts_with(coordination_calls::FOLDER) {
+    if target.starts_with(coordination_calls::PATH_PREFIX) {
         return coordination_calls::answer(coordination, method, target).await;
     }
-    if target.starts_with(config_calls::FOLDER) {
+    if target.starts_with(config_calls::PATH_PREFIX) {
         let overlay = operators.config_overlay.as_deref();
         return config_calls::answer(overlay, coordination, method, target, body).await;
     }
@@ -76,13 +76,13 @@
     }
 }
 
-/// Whether this process serves clients: it listens, knows backends, and is not shutting down.
+/// Whether this process serves clients: it listens, has an endpoint list, and is not shutting down.
 fn is_ready(context: &Context) -> bool {
     let lifecycle = &context.lifecycle;
     lifecycle.listening.get() && lifecycle.serving.get() && lifecycle.stopping.get().is_none()
 }
 
-/// The metrics, one `NAME=VALUE` a line.
+/// Formats the metrics, one `NAME=VALUE` per line.
 async fn metrics(operators: &Operators) -> String {
     let Operators { context, pool, .. } = operators;
     let out_of_rotation = out_of_rotation(operators).await;
@@ -115,16 +115,16 @@
     text
 }
 
-/// How many listed backends are ejected or suspended.
+/// Counts the listed backends that are ejected or suspended.
 async fn out_of_rotation(operators: &Operators) -> usize {
-    let (to, from) = async_channel::bounded(1);
+    let (ejected_sender, ejected_receiver) = async_channel::bounded(1);
     // The mailbox is closed only at the end of the process.
-    drop(operators.scheduler.send(SchedulerMessage::GetEjected(to)).await);
+    drop(operators.scheduler.send(SchedulerMessage::GetEjected(ejected_sender)).await);
     let timed_out = async {
         Timer::after(SCHEDULER_TIMEOUT).await;
         vec![]
     };
-    let ejected = async { from.recv().await.unwrap_or_default() };
+    let ejected = async { ejected_receiver.recv().await.unwrap_or_default() };
     let mut backends: Vec<BackendId> = future::or(ejected, timed_out).await;
     backends.extend(operators.suspensions.all());
     backends.sort();
--- a/crates/gateway/src/admin/suspensions.rs
+++ b/crates/gateway/src/admin/suspensions.rs
@@ -1,5 +1,5 @@
 //! Suspended backends. To the scheduler a suspended backend is draining, whatever discovery reports, until it is resumed. Operators'
-//! suspensions are persisted under `TMPDIR` for the process that follows; without `TMPDIR` they end with the process.
+//! suspensions are persisted under `TMPDIR` for the next process of the gateway; without `TMPDIR` they end with the process.
 use crate::admin::suspension_files::{self, Snapshot};
 use crate::context::Context;
 use crate::lifecycle::process_files;
@@ -13,55 +13,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Backends that are remembered as listed; older ones are forgotten.
+/// The maximum number of backends that are remembered as listed; the oldest are forgotten first.
 const MAX_REMEMBERED: usize = 4096;
-/// The delay before a write that failed is retried.
+/// The delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long an operator's call waits for the file; callers give up after 1 s.
+/// How long an operator's call waits for the file to be written; callers give up after 1 s.
 const PERSIST_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The result of an operator's call. The suspension is in effect in either case, unless the backend is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persistence {
-    /// It is persisted, where the folder lasts.
+    /// The suspension is persisted, provided that the folder is kept.
     Done,
-    /// It is not persisted yet; that is retried until it is.
+    /// The suspension is not persisted yet; the write is retried until it succeeds.
     Pending,
-    /// No such backend was ever listed.
+    /// No such backend was listed.
     UnknownBackend,
 }
 
-/// The suspended backends, and those that were listed lately.
+/// The suspended backends, and those that were listed recently.
 #[derive(Default)]
 pub struct Suspensions {
     /// Operators' suspensions.
     current: RefCell<Snapshot>,
     /// The number of the newest snapshot that is persisted.
     persisted: Cell<i64>,
-    /// Whether the writer runs.
+    /// Whether the writer task is running.
     is_writing: Cell<bool>,
-    /// Notified after each snapshot that was persisted.
+    /// Notified after each persisted snapshot.
     written: Event,
     /// Suspensions that the coordination group has agreed on.
     agreed: RefCell<BTreeSet<BackendId>>,
     remembered: RefCell<Remembered>,
 }
 
-/// Backends that were listed lately.
+/// Backends that were listed recently.
 #[derive(Default)]
 struct Remembered {
     backends: BTreeSet<BackendId>,
-    /// The same, the longest remembered first.
+    /// The same backends, in the order in which they were first listed.
     order: VecDeque<BackendId>,
 }
 
 impl Suspensions {
-    /// All suspended backends.
+    /// Returns all suspended backends, by operators and by the coordination group.
     pub fn all(&self) -> Vec<BackendId> {
         self.current.borrow().suspended.union(&self.agreed.borrow()).cloned().collect()
     }
 
-    /// Takes over a persisted snapshot where it is newer. Returns whether the suspensions changed.
+    /// Takes over a persisted snapshot if it is newer than the current one. Returns whether the suspensions changed.
     pub fn take_over(&self, persisted: Option<Snapshot>) -> bool {
         let is_newer = |snapshot: &Snapshot| snapshot.number > self.current.borrow().number;
         let Some(snapshot) = persisted.filter(is_newer) else { return false };
@@ -85,7 +85,7 @@
         }
     }
 
-    /// An entry of the list as the scheduler is to see it.
+    /// Returns an entry of the endpoint list with the suspension applied, as the scheduler is to see it.
     pub fn apply_to(&self, mut entry: BackendEntry) -> BackendEntry {
         let is_suspended = self.current.borrow().suspended.contains(&entry.backend)
             || self.agreed.borrow().contains(&entry.backend);
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Suspends a backend or resumes it, and begins to persist that. Returns whether it changed anything; `None` for a backend that was
-    /// never listed.
+    /// Suspends or resumes a backend, and starts to persist the change. Returns whether it changed anything; `None` for a backend that
+    /// is not known to have been listed.
     pub fn set(self: &Rc<Self>, context: &Rc<Context>, backend: &str, is_suspended: bool) -> Option<bool> {
         let backend = BackendId(backend.into());
         if !self.remembered.borrow().backends.contains(&backend) {
@@ -126,7 +126,7 @@
         Some(has_changed)
     }
 
-    /// Waits until the suspensions as they are now are persisted. Returns false where that takes too long.
+    /// Waits until the current suspensions are persisted. Returns false on a timeout.
     pub async fn wait_until_persisted(&self) -> bool {
         let number = self.current.borrow().number;
         let persisted = async {
@@ -145,9 +145,9 @@
         future::or(persisted, timed_out).await
     }
 
-    /// Starts the writer where it does not run: the main thread never waits for a disk.
+    /// Starts the writer task unless it is running. Writes happen off the main thread, which must not wait for a disk.
     fn begin_writing(self: &Rc<Self>, context: &Rc<Context>) {
-        let Some(prefix) = process_files::path(context) else {
+        let Some(prefix) = process_files::path_prefix(context) else {
             return self.persisted.set(self.current.borrow().number);
         };
         if !self.is_writing.replace(true) {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Writes snapshots until the newest is persisted. A folder that fails for a while is retried.
+    /// Writes snapshots until the newest is persisted; failed writes are retried.
     async fn write(&self, prefix: PathBuf) {
         while self.persisted.get() < self.current.borrow().number {
             let snapshot = self.current.borrow().clone();
--- a/crates/gateway/src/backend/actor.rs
+++ b/crates/gateway/src/backend/actor.rs
@@ -77,7 +77,8 @@
     /// an earlier incarnation is closed instead.
     fn take(&mut self) -> Option<BackendConnection> {
         let now = self.backend.context.clock.now();
-        let rested = self.connections.iter().rposition(|connection| now.0 - connection.since.0 >= REST_US);
+        let rested =
+            self.connections.iter().rposition(|connection| now.0 - connection.idle_since.0 >= REST_US);
         let connection = (!self.connections.is_empty()).then(|| self.connections.remove(rested.unwrap_or(0)));
         connection.filter(|connection| self.is_current(connection))
     }
@@ -109,7 +110,7 @@
         for mut connection in connections {
             if is_closed || !self.is_current(&connection) {
                 connection.stream.reason = CloseReason::Drained;
-            } else if now.0 - connection.since.0 >= reuse_us {
+            } else if now.0 - connection.idle_since.0 >= reuse_us {
                 connection.stream.reason = CloseReason::Idle;
             } else {
                 connection.stream.reason = CloseReason::PeerClosed;
@@ -125,5 +126,5 @@
 
 /// When a connection has rested, for an attempt with that deadline.
 pub fn rested_at(connection: &BackendConnection, deadline: Micros) -> Micros {
-    Micros(connection.since.0 + REST_US).min(deadline)
+    Micros(connection.idle_since.0 + REST_US).min(deadline)
 }
--- a/crates/gateway/src/backend/attempt.rs
+++ b/crates/gateway/src/backend/attempt.rs
@@ -101,7 +101,7 @@
             iscsi_exchange::exchange(backend, attempt, &mut connection.stream, session, &target).await
         }
     };
-    connection.stream.carried += 1;
+    connection.stream.exchange_count += 1;
     let end = match exchanged {
         Exchanged::Ended(end) => Some(end),
         Exchanged::StreamBegun { parts, length } => {
@@ -110,7 +110,7 @@
         }
     };
     if is_reusable {
-        connection.since = context.clock.now();
+        connection.idle_since = context.clock.now();
         release(connection, own);
     }
     end
--- a/crates/gateway/src/client/arrival_times.rs
+++ b/crates/gateway/src/client/arrival_times.rs
@@ -1,12 +1,12 @@
-//! Arrival times of the bytes of a connection. A command's deadline counts from the arrival of its last byte, also while it waits
+//! Arrival times of the bytes of a connection. A command's deadline counts from the arrival of its last byte, even while it waits
 //! unread behind other commands.
 use scheduler::interface::Micros;
 use std::collections::VecDeque;
 
-/// Bytes that arrive within this span of earlier ones share their time, in microseconds.
+/// Bytes that arrive within this interval of earlier ones share their arrival time, in microseconds.
 const RESOLUTION_US: i64 = 5_000;
 
-/// Arrival times of the bytes that were read and not consumed.
+/// Arrival times of the bytes that were read and are not consumed yet.
 #[derive(Default)]
 pub struct ArrivalTimes {
     /// Bytes read so far.
@@ -15,12 +15,12 @@
     consumed: u64,
     /// Stream offsets with the time by which all bytes before them had arrived, the oldest first.
     marks: VecDeque<(u64, Micros)>,
-    /// Since when the buffer is full: what is read next may have arrived at any time since.
+    /// Since when the buffer has been full: the bytes that are read next may have arrived at any time since then.
     full_since: Option<Micros>,
 }
 
 impl ArrivalTimes {
-    /// Records that `read` bytes have been read in all. `has_room` tells whether the buffer takes more, so that nothing waits unread.
+    /// Records that `read` bytes have been read in total. `has_room` tells whether the buffer has free space, so that no bytes wait unread.
     pub fn record(&mut self, read: u64, has_room: bool, now: Micros) {
         if read > self.read {
             self.read = read;
@@ -36,13 +36,13 @@
         }
     }
 
-    /// When the last of the next `bytes` bytes arrived; `None` where it has not.
-    pub fn of_next(&self, bytes: usize) -> Option<Micros> {
+    /// Returns the arrival time of the last of the next `bytes` bytes; `None` if it has not arrived.
+    pub fn arrival_of_next(&self, bytes: usize) -> Option<Micros> {
         let last = self.consumed + bytes as u64;
         self.marks.iter().find(|(end, _)| *end >= last).map(|(_, at)| *at)
     }
 
-    /// Forgets the next `bytes` bytes: they were consumed.
+    /// Removes the next `bytes` bytes, which were consumed.
     pub fn consume(&mut self, bytes: usize) {
         self.consumed += bytes as u64;
         while self.marks.front().is_some_and(|(end, _)| *end <= self.consumed) {
--- a/crates/gateway/src/client/command.rs
+++ b/crates/gateway/src/client/command.rs
@@ -4,19 +4,19 @@
 use dispatch::{Bytes, Request};
 use scheduler::interface::Micros;
 
-/// A client's deadline runs from when it sent the request until the response reaches it: this much of it, in microseconds, is
-/// reserved for the network.
+/// The part of a client's deadline that is reserved for the network, in microseconds: the deadline covers the time from sending the
+/// request until the response reaches the client.
 const NETWORK_RESERVE_US: i64 = 2_000;
-/// The longest request id, in bytes.
-const ID_BYTES: usize = 256;
-/// The longest list of names and values, in bytes.
-const LIST_BYTES: usize = 1024;
-/// The longest error text, in characters.
-const ERROR_CHARS: usize = 200;
+/// The maximum length of a request id, in bytes.
+const MAX_ID_BYTES: usize = 256;
+/// The maximum length of the list of names and values, in bytes.
+const MAX_LIST_BYTES: usize = 1024;
+/// The maximum length of an error text, in characters.
+const MAX_ERROR_CHARS: usize = 200;
 
 /// A parsed command.
 pub enum Command {
-    /// It is answered at once, with this encoded response.
+    /// A command that is answered at once, with this encoded response.
     Answered(Vec<u8>),
     /// A request for the scheduler.
     Request(Request),
@@ -59,16 +59,17 @@
     ClassKind,
 }
 
-/// Parses a command whose last byte arrived at `arrived`. A command that is not valid is answered with an error.
-pub fn parse(context: &Context, words: &[&[u8]], arrived: Micros) -> Command {
-    try_parse(context, words, arrived).unwrap_or_else(|error| {
-        let text: String = error.to_string().chars().filter(|c| !c.is_control()).take(ERROR_CHARS).collect();
+/// Parses a command whose last byte arrived at `arrived`. An invalid command is answered with an error.
+pub fn parse(context: &Context, args: &[&[u8]], arrived: Micros) -> Command {
+    try_parse(context, args, arrived).unwrap_or_else(|error| {
+        let text: String =
+            error.to_string().chars().filter(|c| !c.is_control()).take(MAX_ERROR_CHARS).collect();
         Command::Answered(format!("-ERR {text}\r\n").into_bytes())
     })
 }
 
-fn try_parse(context: &Context, words: &[&[u8]], arrived: Micros) -> Result<Command, CommandError> {
-    let is_write = match words[0].to_ascii_uppercase().as_slice() {
+fn try_parse(context: &Context, args: &[&[u8]], arrived: Micros) -> Result<Command, CommandError> {
+    let is_write = match args[0].to_ascii_uppercase().as_slice() {
         b"PREAD" => false,
         b"PWRITE" => true,
         b"PING" if context.lifecycle.serving.get() => return Ok(Command::Answered(b"+PONG\r\n".to_vec())),
@@ -76,14 +77,14 @@
         b"CLIENT" | b"SELECT" => return Ok(Command::Answered(b"+OK\r\n".to_vec())),
         _ => return Err(CommandError::UnknownCommand),
     };
-    if words.len() != if is_write { 5 } else { 4 } {
+    if args.len() != if is_write { 5 } else { 4 } {
         return Err(CommandError::ArgumentCount);
     }
-    let (key, id, list) = (text(words[1])?, text(words[2])?, text(words[3])?);
+    let (key, id, list) = (text(args[1])?, text(args[2])?, text(args[3])?);
     if !is_hex_id(key) {
         return Err(CommandError::Key);
     }
-    if id.is_empty() || id.len() > ID_BYTES || list.len() > LIST_BYTES {
+    if id.is_empty() || id.len() > MAX_ID_BYTES || list.len() > MAX_LIST_BYTES {
         return Err(CommandError::Length);
     }
     if !id.bytes().all(|byte| byte.is_ascii_graphic()) {
@@ -94,7 +95,7 @@
     if config.classes[fields.class].write.is_some_and(|class_writes| class_writes != is_write) {
         return Err(CommandError::ClassKind);
     }
-    // The scheduler remembers requests until their deadlines: a client must not claim to wait for weeks.
+    // The scheduler keeps requests until their deadlines, so a client must not set a deadline weeks ahead.
     let wait = (i64::from(fields.wait_ms) * 1000).min(config.classes[fields.class].deadline.0);
     Ok(Command::Request(Request {
         name: id.into(),
@@ -105,17 +106,17 @@
         volume: fields.volume.into(),
         units: fields.units,
         shard: u32::try_from(fields.shard).ok(),
-        volume_gateways: fields.hosts,
+        volume_gateways: fields.volume_gateways,
         extra: fields.extra.join(",").into(),
-        body: words.get(4).map(|body| Bytes::from(*body)),
+        body: args.get(4).map(|body| Bytes::from(*body)),
         extent: None,
         accepts_stream: true,
         deadline: Micros(arrived.0 + wait - NETWORK_RESERVE_US),
     }))
 }
 
-fn text(word: &[u8]) -> Result<&str, CommandError> {
-    let text = std::str::from_utf8(word).ok().filter(|text| !text.contains(char::is_control));
+fn text(arg: &[u8]) -> Result<&str, CommandError> {
+    let text = std::str::from_utf8(arg).ok().filter(|text| !text.contains(char::is_control));
     text.ok_or(CommandError::NotText)
 }
 
@@ -123,7 +124,8 @@
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// The list of names and values of a request. The names are the protocol's: `c`, `t`, `d`, `volume`, `units`, `shard`, `hosts`.
+/// The list of names and values of a request. The protocol's names are `c` (class), `t` (plan), `d` (time to the deadline in
+/// milliseconds), `volume`, `units`, `shard` and `hosts` (number of gateways that serve the volume).
 struct Fields<'a> {
     class: usize,
     plan: usize,
@@ -131,15 +133,15 @@
     volume: &'a str,
     units: u32,
     shard: i32,
-    hosts: u32,
-    /// Pairs with other names, passed on unchanged.
+    volume_gateways: u32,
+    /// Pairs with other names, forwarded unchanged.
     extra: Vec<&'a str>,
 }
 
 impl<'a> Fields<'a> {
     fn parse(config: &Config, list: &'a str) -> Result<Fields<'a>, CommandError> {
         let (mut class, mut plan, mut wait_ms, mut volume) = (None, None, None, None);
-        let (mut units, mut shard, mut hosts, mut extra) = (Some(1), Some(-1), Some(1), Vec::new());
+        let (mut units, mut shard, mut volume_gateways, mut extra) = (Some(1), Some(-1), Some(1), Vec::new());
         for pair in list.split(',') {
             match pair.split_once('=') {
                 Some(("c", value)) => class = config.class(value),
@@ -148,12 +150,12 @@
                 Some(("volume", value)) => volume = Some(value).filter(|value| is_hex_id(value)),
                 Some(("units", value)) => units = value.parse().ok(),
                 Some(("shard", value)) => shard = value.parse().ok(),
-                Some(("hosts", value)) => hosts = value.parse().ok(),
+                Some(("hosts", value)) => volume_gateways = value.parse().ok(),
                 Some(_) => extra.push(pair),
                 None => return Err(CommandError::Pair(pair.to_owned())),
             }
         }
-        // A backend can't serve larger requests, and the scheduler must not reserve credits for them.
+        // A backend can't serve larger requests, so the scheduler must not reserve credits for them.
         let sizes = 1.0..=config.settings.max_request_units;
         let is_shard =
             |shard: &i32| *shard >= -1 && config.shards.is_none_or(|n| i64::from(*shard) < i64::from(n));
@@ -164,7 +166,7 @@
             volume: volume.ok_or(CommandError::Volume)?,
             units: units.filter(|units| sizes.contains(&f64::from(*units))).ok_or(CommandError::Units)?,
             shard: shard.filter(is_shard).ok_or(CommandError::Shard)?,
-            hosts: hosts.filter(|hosts| *hosts > 0).ok_or(CommandError::Hosts)?,
+            volume_gateways: volume_gateways.filter(|count| *count > 0).ok_or(CommandError::Hosts)?,
             extra,
         })
     }
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -5,7 +5,7 @@
     ConnectionSlot, ConnectionSlots, IdleTimeouts, EXHAUSTED_IDLE_TIMEOUT,
 };
 use crate::client::response::{EncodedResponse, Progress};
-use crate::client::session::{Session, PIPELINE};
+use crate::client::session::{Session, MAX_PIPELINED_COMMANDS};
 use crate::context::Context;
 use crate::counts::{Count, Weight};
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
@@ -25,15 +25,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Capacities of a client's input and output buffer, in bytes: one value and its arguments.
+/// Capacities of a client's input and output buffers, in bytes: one value and its arguments.
 const BUFFER_BYTES: (usize, usize) = (resp::MAX_VALUE_BYTES + 4096, resp::MAX_VALUE_BYTES + 4096);
-/// How often a process that shuts down checks whether a successor has started.
+/// How often a process that is shutting down checks whether a successor has started.
 const SUCCESSOR_CHECK: Duration = Duration::from_millis(20);
-/// How long a client may take to close a connection that was shut down.
+/// How long a lingering close waits for the client to close its side.
 const LINGER: Duration = Duration::from_millis(200);
 
-/// Accepts clients until the process shuts down and a successor has taken over. Dropping the future closes the listener; clients
-/// that were accepted go on.
+/// Accepts clients until the process shuts down and a successor has taken over. Dropping the future closes the listener; accepted
+/// clients are still served.
 pub async fn listen(
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
@@ -41,13 +41,14 @@
     gathering: Option<Gathering>,
     listener: Async<TcpListener>,
 ) {
-    // Beyond the limit some clients are rejected, and further ones are not accepted for now: the descriptors are needed elsewhere.
+    // Above the limit a few clients are accepted and get their requests rejected; further ones stay pending, since the descriptors
+    // are needed for other connections.
     let has_slot = || context.gauges.clients.get() < context.client_limit() + context.over_limit_clients();
     let server = Server { context: context.clone(), scheduler, slots: slots.clone(), gathering };
     let on_accept = |socket, address| context.executor.spawn(server.clone().serve(socket, address)).detach();
-    // While a successor listens at the same address, new connections must not come to a process that is about to end.
+    // Once a successor listens at the same address, new connections must not reach a process that is about to end.
     let shutdown = async || {
-        // The channel is only ever closed.
+        // Nothing is sent on this channel; closing it is the signal.
         let _ = context.lifecycle.stopped.1.recv().await;
         while !context.has_successor() {
             Timer::after(SUCCESSOR_CHECK).await;
@@ -56,7 +57,7 @@
     accept(listener, has_slot, async || slots.evict_idle().await, on_accept, shutdown).await;
 }
 
-/// What all sessions share.
+/// State that all sessions share.
 #[derive(Clone)]
 struct Server {
     context: Rc<Context>,
@@ -70,14 +71,14 @@
     async fn serve(self, socket: Socket, address: SocketAddr) {
         let count = Count::up(&self.context.gauges, |gauges| &gauges.clients);
         let mut stream = Connection::new(socket, "client", address, BUFFER_BYTES);
-        let (answers, answered) = async_channel::bounded(PIPELINE);
+        let (answers, answered) = async_channel::bounded(MAX_PIPELINED_COMMANDS);
         let mut answered = Box::pin(answered);
         let mut session = self.new_session(answers);
         stream.reason = drive(&mut session, &mut stream, &mut answered).await;
         cancel_open_requests(&session).await;
-        // The slot is released before the descriptor is.
+        // Release the slot before the descriptor.
         drop(session);
-        // An evicted connection is closed at once: no response is due on it.
+        // An evicted connection is closed without lingering: no response is pending on it.
         if matches!(stream.reason, CloseReason::Protocol | CloseReason::Bound | CloseReason::Stopped) {
             let timeout = async {
                 Timer::after(LINGER).await;
@@ -97,24 +98,26 @@
             is_over_limit: context.gauges.clients.get() > context.client_limit(),
             answers,
             slots: VecDeque::new(),
-            first: 0,
+            first_slot: 0,
             closing: None,
-            slot: ConnectionSlot::take(slots, idle_timeouts),
-            rings: Weight::new(&context.gauges, |gauges| &gauges.rings),
+            slot: ConnectionSlot::acquire(slots, idle_timeouts),
+            ring_weight: Weight::new(&context.gauges, |gauges| &gauges.rings),
             connected_at: context.clock.now(),
             arrivals: ArrivalTimes::default(),
             command_deadline: None,
-            last_progress: Progress { written: 0, at: context.clock.now() },
+            last_progress: Progress { bytes_written: 0, at: context.clock.now() },
             context: context.clone(),
             scheduler: scheduler.clone(),
-            gathers: gathering.clone().map(|gathering| GatherClient::new(gathering, PIPELINE)),
+            gather_client: gathering
+                .clone()
+                .map(|gathering| GatherClient::new(gathering, MAX_PIPELINED_COMMANDS)),
         }
     }
 }
 
-/// What ended a session's wait.
+/// The event that ended a session's wait.
 enum Wakeup {
-    /// A piece of the value that is being sent; `None` where it can't be completed.
+    /// The next piece of the value that is being sent; `None` if the value can't be completed.
     Piece(Option<Bytes>),
     /// A final answer, with the number of its slot.
     Answer(Option<(u64, Answer)>),
@@ -137,31 +140,31 @@
     answered: &mut Pin<Box<Receiver<(u64, Answer)>>>,
 ) -> CloseReason {
     loop {
-        // The end of a client that sent more than fits is behind bytes that can't be read yet.
-        if stream.input.remaining() == 0 && stream.hung_up() {
+        // While the input buffer is full, the end of the stream can't be read, so a disconnect is detected by polling.
+        if stream.input.remaining() == 0 && stream.is_closed_by_peer() {
             return CloseReason::PeerClosed;
         }
         let has_more = session.read_commands(stream);
-        // What was sent makes room for commands that have already arrived.
+        // Completed responses free slots for commands that have already arrived.
         let has_sent = session.send_ready(stream);
         if let Some(reason) = session.close_reason(stream) {
             return reason;
         }
         let next_check = session.update_activity(stream);
-        // Every turn is short, so that the other connections have theirs.
+        // Yield after each iteration, so that other connections make progress too.
         future::yield_now().await;
         let next_check = (!has_more && !has_sent).then_some(next_check);
         match next_wakeup(session, stream, answered, next_check).await {
             Wakeup::Answer(Some((slot, answer))) => session.take_answer(slot, answer),
             Wakeup::Gathered(slot, response) => session.take_response(slot, response),
-            // A value that can't be completed ends the connection, which tells the client that it is not whole.
+            // Closing the connection tells the client that the value is incomplete.
             Wakeup::Piece(piece) => {
                 if !session.take_piece(piece) {
                     return CloseReason::Cut;
                 }
             }
             Wakeup::Answer(None) | Wakeup::Timer | Wakeup::Socket => {}
-            // Only between requests: what has arrived meanwhile is served.
+            // Only an idle connection is evicted: a request that has arrived since the eviction was sent is served.
             Wakeup::Evicted if session.slot.is_idle() => return CloseReason::Idle,
             Wakeup::Evicted => {}
             Wakeup::Closed(reason) => return reason,
@@ -169,7 +172,7 @@
     }
 }
 
-/// Waits for the next event; with no `next_check`, only polls.
+/// Waits for the next event, or until `next_check`; without `next_check`, polls for events that are ready.
 async fn next_wakeup(
     session: &Session,
     stream: &mut Connection,
@@ -190,7 +193,7 @@
         if is_stopping {
             future::pending::<()>().await;
         }
-        // The channel is only ever closed.
+        // Nothing is sent on this channel; closing it is the signal.
         let _ = context.lifecycle.stopped.1.recv().await;
         Wakeup::Timer
     };
@@ -213,8 +216,8 @@
         }
     };
     let gathered = async {
-        let Some(gathers) = &session.gathers else { return future::pending().await };
-        match gathers.responses.1.recv().await {
+        let Some(gather_client) = &session.gather_client else { return future::pending().await };
+        match gather_client.responses.1.recv().await {
             Ok((slot, response)) => Wakeup::Gathered(slot, response),
             Err(_) => future::pending().await,
         }
@@ -223,11 +226,11 @@
     future::or(future::or(answer, socket), future::or(gathered, others)).await
 }
 
-/// Cancels the open requests: their client has left.
+/// Cancels the open requests of a client that has disconnected.
 async fn cancel_open_requests(session: &Session) {
     for slot in session.slots.iter().filter(|slot| slot.response.is_none()) {
-        match (slot.id, session.gathers.as_ref().filter(|_| slot.is_gathered)) {
-            (Some(id), Some(gathers)) => gathers.gathering.left(id).await,
+        match (slot.id, session.gather_client.as_ref().filter(|_| slot.is_gathered)) {
+            (Some(id), Some(gather_client)) => gather_client.gathering.left(id).await,
             // The mailbox is closed only at the end of the process.
             (Some(id), None) => drop(session.scheduler.send(SchedulerMessage::Left(id)).await),
             (None, _) => {}
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -1,4 +1,4 @@
-//! Responses to RESP2 clients, as bytes.
+//! Encoding responses to RESP2 clients, and accounting for the memory of unsent ones.
 use crate::backend::value::{Answer, StreamedValue, Value};
 use crate::context::Context;
 use crate::counts::Gauges;
@@ -8,26 +8,26 @@
 
 /// An encoded response.
 pub enum EncodedResponse {
-    /// The head of a bulk string, whose value is still arriving.
+    /// The header of a bulk string, and its value, which is still arriving.
     Streamed(Vec<u8>, StreamedValue),
-    /// The whole response.
+    /// A complete response.
     Bytes(Vec<u8>),
-    /// The head of a bulk string, and its value.
+    /// The header of a bulk string, and its complete value.
     Value(Vec<u8>, Bytes),
-    /// Pieces, one after the other, and the memory reservations that last until they are written.
+    /// Consecutive pieces, and the memory reservations that are held until these are written.
     Pieces(Vec<Bytes>, Vec<scatter_gather::Reservation>),
 }
 
-/// Responses up to this size are sent whatever waits.
+/// Responses up to this size are sent even beyond the limit for unsent responses.
 const SMALL_RESPONSE_BYTES: usize = 1024;
 
-/// A response that waits to be sent; its bytes count against the memory limit for unsent responses until it is dropped.
+/// A response that is waiting to be sent; its bytes count against the memory limit for unsent responses until it is dropped.
 pub struct PendingResponse {
     /// The encoded response.
     pub response: EncodedResponse,
-    /// Bytes of its current part that were copied to the connection's output.
+    /// Bytes of its current part that have been copied to the connection's output.
     pub copied: usize,
-    /// Whether the end of a streamed value was encoded.
+    /// Whether the terminator of a streamed value has been encoded.
     pub is_end_encoded: bool,
     weight: usize,
     gauges: Rc<Gauges>,
@@ -35,33 +35,34 @@
 
 /// The place of one command in the order of responses.
 pub struct Slot {
-    /// Its request, where it has one.
+    /// The id of its request, if the command is one.
     pub id: Option<RequestId>,
     /// Whether its response is gathered from shards.
     pub is_gathered: bool,
-    /// Its response, once there is one.
+    /// Its response, once it is available.
     pub response: Option<PendingResponse>,
 }
 
-/// When the connection last took bytes of a response.
+/// When bytes of a response were last written to the connection.
 pub struct Progress {
     /// Bytes written to the socket by then.
-    pub written: u64,
+    pub bytes_written: u64,
     /// The time.
     pub at: Micros,
 }
 
 impl PendingResponse {
-    /// Counts a response; one beyond the limit is replaced by an error.
+    /// Counts a response against the memory limit; a response beyond the limit is replaced by an error.
     pub fn new(context: &Rc<Context>, response: EncodedResponse) -> PendingResponse {
         let weight = match &response {
             EncodedResponse::Bytes(bytes) => bytes.len(),
-            // A streamed value counts where it arrives.
+            // A streamed value is counted by its receiver.
             EncodedResponse::Streamed(..) => 0,
             EncodedResponse::Value(_, value) => value.len(),
             EncodedResponse::Pieces(..) => 0,
         };
-        // Clients that send requests and don't read would fill the memory. The request has run: it is failed, not rejected.
+        // Clients that send requests without reading the responses would exhaust the memory. The request was executed, so the client
+        // gets a failure rather than a rejection, which would say that it was not.
         let unsent = context.gauges.unsent.get() + weight;
         if weight > SMALL_RESPONSE_BYTES && unsent > context.unsent_limit() {
             return PendingResponse::new(
@@ -81,12 +82,12 @@
 }
 
 impl EncodedResponse {
-    /// A whole response.
+    /// Creates a complete response.
     pub fn bytes(text: impl Into<Vec<u8>>) -> EncodedResponse {
         EncodedResponse::Bytes(text.into())
     }
 
-    /// The contiguous bytes that follow after `at` bytes; empty at the end.
+    /// Returns contiguous bytes from offset `at` on; empty at the end.
     pub fn remaining(&self, at: usize) -> &[u8] {
         match self {
             EncodedResponse::Bytes(bytes) | EncodedResponse::Streamed(bytes, _) => &bytes[at..],
@@ -118,7 +119,7 @@
         Answer::Served(Value::Complete(value)) => {
             EncodedResponse::Value(format!("${}\r\n", value.len()).into_bytes(), value)
         }
-        // Rounded up: a client that retries earlier would be rejected again.
+        // Rounded up to milliseconds: a client that retries earlier would be rejected again.
         Answer::Rejected(Some(wait)) => {
             EncodedResponse::bytes(format!("-BUSY {}\r\n", (wait.0.max(0) + 999) / 1000))
         }
--- a/crates/gateway/src/client/response_queue.rs
+++ b/crates/gateway/src/client/response_queue.rs
@@ -7,15 +7,16 @@
 use dispatch::Bytes;
 
 impl Session {
-    /// Copies the responses whose turn it is to the connection's output, as far as there is room. Returns whether any was completed.
+    /// Copies responses, in order, to the connection's output while it has room. Returns whether any response was completed.
     pub fn send_ready(&mut self, stream: &mut Connection) -> bool {
-        // A response that its backend took long over begins to wait unread now, not when the request arrived.
+        // The unread timeout of a response starts when it is ready to be sent, not when its request arrived.
         if stream.output.is_empty() {
-            self.last_progress = Progress { written: stream.written, at: self.context.clock.now() };
+            self.last_progress =
+                Progress { bytes_written: stream.bytes_written, at: self.context.clock.now() };
         }
-        let before = self.first;
+        let first_before = self.first_slot;
         while let Some(waiting) = self.slots.front_mut().and_then(|slot| slot.response.as_mut()) {
-            // What clients don't read waits here, where it is counted, rather than in many buffers.
+            // Unread responses stay in this queue, where their memory is counted, instead of filling the buffers of many connections.
             if !stream.output.is_empty() && self.context.rings_full() {
                 break;
             }
@@ -31,7 +32,7 @@
             }
             if let EncodedResponse::Streamed(bytes, value) = &mut waiting.response {
                 if value.length > 0 {
-                    // The connection's own loop waits for the next piece.
+                    // The connection's event loop waits for the next piece.
                     break;
                 }
                 if !std::mem::replace(&mut waiting.is_end_encoded, true) {
@@ -41,12 +42,12 @@
                 }
             }
             self.slots.pop_front();
-            self.first += 1;
+            self.first_slot += 1;
         }
-        self.first > before
+        self.first_slot > first_before
     }
 
-    /// Where the next piece of the value that is being sent will arrive; `None` where none is awaited.
+    /// The channel on which the next piece of the value that is being sent will arrive; `None` if no piece is awaited.
     pub fn awaited_pieces(&self) -> Option<Receiver<Bytes>> {
         let waiting = self.slots.front()?.response.as_ref()?;
         match &waiting.response {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes the next piece of the value that is being sent. Returns false where the value can't be completed.
+    /// Accepts the next piece of the value that is being sent. Returns false if the value can't be completed.
     pub fn take_piece(&mut self, piece: Option<Bytes>) -> bool {
         let waiting = self.slots.front_mut().and_then(|slot| slot.response.as_mut());
         let (Some(waiting), Some(piece)) = (waiting, piece) else { return false };
@@ -69,15 +70,15 @@
         true
     }
 
-    /// Takes the final answer for the command in `slot`.
+    /// Encodes and queues the final answer to the command in `slot`.
     pub fn take_answer(&mut self, slot: u64, answer: Answer) {
         self.take_response(slot, encode(answer));
     }
 
-    /// Takes the encoded response for the command in `slot`.
+    /// Queues the encoded response to the command in `slot`.
     pub fn take_response(&mut self, slot: u64, response: EncodedResponse) {
         let pending = PendingResponse::new(&self.context, response);
-        let index = slot.checked_sub(self.first).and_then(|index| usize::try_from(index).ok());
+        let index = slot.checked_sub(self.first_slot).and_then(|index| usize::try_from(index).ok());
         if let Some(slot) = index.and_then(|index| self.slots.get_mut(index)) {
             slot.response = Some(pending);
         }
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -1,4 +1,4 @@
-//! The session of one RESP2 client, without its connection: commands in, responses out in the order of the commands.
+//! The session of one RESP2 client, apart from its connection: executes commands and queues the responses in the order of the commands.
 use crate::backend::value::Answer;
 use crate::client::arrival_times::ArrivalTimes;
 use crate::client::command::{parse, Command};
@@ -18,18 +18,18 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// The memory of a ring buffer that is not counted against the limit, in bytes.
+/// The part of a ring buffer's memory that is not counted against the limit, in bytes.
 const UNCOUNTED_RING_BYTES: usize = 4096;
-/// Commands of one connection that may be unanswered.
-pub const PIPELINE: usize = 128;
-/// Commands of one connection that are parsed before other connections have their turn.
+/// The maximum number of unanswered commands of one connection.
+pub const MAX_PIPELINED_COMMANDS: usize = 128;
+/// The maximum number of commands of one connection that are parsed before other connections get their turn.
 const COMMANDS_PER_TURN: usize = 16;
-/// How long a connection that was accepted during the shutdown has for its first request, in microseconds.
+/// How long a connection that was accepted during the shutdown may take to send its first request, in microseconds.
 const FIRST_REQUEST_GRACE_US: i64 = 200_000;
-/// How often a session is checked while the process shuts down, or while its input is full and the client's end can't be read, in
-/// microseconds.
+/// How often a session is checked while the process shuts down, or while its input buffer is full, so that a disconnect of the client
+/// can't be read, in microseconds.
 const FREQUENT_CHECK_US: i64 = 50_000;
-/// How often it is checked otherwise, in microseconds.
+/// How often a session is checked otherwise, in microseconds.
 const RARE_CHECK_US: i64 = 20_000_000;
 
 /// The state of one client's session.
@@ -38,30 +38,30 @@
     pub context: Rc<Context>,
     /// The scheduler's mailbox.
     pub scheduler: SchedulerMailbox,
-    /// Whether the connection is over the limit: its commands are rejected, and it is closed.
+    /// Whether the connection exceeds the connection limit: its commands are rejected, and it is closed.
     pub is_over_limit: bool,
     /// Receives the final answers, each with the number of its slot.
     pub answers: Sender<(u64, Answer)>,
-    /// Commands whose responses are not sent yet, in order.
+    /// Commands whose responses are not sent completely, in order.
     pub slots: VecDeque<Slot>,
-    /// The number of the first slot.
-    pub first: u64,
-    /// Why the connection will be closed once all responses are sent.
+    /// The number of the first slot in `slots`.
+    pub first_slot: u64,
+    /// Why the connection will be closed once all responses are sent, if it will.
     pub closing: Option<CloseReason>,
     /// The connection's slot in the table of connections.
     pub slot: ConnectionSlot,
-    /// The memory of its ring buffers, as counted against the limit.
-    pub rings: Weight,
+    /// The memory of the connection's ring buffers that is counted against the limit.
+    pub ring_weight: Weight,
     /// When the connection was accepted.
     pub connected_at: Micros,
     /// Arrival times of unread bytes.
     pub arrivals: ArrivalTimes,
-    /// By when the command that is being received must be complete.
+    /// The deadline by which the command that is being received must be complete.
     pub command_deadline: Option<Micros>,
-    /// When a response last made progress.
+    /// When bytes of a response were last written.
     pub last_progress: Progress,
-    /// The session's side of the scatter-gather actor, where there is one.
-    pub gathers: Option<GatherClient>,
+    /// The session's client of the scatter-gather actor, if there is one.
+    pub gather_client: Option<GatherClient>,
 }
 
 impl Session {
@@ -70,31 +70,31 @@
         self.slots.push_back(Slot { id, is_gathered: false, response });
     }
 
-    /// Parses the commands that have arrived, as many as may be unanswered and as one turn allows. Returns true where the turn's
-    /// limit ended it.
+    /// Parses and executes the commands that have arrived, within the limits on unanswered commands and on commands per turn. Returns
+    /// true if the limit per turn was reached.
     pub fn read_commands(&mut self, stream: &mut Connection) -> bool {
-        self.arrivals.record(stream.read, stream.input.remaining() > 0, self.context.clock.now());
-        let mut left = COMMANDS_PER_TURN;
-        while self.closing.is_none() && self.slots.len() < PIPELINE {
-            if left == 0 {
+        self.arrivals.record(stream.bytes_read, stream.input.remaining() > 0, self.context.clock.now());
+        let mut remaining_commands = COMMANDS_PER_TURN;
+        while self.closing.is_none() && self.slots.len() < MAX_PIPELINED_COMMANDS {
+            if remaining_commands == 0 {
                 return true;
             }
-            left -= 1;
+            remaining_commands -= 1;
             let now = self.context.clock.now();
             let has_room = stream.input.remaining() > 0;
             let error = match resp::command(stream.input.contiguous()) {
-                Ok(Some((words, used))) => {
-                    let arrived = self.arrivals.of_next(used).unwrap_or(now);
-                    let command = parse(&self.context, &words, arrived);
+                Ok(Some((args, used))) => {
+                    let arrived = self.arrivals.arrival_of_next(used).unwrap_or(now);
+                    let command = parse(&self.context, &args, arrived);
                     stream.input.consume(used);
                     self.arrivals.consume(used);
-                    stream.carried += 1;
+                    stream.exchange_count += 1;
                     self.command_deadline = None;
                     self.execute(command);
                     continue;
                 }
-                // Over the limit, all commands that have arrived are rejected before the connection is closed.
-                Ok(None) if self.is_over_limit && stream.carried > 0 => {
+                // Above the connection limit, the commands that have arrived are rejected before the connection is closed.
+                Ok(None) if self.is_over_limit && stream.exchange_count > 0 => {
                     self.closing = Some(CloseReason::Bound);
                     return false;
                 }
@@ -111,14 +111,14 @@
         false
     }
 
-    /// Applies the time and memory limits to a command that has not arrived completely. Returns the error of one that took too long.
+    /// Applies the time and memory limits to a command that has not arrived completely. Returns an error if the command took too long.
     fn check_incomplete_command(&mut self, stream: &Connection, now: Micros) -> Option<&'static str> {
-        if stream.input.is_empty() && stream.carried > 0 {
+        if stream.input.is_empty() && stream.exchange_count > 0 {
             self.command_deadline = None;
         } else if self.command_deadline.is_none() {
             self.command_deadline = Some(Micros(now.0 + self.command_timeout_us()));
         }
-        // Many large incomplete commands would fill the memory.
+        // Many large incomplete commands would exhaust the memory.
         if stream.input.allocated() > UNCOUNTED_RING_BYTES && self.context.rings_full() {
             self.push(None, Some(EncodedResponse::bytes("-ERR too much is half there\r\n")));
             self.closing = Some(CloseReason::Bound);
@@ -134,7 +134,7 @@
         Some("the command was not whole in time")
     }
 
-    /// Rejects a request that the scheduler does not get to see.
+    /// Rejects a request without passing it to the scheduler.
     fn reject(&mut self, class: usize) {
         self.context.counters.answer(class, AnswerKind::Rejected);
         self.push(None, Some(encode(Answer::Rejected(None))));
@@ -145,24 +145,24 @@
         (self.context.config().clients.command_s * 1e6) as i64
     }
 
-    /// How long responses may wait unread, in microseconds.
+    /// How long responses may stay unread by the client, in microseconds.
     fn unread_timeout_us(&self) -> i64 {
         (self.context.config().clients.unread_s * 1e6) as i64
     }
 
-    /// Updates the connection's activity and memory. Returns when the session is to be checked again.
+    /// Updates the connection's activity and memory usage. Returns the time of the next check of the session.
     pub fn update_activity(&mut self, stream: &Connection) -> Micros {
         let now = self.context.clock.now();
         let is_quiet = self.slots.is_empty() && stream.output.is_empty() && stream.input.is_empty();
-        self.slot.set_activity(match (is_quiet, stream.carried) {
+        self.slot.set_activity(match (is_quiet, stream.exchange_count) {
             (true, 0) => Activity::Silent,
             (true, _) => Activity::Idle,
             _ => Activity::Busy,
         });
         let counted = |ring: &RingBuffer| ring.allocated().saturating_sub(UNCOUNTED_RING_BYTES);
-        self.rings.set(counted(&stream.input) + counted(&stream.output));
-        if stream.output.is_empty() || stream.written != self.last_progress.written {
-            self.last_progress = Progress { written: stream.written, at: now };
+        self.ring_weight.set(counted(&stream.input) + counted(&stream.output));
+        if stream.output.is_empty() || stream.bytes_written != self.last_progress.bytes_written {
+            self.last_progress = Progress { bytes_written: stream.bytes_written, at: now };
         }
         let unread_deadline =
             (!stream.output.is_empty()).then_some(Micros(self.last_progress.at.0 + self.unread_timeout_us()));
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Hands a request to the scheduler; rejects it where the mailbox is full.
+    /// Submits a request to the scheduler; rejects it if the mailbox is full.
     fn submit(&mut self, request: Request) {
         let (id, class) = (self.context.number(), request.class);
         let slot = self.next_slot();
@@ -197,20 +197,20 @@
     }
 
     fn next_slot(&self) -> u64 {
-        self.first + self.slots.len() as u64
+        self.first_slot + self.slots.len() as u64
     }
 
-    /// Hands a request that is gathered from shards to its actor; returns any other.
+    /// Submits a request that is to be gathered from shards to the scatter-gather actor; returns any other request.
     fn gather(&mut self, request: Request) -> Option<Request> {
         let policy = self
-            .gathers
+            .gather_client
             .as_ref()
-            .and_then(|gathers| gathers.gathering.policy(&self.context.config(), &request));
-        let (Some(gathers), Some(policy)) = (&self.gathers, policy) else { return Some(request) };
+            .and_then(|client| client.gathering.policy(&self.context.config(), &request));
+        let (Some(gather_client), Some(policy)) = (&self.gather_client, policy) else { return Some(request) };
         let (id, class) = (self.context.number(), request.class);
         let slot = self.next_slot();
-        let begin = Begin { id, policy, request, slot, to: gathers.responses.0.clone() };
-        if gathers.gathering.begin(begin) {
+        let begin = Begin { id, policy, request, slot, to: gather_client.responses.0.clone() };
+        if gather_client.gathering.begin(begin) {
             self.slots.push_back(Slot { id: Some(id), is_gathered: true, response: None });
         } else {
             self.reject(class);
@@ -218,21 +218,23 @@
         None
     }
 
-    /// Whether the connection is to be closed now, and why.
+    /// Returns why the connection is to be closed now, if it is.
     pub fn close_reason(&self, stream: &Connection) -> Option<CloseReason> {
         let now = self.context.clock.now();
         if self.slots.is_empty() && stream.output.is_empty() {
             if self.closing.is_some() {
                 return self.closing;
             }
-            // A new connection may carry a request that crossed the closing of another one.
-            let awaits_request = stream.carried == 0 && now.0 < self.connected_at.0 + FIRST_REQUEST_GRACE_US;
+            // A new connection may bring a request that the client resends because it had sent it on a connection that was being closed.
+            let awaits_request =
+                stream.exchange_count == 0 && now.0 < self.connected_at.0 + FIRST_REQUEST_GRACE_US;
             if stream.input.is_empty() && self.context.closes_between_requests() && !awaits_request {
                 return Some(CloseReason::Stopped);
             }
         }
-        // Clients that send requests and don't read would fill memory and descriptors.
-        let is_stalled = !stream.output.is_empty() && stream.written == self.last_progress.written;
+        // Clients that send requests without reading the responses would exhaust memory and descriptors.
+        let is_stalled =
+            !stream.output.is_empty() && stream.bytes_written == self.last_progress.bytes_written;
         let is_unread = is_stalled && now.0 - self.last_progress.at.0 >= self.unread_timeout_us();
         is_unread.then_some(CloseReason::Unread)
     }
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -183,7 +183,7 @@
                                 .await,
                         );
                     }
-                    watch.stream.carried += count;
+                    watch.stream.exchange_count += count;
                 }
                 Err(reason) => return reason,
             }
--- a/crates/gateway/src/iscsi/mod.rs
+++ b/crates/gateway/src/iscsi/mod.rs
@@ -1,4 +1,4 @@
-//! iSCSI initiators: the target's connections, their sessions, and the record of writes.
+//! The iSCSI target: connections and sessions of initiators, and the record of writes.
 pub mod request;
 pub mod server;
 pub mod session;
--- a/crates/gateway/src/iscsi/request.rs
+++ b/crates/gateway/src/iscsi/request.rs
@@ -1,4 +1,4 @@
-//! Commands of initiators as requests of the core, and its answers as their outcomes.
+//! Converts SCSI commands of initiators to requests for the scheduler, and final answers to SCSI outcomes.
 use crate::backend::value::Answer;
 use crate::context::Context;
 use config::Iscsi;
@@ -7,7 +7,7 @@
 use iscsi::target::Outcome;
 use scheduler::interface::Micros;
 
-/// A command as a request of the core; none where the configuration does not have what it names.
+/// Converts a command to a request; `None` if the configuration lacks the logical unit, its class or its plan.
 pub fn request(
     context: &Context,
     iscsi: &Iscsi,
@@ -16,13 +16,13 @@
     blocks: u32,
     body: Option<Bytes>,
 ) -> Option<Request> {
-    let lun = iscsi.luns.iter().find(|l| l.lun == lun)?;
+    let lun = iscsi.luns.iter().find(|configured| configured.lun == lun)?;
     let config = context.config();
     let name = if body.is_some() { &lun.write_class } else { &lun.read_class };
     let class = config.class(name)?;
     let wait = lun.deadline_ms.map_or(config.classes[class].deadline.0, |ms| ms.saturating_mul(1000) as i64);
-    // The module reckons with requests of that size at most.
-    let most = (config.settings.max_request_units as u32).max(1);
+    // The scheduler expects no larger requests.
+    let max_units = (config.settings.max_request_units as u32).max(1);
     Some(Request {
         name: format!("{:016x}", context.number().0).into(),
         class,
@@ -30,7 +30,7 @@
         is_write: body.is_some(),
         key: format!("{:016x}", lba / u64::from(lun.piece_blocks)).into(),
         volume: lun.volume.as_str().into(),
-        units: blocks.div_ceil(lun.unit_blocks).clamp(1, most),
+        units: blocks.div_ceil(lun.unit_blocks).clamp(1, max_units),
         shard: Some(lun.shard),
         volume_gateways: lun.hosts,
         extra: "".into(),
@@ -41,12 +41,12 @@
     })
 }
 
-/// What an answer of the core means to an initiator.
-pub fn outcome(answer: &Answer, write: bool) -> Outcome<'_> {
+/// Converts a final answer to the outcome of a command.
+pub fn outcome(answer: &Answer, is_write: bool) -> Outcome<'_> {
     match answer {
         Answer::Served(value) => Outcome::Good(value.complete_bytes()),
-        Answer::Rejected(wait) => Outcome::Busy(wait.map(|w| (w.0.max(0) as u64).div_ceil(1000))),
-        Answer::Failed(_) if write => Outcome::Failed(Sense::WRITE_FAILED),
+        Answer::Rejected(wait) => Outcome::Busy(wait.map(|wait| (wait.0.max(0) as u64).div_ceil(1000))),
+        Answer::Failed(_) if is_write => Outcome::Failed(Sense::WRITE_FAILED),
         Answer::Failed(_) => Outcome::Failed(Sense::READ_FAILED),
     }
 }
--- a/crates/gateway/src/iscsi/server.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -24,17 +24,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Capacities of a session's input and output buffer, in bytes.
+/// Capacities of a session's input and output buffers, in bytes.
 const BUFFER_BYTES: (usize, usize) = (iscsi::MAX_DATA_BYTES + 4096, 2 * MAX_ANSWER_BYTES);
-/// Sessions at once.
+/// The maximum number of concurrent connections of initiators.
 const MAX_SESSIONS: usize = 24;
-/// Answers that may wait for a session: those of its tasks, and late ones of reads that were aborted.
+/// The capacity of a session's channel of answers: those to its tasks, and late ones to aborted reads.
 const MAX_PENDING_ANSWERS: usize = 256;
-/// Where connections are scarce, a session that has been idle for this long is evicted. It protects mounts against crowds of RESP2
-/// clients: an initiator does not open connections as it needs them.
+/// While connections are scarce, a session that has been idle for this long may be evicted. The timeout is long to protect mounted
+/// disks from crowds of RESP2 clients: an initiator does not open connections on demand.
 const IDLE_TIMEOUT: Micros = Micros(60_000_000);
-/// How often a session is checked, and how often during the shutdown.
+/// How often a session is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often a session is checked during the shutdown.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Accepts initiators until the process ends.
@@ -46,7 +47,7 @@
     listener: Async<TcpListener>,
 ) {
     let disk = |lun: &Lun| Disk { lun: lun.lun, blocks: u64::from(lun.blocks), serial: lun.volume.clone() };
-    let shown = TargetDescription {
+    let description = TargetDescription {
         name: iscsi.target.clone(),
         address: iscsi.listen.to_string(),
         disks: iscsi.luns.iter().map(disk).collect(),
@@ -59,7 +60,7 @@
         context: context.clone(),
         scheduler,
         iscsi,
-        shown: Rc::new(shown),
+        description: Rc::new(description),
         record,
         sessions: RefCell::default(),
     });
@@ -71,7 +72,7 @@
     accept(listener, has_slot, async || slots.evict_idle().await, on_accept, shutdown).await;
 }
 
-/// What ended a session's wait.
+/// The event that ended a session's wait.
 enum Wakeup {
     /// A final answer, with the number of its task.
     Answer(Option<(u64, Answer)>),
@@ -90,7 +91,7 @@
     let context = target.context.clone();
     let _count = Count::up(&context.gauges, |gauges| &gauges.clients);
     let mut stream = Connection::new(socket, "initiator", address, BUFFER_BYTES);
-    // The listener holds one reference.
+    // The listener holds one more reference.
     if Rc::strong_count(&target) > MAX_SESSIONS + 1 {
         stream.reason = CloseReason::Bound;
         return;
@@ -98,7 +99,7 @@
     let (answers, answered) = async_channel::bounded(MAX_PENDING_ANSWERS);
     let mut session = Session::new(target, answers);
     let idle_timeouts = IdleTimeouts { scarce: IDLE_TIMEOUT, exhausted: IDLE_TIMEOUT };
-    let slot = ConnectionSlot::take(&slots, idle_timeouts);
+    let slot = ConnectionSlot::acquire(&slots, idle_timeouts);
     stream.reason = drive(&context, &mut session, &mut stream, &slot, answered).await;
     session.end().await;
 }
@@ -113,7 +114,7 @@
 ) -> CloseReason {
     let mut answered = Box::pin(answered);
     let connected_at = context.clock.now();
-    let mut progress = Progress { carried: 0, written: 0, at: connected_at };
+    let mut progress = Progress { exchange_count: 0, bytes_written: 0, at: connected_at };
     loop {
         session.send_answers(stream);
         session.read(stream).await;
@@ -124,10 +125,10 @@
             return reason;
         }
         slot.set_activity(activity(session, stream));
-        // Every turn is short, so that the other connections have theirs.
+        // Yield after each iteration, so that other connections make progress too.
         future::yield_now().await;
         match next_wakeup(context, session, stream, slot, &mut answered).await {
-            Wakeup::Answer(Some(answer)) => session.ready.push_back(answer),
+            Wakeup::Answer(Some(answer)) => session.ready_answers.push_back(answer),
             Wakeup::Answer(None) | Wakeup::Socket | Wakeup::Timer => {}
             Wakeup::Evicted if slot.is_idle() => return CloseReason::Idle,
             Wakeup::Evicted => {}
@@ -138,10 +139,10 @@
 
 fn activity(session: &Session, stream: &Connection) -> Activity {
     let is_quiet = !session.target.is_busy()
-        && session.ready.is_empty()
+        && session.ready_answers.is_empty()
         && stream.output.is_empty()
         && stream.input.is_empty();
-    match (is_quiet, stream.carried) {
+    match (is_quiet, stream.exchange_count) {
         (true, 0) => Activity::Silent,
         (true, _) if session.name.is_some() => Activity::Idle,
         _ => Activity::Busy,
@@ -164,7 +165,7 @@
         }
     };
     let replaced = async {
-        // The channel is only ever closed.
+        // Nothing is sent on this channel; closing it is the signal.
         let _ = session.replaced.1.recv().await;
         Wakeup::Closed(CloseReason::Replaced)
     };
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -1,4 +1,4 @@
-//! A session of an initiator, without its connection: its reads and writes as requests, and their answers as statuses.
+//! The session of an initiator, apart from its connection: submits its reads and writes, and sends their answers as SCSI statuses.
 use crate::backend::value::Answer;
 use crate::iscsi::request::{outcome, request};
 use crate::iscsi::shared::{LoggedIn, Progress, SessionName, TargetContext};
@@ -14,65 +14,65 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
-/// The space that one answer may take on the wire, with all its headers, in bytes.
+/// The maximum size of one answer on the wire with all its headers, in bytes.
 pub const MAX_ANSWER_BYTES: usize = iscsi::MAX_DATA_BYTES + 16 * 1024;
 
-/// A read or write that is open.
+/// An open read or write.
 struct Task {
     /// The initiator's task tag.
     tag: u32,
     is_write: bool,
-    /// The request of a read.
+    /// The id of the request, for a read.
     read: Option<RequestId>,
-    /// The key of a write in the record.
+    /// The key in the record of writes, for a write.
     key: Option<WriteKey>,
 }
 
 /// The state of one session.
 pub struct Session {
     shared: Rc<TargetContext>,
-    /// The protocol's state machine.
+    /// The state machine of the protocol.
     pub target: Target,
-    /// Tells the sessions of one name apart.
+    /// Distinguishes sessions of the same name.
     number: u64,
     /// The session's identity, once it is logged in.
     pub name: Option<SessionName>,
-    /// Closed once another session takes its place.
+    /// A channel that is closed when another session replaces this one.
     pub replaced: (Sender<()>, Receiver<()>),
     answers: Sender<(u64, Answer)>,
     tasks: BTreeMap<u64, Task>,
     next_task: u64,
-    /// Answers to be sent, with the numbers of their tasks.
-    pub ready: VecDeque<(u64, Answer)>,
-    /// Writes whose status the initiator has not acknowledged, by StatSN.
+    /// Answers that are to be sent, with the numbers of their tasks.
+    pub ready_answers: VecDeque<(u64, Answer)>,
+    /// Writes whose status the initiator has not acknowledged, with its StatSN.
     unacknowledged: VecDeque<(u32, WriteKey)>,
     closing: Option<CloseReason>,
 }
 
 impl Session {
-    /// A session before its login. `answers` receives the final answers, each with the number of its task.
+    /// Creates a session that is not logged in yet. `answers` receives the final answers, each with the number of its task.
     pub fn new(shared: Rc<TargetContext>, answers: Sender<(u64, Answer)>) -> Session {
         Session {
-            target: Target::new(shared.shown.clone(), shared.context.session()),
+            target: Target::new(shared.description.clone(), shared.context.session()),
             number: shared.context.number().0,
             name: None,
             replaced: async_channel::bounded(1),
             answers,
             tasks: BTreeMap::new(),
             next_task: 0,
-            ready: VecDeque::new(),
+            ready_answers: VecDeque::new(),
             unacknowledged: VecDeque::new(),
             closing: None,
             shared,
         }
     }
 
-    /// Encodes the answers that are ready, as far as there is room.
+    /// Encodes the answers that are ready while the output buffer has room.
     pub fn send_answers(&mut self, stream: &mut Connection) {
         let mut out = Vec::new();
         while stream.output.remaining() >= MAX_ANSWER_BYTES {
-            let Some((number, answer)) = self.ready.pop_front() else { break };
-            // The task of a late answer may have been aborted.
+            let Some((number, answer)) = self.ready_answers.pop_front() else { break };
+            // The task may have been aborted before its answer arrived.
             let Some(task) = self.tasks.remove(&number) else { continue };
             let status = self.target.complete(task.tag, outcome(&answer, task.is_write), &mut out);
             if let (Some(status), Some(key)) = (status, task.key) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Handles the PDUs that have arrived, as far as there is room for what they may require to be answered.
+    /// Handles the PDUs that have arrived while the output buffer has room for their answers.
     pub async fn read(&mut self, stream: &mut Connection) {
         let (mut out, mut events) = (Vec::new(), Vec::new());
         while self.closing.is_none() && stream.output.remaining() >= MAX_ANSWER_BYTES {
@@ -93,7 +93,7 @@
                 Ok(0) => break,
                 Ok(used) => {
                     stream.input.consume(used);
-                    stream.carried += 1;
+                    stream.exchange_count += 1;
                 }
                 Err(_) => self.closing = Some(CloseReason::Protocol),
             }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Registers the session; one of the same name is replaced.
+    /// Registers the session, replacing an earlier one of the same name.
     fn log_in(&mut self, name: SessionName) {
         let entry = LoggedIn { number: self.number, replaced: self.replaced.0.clone() };
         if let Some(earlier) = self.shared.sessions.borrow_mut().insert(name.clone(), entry) {
@@ -157,9 +157,9 @@
         });
     }
 
-    /// Forgets the writes whose status the initiator has, up to and without the StatSN `end`.
+    /// Reports the writes whose status the initiator has received, those with a StatSN below `end`, to the record.
     async fn acknowledge(&mut self, end: u32) {
-        // Serial number arithmetic: the half of the numbers that precede `end` are before it.
+        // Serial number arithmetic (RFC 1982): the half of the number space that precedes `end` is before it.
         let is_before = |number: u32| end.wrapping_sub(number).wrapping_sub(1) < 1 << 31;
         while self.unacknowledged.front().is_some_and(|(number, _)| is_before(*number)) {
             let Some((_, key)) = self.unacknowledged.pop_front() else { break };
@@ -168,49 +168,56 @@
         }
     }
 
-    /// Hands a task's request over by `hand_over`, which returns false where there is no room; then nothing ran, and the task is
-    /// answered at once.
+    /// Submits a task's request with `try_submit`. Where that returns false for lack of room, nothing was executed, and the task is
+    /// rejected at once.
     fn submit(
         &mut self,
         task: Task,
         request: Option<Request>,
-        hand_over: impl FnOnce(&TargetContext, Request, Ticket) -> bool,
+        try_submit: impl FnOnce(&TargetContext, Request, Ticket) -> bool,
     ) {
         let number = self.next_task;
         self.next_task += 1;
         self.tasks.insert(number, task);
         let Some(request) = request else {
-            return self.ready.push_back((number, Answer::Failed("not in the configuration")));
+            return self.ready_answers.push_back((number, Answer::Failed("not in the configuration")));
         };
         let ticket = Ticket { slot: number, to: self.answers.clone(), class: request.class };
-        if !hand_over(&self.shared, request, ticket) {
-            self.ready.push_back((number, Answer::Rejected(None)));
+        if !try_submit(&self.shared, request, ticket) {
+            self.ready_answers.push_back((number, Answer::Rejected(None)));
         }
     }
 
-    /// Whether the connection is to be closed now, and why.
+    /// Returns why the connection is to be closed now, if it is.
     pub fn close_reason(&self, stream: &Connection, connected_at: Micros) -> Option<CloseReason> {
         let context = &self.shared.context;
         let is_written = stream.output.is_empty();
         if is_written && self.closing.is_some() {
             return self.closing;
         }
-        let is_idle = is_written && self.ready.is_empty() && !self.target.is_busy();
+        let is_idle = is_written && self.ready_answers.is_empty() && !self.target.is_busy();
         if is_idle && context.closes_between_requests() {
             return Some(CloseReason::Stopped);
         }
         let now = context.clock.now();
-        // Connections that never log in would keep others from the session limit.
+        // Connections that never log in would use up the session limit.
         let login_timeout_us = (context.config().clients.command_s * 1e6) as i64;
         (self.name.is_none() && now.0 - connected_at.0 >= login_timeout_us).then_some(CloseReason::Idle)
     }
 
-    /// Why the connection is to be closed where an incomplete PDU, or unread answers, made no progress in time. `progress` is updated.
+    /// Returns why the connection is to be closed if an incomplete PDU or unread answers made no progress in time. Updates `progress`.
     pub fn stall_reason(&self, stream: &Connection, progress: &mut Progress) -> Option<CloseReason> {
         let (now, clients) = (self.shared.context.clock.now(), self.shared.context.config().clients);
         let is_quiet = stream.input.is_empty() && stream.output.is_empty();
-        if is_quiet || (progress.carried, progress.written) != (stream.carried, stream.written) {
-            *progress = Progress { carried: stream.carried, written: stream.written, at: now };
+        if is_quiet
+            || (progress.exchange_count, progress.bytes_written)
+                != (stream.exchange_count, stream.bytes_written)
+        {
+            *progress = Progress {
+                exchange_count: stream.exchange_count,
+                bytes_written: stream.bytes_written,
+                at: now,
+            };
         }
         let (timeout_s, reason) = if stream.output.is_empty() {
             (clients.command_s, CloseReason::Protocol)
@@ -220,7 +227,7 @@
         (now.0 - progress.at.0 >= (timeout_s * 1e6) as i64).then_some(reason)
     }
 
-    /// Ends the session: cancels its reads, and tells the record that it no longer waits for its writes.
+    /// Ends the session: cancels its reads, and notifies the record that it no longer waits for its writes.
     pub async fn end(self) {
         if let Some(name) = &self.name {
             let mut sessions = self.shared.sessions.borrow_mut();
@@ -228,13 +235,13 @@
                 sessions.remove(name);
             }
         }
-        // The record sees by the closed mailbox that this session waits no more.
+        // The closed channel shows the record that this session no longer waits.
         self.answers.close();
         for task in self.tasks.into_values() {
-            // A write that has begun goes on, and its result is recorded. The mailboxes are closed only at the end of the process.
+            // A write that has begun continues, and its result is recorded. The mailboxes are closed only at the end of the process.
             match (task.read, task.key) {
                 (Some(id), _) => drop(self.shared.scheduler.send(SchedulerMessage::Left(id)).await),
-                (None, Some(key)) => drop(self.shared.record.send(RecordMessage::Left(key)).await),
+                (None, Some(key)) => drop(self.shared.record.send(RecordMessage::SessionEnded(key)).await),
                 (None, None) => {}
             }
         }
--- a/crates/gateway/src/iscsi/shared.rs
+++ b/crates/gateway/src/iscsi/shared.rs
@@ -1,4 +1,4 @@
-//! What all sessions of the iSCSI target share.
+//! State that all sessions of the iSCSI target share.
 use crate::context::Context;
 use crate::iscsi::write_record::RecordMessage;
 use crate::messages::SchedulerMailbox;
@@ -21,13 +21,13 @@
 
 /// A session that is logged in.
 pub struct LoggedIn {
-    /// Tells the sessions of one name apart.
+    /// Distinguishes sessions of the same name.
     pub number: u64,
-    /// Closed when another session of the same name replaces it.
+    /// A channel that is closed when another session of the same name replaces this one.
     pub replaced: Sender<()>,
 }
 
-/// What all sessions share.
+/// State that all sessions share.
 pub struct TargetContext {
     /// The gateway's shared state.
     pub context: Rc<Context>,
@@ -35,8 +35,8 @@
     pub scheduler: SchedulerMailbox,
     /// The section `[iscsi]` of the configuration.
     pub iscsi: Iscsi,
-    /// What initiators are shown.
-    pub shown: Rc<TargetDescription>,
+    /// The target and its disks as presented to initiators.
+    pub description: Rc<TargetDescription>,
     /// The mailbox of the record of writes.
     pub record: Sender<RecordMessage>,
     /// The sessions that are logged in.
@@ -45,10 +45,10 @@
 
 /// When the session last made progress.
 pub struct Progress {
-    /// PDUs read by then.
-    pub carried: u64,
-    /// Bytes sent by then.
-    pub written: u64,
+    /// The number of PDUs read by then.
+    pub exchange_count: u64,
+    /// The number of bytes sent by then.
+    pub bytes_written: u64,
     /// The time.
     pub at: Micros,
 }
--- a/crates/gateway/src/lifecycle/handover.rs
+++ b/crates/gateway/src/lifecycle/handover.rs
@@ -1,6 +1,6 @@
-//! The handover between two processes of one gateway: the predecessor, which serves, and its successor. Each watches the other's lock.
+//! The handover between two processes of one gateway: the running predecessor and its successor. Each watches the other's lock.
 //! While both are alive they share the machine, the limits of volumes and the slow-start budgets of backends: each uses half of these,
-//! and the descriptors that the other does not use. Operators' suspensions are passed on in files.
+//! and the descriptors that the other does not use. Operators' suspensions are handed over in files.
 use crate::admin::suspension_files;
 use crate::backend::pool::BackendPool;
 use crate::context::{Context, OtherProcess};
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often the other process's lock is checked. Until it is seen, this process uses the full limits; the service's rule on limits
-/// allows for 150 ms of that.
+/// How often the other process's lock is checked. Until the other process is detected, this process uses the full limits; the service
+/// tolerates that for 150 ms.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Takes the process lock and looks for another process; `None` without a folder. A lock that can't be taken now is tried again by
-/// [`run`].
+/// Takes the process lock and looks for another process; `None` without a folder. [`run`] retries a lock that can't be
+/// taken now.
 pub fn begin(context: &Context) -> Option<ProcessLock> {
     let mut lock = ProcessLock::new(context)?;
     if let Err(error) = lock.take() {
@@ -25,7 +25,7 @@
     Some(lock)
 }
 
-/// Watches for the other process until this one ends, and applies what follows from its presence.
+/// Watches for the other process until this one ends, and adjusts the shares of the limits and the suspensions accordingly.
 pub async fn run(
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
@@ -34,11 +34,11 @@
 ) {
     loop {
         let descriptors = context.used_descriptors();
-        // On a helper thread, since a disk may take its time.
+        // On a blocking thread, since the disk may be slow.
         let check = blocking::unblock(move || {
-            // An error was logged at the first attempt, and the lock is tried again at the next check.
+            // An error was logged by `begin`, and the next check tries again.
             drop(lock.take());
-            lock.publish(descriptors);
+            lock.publish_descriptors(descriptors);
             let found = lock.other_process();
             let persisted =
                 (found != OtherProcess::None).then(|| suspension_files::read(lock.prefix())).flatten();
--- a/crates/gateway/src/lifecycle/process_files.rs
+++ b/crates/gateway/src/lifecycle/process_files.rs
@@ -1,11 +1,11 @@
-//! The files under `TMPDIR` that one process of a gateway leaves to the next.
+//! Names of the files under `TMPDIR` that a process of a gateway leaves for the next one.
 //!
 //! Their names are `lichenrudder-NAME-ADDRESS.NUMBER.EXTENSION`.
 use crate::context::Context;
 use std::path::{Path, PathBuf};
 
-/// The common prefix of the names of this gateway's files; `None` without `TMPDIR`.
-pub fn path(context: &Context) -> Option<PathBuf> {
+/// The common path prefix of this gateway's files; `None` without `TMPDIR`.
+pub fn path_prefix(context: &Context) -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty())?;
     let config = context.config();
     let address = config.listen.or(config.iscsi.as_ref().map(|iscsi| iscsi.listen));
@@ -14,22 +14,22 @@
     Some(PathBuf::from(folder).join(format!("lichenrudder-{name}")))
 }
 
-/// The files with that prefix and extension and their numbers, the lowest number first. Empty where the folder can't be read.
-pub fn numbered(prefix: &Path, extension: &str) -> Vec<(PathBuf, i64)> {
-    let is_own = |path: &PathBuf| {
+/// Lists the files with this prefix and extension with their numbers, in ascending order. Empty if the folder can't be read.
+pub fn list_numbered(prefix: &Path, extension: &str) -> Vec<(PathBuf, i64)> {
+    let has_prefix = |path: &PathBuf| {
         let name = path.file_name().and_then(|name| name.to_str()).and_then(|name| name.split_once('.'));
-        name.is_some_and(|(stem, _)| prefix.file_name().is_some_and(|own| own == stem))
+        name.is_some_and(|(stem, _)| prefix.file_name().is_some_and(|expected| expected == stem))
     };
     let files = prefix.parent().and_then(|folder| std::fs::read_dir(folder).ok());
-    let paths = files.into_iter().flatten().flatten().map(|entry| entry.path()).filter(is_own);
+    let paths = files.into_iter().flatten().flatten().map(|entry| entry.path()).filter(has_prefix);
     let paths = paths.filter(|path| path.extension().is_some_and(|found| found == extension));
     let mut numbered: Vec<(PathBuf, i64)> =
-        paths.filter_map(|path| number(&path).map(|number| (path, number))).collect();
+        paths.filter_map(|path| parse_number(&path).map(|number| (path, number))).collect();
     numbered.sort_by_key(|(_, number)| *number);
     numbered
 }
 
-/// The number in a file's name.
-fn number(path: &Path) -> Option<i64> {
+/// Parses the number in a file's name.
+fn parse_number(path: &Path) -> Option<i64> {
     path.file_stem()?.to_str()?.rsplit_once('.')?.1.parse().ok()
 }
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -5,8 +5,8 @@
 use scheduler::interface::EndpointUpdate;
 
 impl SignalLoop {
-    /// Reads the configuration again. A valid one takes effect at once; a faulty one is logged and changes nothing. Requests and
-    /// connections go on either way.
+    /// Reads the configuration again. A valid one takes effect at once; the error of an invalid one is logged and nothing changes.
+    /// Requests and connections continue in either case.
     pub(super) async fn reload(&self) {
         let context = &self.context;
         let old = context.config();
@@ -17,31 +17,32 @@
                 Err(error) => {
                     crate::log::line(format_args!("reload error={error}"));
                     context.counters.reload_errors.set(context.counters.reload_errors.get() + 1);
-                    return self.tell_scheduler(SchedulerMessage::Reload(None)).await;
+                    return self.send_to_scheduler(SchedulerMessage::Reload(None)).await;
                 }
             };
         for key in unchanged_keys {
             crate::log::line(format_args!("reload key={key} needs a restart, and stays as it was"));
         }
         crate::log::line(format_args!("reload discovery={:?}", new.discovery));
-        // The scheduler first: what sessions parse by the new configuration must mean the same to it.
-        self.tell_scheduler(SchedulerMessage::Reload(Some(Box::new(new.settings.clone())))).await;
+        // The scheduler gets the settings first, so that it interprets requests that sessions parse with the new configuration alike.
+        self.send_to_scheduler(SchedulerMessage::Reload(Some(Box::new(new.settings.clone())))).await;
         self.replace_keys(&old, &new);
-        let (is_moved, is_fixed) = (new.discovery != old.discovery, new.discovery.is_none());
+        let (has_discovery_changed, has_static_list) =
+            (new.discovery != old.discovery, new.discovery.is_none());
         let known = new.known.clone();
         context.configure(new);
         context.counters.reloads.set(context.counters.reloads.get() + 1);
-        if is_fixed {
+        if has_static_list {
             self.apply_list(&known, |update| update).await;
             context.lifecycle.serving.set(context.lifecycle.serving.get() || !known.targets.is_empty());
         }
-        if is_moved {
+        if has_discovery_changed {
             // The mailbox is closed only at the end of the process.
             drop(self.discovery.send(DiscoveryMessage::AddressChanged).await);
         }
     }
 
-    /// Hands changed keys to the hosts of `[accord]` and `[changes]`.
+    /// Passes changed keys to the hosts of `[accord]` and `[changes]`.
     fn replace_keys(&self, old: &Config, new: &Config) {
         let keys = |config: &Config| config.coordination.as_ref().and_then(|accord| accord.keys().ok());
         let (old_keys, new_keys) = (keys(old), keys(new));
@@ -55,17 +56,17 @@
         }
     }
 
-    /// Applies a list that does not come from discovery just now; `adapt` says what kind of update it is.
+    /// Applies an endpoint list from the configuration; `adapt` sets the kind of the update.
     pub(super) async fn apply_list(
         &self,
         known: &config::Targets,
         adapt: impl Fn(EndpointUpdate) -> EndpointUpdate,
     ) {
         let update = adapt(self.pool.update_from_discovery(known));
-        self.tell_scheduler(SchedulerMessage::Endpoints(update)).await;
+        self.send_to_scheduler(SchedulerMessage::Endpoints(update)).await;
     }
 
-    pub(super) async fn tell_scheduler(&self, message: SchedulerMessage) {
+    pub(super) async fn send_to_scheduler(&self, message: SchedulerMessage) {
         // The mailbox is closed only at the end of the process.
         drop(self.scheduler.send(message).await);
     }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,5 +1,5 @@
 //! The signal loop: SIGHUP reloads, SIGUSR1 logs the counters, SIGTERM and SIGINT begin the graceful shutdown, which ends once
-//! everything is answered.
+//! all requests are answered.
 use crate::backend::pool::BackendPool;
 use crate::config_overlay::actor::ConfigOverlay;
 use crate::context::Context;
@@ -15,19 +15,19 @@
 
 /// The shortest graceful shutdown, in microseconds: new connections keep coming for up to 0.4 s after SIGTERM.
 const MIN_SHUTDOWN_US: i64 = 800_000;
-/// How long the process stays after its last client connection, in microseconds: a request that crossed the closing of its connection
-/// is sent again on a new one within this time.
+/// How long the process keeps running after its last client connection has closed, in microseconds: within this time a client resends
+/// a request on a new connection if it had sent it on one that was being closed.
 const LAST_CLIENT_GRACE_US: i64 = 300_000;
-/// The longest graceful shutdown, in microseconds: no answer is due for longer.
+/// The longest graceful shutdown, in microseconds: every answer is due earlier.
 const MAX_SHUTDOWN_US: i64 = 6_000_000;
 /// How often the shutdown's progress is checked.
 const PROGRESS_CHECK: Duration = Duration::from_millis(20);
-/// How long the log has for the message that this member leaves.
+/// How long the coordination log may take to send the message that this member leaves.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long actors have to close their connections at the end.
+/// How long actors may take to close their connections at the end.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// What signals act on.
+/// The signal loop, with the components that signals act on.
 pub struct SignalLoop {
     /// The gateway's shared state.
     pub context: Rc<Context>,
@@ -37,9 +37,9 @@
     pub pool: Rc<BackendPool>,
     /// The mailbox of discovery's actor.
     pub discovery: Sender<DiscoveryMessage>,
-    /// The coordination host, where the configuration has `[accord]`.
+    /// The coordination host, if the configuration has `[accord]`.
     pub coordination: Option<coordination::Handle>,
-    /// The distributed configuration, where the configuration has `[changes]`.
+    /// The distributed configuration, if the configuration has `[changes]`.
     pub config_overlay: Option<Rc<ConfigOverlay>>,
 }
 
@@ -48,10 +48,10 @@
     pub async fn run(&self, mut signals: Signals) {
         while let Some(signal) = signals.next().await {
             match signal {
-                Ok(Signal::Usr1) => self.tell_scheduler(SchedulerMessage::LogCounters).await,
+                Ok(Signal::Usr1) => self.send_to_scheduler(SchedulerMessage::LogCounters).await,
                 Ok(Signal::Hup) => self.reload().await,
                 Ok(_) => break,
-                // The system failed to report a signal: none that ends the process has arrived.
+                // The system failed to report a signal; this is no request to end the process.
                 Err(error) => {
                     crate::log::line(format_args!("signals error={error}"));
                     Timer::after(RETRY_DELAY).await;
@@ -67,14 +67,14 @@
         let since = context.clock.now();
         let (open, clients) = (context.counters.open.get(), context.gauges.clients.get());
         crate::log::line(format_args!("stop open={open} clients={clients}"));
-        self.tell_scheduler(SchedulerMessage::Stopping).await;
+        self.send_to_scheduler(SchedulerMessage::Stopping).await;
         self.wait_for_answers(signals, since).await;
-        self.tell_scheduler(SchedulerMessage::LogCounters).await;
+        self.send_to_scheduler(SchedulerMessage::LogCounters).await;
         // Remaining connections are closed now, each with its log line.
         self.discovery.close();
         self.pool.stop();
         if let Some(coordination) = &self.coordination {
-            // Nothing is sent any more: members that wait for this one's reports need not.
+            // Tells the other members that this one sends no more reports, so that they don't wait for them.
             coordination.send(coordination::CoordinationMessage::Stopping);
             Timer::after(LEAVE_TIMEOUT).await;
         }
@@ -82,7 +82,7 @@
         crate::log::line(format_args!("end"));
     }
 
-    /// Waits until everything is answered and the clients have left, within the limits of a shutdown.
+    /// Waits until all requests are answered and the clients have disconnected, within the time limits of a shutdown.
     async fn wait_for_answers(&self, signals: &mut Signals, since: Micros) {
         let context = &self.context;
         let mut last_client = since;
@@ -92,10 +92,10 @@
                 Timer::after(PROGRESS_CHECK).await;
                 None
             };
-            // Signals are still handled: they must not cut the shutdown short.
+            // Signals are still handled, but they must not end the shutdown early.
             match future::or(signal, tick).await {
                 Some(Signal::Hup) => self.reload().await,
-                Some(Signal::Usr1) => self.tell_scheduler(SchedulerMessage::LogCounters).await,
+                Some(Signal::Usr1) => self.send_to_scheduler(SchedulerMessage::LogCounters).await,
                 _ => {}
             }
             let now = context.clock.now();
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! The start: creates the shared state, spawns the actors and opens the listeners, in the order of their dependencies.
+//! Startup: creates the shared state, spawns the actors and opens the listeners, in the order of their dependencies.
 use crate::admin::health_checks::{self, Service};
 use crate::admin::operators::Operators;
 use crate::admin::suspension_files;
@@ -30,13 +30,13 @@
 
 /// How long a successor process waits for a fresh endpoint list before it serves, in microseconds.
 const FRESH_LIST_TIMEOUT_US: i64 = 3_000_000;
-/// How often it checks whether the list has arrived.
+/// How often a successor process checks whether the list has arrived.
 const FRESH_LIST_CHECK: Duration = Duration::from_millis(5);
 
 /// Why the gateway could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The configuration is faulty.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] config::ConfigError),
     /// A listener could not be opened.
@@ -53,10 +53,10 @@
     ConfigOverlay(#[from] OverlayError),
 }
 
-/// Runs the gateway that the environment configures, until it is told to end.
+/// Runs the gateway with the configuration that the environment names, until a signal ends it.
 ///
 /// # Errors
-/// [`StartError`] where it can't start serving.
+/// [`StartError`] if it can't start serving.
 pub fn start() -> Result<(), StartError> {
     let config = config::from_env(|key| std::env::var(key).ok())?;
     let (scheduler, inbox) = async_channel::bounded(SCHEDULER_MAILBOX_CAPACITY);
@@ -80,10 +80,10 @@
     let config = context.config();
     let sharing = begin_handover(&operators);
     let is_successor = context.lifecycle.other.get() != OtherProcess::None;
-    let signals = listeners::signals().await.map_err(StartError::Signals)?;
+    let signals = listeners::subscribe_signals().await.map_err(StartError::Signals)?;
     let (discovery, discovery_messages) = async_channel::bounded(4);
     // Suspensions of an earlier process take effect before anything is served.
-    let persisted = process_files::path(&context).and_then(|path| suspension_files::read(&path));
+    let persisted = process_files::path_prefix(&context).and_then(|prefix| suspension_files::read(&prefix));
     suspensions.take_over(persisted);
     let mut signal_loop = SignalLoop {
         context: context.clone(),
@@ -123,7 +123,8 @@
     Ok(())
 }
 
-/// Takes the process lock and starts to watch for another process. Tells whether that one may share the address of RESP2 clients.
+/// Takes the process lock and starts to watch for another process. Returns whether the other process may
+/// share the address of RESP2 clients.
 fn begin_handover(operators: &Operators) -> AddressSharing {
     let Operators { context, scheduler, pool, .. } = operators;
     let Some(lock) = handover::begin(context) else { return AddressSharing::Exclusive };
@@ -132,7 +133,7 @@
     AddressSharing::WithOtherProcess
 }
 
-/// A list from the configuration file: it says nothing about what discovery knows now.
+/// Marks a list from the configuration file as cached: it may differ from what discovery knows now.
 fn as_cached(update: EndpointUpdate) -> EndpointUpdate {
     match update {
         EndpointUpdate::Full(entries) => EndpointUpdate::Cached(entries),
@@ -140,7 +141,7 @@
     }
 }
 
-/// Starts the hosts of `[accord]` and `[changes]`, where the configuration has these sections.
+/// Starts the hosts of `[accord]` and `[changes]`, if the configuration has these sections.
 async fn start_coordination(
     operators: &mut Operators,
     signal_loop: &mut SignalLoop,
@@ -159,7 +160,7 @@
     Ok(())
 }
 
-/// Starts the scatter-gather actor, where the configuration has policies for it.
+/// Starts the scatter-gather actor, if the configuration has policies for it.
 fn start_scatter_gather(operators: &mut Operators) {
     let Operators { context, scheduler, pool, .. } = &*operators;
     let Some((gathering, inbox)) = Gathering::new(&context.config()) else { return };
@@ -174,8 +175,8 @@
     operators.gathering = Some(gathering);
 }
 
-/// Waits until discovery has sent a list, for a while. The predecessor still serves, and clients move here once this process
-/// listens.
+/// Waits, up to a timeout, until discovery has sent a list. The predecessor still serves meanwhile; clients connect to this process
+/// as soon as it listens.
 async fn wait_for_fresh_list(context: &Context) {
     let deadline = context.clock.now().0 + FRESH_LIST_TIMEOUT_US;
     while context.config().discovery.is_some()
@@ -186,7 +187,7 @@
     }
 }
 
-/// Starts the servers of RESP2 clients and of iSCSI initiators.
+/// Starts the servers for RESP2 clients and iSCSI initiators.
 async fn serve_clients(
     operators: &Operators,
     resp_listener: Option<Async<TcpListener>>,
--- a/crates/gateway/src/net/close_reason.rs
+++ b/crates/gateway/src/net/close_reason.rs
@@ -12,7 +12,7 @@
     Protocol,
     /// A backend did not answer within the attempt's deadline.
     Timeout,
-    /// It could not be established in time.
+    /// It could not be established, or not in time.
     ConnectFailed,
     /// It was idle for too long.
     Idle,
@@ -22,7 +22,7 @@
     Stopped,
     /// A resource limit was reached.
     Bound,
-    /// The client did not read its responses in time.
+    /// The peer did not read responses in time.
     Unread,
     /// A streamed value could not be completed.
     Cut,
--- a/crates/gateway/src/net/connection.rs
+++ b/crates/gateway/src/net/connection.rs
@@ -24,64 +24,64 @@
     socket: Socket,
     kind: &'static str,
     address: SocketAddr,
-    /// Bytes that were received and not consumed.
+    /// Bytes that were received and are not consumed yet.
     pub input: RingBuffer,
     /// Bytes to be sent.
     pub output: RingBuffer,
-    /// Bytes written to the socket.
-    pub written: u64,
-    /// Bytes read from the socket.
-    pub read: u64,
-    /// Commands or responses that were exchanged.
-    pub carried: u64,
-    /// Logged when the connection is dropped.
+    /// The number of bytes written to the socket.
+    pub bytes_written: u64,
+    /// The number of bytes read from the socket.
+    pub bytes_read: u64,
+    /// The number of commands or responses that were exchanged.
+    pub exchange_count: u64,
+    /// Why the connection is closed; logged when it is dropped.
     pub reason: CloseReason,
-    ended: bool,
+    is_at_end: bool,
 }
 
 impl Connection {
-    /// Wraps an established socket. `bounds` are the capacities of `input` and `output` in bytes.
+    /// Wraps an established socket. `capacities` are those of `input` and `output`, in bytes.
     pub fn new(
         socket: Socket,
         kind: &'static str,
         address: SocketAddr,
-        bounds: (usize, usize),
+        capacities: (usize, usize),
     ) -> Connection {
-        let (input, output) = (RingBuffer::new(bounds.0), RingBuffer::new(bounds.1));
+        let (input, output) = (RingBuffer::new(capacities.0), RingBuffer::new(capacities.1));
         Connection {
             socket,
             kind,
             address,
             input,
             output,
-            written: 0,
-            read: 0,
-            carried: 0,
+            bytes_written: 0,
+            bytes_read: 0,
+            exchange_count: 0,
             reason: CloseReason::PeerClosed,
-            ended: false,
+            is_at_end: false,
         }
     }
 
     /// Connects to `address`.
     ///
     /// # Errors
-    /// The system's error where the connection can't be established. Dropping the future abandons the attempt.
+    /// The system's error if the connection can't be established. Dropping the future abandons the attempt.
     pub async fn connect(
         kind: &'static str,
         address: SocketAddr,
-        bounds: (usize, usize),
+        capacities: (usize, usize),
     ) -> io::Result<Connection> {
-        Ok(Connection::new(Socket::connect(address).await?, kind, address, bounds))
+        Ok(Connection::new(Socket::connect(address).await?, kind, address, capacities))
     }
 
     /// Lingering close: shuts down the sending side, then reads and discards until the peer closes. Closing a socket with unread
-    /// bytes resets it, and responses that the system still buffers would be lost.
+    /// bytes would reset it, and responses that the system still buffers would be lost.
     pub async fn lingering_close(&mut self) {
         if self.socket.shutdown_write().is_err() {
             return;
         }
         loop {
-            // Discarded requests are not forwarded: the client repeats them on another connection.
+            // Discarded requests are not forwarded to a backend; the client repeats them on another connection.
             self.input.consume(usize::MAX);
             match self.next().await {
                 Some(Ok(SocketEvent::Read)) => {}
@@ -90,9 +90,9 @@
         }
     }
 
-    /// Whether the peer has closed, even while bytes that it sent before are unread.
-    pub fn hung_up(&self) -> bool {
-        self.socket.hung_up()
+    /// Whether the peer has closed the connection, even if bytes that it sent earlier are still unread.
+    pub fn is_closed_by_peer(&self) -> bool {
+        self.socket.is_closed_by_peer()
     }
 }
 
@@ -100,7 +100,7 @@
     fn drop(&mut self) {
         crate::log::line(format_args!(
             "conn kind={} peer={} carried={} reason={}",
-            self.kind, self.address, self.carried, self.reason
+            self.kind, self.address, self.exchange_count, self.reason
         ));
     }
 }
@@ -110,34 +110,34 @@
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let this = &mut *self;
-        let mut wrote = false;
+        let mut has_written = false;
         while !this.output.is_empty() {
             match this.socket.poll_write(cx, this.output.first_slice()) {
                 Poll::Ready(Ok(0)) => return Poll::Ready(Some(Err(io::ErrorKind::WriteZero.into()))),
                 Poll::Ready(Ok(count)) => {
                     this.output.consume(count);
-                    this.written += count as u64;
-                    wrote = true;
+                    this.bytes_written += count as u64;
+                    has_written = true;
                 }
-                Poll::Ready(Err(e)) => return Poll::Ready(Some(Err(e))),
+                Poll::Ready(Err(error)) => return Poll::Ready(Some(Err(error))),
                 Poll::Pending => break,
             }
         }
-        if wrote && this.output.is_empty() {
+        if has_written && this.output.is_empty() {
             return Poll::Ready(Some(Ok(SocketEvent::Wrote)));
         }
-        if !this.ended && this.input.remaining() > 0 {
+        if !this.is_at_end && this.input.remaining() > 0 {
             match this.socket.poll_read(cx, this.input.unfilled()) {
                 Poll::Ready(Ok(0)) => {
-                    this.ended = true;
+                    this.is_at_end = true;
                     return Poll::Ready(Some(Ok(SocketEvent::End)));
                 }
                 Poll::Ready(Ok(count)) => {
                     this.input.commit(count);
-                    this.read += count as u64;
+                    this.bytes_read += count as u64;
                     return Poll::Ready(Some(Ok(SocketEvent::Read)));
                 }
-                Poll::Ready(Err(e)) => return Poll::Ready(Some(Err(e))),
+                Poll::Ready(Err(error)) => return Poll::Ready(Some(Err(error))),
                 Poll::Pending => {}
             }
         }
--- a/crates/gateway/src/net/dial.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -12,60 +12,63 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Space in a reply beside its value, in bytes: the usage figures and the load report.
+/// Space in a reply in addition to its value, in bytes: the usage figures and the load report.
 const REPLY_OVERHEAD_BYTES: usize = 4096;
-/// The largest command in bytes: one value and its arguments.
+/// The size of the largest command, in bytes: one value and its arguments.
 const COMMAND_BYTES: usize = resp::MAX_VALUE_BYTES + 16 * 1024;
-/// How often a pending dial checks whether its attempt may still begin, in microseconds.
+/// How often a pending dial checks whether its attempt may still be sent, in microseconds.
 const CHECK_INTERVAL_US: i64 = 50_000;
 
 /// A connection to a backend, counted against the descriptor limit until dropped.
 pub struct BackendConnection {
     /// The socket with its buffers.
     pub stream: Connection,
-    /// The iSCSI session, where the backend speaks iSCSI.
+    /// The iSCSI session, if the backend uses iSCSI.
     pub session: Option<Initiator>,
     _count: Count,
-    /// Since when it has been idle.
-    pub since: Micros,
-    /// The incarnation of the backend that it was opened to.
+    /// When the connection became idle.
+    pub idle_since: Micros,
+    /// The incarnation of the backend to which the connection was opened.
     pub incarnation: u32,
 }
 
 /// Opens a connection for an attempt.
 ///
 /// # Errors
-/// The outcome of the attempt: `NotSent` where it may no longer begin or no descriptor is free, `ConnectFailed` otherwise.
+/// The outcome of the attempt: `NotSent` if it may no longer be sent or no descriptor is free, `ConnectFailed` otherwise.
 /// Dropping the future abandons the dial.
-pub async fn connect(work: &BackendContext, attempt: &Attempt) -> Result<BackendConnection, AttemptOutcome> {
-    let BackendContext { context, endpoint, .. } = work;
-    if !work.may_begin(attempt) {
+pub async fn connect(
+    backend: &BackendContext,
+    attempt: &Attempt,
+) -> Result<BackendConnection, AttemptOutcome> {
+    let BackendContext { context, endpoint, .. } = backend;
+    if !backend.may_begin(attempt) {
         return Err(AttemptOutcome::NotSent);
     }
     let Some(address) = endpoint.address.get() else { return Err(AttemptOutcome::ConnectFailed) };
-    // The gateway's own limit says nothing about the backend, so the scheduler must not count it as a failure.
+    // The gateway's own limit says nothing about the backend, so the outcome must not count as a failure of the backend.
     while context.gauges.upstream.get() >= context.upstream_limit() {
-        if !(work.evict_idle_connection)() {
+        if !(backend.evict_idle_connection)() {
             return Err(AttemptOutcome::NotSent);
         }
         future::yield_now().await;
     }
-    let count = Count::up(&context.gauges, |g| &g.upstream);
+    let count = Count::up(&context.gauges, |gauges| &gauges.upstream);
     let incarnation = endpoint.incarnation.get();
     let now = context.clock.now();
     let connect_deadline = match context.config().settings.connect_timeout.0 {
         0 => attempt.deadline,
         connect_timeout => attempt.deadline.min(Micros(now.0 + connect_timeout)),
     };
-    let bounds = (context.longest_value() + REPLY_OVERHEAD_BYTES, COMMAND_BYTES);
-    let dialled = async { dial(address, bounds).await.or(Err(DialError::Failed)) };
-    let given_up = async { Err(give_up(work, attempt, incarnation, connect_deadline).await) };
+    let capacities = (context.longest_value() + REPLY_OVERHEAD_BYTES, COMMAND_BYTES);
+    let dialled = async { dial(address, capacities).await.or(Err(DialError::Failed)) };
+    let given_up = async { Err(give_up(backend, attempt, incarnation, connect_deadline).await) };
     match future::or(dialled, given_up).await {
         Ok(stream) => Ok(BackendConnection {
             stream,
             session: None,
             _count: count,
-            since: context.clock.now(),
+            idle_since: context.clock.now(),
             incarnation,
         }),
         Err(DialError::Abandoned) => Err(AttemptOutcome::NotSent),
@@ -79,18 +82,25 @@
     }
 }
 
-/// Why there is no connection.
+/// Why a dial did not produce a connection.
 enum DialError {
-    /// It was refused, or not established in time.
+    /// The connection was refused, or not established in time.
     Failed,
-    /// Nothing may be sent on it any more.
+    /// The attempt may no longer be sent on the connection.
     Abandoned,
 }
 
-/// Waits until the dial is to be given up: at the deadline, or as soon as nothing may be sent on the connection any more.
-async fn give_up(work: &BackendContext, attempt: &Attempt, incarnation: u32, deadline: Micros) -> DialError {
-    let clock = &work.context.clock;
-    while work.may_begin(attempt) && incarnation == work.endpoint.incarnation.get() && clock.now() < deadline
+/// Waits until the dial is to be given up: at the deadline, or as soon as the attempt may no longer be sent on the connection.
+async fn give_up(
+    backend: &BackendContext,
+    attempt: &Attempt,
+    incarnation: u32,
+    deadline: Micros,
+) -> DialError {
+    let clock = &backend.context.clock;
+    while backend.may_begin(attempt)
+        && incarnation == backend.endpoint.incarnation.get()
+        && clock.now() < deadline
     {
         let next_check = Micros(clock.now().0 + CHECK_INTERVAL_US).min(deadline);
         Timer::at(clock.instant(next_check)).await;
@@ -102,10 +112,10 @@
     }
 }
 
-/// Connects; a local shortage, which says nothing about the backend, is retried until the caller gives up.
-async fn dial(address: SocketAddr, bounds: (usize, usize)) -> io::Result<Connection> {
+/// Connects. A shortage on this machine, which says nothing about the backend, is retried until the caller gives up.
+async fn dial(address: SocketAddr, capacities: (usize, usize)) -> io::Result<Connection> {
     loop {
-        match Connection::connect("box", address, bounds).await {
+        match Connection::connect("box", address, capacities).await {
             Err(error) if is_shortage(&error) || is_port_shortage(&error) => {
                 Timer::after(RETRY_DELAY).await;
             }
--- a/crates/gateway/src/net/listeners.rs
+++ b/crates/gateway/src/net/listeners.rs
@@ -1,4 +1,4 @@
-//! Opening listeners and signal handlers. Shortages of system resources at the start are retried.
+//! Opens listeners and signal handlers. Shortages of system resources at startup are retried.
 use crate::net::resource_shortage::{is_shortage, RETRY_DELAY};
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
@@ -7,17 +7,17 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Connections that may be pending.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// A shortage that lasts longer fails the start.
+/// How long a shortage is retried before startup fails.
 const SHORTAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Whether another process may listen at the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressSharing {
-    /// This process alone.
+    /// Only this process may.
     Exclusive,
-    /// Another process of this gateway (`SO_REUSEPORT`).
+    /// Another process of this gateway may too (`SO_REUSEPORT`).
     WithOtherProcess,
 }
 
@@ -39,11 +39,11 @@
     address: SocketAddr,
     sharing: AddressSharing,
 ) -> Result<Async<TcpListener>, ListenError> {
-    let listener = retry_shortage(|| listen(address, sharing)).await;
+    let listener = retry_shortage(|| open_listener(address, sharing)).await;
     listener.map_err(|source| ListenError { key: key.to_owned(), address, source })
 }
 
-fn listen(address: SocketAddr, sharing: AddressSharing) -> io::Result<Async<TcpListener>> {
+fn open_listener(address: SocketAddr, sharing: AddressSharing) -> io::Result<Async<TcpListener>> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
@@ -55,21 +55,21 @@
     Async::new(TcpListener::from(socket))
 }
 
-/// Subscribes to the signals that the program handles.
+/// Subscribes to the signals that the gateway handles.
 ///
 /// # Errors
-/// The system's error where they can't be handled.
-pub async fn signals() -> io::Result<Signals> {
-    let followed = [Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup];
-    retry_shortage(|| Signals::new(followed)).await
+/// The system's error if the signals can't be handled.
+pub async fn subscribe_signals() -> io::Result<Signals> {
+    let handled_signals = [Signal::Term, Signal::Int, Signal::Usr1, Signal::Hup];
+    retry_shortage(|| Signals::new(handled_signals)).await
 }
 
-/// Repeats a call while the system lacks resources for it.
+/// Repeats a call while it fails for lack of system resources.
 async fn retry_shortage<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let end = Instant::now() + SHORTAGE_TIMEOUT;
+    let retry_end = Instant::now() + SHORTAGE_TIMEOUT;
     loop {
         match call() {
-            Err(error) if is_shortage(&error) && Instant::now() < end => {
+            Err(error) if is_shortage(&error) && Instant::now() < retry_end => {
                 Timer::after(RETRY_DELAY).await;
             }
             result => return result,
--- a/crates/gateway/src/net/mod.rs
+++ b/crates/gateway/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, connections, dialling and accepting, shortages of resources, and the reasons why connections close.
+//! Sockets, connections, dialling and accepting, resource shortages, and the reasons for which connections are closed.
 pub mod accept;
 pub mod close_reason;
 pub mod connection;
--- a/crates/gateway/src/net/resource_shortage.rs
+++ b/crates/gateway/src/net/resource_shortage.rs
@@ -1,10 +1,10 @@
-//! Errors that report a temporary shortage on this machine (descriptors, memory, ports). They say nothing about the peer, and the
-//! call is retried.
+//! Errors that report a temporary shortage on this machine (descriptors, memory, ports). They say nothing about the peer, so
+//! the call is retried.
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// The delay before a call that met a shortage is retried.
+/// The delay before a call that failed for a shortage is retried.
 pub const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Whether the error reports a lack of descriptors, memory or buffers.
--- a/crates/gateway/src/net/socket.rs
+++ b/crates/gateway/src/net/socket.rs
@@ -1,5 +1,5 @@
-//! A non-blocking TCP stream registered with the reactor. Interrupted calls and failed registrations are retried: neither says
-//! anything about the connection.
+//! A non-blocking TCP stream registered with the reactor. Interrupted calls and failed registrations are retried, since
+//! neither is a failure of the connection.
 use async_io::{Async, Timer};
 use futures_lite::future;
 use rustix::event::{PollFd, PollFlags, Timespec};
@@ -25,7 +25,7 @@
 /// A TCP stream.
 pub struct Socket {
     stream: Arc<TcpStream>,
-    /// `None` while registration fails.
+    /// The registration with the reactor; `None` while registration fails.
     registered: Option<Async<Arc<TcpStream>>>,
     retry: Timer,
 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads at least one byte; 0 at the end of the stream.
+    /// Reads at least one byte; returns 0 at the end of the stream.
     pub fn poll_read(&mut self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         self.poll_call(Direction::Read, cx, |mut stream| stream.read(buffer))
     }
@@ -76,17 +76,17 @@
     /// Shuts down the sending side.
     ///
     /// # Errors
-    /// The system's error, as a rule that the socket is no longer connected.
+    /// The system's error, usually because the socket is no longer connected.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)
     }
 
-    /// Whether the peer has closed, even while bytes that it sent before are unread.
-    pub fn hung_up(&self) -> bool {
-        let mut polled = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
-        let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-        // A poll that fails reveals nothing.
-        rustix::event::poll(&mut polled, Some(&now)).is_ok() && !polled[0].revents().is_empty()
+    /// Whether the peer has closed the connection, even if bytes that it sent earlier are still unread.
+    pub fn is_closed_by_peer(&self) -> bool {
+        let mut poll_fds = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
+        let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+        // A failed poll says nothing about the peer.
+        rustix::event::poll(&mut poll_fds, Some(&no_wait)).is_ok() && !poll_fds[0].revents().is_empty()
     }
 
     fn poll_call(
@@ -99,13 +99,13 @@
             match call(&self.stream) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
             ready!(self.poll_ready(direction, cx));
         }
     }
 
-    /// Waits until the reactor reports readiness; registers the stream again where the reactor fails.
+    /// Waits until the reactor reports readiness; registers the stream again if the reactor fails.
     fn poll_ready(&mut self, direction: Direction, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             let ready = self.registered.as_ref().map(|registered| match direction {
