--- a/crates/backoff/src/caller.rs
+++ b/crates/backoff/src/caller.rs
@@ -1,18 +1,18 @@
-//! One caller: when it calls, and which of its calls it gives up.
+//! One caller: when it makes calls, and which calls it abandons.
 use crate::policy::{BackoffPolicy, Failure, PauseWindow, IDLE_TIMEOUT_US, MIN_PAUSE_US};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
 
-/// Maximum number of calls in flight; one more replaces the oldest.
+/// Maximum number of calls in flight; a further call replaces the oldest.
 const MAX_CALLS: usize = 2;
 
 /// A call to be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Its number, never reused.
+    /// Its number, which is never reused.
     pub number: u64,
-    /// The call that it replaces, which is to be given up.
+    /// The call that it replaces, which must be abandoned.
     pub replaces: Option<u64>,
 }
 
@@ -23,25 +23,25 @@
     started_at: i64,
 }
 
-/// Calls until a watch is established, and again when that has ended.
+/// Makes calls until a watch is established, and again after the watch has ended.
 ///
-/// All times are in microseconds of one steady clock.
+/// All times are in microseconds on one monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Caller {
     policy: BackoffPolicy,
     random: SmallRng,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
     next_call_at: i64,
     hedge_delay_us: i64,
     calls: VecDeque<CallInFlight>,
     last_number: u64,
-    /// Since when a watch is established.
+    /// When the current watch was established; `None` without one.
     established_at: Option<i64>,
 }
 
 impl Caller {
-    /// A caller that makes its first call at once. The seed spreads the calls: a whole fleet may fail at once.
+    /// Creates a caller that makes its first call immediately. The seed spreads the calls of a fleet that fails as a whole.
     pub fn new(policy: BackoffPolicy, seed: u64, now: i64) -> Caller {
         Caller {
             policy,
@@ -55,22 +55,22 @@
         }
     }
 
-    /// Replaces the policy, when the number of callers has changed.
+    /// Replaces the policy after the number of callers has changed.
     pub fn set_policy(&mut self, policy: BackoffPolicy) {
         self.policy = policy;
     }
 
-    /// When the next call is to be made; none while a watch is established.
+    /// When the next call is due; `None` while a watch is established.
     pub fn next_call_at(&self) -> Option<i64> {
         self.established_at.is_none().then_some(self.next_call_at)
     }
 
-    /// Delays the first call: the whole fleet may have started at this moment.
+    /// Delays the first call, since the whole fleet may have started at the same moment.
     pub fn delay_first_call(&mut self, now: i64) {
         self.next_call_at = now + self.draw_pause_us(Failure::Ended);
     }
 
-    /// Starts a call, because it is due or because something else asks for it.
+    /// Starts a call that is due or that was requested for another reason.
     pub fn start_call(&mut self, now: i64) -> Call {
         let replaced = if self.calls.len() >= MAX_CALLS { self.calls.pop_front() } else { None };
         self.last_number += 1;
@@ -79,9 +79,9 @@
         Call { number: self.last_number, replaces: replaced.map(|call| call.number) }
     }
 
-    /// A call has failed; one that was given up changes nothing.
+    /// Records that a call has failed; the failure of an abandoned call is ignored.
     ///
-    /// The pause counts from the start of the call: the time for which it waited at the service is part of it.
+    /// The pause counts from the start of the call, so it includes the time for which the call waited at the service.
     pub fn call_failed(&mut self, now: i64, number: u64, failure: Failure) {
         let Some(index) = self.calls.iter().position(|call| call.number == number) else { return };
         let Some(call) = self.calls.remove(index) else { return };
@@ -90,15 +90,15 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// A call has established a watch; all other calls are to be given up.
+    /// Records that a call has established a watch; all other calls must be abandoned.
     pub fn watch_established(&mut self, now: i64) {
         self.calls.clear();
         self.established_at = Some(now);
     }
 
-    /// The established watch has ended.
+    /// Records that the established watch has ended.
     ///
-    /// One that ended before its idle timeout says no more than a call that failed.
+    /// One that ended before its idle timeout counts as a failure, like a failed call.
     pub fn watch_ended(&mut self, now: i64, failure: Failure) {
         let established_at = self.established_at.take();
         let was_healthy = established_at.is_some_and(|since| now - since >= IDLE_TIMEOUT_US);
@@ -111,8 +111,8 @@
         }
     }
 
-    /// The service was replaced by another one, of which nothing is known. The whole fleet may have been notified
-    /// at this moment.
+    /// Records that the service was replaced by another one, whose state is unknown. The first call to it is delayed, since
+    /// the whole fleet may have been notified at the same moment.
     pub fn service_replaced(&mut self, now: i64) {
         (self.failures, self.established_at) = (0, None);
         self.calls.clear();
--- a/crates/backoff/src/lib.rs
+++ b/crates/backoff/src/lib.rs
@@ -1,16 +1,16 @@
 //! Backoff of calls to one service that a whole fleet calls, such as discovery.
 //!
-//! Free of I/O: times are microseconds of one steady clock that the caller hands in, and randomness comes from a
+//! It does no I/O: times are microseconds on one monotonic clock and are passed in, and randomness comes from a
 //! seed.
 //!
-//! Two bounds have to hold at once, for any number of callers. *Staleness*: a change that the service has
-//! published, and that could be requested, must be known [`MAX_STALENESS_US`] later, whatever calls failed before.
-//! *Load*: the service handles calls one after the other and rejects what would wait too long, which costs it work
-//! too. Callers that retry faster than it can reject them keep it busy with nothing else, and none of them is ever
-//! served.
+//! Two bounds must hold at once, for any number of callers. *Staleness*: once the service has published a change
+//! and can be called, the change must be known within [`MAX_STALENESS_US`], whatever calls failed before.
+//! *Load*: the service handles calls one after the other and rejects those that would wait too long, which costs
+//! work too. Callers that retry faster than the service can reject them keep it busy with rejections alone, and
+//! none of them is ever served.
 //!
-//! So the kind of failure decides the pause ([`Failure`]), and the staleness bound alone decides how long pauses
-//! may grow ([`BackoffPolicy`]). Calls without a response are hedged by a second one.
+//! The pause therefore depends on the kind of failure ([`Failure`]), and only the staleness bound limits how long
+//! pauses grow ([`BackoffPolicy`]). A call without a response is hedged by a second one.
 
 mod caller;
 mod policy;
--- a/crates/backoff/tests/sim/mod.rs
+++ b/crates/backoff/tests/sim/mod.rs
@@ -8,7 +8,7 @@
 
 pub const SECOND: i64 = 1_000_000;
 
-/// Decides when a caller calls: the policy, or another one for comparison.
+/// Decides when a caller makes calls: [`Caller`], or another implementation for comparison.
 pub trait CallPacing {
     fn start(policy: BackoffPolicy, seed: u64, now: i64) -> Self;
     fn next_call_at(&self) -> Option<i64>;
@@ -44,7 +44,7 @@
 /// When the service rejects calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejections {
-    /// At once, if a call would wait too long.
+    /// Immediately, if a call would wait too long.
     Immediate,
     /// After a call has waited too long.
     Late,
@@ -59,14 +59,15 @@
     Unavailable,
 }
 
-/// The service.
+/// The simulated service.
 #[derive(Clone, Copy, Debug)]
 pub struct Service {
-    /// Work for a call that is served, and for one that is rejected, in microseconds.
-    pub serves: i64,
-    pub refuses: i64,
-    /// The longest time for which a call waits, in microseconds.
-    pub waits: i64,
+    /// The time to serve a call, in microseconds.
+    pub serve_us: i64,
+    /// The time to reject a call, in microseconds.
+    pub reject_us: i64,
+    /// The longest time for which a call waits in the queue, in microseconds.
+    pub max_wait_us: i64,
     pub rejections: Rejections,
     pub outage: Outage,
 }
@@ -81,26 +82,26 @@
 /// What was observed in a run.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// When each caller got its list last, in microseconds.
+    /// When each caller last got its list, in microseconds.
     pub listed: Vec<Option<i64>>,
-    /// Number of calls, by tenth of a second.
+    /// Number of calls in each tenth of a second.
     pub calls: Vec<u32>,
-    /// Calls that were served after their caller had a watch.
+    /// Calls that were served although their caller already had a watch.
     pub unneeded: u32,
 }
 
 impl Observations {
-    /// When that share of all callers had their list, in seconds after `from`; none if they never had.
-    pub fn by(&self, share: f64, from: i64) -> Option<f64> {
+    /// The time from `from` until this fraction of the callers had their list, in seconds; `None` if they never had it.
+    pub fn listed_after_s(&self, fraction: f64, from: i64) -> Option<f64> {
         let mut times: Vec<i64> = self.listed.iter().map(|t| t.unwrap_or(i64::MAX)).collect();
         times.sort_unstable();
-        let place = ((times.len() as f64 * share).ceil() as usize).clamp(1, times.len());
-        let at = times[place - 1];
+        let rank = ((times.len() as f64 * fraction).ceil() as usize).clamp(1, times.len());
+        let at = times[rank - 1];
         (at < i64::MAX).then(|| (at - from).max(0) as f64 / 1e6)
     }
 
     /// The highest number of calls in any second between two times.
-    pub fn most(&self, from: i64, to: i64) -> u32 {
+    pub fn max_calls_per_second(&self, from: i64, to: i64) -> u32 {
         let tenth = |t: i64| (t / 100_000) as usize;
         let (from, to) = (tenth(from), tenth(to).min(self.calls.len()));
         (from..to.max(from))
@@ -110,15 +111,17 @@
     }
 }
 
+/// A fleet of callers, the service and the pending events.
 pub struct Fleet<P> {
     pub service: Service,
     callers: Vec<P>,
-    /// Invalidates calls planned for an earlier state of a caller.
+    /// Counts the changes of each caller's schedule; events of an earlier epoch are ignored.
     epochs: Vec<u32>,
     /// Pending events: time, order and index of the payload.
     events: BinaryHeap<Reverse<(i64, u64, usize)>>,
     payloads: Vec<SimEvent>,
-    free_at: i64,
+    /// When the service has handled all queued calls.
+    service_free_at: i64,
     outage: (i64, i64),
     pub observed: Observations,
 }
@@ -138,11 +141,11 @@
             epochs,
             events: BinaryHeap::new(),
             payloads: vec![],
-            free_at: 0,
+            service_free_at: 0,
             outage,
             observed,
         };
-        (0..starts.len()).for_each(|n| fleet.plan(n));
+        (0..starts.len()).for_each(|n| fleet.schedule_next_call(n));
         fleet
     }
 
@@ -151,23 +154,23 @@
         self.events.push(Reverse((at, self.payloads.len() as u64, self.payloads.len() - 1)));
     }
 
-    fn plan(&mut self, n: usize) {
+    fn schedule_next_call(&mut self, n: usize) {
         self.epochs[n] += 1;
         if let Some(due) = self.callers[n].next_call_at() {
             self.push(due, SimEvent::CallDue(n, self.epochs[n]));
         }
     }
 
-    /// Ends these callers' watches.
-    pub fn cut(&mut self, now: i64, which: impl Iterator<Item = usize>, failure: Failure) {
+    /// Ends the watches of these callers.
+    pub fn end_watches(&mut self, now: i64, which: impl Iterator<Item = usize>, failure: Failure) {
         for n in which {
             self.observed.listed[n] = None;
             self.callers[n].watch_ended(now, failure);
-            self.plan(n);
+            self.schedule_next_call(n);
         }
     }
 
-    /// Kills these callers; they restart at that time with other seeds.
+    /// Kills these callers; they restart at that time with different seeds.
     pub fn restart(&mut self, at: i64, which: impl Iterator<Item = usize>) {
         for n in which {
             self.push(at, SimEvent::Start(n));
@@ -175,22 +178,22 @@
     }
 
     pub fn run(&mut self, until: i64) {
-        while let Some(Reverse((at, _, place))) = self.events.peek().copied() {
+        while let Some(Reverse((at, _, index))) = self.events.peek().copied() {
             if at > until {
                 return;
             }
             self.events.pop();
-            match std::mem::replace(&mut self.payloads[place], SimEvent::CallDue(0, 0)) {
+            match std::mem::replace(&mut self.payloads[index], SimEvent::CallDue(0, 0)) {
                 SimEvent::CallDue(n, epoch) if epoch == self.epochs[n] && epoch > 0 => self.call(at, n),
                 SimEvent::CallDue(..) => {}
                 SimEvent::Start(n) => {
                     self.observed.listed[n] = None;
                     self.callers[n] = P::start(
                         BackoffPolicy::for_callers(self.callers.len() as u32),
-                        place as u64 ^ 0x5eed,
+                        index as u64 ^ 0x5eed,
                         at,
                     );
-                    self.plan(n);
+                    self.schedule_next_call(n);
                 }
                 SimEvent::Served(n, _) => {
                     if self.callers[n].next_call_at().is_some() {
@@ -204,7 +207,7 @@
                 SimEvent::Failed(n, number, failure) => {
                     if self.callers[n].next_call_at().is_some() {
                         self.callers[n].call_failed(at, number, failure);
-                        self.plan(n);
+                        self.schedule_next_call(n);
                     }
                 }
             }
@@ -217,21 +220,25 @@
         let calls = &mut self.observed.calls;
         calls.resize(calls.len().max(tenth + 1), 0);
         calls[tenth] += 1;
-        let s = self.service;
+        let service = self.service;
         if (self.outage.0..self.outage.1).contains(&now) {
-            let failure = if s.outage == Outage::Down { Failure::Down } else { Failure::Overloaded };
+            let failure = if service.outage == Outage::Down { Failure::Down } else { Failure::Overloaded };
             self.push(now + 300, SimEvent::Failed(n, number, failure));
         } else {
-            let begins = self.free_at.max(now);
-            if begins - now > s.waits {
-                self.free_at = begins + s.refuses;
-                let told = if s.rejections == Rejections::Immediate { now + 300 } else { now + s.waits };
-                self.push(told, SimEvent::Failed(n, number, Failure::Overloaded));
+            let handled_at = self.service_free_at.max(now);
+            if handled_at - now > service.max_wait_us {
+                self.service_free_at = handled_at + service.reject_us;
+                let rejected_at = if service.rejections == Rejections::Immediate {
+                    now + 300
+                } else {
+                    now + service.max_wait_us
+                };
+                self.push(rejected_at, SimEvent::Failed(n, number, Failure::Overloaded));
             } else {
-                self.free_at = begins + s.serves;
-                self.push(begins + s.serves, SimEvent::Served(n, number));
+                self.service_free_at = handled_at + service.serve_us;
+                self.push(handled_at + service.serve_us, SimEvent::Served(n, number));
             }
         }
-        self.plan(n);
+        self.schedule_next_call(n);
     }
 }
--- a/crates/cluster-types/src/identifiers.rs
+++ b/crates/cluster-types/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Identifiers by name. They are cheap to clone, and are stored and sent as plain strings.
+//! String identifiers. They are cheap to clone, and are stored and sent as plain strings.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
--- a/crates/golden-files/src/lib.rs
+++ b/crates/golden-files/src/lib.rs
@@ -1,6 +1,6 @@
-//! Golden files: the stored and sent forms that a package must not change, one file each below its `tests/golden/`.
-//! Test support, used by the tests of other packages alone.
-#![allow(clippy::panic, reason = "a test without its golden file fails")]
+//! Golden files: stored and wire encodings that a package must not change, one file each below its `tests/golden/`.
+//! This is test support, used only by the tests of other packages.
+#![allow(clippy::panic, reason = "a missing golden file fails the test")]
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -13,12 +13,12 @@
 }
 
 impl GoldenFiles {
-    /// Those of the package in a folder, which is `env!("CARGO_MANIFEST_DIR")` in the package's tests.
+    /// The golden files of the package in this folder: the package's tests pass `env!("CARGO_MANIFEST_DIR")`.
     pub const fn of_package(folder: &'static str) -> GoldenFiles {
         GoldenFiles { package_folder: folder }
     }
 
-    /// Where a golden file is.
+    /// The path of a golden file.
     pub fn path(&self, name: &str) -> PathBuf {
         Path::new(self.package_folder).join("tests/golden").join(name)
     }
@@ -41,11 +41,11 @@
         std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
     }
 
-    /// Checks that postcard encodes a value as the golden file, decodes the whole file to the value, and encodes what it decoded as
-    /// the file again.
+    /// Checks that postcard encodes the value to exactly the golden file, decodes the whole file to the value, and encodes the
+    /// decoded value to the same bytes again.
     ///
     /// # Panics
-    /// If one of these does not hold, or the file can't be read.
+    /// If one of these checks fails, or the file can't be read.
     pub fn assert_postcard<T>(&self, name: &str, value: &T)
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
--- a/crates/http/src/chunked.rs
+++ b/crates/http/src/chunked.rs
@@ -4,60 +4,60 @@
 /// The longest line with a chunk's size.
 const MAX_SIZE_LINE_BYTES: usize = 256;
 
-/// The state of a chunked body's decoding.
+/// An incremental decoder of a chunked body, by what it expects next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ChunkDecoder {
-    /// Before a chunk's size.
+    /// The line with a chunk's size.
     #[default]
     Size,
-    /// So many bytes of the chunk's data are still missing.
+    /// This number of bytes of the chunk's data.
     Data(u64),
-    /// Before the line end that follows a chunk's data.
+    /// The line end that follows a chunk's data.
     LineEnd,
-    /// The last chunk's size has been read.
+    /// Nothing: the size of the last chunk has been read.
     Done,
 }
 
 impl ChunkDecoder {
-    /// Decodes what can be decoded: appends the body's bytes to `body` and returns how many bytes were used.
+    /// Decodes as much as possible: appends the body's data to `body` and returns the number of consumed bytes.
     ///
     /// # Errors
-    /// A chunk's size is invalid, or its data doesn't end with a line end.
+    /// A chunk's size is invalid, or its data is not followed by CRLF.
     pub fn read(&mut self, bytes: &[u8], body: &mut Vec<u8>) -> Result<usize, ParseError> {
-        let mut used = 0;
+        let mut consumed = 0;
         loop {
-            let rest = &bytes[used..];
+            let rest = &bytes[consumed..];
             match *self {
-                ChunkDecoder::Done => return Ok(used),
+                ChunkDecoder::Done => return Ok(consumed),
                 ChunkDecoder::Size => {
                     let Some(end) = rest.iter().position(|byte| *byte == b'\n') else {
                         let is_too_long = rest.len() > MAX_SIZE_LINE_BYTES;
-                        return if is_too_long { Err(ParseError::ChunkSizeTooLong) } else { Ok(used) };
+                        return if is_too_long { Err(ParseError::ChunkSizeTooLong) } else { Ok(consumed) };
                     };
                     *self = match parse_size(&rest[..end])? {
                         0 => ChunkDecoder::Done,
                         size => ChunkDecoder::Data(size),
                     };
-                    used += end + 1;
+                    consumed += end + 1;
                 }
-                ChunkDecoder::Data(missing) => {
-                    let count = rest.len().min(usize::try_from(missing).unwrap_or(usize::MAX));
+                ChunkDecoder::Data(data_remaining) => {
+                    let count = rest.len().min(usize::try_from(data_remaining).unwrap_or(usize::MAX));
                     body.extend_from_slice(&rest[..count]);
-                    used += count;
-                    *self = match missing - count as u64 {
+                    consumed += count;
+                    *self = match data_remaining - count as u64 {
                         0 => ChunkDecoder::LineEnd,
-                        still_missing => ChunkDecoder::Data(still_missing),
+                        remaining => ChunkDecoder::Data(remaining),
                     };
                     if rest.is_empty() {
-                        return Ok(used);
+                        return Ok(consumed);
                     }
                 }
                 ChunkDecoder::LineEnd => match rest {
                     [b'\r', b'\n', ..] => {
-                        used += 2;
+                        consumed += 2;
                         *self = ChunkDecoder::Size;
                     }
-                    [] | [b'\r'] => return Ok(used),
+                    [] | [b'\r'] => return Ok(consumed),
                     _ => return Err(ParseError::InvalidChunkEnd),
                 },
             }
@@ -65,7 +65,7 @@
     }
 }
 
-/// The size in a chunk's first line, without the extensions that may follow it.
+/// Parses the size in a chunk's first line, without the extensions that may follow it.
 fn parse_size(line: &[u8]) -> Result<u64, ParseError> {
     let text = std::str::from_utf8(line).unwrap_or_default();
     let size = text.split(';').next().unwrap_or_default().trim();
--- a/crates/http/src/error.rs
+++ b/crates/http/src/error.rs
@@ -1,6 +1,6 @@
-//! What makes the bytes of a connection invalid.
+//! Parse errors.
 
-/// Why a message can't be parsed; the connection can't go on after it.
+/// Why a message can't be parsed. The connection can't be used after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
     /// A head is not UTF-8.
@@ -9,10 +9,10 @@
     /// A head exceeds its bound, or has no end within it.
     #[error("a head is too long")]
     HeadTooLong,
-    /// The first line of a response is not a status line of HTTP/1.
-    #[error("not a status line")]
+    /// The first line of a response is not an HTTP/1 status line.
+    #[error("invalid HTTP/1 status line")]
     InvalidStatusLine,
-    /// The first line of a request is not a request line of HTTP/1.
+    /// The first line of a request is not an HTTP/1 request line.
     #[error("not a request line")]
     InvalidRequestLine,
     /// A header line has no colon.
@@ -28,12 +28,12 @@
     #[error("a body has 64 KiB at most")]
     BodyTooLong,
     /// The line with a chunk's size exceeds its bound.
-    #[error("a chunk's size is too long")]
+    #[error("the line with a chunk's size is too long")]
     ChunkSizeTooLong,
     /// A chunk's size is not a hexadecimal number.
-    #[error("not a chunk's size")]
+    #[error("invalid chunk size")]
     InvalidChunkSize,
-    /// The data of a chunk is not followed by a line end.
-    #[error("a chunk does not end where it should")]
+    /// The data of a chunk is not followed by CRLF.
+    #[error("the data of a chunk is not followed by CRLF")]
     InvalidChunkEnd,
 }
--- a/crates/http/src/head.rs
+++ b/crates/http/src/head.rs
@@ -1,14 +1,14 @@
-//! What the heads of requests and responses have in common.
+//! Parsing that the heads of requests and responses share.
 use crate::ParseError;
 
 /// The longest head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// What ends a head.
+/// The end of a head: an empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A head as text.
 pub(crate) struct Head<'a> {
-    /// Its lines, without the empty one at the end.
+    /// Its lines, without the empty line at the end.
     pub(crate) text: &'a str,
     /// Its length on the wire, in bytes.
     pub(crate) length: usize,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! Encoding and decoding of HTTP/1.1 (RFC 9112) without I/O, as far as this program needs it: heads of requests and
-//! responses, short bodies of a stated length, and chunked bodies as they arrive.
+//! Encoding and decoding of HTTP/1.1 (RFC 9112) without I/O, limited to what this workspace needs: heads of requests and
+//! responses, short bodies with a Content-Length, and incremental decoding of chunked bodies.
 mod chunked;
 mod error;
 mod head;
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests, as the server's end parses them.
+//! Server side: parsing of requests.
 use crate::head::{split_head, split_header};
 use crate::ParseError;
 
@@ -10,7 +10,7 @@
 pub struct RequestHead<'a> {
     /// The method.
     pub method: &'a str,
-    /// The request target, with its escapes.
+    /// The request target, still percent-encoded.
     pub target: &'a str,
     /// The length of the head on the wire, in bytes.
     pub length: usize,
@@ -19,7 +19,7 @@
 /// Parses the head of a request; `None` while it is incomplete.
 ///
 /// # Errors
-/// The head is too long, is not text, or doesn't begin with a request line of HTTP/1.
+/// The head is too long or not UTF-8, or doesn't begin with an HTTP/1 request line.
 pub fn request_head(bytes: &[u8]) -> Result<Option<RequestHead<'_>>, ParseError> {
     let Some(head) = split_head(bytes)? else { return Ok(None) };
     let mut words = head.text.split("\r\n").next().unwrap_or_default().split(' ');
@@ -31,7 +31,7 @@
     }
 }
 
-/// The body of a request; `None` while it is incomplete. Without Content-Length it is empty.
+/// Parses the body of a request; `None` while it is incomplete. Without Content-Length it is empty.
 ///
 /// # Errors
 /// The head is invalid, the body has a transfer encoding, or it is longer than [`MAX_BODY_BYTES`].
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,15 +1,15 @@
-//! Responses: their heads, as the client's end parses them, and whole short ones, as the server's end writes them.
+//! Responses: the client side parses their heads, the server side writes short complete ones.
 use crate::head::{split_head, split_header};
 use crate::ParseError;
 
-/// How the end of a response's body is found.
+/// How the end of a response's body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
     /// The body is chunked; see [`crate::ChunkDecoder`].
     Chunked,
-    /// The body has so many bytes.
+    /// The body has this number of bytes.
     Known(u64),
-    /// The body ends with the connection.
+    /// The body ends when the connection closes.
     UntilClose,
 }
 
@@ -18,7 +18,7 @@
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// How the end of the body is found.
+    /// How the end of the body is determined.
     pub body: BodyLength,
     /// The length of the head on the wire, in bytes.
     pub length: usize,
@@ -27,7 +27,7 @@
 /// Parses the head of a response; `None` while it is incomplete.
 ///
 /// # Errors
-/// The head is too long, is not text, or has an invalid status line, header or length.
+/// The head is too long or not UTF-8, or has an invalid status line, header or Content-Length.
 pub fn response_head(bytes: &[u8]) -> Result<Option<ResponseHead>, ParseError> {
     let Some(head) = split_head(bytes)? else { return Ok(None) };
     let mut lines = head.text.split("\r\n");
@@ -45,12 +45,12 @@
     Ok(Some(ResponseHead { status, body, length: head.length }))
 }
 
-/// The status code of a status line of HTTP/1.
+/// The status code of an HTTP/1 status line.
 fn parse_status(line: &str) -> Option<u16> {
     line.strip_prefix("HTTP/1.")?.split(' ').nth(1)?.parse().ok()
 }
 
-/// A whole response with a short text as its body, after which the connection closes.
+/// Encodes a complete response with a short text body, after which the connection closes.
 pub fn response(status: u16, reason: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain\r\nContent-Length: {length}");
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and chunks, complete and in parts.
+//! Parsing of complete, incomplete and invalid heads, bodies and chunks.
 #![allow(clippy::unwrap_used)]
 use http::{
     request_body, request_head, response_head, BodyLength, ChunkDecoder, ResponseHead, MAX_BODY_BYTES,
@@ -15,13 +15,13 @@
         Ok(Some(ResponseHead { status: 200, body: BodyLength::Chunked, length: head.len() }))
     );
     let body = b"5;x=y\r\nhello\r\n1\r\n\n\r\n0\r\n\r\n";
-    let (mut chunks, mut got, mut waiting) = (ChunkDecoder::default(), vec![], vec![]);
+    let (mut decoder, mut decoded, mut unread) = (ChunkDecoder::default(), vec![], vec![]);
     for byte in body {
-        waiting.push(*byte);
-        let used = chunks.read(&waiting, &mut got).unwrap();
-        waiting.drain(..used);
+        unread.push(*byte);
+        let consumed = decoder.read(&unread, &mut decoded).unwrap();
+        unread.drain(..consumed);
     }
-    assert_eq!((got.as_slice(), chunks), (&b"hello\n"[..], ChunkDecoder::Done));
+    assert_eq!((decoded.as_slice(), decoder), (&b"hello\n"[..], ChunkDecoder::Done));
 }
 
 #[test]
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn request_body_has_the_stated_length() {
+fn request_body_has_the_declared_length() {
     let whole = b"POST /x HTTP/1.1\r\nHost: x\r\ncontent-length: 4\r\n\r\n{\"\"}and more";
     let body = whole.len() - 12;
     for part in 0..body + 4 {
--- a/crates/resp/src/command.rs
+++ b/crates/resp/src/command.rs
@@ -1,11 +1,11 @@
-//! Commands, as the server's end parses them.
+//! Server side: parsing of commands.
 use crate::item::{bulk, line, number, Parsed};
 use crate::{ParseError, MAX_ELEMENTS, MAX_VALUE_BYTES};
 
-/// Parses the first command: its words, and its length in bytes. `None` while it is incomplete.
+/// Parses the first command; returns its words and its length in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
-/// The bytes are not an array of 1 to 64 bulk strings, or one of these is longer than [`MAX_VALUE_BYTES`].
+/// The bytes are not an array of 1 to 64 bulk strings, or one of them is longer than [`MAX_VALUE_BYTES`].
 pub fn command(bytes: &[u8]) -> Parsed<(Vec<&[u8]>, usize)> {
     match bytes.first() {
         None => return Ok(None),
--- a/crates/resp/src/item.rs
+++ b/crates/resp/src/item.rs
@@ -1,4 +1,4 @@
-//! Lines, numbers and bulk strings, of which commands and replies consist.
+//! Lines, numbers and bulk strings: the parts of commands and replies.
 use crate::ParseError;
 
 /// The longest line: an error, a number or a length.
@@ -7,7 +7,7 @@
 /// The result of parsing the front of a buffer: `None` while what begins there is incomplete.
 pub type Parsed<T> = Result<Option<T>, ParseError>;
 
-/// The line that begins at this offset, and the offset after its end.
+/// Parses the line that begins at `start`; returns it with the offset after its line end.
 pub(crate) fn line(bytes: &[u8], start: usize) -> Parsed<(&[u8], usize)> {
     let rest = bytes.get(start..).unwrap_or_default();
     match rest.iter().take(MAX_LINE_BYTES).position(|byte| *byte == b'\n') {
@@ -18,14 +18,14 @@
     }
 }
 
-/// A decimal number.
+/// Parses a decimal number.
 pub(crate) fn number(text: &[u8]) -> Result<i64, ParseError> {
     let parsed = std::str::from_utf8(text).ok().and_then(|text| text.parse().ok());
     parsed.ok_or(ParseError::InvalidNumber)
 }
 
-/// The content of a bulk string whose stated length is this and whose content begins at this offset, and the offset after
-/// its end. Its content is `None` where the length is that of a null.
+/// Parses the content of a bulk string of the stated length, which begins at `start`; returns it with the offset after its
+/// line end. A null bulk string, of length -1, has no content.
 pub(crate) fn bulk(
     bytes: &[u8],
     stated_length: i64,
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,5 +1,5 @@
 //! Encoding and decoding of RESP2, the Redis serialization protocol, without I/O: commands and replies are parsed from the
-//! front of a buffer, which may end anywhere within one.
+//! front of a buffer, which may end in the middle of one.
 mod command;
 mod error;
 mod item;
--- a/crates/resp/src/reply.rs
+++ b/crates/resp/src/reply.rs
@@ -1,8 +1,8 @@
-//! Replies, as the client's end parses them.
+//! Client side: parsing of replies.
 use crate::item::{bulk, line, number, Parsed};
 use crate::{ParseError, MAX_ELEMENTS};
 
-/// How deep arrays may be nested.
+/// The deepest allowed nesting of arrays.
 const MAX_DEPTH: usize = 4;
 
 /// A reply.
@@ -20,23 +20,25 @@
     Integer(i64),
 }
 
-/// Where the parser is in a buffer.
+/// The parser's position in a buffer.
 #[derive(Clone, Copy)]
 struct Position {
     offset: usize,
-    /// How many arrays the position is within.
+    /// The number of arrays that enclose the position.
     depth: usize,
 }
 
-/// Parses the first reply, whose values may have so many bytes, and its length in bytes. `None` while it is incomplete.
+/// Parses the first reply, whose values may have at most `max_value_bytes`; returns it with its length in bytes, or `None`
+/// while it is incomplete.
 ///
 /// # Errors
-/// The bytes are no reply, or one of its lines, values or arrays is too large.
+/// The bytes are not a valid reply, or one of its lines, values or arrays is too large.
 pub fn reply(bytes: &[u8], max_value_bytes: usize) -> Parsed<(Reply<'_>, usize)> {
     reply_at(bytes, Position { offset: 0, depth: 0 }, max_value_bytes)
 }
 
-/// Parses so many replies, which are the rest of an array, and their length in bytes. `None` while they are incomplete.
+/// Parses `count` replies, the remaining elements of an array; returns them with their length in bytes, or `None` while they
+/// are incomplete.
 ///
 /// # Errors
 /// As for [`reply`].
@@ -89,7 +91,7 @@
 /// The head of an array whose first element is a long value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LongValueHead {
-    /// How many elements the array has.
+    /// The number of the array's elements.
     pub elements: usize,
     /// The length of the value, in bytes.
     pub value_bytes: usize,
@@ -97,8 +99,8 @@
     pub length: usize,
 }
 
-/// Parses the head of an array that begins with a value longer than this. `None` where the reply is another one,
-/// is invalid, or its head is incomplete: [`reply`] tells these apart.
+/// Parses the head of an array whose first element is longer than `longer_than_bytes`. Returns `None` for any other reply,
+/// an invalid one or an incomplete head: [`reply`] tells these apart.
 pub fn long_value_head(bytes: &[u8], longer_than_bytes: usize) -> Option<LongValueHead> {
     if bytes.first() != Some(&b'*') {
         return None;
--- a/crates/resp/tests/parsing.rs
+++ b/crates/resp/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Any prefix of a message is parsed as complete, incomplete or invalid, as it is.
+//! Parsing of complete, incomplete and invalid messages.
 #![allow(clippy::unwrap_used)]
 use resp::{command, reply, ParseError, Reply};
 
@@ -40,7 +40,7 @@
     ] {
         assert!(command(bytes).is_err(), "{}", bytes.escape_ascii());
     }
-    // Arrays nested without end must not exhaust the stack.
+    // Unbounded nesting of arrays must not overflow the stack.
     assert_eq!(reply(&b"*1\r\n".repeat(100_000), 100), Err(ParseError::ArrayTooLarge));
     assert!(reply(b"*1000000\r\n", 100).is_err());
     assert!(reply(b"?\r\n", 100).is_err());
--- a/crates/ring-buffer/src/lib.rs
+++ b/crates/ring-buffer/src/lib.rs
@@ -1,41 +1,41 @@
-//! A ring buffer of bytes with a bound. It starts without memory, grows up to the bound and releases its memory once it is
-//! empty, so that many idle connections cost little.
+//! A bounded ring buffer of bytes. It starts without an allocation, grows up to its bound and releases a large allocation
+//! once it is empty, so that many idle connections cost little memory.
 
-/// The least memory that a buffer takes, and the most that it keeps while it is empty, in bytes.
+/// The smallest allocation of a buffer, and the largest that it keeps while it is empty, in bytes.
 const MIN_ALLOCATION: usize = 4096;
 
-/// A queue of bytes in a circular allocation.
+/// A FIFO queue of bytes in a circular allocation.
 #[derive(Debug)]
 pub struct RingBuffer {
     allocation: Vec<u8>,
-    /// The position of the first byte.
+    /// The index of the first byte in the allocation.
     head: usize,
     len: usize,
     max_len: usize,
 }
 
 impl RingBuffer {
-    /// An empty buffer for at most `max_len` bytes.
+    /// Creates an empty buffer for at most `max_len` bytes.
     pub fn new(max_len: usize) -> RingBuffer {
         RingBuffer { allocation: Vec::new(), head: 0, len: 0, max_len }
     }
 
-    /// The number of bytes it holds.
+    /// The number of buffered bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds no byte.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The memory that it takes, in bytes.
+    /// The size of the allocation, in bytes.
     pub fn allocated(&self) -> usize {
         self.allocation.len()
     }
 
-    /// The number of bytes that may be added.
+    /// The number of bytes that can still be added.
     pub fn remaining(&self) -> usize {
         self.max_len - self.len
     }
@@ -48,18 +48,18 @@
         }
     }
 
-    /// Allocates memory for `len` bytes at once, as far as the bound allows, so that a fast sender needs fewer reads.
+    /// Allocates memory for `len` bytes at once, as far as the bound allows, so that data from a fast sender takes fewer reads.
     pub fn reserve(&mut self, len: usize) {
         self.grow(len.min(self.max_len));
     }
 
-    /// The first bytes in one piece: all of them, unless they wrap around the end of the memory.
+    /// The longest contiguous slice from the front: all bytes, unless they wrap around the end of the allocation.
     pub fn first_slice(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.allocation.len());
         &self.allocation[self.head..end]
     }
 
-    /// All bytes in one piece; moves them if they wrap around the end of the memory.
+    /// All bytes as one slice; rotates the allocation if they wrap around its end.
     pub fn contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.allocation.len() {
             self.allocation.rotate_left(self.head);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Free memory to write into; the bytes written are added by [`RingBuffer::commit`]. It is empty only if the buffer is full.
+    /// Free memory to write into; [`RingBuffer::commit`] adds the written bytes. It is empty only if the buffer is full.
     pub fn unfilled(&mut self) -> &mut [u8] {
         let remaining = self.remaining();
         if self.len == self.allocation.len() && remaining > 0 {
@@ -103,7 +103,7 @@
         self.len = (self.len + count).min(self.allocation.len());
     }
 
-    /// Appends all bytes, or returns false and appends none if they don't fit.
+    /// Appends all bytes; if they don't fit, appends none and returns false.
     pub fn push(&mut self, mut bytes: &[u8]) -> bool {
         if bytes.len() > self.remaining() {
             return false;
--- a/crates/ring-buffer/tests/ring_buffer.rs
+++ b/crates/ring-buffer/tests/ring_buffer.rs
@@ -1,25 +1,28 @@
-//! The ring buffer against the sequence of bytes that went through it.
+//! Compares the ring buffer's content with the sequence of bytes that was pushed into it.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use ring_buffer::RingBuffer;
 
 #[test]
-fn keeps_order_across_wrap_and_its_bound() {
-    let (mut buffer, mut next, mut seen) = (RingBuffer::new(10_000), 0u32, 0u32);
+fn preserves_order_across_wraparound_and_respects_bound() {
+    let (mut buffer, mut pushed_count, mut consumed_count) = (RingBuffer::new(10_000), 0u32, 0u32);
     for round in 0..2_000usize {
-        let data: Vec<u8> = (0..round * 7 % 900).map(|offset| (next + offset as u32) as u8).collect();
+        let data: Vec<u8> = (0..round * 7 % 900).map(|offset| (pushed_count + offset as u32) as u8).collect();
         if buffer.push(&data) {
-            next += data.len() as u32;
+            pushed_count += data.len() as u32;
         } else {
             assert!(buffer.remaining() < data.len());
         }
         assert!(buffer.len() <= 10_000);
-        let taken = round * 13 % 800;
-        let held = buffer.contiguous();
-        assert_eq!(held.len() as u32, next - seen);
-        assert!(held.iter().enumerate().all(|(offset, byte)| *byte == (seen + offset as u32) as u8));
-        let taken = taken.min(held.len());
-        buffer.consume(taken);
-        seen += taken as u32;
+        let consume_len = round * 13 % 800;
+        let content = buffer.contiguous();
+        assert_eq!(content.len() as u32, pushed_count - consumed_count);
+        assert!(content
+            .iter()
+            .enumerate()
+            .all(|(offset, byte)| *byte == (consumed_count + offset as u32) as u8));
+        let consume_len = consume_len.min(content.len());
+        buffer.consume(consume_len);
+        consumed_count += consume_len as u32;
     }
     assert!(!buffer.push(&[0; 10_001]));
 }
