--- a/crates/config/src/build.rs
+++ b/crates/config/src/build.rs
@@ -1,4 +1,4 @@
-//! Builds a configuration from a parsed file and the settings that overlay its own.
+//! Builds a configuration from a parsed file and the overlays of its settings.
 use crate::check::{check, Checked};
 use crate::file::{section, FileIn, NamesIn, DEFAULT_NAME};
 use crate::gather_policies::{self, PolicyContext};
@@ -8,25 +8,25 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// Seconds after which backends close idle connections, where the settings don't say.
+/// Seconds after which backends close idle connections, if the settings don't specify it.
 const DEFAULT_BACKEND_IDLE_S: f64 = 15.0;
 
-/// Reads and checks a file's text: TOML where its name ends so, else JSON.
+/// Reads and checks a file's text: TOML if its name ends with `.toml`, else JSON.
 ///
 /// # Errors
-/// Names the first key that is wrong.
+/// Names the first invalid key.
 pub fn read(name: &str, text: &str) -> Result<Config, ConfigError> {
     let file = FileText { name: name.into(), text: text.into() };
     Ok(read_with_overlay(file, &[])?.for_start())
 }
 
-/// The same, with these settings merged over the file's own, one after the other.
+/// Like [`read`], with the overlays merged over the file's settings in order.
 pub(crate) fn read_with_overlay(file: FileText, overlay: &[Value]) -> Result<Config, ConfigError> {
     let (source, targets) = Source::parse(file)?;
     build(Arc::new(source), overlay, targets)
 }
 
-/// Merges settings over others: key by key, and so within objects; anything else replaces what was there.
+/// Merges an overlay over other settings: objects key by key and recursively; any other value replaces the existing one.
 fn merge(base: &mut Value, overlay: &Value) {
     match (base, overlay) {
         (Value::Object(base), Value::Object(overlay)) => {
@@ -38,14 +38,14 @@
     }
 }
 
-/// A configuration from a parsed file, with these settings merged over its own, one after the other.
+/// Builds a configuration from a parsed file, with the overlays merged over its settings in order.
 pub(crate) fn build(
     source: Arc<Source>,
     overlay: &[Value],
     targets: TargetSource,
 ) -> Result<Config, ConfigError> {
     let mut content = source.content.clone();
-    // The shape stays that of the file: overlays come and go.
+    // The shape remains that of the file, since overlays may be removed later.
     if let Some(settings) = content.get_mut("settings") {
         overlay.iter().for_each(|values| merge(settings, values));
     }
@@ -98,7 +98,7 @@
     })
 }
 
-/// The scheduler's settings, which it checks itself, and the names that only this program needs.
+/// Reads the scheduler's settings, which the scheduler checks itself, and the names that only this program needs.
 fn read_settings(mut raw: Value) -> Result<(Settings, NamesIn), ConfigError> {
     if let Some(object) = raw.as_object_mut() {
         // An operator may run a single gateway.
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,28 +1,28 @@
-//! Bounds of a file's values, and what must go together over all its sections.
+//! Bounds of a file's values, and consistency checks across its sections.
 use crate::error::invalid;
 use crate::file::FileIn;
 use crate::source::is_operators_file;
 use crate::{iscsi, BackendProtocol, Class, ConfigError, Targets};
 
-/// The fewest descriptors with which a gateway can serve.
+/// The minimum number of file descriptors that a gateway needs.
 const MIN_SOCKETS: usize = 16;
-/// The least memory with which a gateway can serve, in MB.
+/// The minimum memory that a gateway needs, in MB.
 const MIN_MEMORY_MB: u64 = 8;
 
-/// What is checked: a file's sections, and what was derived from them.
+/// The input of the checks: a file's sections, and values derived from them.
 pub(crate) struct Checked<'a> {
-    /// The file's own name. Only the platform's file is completed by the environment.
+    /// The name of the file itself. The environment completes only the platform's file.
     pub file_name: &'a str,
     pub file: &'a FileIn,
     pub classes: &'a [Class],
     pub plans: &'a [String],
     pub known: &'a Targets,
     pub zones: &'a [String],
-    /// How many gateways the settings state.
+    /// The number of gateways in the settings.
     pub gateways: u32,
 }
 
-/// Names the first key that can't work.
+/// Reports the first invalid key.
 pub(crate) fn check(checked: &Checked<'_>) -> Result<(), ConfigError> {
     check_limits(checked.file)?;
     if let Some(iscsi) = &checked.file.iscsi {
@@ -66,7 +66,7 @@
 fn check_distribution(file: &FileIn) -> Result<(), ConfigError> {
     let Some(distribution) = &file.distribution else { return Ok(()) };
     distribution.check(file.name(), file.coordination.is_some())?;
-    // Subscribers' descriptors are needed besides all others.
+    // Subscribers need descriptors in addition to all others.
     if distribution.listen.is_some() && distribution.max_subscribers as usize > file.limits.sockets / 2 {
         return invalid("changes.most", "is more than half of limits.sockets");
     }
--- a/crates/config/src/coordination.rs
+++ b/crates/config/src/coordination.rs
@@ -1,4 +1,4 @@
-//! The section `[accord]` of an operator's file: the gateways that coordinate, and the bounds of what they decide.
+//! The section `[accord]` of an operator's file: the coordinating gateways, and the limits of their decisions.
 use crate::error::invalid;
 use crate::keys::{parse_keys, KeyBytes};
 use crate::range::{check_ranges, has_valid_length, Range};
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The most gateways that may coordinate.
+/// The maximum number of coordinating gateways.
 const MAX_MEMBERS: usize = 128;
 
-/// A member of the coordinating gateways, as this one reaches it.
+/// A coordinating gateway, as this one reaches it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, remote = "Fellow")]
 pub struct Member {
@@ -25,7 +25,7 @@
     pub zone: String,
 }
 
-/// The name in error texts.
+/// The type's name in error messages.
 type Fellow = Member;
 impl_deserialize!(Member);
 
@@ -41,14 +41,14 @@
     pub per_zone: u32,
     /// Of the backends of one volume.
     pub per_volume: u32,
-    /// Seconds after its return for which a backend still counts as in maintenance: until it has warmed up.
+    /// Seconds after its return for which a backend still counts as in maintenance, while it warms up.
     #[serde(rename = "warm_s")]
     pub warm_up_s: f64,
     /// Seconds for each step of the recovery ramp.
     pub stage_s: f64,
 }
 
-/// The name in error texts.
+/// The type's name in error messages.
 type Out = MaintenanceLimits;
 impl_deserialize!(MaintenanceLimits);
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// What gateways share about silent backends and zones.
+/// Limits of the reports that gateways share about silent backends and zones.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Evidence {
@@ -74,43 +74,43 @@
     }
 }
 
-/// Everything that gateways need to coordinate.
+/// The settings for coordination between gateways.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, remote = "Accord")]
 pub struct Coordination {
-    /// Where this gateway receives from the others, over UDP and TCP.
+    /// Where this gateway receives messages of the others, over UDP and TCP.
     pub listen: SocketAddr,
     /// The zone of this gateway.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// The folder of what must outlast the process.
+    /// The folder for state that must survive the process.
     pub state: PathBuf,
-    /// Keys of 64 hex digits: the first signs, each is accepted. There are two during a rotation.
+    /// Keys of 64 hex digits: the first one signs, all are accepted. There are two during a rotation.
     pub keys: Vec<String>,
-    /// Bytes a second that membership may send.
+    /// Bytes per second that the membership protocol may send.
     #[serde(default = "default_bytes_s")]
     pub bytes_s: u32,
-    /// Seconds for which a gateway may rely on what it was granted.
+    /// The duration of a lease, in seconds: how long a gateway may rely on a grant.
     #[serde(default = "default_lease_s")]
     pub lease_s: f64,
-    /// The fraction by which two steady clocks may differ.
+    /// The fraction by which the rates of two monotonic clocks may differ.
     #[serde(default = "default_drift")]
     pub drift: f64,
-    /// The election timeout in milliseconds: without its leader for so long, a gateway stands for election.
+    /// The election timeout in milliseconds: after this time without its leader, a gateway becomes a candidate.
     #[serde(default = "default_election_ms")]
     pub election_ms: u64,
     /// The gateways, this one among them.
     #[serde(default, rename = "member")]
     pub members: Vec<Member>,
-    /// Bounds for backends in maintenance.
+    /// Limits on backends in maintenance.
     #[serde(default, rename = "out")]
     pub maintenance: MaintenanceLimits,
-    /// What is shared about silent backends and zones.
+    /// Limits of the reports that are shared about silent backends and zones.
     #[serde(default)]
     pub evidence: Evidence,
 }
 
-/// The name in error texts.
+/// The type's name in error messages.
 type Accord = Coordination;
 impl_deserialize!(Coordination);
 
@@ -131,21 +131,21 @@
 }
 
 impl Coordination {
-    /// Whether two sections are equal apart from their keys.
+    /// Whether two sections are equal except for their keys.
     pub fn equal_except_keys(one: Option<&Coordination>, other: Option<&Coordination>) -> bool {
         let without_keys = |section: &Coordination| Coordination { keys: Vec::new(), ..section.clone() };
         one.map(without_keys) == other.map(without_keys)
     }
 
-    /// The keys as bytes: the one that signs, and the other one that is accepted.
+    /// The keys as bytes: the signing key, and the other accepted key, if any.
     ///
     /// # Errors
-    /// There is no key, more than two, or one that can't be used.
+    /// There is no key, there are more than two, or a key is invalid.
     pub fn keys(&self) -> Result<(KeyBytes, Option<KeyBytes>), ConfigError> {
         parse_keys("accord.keys", &self.keys)
     }
 
-    /// Checks the section of the gateway of that name, with the zones of the settings.
+    /// Checks the section of the gateway with this name against the zones of the settings.
     pub(crate) fn check(&self, name: &str, zones: &[String]) -> Result<(), ConfigError> {
         self.keys()?;
         if self.state.as_os_str().is_empty() || !self.state.is_absolute() {
--- a/crates/config/src/distribution.rs
+++ b/crates/config/src/distribution.rs
@@ -1,4 +1,5 @@
-//! The section `[changes]` of an operator's file: how configuration changes reach this process, and whom it serves with them.
+//! The section `[changes]` of an operator's file: how this process receives configuration changes, and to which subscribers it
+//! forwards them.
 use crate::error::invalid;
 use crate::keys::{parse_keys, KeyBytes};
 use crate::range::{check_ranges, has_valid_length, Range};
@@ -10,13 +11,13 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The most relays that a subscriber may name.
+/// The maximum number of relays of a subscriber.
 const MAX_RELAYS: usize = 16;
-/// The most bytes that a gateway's shards and volumes may take together, in its request to a relay.
+/// The maximum encoded size of a gateway's shards and volumes together in its request to a relay.
 const MAX_SCOPE_BYTES: usize = 48 * 1024;
-/// Bytes that a shard takes in such a request, at most.
+/// The maximum encoded size of a shard in such a request.
 const SHARD_BYTES: usize = 6;
-/// Bytes that a volume takes in such a request besides its name, at most.
+/// The maximum encoded size of a volume in such a request, without its name.
 const VOLUME_OVERHEAD_BYTES: usize = 2;
 
 /// A relay that this process may follow.
@@ -27,16 +28,16 @@
     pub name: String,
     /// Its address.
     pub at: SocketAddr,
-    /// Whether it is as good as the one before it: gateways spread over equal ones by their own names.
+    /// Whether it has the same preference as the relay before it: gateways spread over equal relays by their own names.
     #[serde(default)]
     pub equal: bool,
 }
 
-/// Everything about the distribution of configuration changes.
+/// The settings for the distribution of configuration changes.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, remote = "Changes")]
 pub struct Distribution {
-    /// Where it serves subscribers: as a voter where `[accord]` is there, else as a relay.
+    /// Where it serves subscribers: as a voter if there is a section `[accord]`, else as a relay.
     #[serde(default)]
     pub listen: Option<SocketAddr>,
     /// The relays to follow, in the order of preference.
@@ -48,29 +49,29 @@
     /// The zone of a gateway.
     #[serde(default)]
     pub zone: Option<String>,
-    /// The shards that it serves.
+    /// The shards that the gateway serves.
     #[serde(default)]
     pub shards: Vec<u32>,
-    /// The volumes that it serves.
+    /// The volumes that the gateway serves.
     #[serde(default)]
     pub volumes: Vec<String>,
     /// The folder in which a gateway persists its snapshot; without one nothing is persisted.
     #[serde(default)]
     pub state: Option<PathBuf>,
-    /// Keys of 64 hex digits: the first signs, each is accepted. There are two during a rotation.
+    /// Keys of 64 hex digits: the first one signs, all are accepted. There are two during a rotation.
     pub keys: Vec<String>,
     /// Seconds for which changes that are not urgent are collected into one batch.
     #[serde(default = "default_batch_s")]
     pub batch_s: f64,
-    /// The most subscribers.
+    /// The maximum number of subscribers.
     #[serde(default = "default_max_subscribers", rename = "most")]
     pub max_subscribers: u32,
-    /// Bytes a second for the snapshots of new subscribers.
+    /// Bytes per second for the snapshots of new subscribers.
     #[serde(default = "default_admission_bytes_s")]
     pub admission_bytes_s: f64,
 }
 
-/// The name in error texts.
+/// The type's name in error messages.
 type Changes = Distribution;
 impl_deserialize!(Distribution);
 
@@ -87,21 +88,21 @@
 }
 
 impl Distribution {
-    /// Whether two sections are equal apart from their keys.
+    /// Whether two sections are equal except for their keys.
     pub fn equal_except_keys(one: Option<&Distribution>, other: Option<&Distribution>) -> bool {
         let without_keys = |section: &Distribution| Distribution { keys: Vec::new(), ..section.clone() };
         one.map(without_keys) == other.map(without_keys)
     }
 
-    /// The keys as bytes: the one that signs, and the other one that is accepted.
+    /// The keys as bytes: the signing key, and the other accepted key, if any.
     ///
     /// # Errors
-    /// There is no key, more than two, or one that can't be used.
+    /// There is no key, there are more than two, or a key is invalid.
     pub fn keys(&self) -> Result<(KeyBytes, Option<KeyBytes>), ConfigError> {
         parse_keys("changes.keys", &self.keys)
     }
 
-    /// Checks the section of the process of that name, which is a voter or not.
+    /// Checks the section of the process with this name.
     pub(crate) fn check(&self, name: &str, is_voter: bool) -> Result<(), ConfigError> {
         self.keys()?;
         self.check_relays(name, is_voter)?;
@@ -119,29 +120,29 @@
 
     /// Checks what a gateway subscribes to.
     fn check_scope(&self) -> Result<(), ConfigError> {
-        let wording = "must have 1 to 64 bytes, no slash, nothing that can't be printed";
+        let reason = "must have 1 to 64 bytes, no slash, nothing that can't be printed";
         for (field, name) in [("region", &self.region), ("zone", &self.zone)] {
             if name.as_deref().is_some_and(|name| !is_valid_name(name)) {
-                return invalid(format!("changes.{field}"), wording);
+                return invalid(format!("changes.{field}"), reason);
             }
         }
         if let Some(index) = self.volumes.iter().position(|name| !is_valid_name(name)) {
-            return invalid(format!("changes.volumes[{index}]"), wording);
+            return invalid(format!("changes.volumes[{index}]"), reason);
         }
-        let shards = SHARD_BYTES * self.shards.len();
-        let volumes: usize = self.volumes.iter().map(|name| name.len() + VOLUME_OVERHEAD_BYTES).sum();
-        if shards + volumes > MAX_SCOPE_BYTES {
-            let field = if shards > volumes { "shards" } else { "volumes" };
+        let shard_bytes = SHARD_BYTES * self.shards.len();
+        let volume_bytes: usize = self.volumes.iter().map(|name| name.len() + VOLUME_OVERHEAD_BYTES).sum();
+        if shard_bytes + volume_bytes > MAX_SCOPE_BYTES {
+            let field = if shard_bytes > volume_bytes { "shards" } else { "volumes" };
             return invalid(format!("changes.{field}"), "too many: a relay takes requests of 48 KiB");
         }
-        let of_gateways = [
+        let gateway_settings = [
             ("region", self.region.is_some()),
             ("zone", self.zone.is_some()),
             ("shards", !self.shards.is_empty()),
             ("volumes", !self.volumes.is_empty()),
             ("state", self.state.is_some()),
         ];
-        match of_gateways.into_iter().find(|(_, is_set)| *is_set && self.listen.is_some()) {
+        match gateway_settings.into_iter().find(|(_, is_set)| *is_set && self.listen.is_some()) {
             Some((field, _)) => {
                 let reason = "is a front's; whoever has changes.listen holds everything, in memory";
                 invalid(format!("changes.{field}"), reason)
--- a/crates/config/src/environment.rs
+++ b/crates/config/src/environment.rs
@@ -9,13 +9,13 @@
 /// Reads the configuration that the environment names; `var` returns the value of a variable.
 ///
 /// # Errors
-/// The file can't be read, or the first key or variable that is wrong.
+/// The file can't be read; otherwise names the first invalid key or variable.
 pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let file = read_file(&var)?;
     Ok(read_in_environment(var, file, &[])?.for_start())
 }
 
-/// The file that the environment names.
+/// Reads the file that the environment names.
 pub(crate) fn read_file(var: impl Fn(&str) -> Option<String>) -> Result<FileText, ConfigError> {
     let Some(name) = var("GW_CONFIG") else { return invalid("GW_CONFIG", "is not set") };
     let text = std::fs::read_to_string(&name)
@@ -23,7 +23,7 @@
     Ok(FileText { name, text })
 }
 
-/// The configuration of that file, with settings merged over its own, in this environment.
+/// Reads the configuration of the file with the overlay merged over its settings, then applies the environment.
 pub(crate) fn read_in_environment(
     var: impl Fn(&str) -> Option<String>,
     file: FileText,
@@ -32,7 +32,7 @@
     apply_environment(var, read_with_overlay(file, overlay)?)
 }
 
-/// Replaces what the environment states too.
+/// Replaces the values that the environment sets.
 pub(crate) fn apply_environment(
     var: impl Fn(&str) -> Option<String>,
     mut config: Config,
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,12 +1,12 @@
 //! Configuration errors.
 
-/// A key of the configuration, and why its value can't work.
+/// An invalid key of the configuration, and the reason.
 ///
-/// Its text begins with the key, for operators search their file for it.
+/// The message begins with the key, so that operators can search their file for it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct ConfigError {
-    /// The key as a path, such as `accord.member[1].at`; the file's name where it can't be parsed at all.
+    /// The key as a path, such as `accord.member[1].at`; the file's name if the file can't be parsed at all.
     pub key: String,
     /// What is wrong with its value.
     pub reason: String,
@@ -18,7 +18,7 @@
     }
 }
 
-/// The result of a check that finds this key wrong.
+/// The result of a check that rejects this key.
 pub(crate) fn invalid<T>(key: impl Into<String>, reason: impl Into<String>) -> Result<T, ConfigError> {
     Err(ConfigError::new(key, reason))
 }
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,16 +1,17 @@
-//! The form of a file, before it is checked.
+//! The structure of a file, before it is checked.
 use crate::{Clients, ConfigError, Coordination, Distribution, Iscsi, Limits, Listen};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The name of a gateway that is given none.
+/// The name of a gateway without a configured one.
 pub(crate) const DEFAULT_NAME: &str = "lichenrudder";
 
 /// A file's sections.
 ///
-/// A new section is a field here and in [`crate::Config`]. Its types and bounds are a module of its own, which `check` calls, and
-/// `reload` says what of it needs a restart. Only an operator's file may have it unless its key is among the platform's.
+/// A new section needs a field here and in [`crate::Config`]. Its types and bounds belong into a module of its own, which `check`
+/// calls, and `reload` defines which of its changes need a restart. Only an operator's file may have it, unless its key is one of
+/// the platform's.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FileIn {
@@ -44,7 +45,7 @@
 }
 
 impl FileIn {
-    /// The name of the gateway, as far as the file states it.
+    /// The name of the gateway by this file, or the default.
     pub fn name(&self) -> &str {
         self.name.as_deref().unwrap_or(DEFAULT_NAME)
     }
@@ -87,17 +88,17 @@
     pub conn_idle_s: f64,
 }
 
-/// What the settings state of the kind of requests.
+/// The part of the settings that describes requests.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct FamilyIn {
     /// Whether each class writes, in the order of the classes.
     pub writes: Vec<bool>,
-    /// How many shards there are; 0 where that is unknown.
+    /// The number of shards; 0 if unknown.
     pub slots_total: u32,
 }
 
-/// Deserializes a section, whose errors name the key below that path; the file itself has the empty path.
+/// Deserializes the section at `path`, so that errors name the full key; the file itself has the empty path.
 pub(crate) fn section<T: for<'a> Deserialize<'a>>(value: Value, path: &str) -> Result<T, ConfigError> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let inner_path = error.path().to_string();
--- a/crates/config/src/gather_policies.rs
+++ b/crates/config/src/gather_policies.rs
@@ -1,5 +1,5 @@
-//! The tables `[[gather]]` of an operator's file: scatter-gather policies. The package `scatter-gather` checks each by itself;
-//! here they are checked against the rest of the file.
+//! The tables `[[gather]]` of an operator's file: scatter-gather policies. The package `scatter-gather` checks each policy by
+//! itself; this module checks them against the rest of the file.
 use crate::error::invalid;
 use crate::file::FileIn;
 use crate::{Class, ConfigError, Iscsi};
@@ -7,25 +7,25 @@
 use scatter_gather::{Policy, ShardRequest};
 use std::time::Duration;
 
-/// The divisor of the memory whose quotient shard responses may hold.
+/// Shard responses may use the memory limit divided by this.
 pub const MEMORY_DIVISOR: u64 = 8;
 
-/// Memory beyond which a gateway makes no further use of it, in MB.
+/// The most memory that a gateway uses, in MB, even if its limit is higher.
 const MAX_MEMORY_MB: u64 = 192;
 
-/// What the policies depend on in the rest of a file.
+/// The values in the rest of a file that the policies depend on.
 pub(crate) struct PolicyContext<'a> {
-    /// Whether clients can receive partial results: RESP2 clients can.
+    /// Whether there are clients that can receive partial results: only RESP2 clients can.
     pub supports_partial_results: bool,
     /// The classes of the settings.
     pub classes: &'a [Class],
-    /// Zones; empty where they are not listed.
+    /// The zones; empty if the settings don't list them.
     pub zones: &'a [String],
-    /// How many shards there are, where that is known.
+    /// The number of shards, if known.
     pub shards: Option<u32>,
-    /// LUNs, which say what blocks of a volume are.
+    /// The iSCSI target, whose LUNs define the blocks of a volume.
     pub iscsi: Option<&'a Iscsi>,
-    /// Memory, in MB.
+    /// The memory limit, in MB.
     pub memory_mb: u64,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Names the first key of a `[[gather]]` table that can't work.
+/// Reports the first invalid key of a `[[gather]]` table.
 pub(crate) fn check<'a>(
     policies: impl IntoIterator<Item = &'a Policy>,
     context: &PolicyContext<'_>,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Checks a range of blocks against the LUN of its volume: only a LUN says how blocks are placed on a volume.
+/// Checks a range of blocks against the LUN of its volume: only a LUN defines how blocks are placed on a volume.
 fn check_blocks(
     key: String,
     iscsi: Option<&Iscsi>,
--- a/crates/config/src/iscsi.rs
+++ b/crates/config/src/iscsi.rs
@@ -20,17 +20,17 @@
     pub read_class: String,
     /// The class of its writes.
     pub write_class: String,
-    /// Blocks of 512 bytes.
+    /// The size, in blocks of 512 bytes.
     pub blocks: u32,
-    /// Milliseconds after which a command fails; the class's deadline where it is left out.
+    /// Milliseconds after which a command fails; the deadline of the class if omitted.
     pub deadline_ms: Option<u64>,
-    /// Blocks that make one piece of data.
+    /// Blocks in one piece of data.
     #[serde(default = "default_blocks")]
     pub piece_blocks: u32,
-    /// Blocks that count as one unit.
+    /// Blocks that count as one unit of work.
     #[serde(default = "default_blocks")]
     pub unit_blocks: u32,
-    /// Gateways through which the volume's requests come.
+    /// The number of gateways that send requests for the volume.
     #[serde(default = "default_hosts")]
     pub hosts: u32,
 }
@@ -63,7 +63,7 @@
     pub luns: Vec<Lun>,
 }
 
-/// Names the first key of the section that can't work with these classes and plans.
+/// Reports the first key of the section that is invalid with these classes and plans.
 pub(crate) fn check(iscsi: &Iscsi, classes: &[Class], plans: &[String]) -> Result<(), ConfigError> {
     if !iscsi.target.starts_with("iqn.") || iscsi.target.len() > 223 {
         return invalid("iscsi.target", "must be an iqn. name of at most 223 characters");
--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -1,14 +1,14 @@
-//! Keys for message authentication, as the sections `[accord]` and `[changes]` state them.
+//! Keys for message authentication, as configured in the sections `[accord]` and `[changes]`.
 use crate::error::invalid;
 use crate::ConfigError;
 
-/// Bytes of a key.
+/// The size of a key, in bytes.
 const KEY_BYTES: usize = 32;
 
 /// A key.
 pub type KeyBytes = [u8; KEY_BYTES];
 
-/// Parses the keys of that section: the one that signs, and the other one that is accepted.
+/// Parses the keys of a section: the signing key, and the other accepted key, if any.
 pub(crate) fn parse_keys(
     section_key: &str,
     texts: &[String],
@@ -33,7 +33,7 @@
     Ok((keys[0], keys.get(1).copied()))
 }
 
-/// The bytes of exactly so many hex digits as a key has.
+/// Parses a key's hex digits; `None` unless there are exactly as many as a key has.
 fn parse_hex(text: &str) -> Option<KeyBytes> {
     let mut bytes = [0; KEY_BYTES];
     if text.len() != 2 * KEY_BYTES || !text.is_ascii() {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
 //! Reads, checks and completes the configuration: `GW_*` and the JSON file of `GW_CONFIG` on the platform, an operator's TOML file
-//! in a sidecar. Both have the same keys. An error names its key.
+//! in a sidecar. Both have the same keys, and errors name the invalid key.
 mod build;
 mod check;
 mod coordination;
@@ -40,7 +40,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Classes and plans that a later file has removed, by index: open requests may have them, new ones not.
+/// The indexes of classes and plans that a later file has removed: open requests may still have them, but new ones may not.
 #[derive(Clone, Debug, Default)]
 struct Retired {
     classes: BTreeSet<usize>,
@@ -52,27 +52,27 @@
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Where RESP2 clients connect; `None` where there is no such listener.
+    /// Where RESP2 clients connect; `None` without such a listener.
     pub listen: Option<SocketAddr>,
-    /// The address of discovery; `None` where the list of backends is fixed.
+    /// The address of discovery; `None` if the list of backends is fixed.
     pub discovery: Option<SocketAddr>,
     /// The seed of random numbers.
     pub seed: u64,
     /// The machine's limits.
     pub limits: Limits,
-    /// How many shards there are, where the settings say so.
+    /// The number of shards, if the settings specify it.
     pub shards: Option<u32>,
     /// Timeouts of clients' connections.
     pub clients: Clients,
-    /// The list of backends as the platform last had it, or the fixed one.
+    /// The last list of backends that the platform knew, or the fixed list.
     pub known: Arc<Targets>,
     /// The settings of the scheduler.
     pub settings: Settings,
-    /// Classes, in the order of the settings.
+    /// The classes, in the order of the settings.
     pub classes: Vec<Class>,
-    /// Plans, in the order of the settings.
+    /// The plans, in the order of the settings.
     pub plans: Vec<String>,
-    /// Zones, in the order of the settings.
+    /// The zones, in the order of the settings.
     pub zones: Vec<String>,
     retired: Retired,
     /// The address of discovery that the file itself names.
@@ -83,7 +83,7 @@
     pub agent: Option<Listen>,
     /// The listener for HTTP health checks.
     pub health: Option<Listen>,
-    /// Where operators' HTTP calls arrive.
+    /// The listener for operators' HTTP calls.
     pub admin: Option<SocketAddr>,
     /// The iSCSI target.
     pub iscsi: Option<Iscsi>,
@@ -91,7 +91,7 @@
     pub coordination: Option<Coordination>,
     /// The distribution of configuration changes.
     pub distribution: Option<Distribution>,
-    /// The file, where overlays are possible.
+    /// The parsed file, if overlays are possible.
     source: Option<Arc<Source>>,
     /// Scatter-gather policies.
     pub gather_policies: Vec<Arc<scatter_gather::Policy>>,
@@ -100,18 +100,18 @@
 }
 
 impl Config {
-    /// The configuration to start with: its source is retained only where overlays are possible.
+    /// The initial configuration, which retains its source only if overlays are possible.
     fn for_start(self) -> Config {
         Config { source: self.source.filter(|_| self.distribution.is_some()), ..self }
     }
 
-    /// The index of the class that new requests may name so.
+    /// The index of the class with this name, unless it is retired.
     pub fn class(&self, name: &str) -> Option<usize> {
         (0..self.classes.len())
             .find(|index| self.classes[*index].name == name && !self.retired.classes.contains(index))
     }
 
-    /// The index of the plan that new requests may name so.
+    /// The index of the plan with this name, unless it is retired.
     pub fn plan(&self, name: &str) -> Option<usize> {
         (0..self.plans.len()).find(|index| self.plans[*index] == name && !self.retired.plans.contains(index))
     }
--- a/crates/config/src/placement.rs
+++ b/crates/config/src/placement.rs
@@ -1,13 +1,13 @@
-//! Indexes that stay valid over reloads: names that a later file removes keep theirs, and new ones are appended.
+//! Indexes that stay valid across reloads: names that a later file removes keep their index, and new names are appended.
 use crate::error::invalid;
 use crate::ConfigError;
 use std::collections::BTreeSet;
 
-/// The most classes, plans or zones. Reloads keep removed ones, so their number could grow without bound.
+/// The maximum number of classes, plans or zones. Reloads keep removed ones, so their number could grow without bound.
 const MAX_NAMES: usize = 256;
 
-/// Merges new names into old ones. For each index of the result: the index among the new names, or `None` for an old name
-/// that was removed.
+/// Merges new names into old ones. Each entry of the result is the index among the new names, or `None` for an old name that
+/// was removed.
 pub(crate) fn merge_names(
     key: &str,
     old: &[String],
--- a/crates/config/src/range.rs
+++ b/crates/config/src/range.rs
@@ -1,11 +1,11 @@
-//! Checks that several sections have in common.
+//! Checks shared by several sections.
 use crate::error::invalid;
 use crate::ConfigError;
 
 /// The longest name of a member or relay, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A numeric setting and the bounds that it must keep.
+/// A numeric setting and its inclusive bounds.
 pub(crate) struct Range {
     pub key: &'static str,
     pub value: f64,
@@ -13,7 +13,7 @@
     pub max: f64,
 }
 
-/// Finds the first setting beyond its bounds.
+/// Reports the first setting outside its bounds.
 pub(crate) fn check_ranges(ranges: &[Range]) -> Result<(), ConfigError> {
     match ranges.iter().find(|range| !(range.min..=range.max).contains(&range.value)) {
         Some(range) => invalid(range.key, format!("must be {} to {}", range.min, range.max)),
--- a/crates/config/src/reload.rs
+++ b/crates/config/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads: a later file, or other settings over it, in place of the effective configuration.
+//! Reloads: replace the effective configuration by a later file, or by other overlays of its settings.
 use crate::build::build;
 use crate::environment::{apply_environment, read_file, read_in_environment};
 use crate::error::invalid;
@@ -14,26 +14,26 @@
 pub struct Reloaded {
     /// The configuration.
     pub config: Config,
-    /// The keys that have changed, but need a restart and stay as they were.
+    /// Changed keys that need a restart and keep their old values until then.
     pub needs_restart: Vec<&'static str>,
 }
 
-/// The environment without its address of discovery: at a reload that of the file counts.
+/// The environment without its address of discovery: a reload uses that of the file.
 fn without_discovery(var: impl Fn(&str) -> Option<String>) -> impl Fn(&str) -> Option<String> {
     move |key| if key == "GW_DISCOVERY" { None } else { var(key) }
 }
 
 impl Config {
-    /// Reads the file that the environment names again, to replace this configuration. Indexes of classes, plans and zones that
-    /// are in use keep their meaning. The address of discovery is the file's, where the file names another than before.
+    /// Reads the file that the environment names again and replaces this configuration. Indexes of classes, plans and zones that
+    /// are in use keep their meaning. The address of discovery is that of the file if the file has a different one than before.
     ///
     /// # Errors
-    /// Names the first key that is wrong; this configuration then stays effective.
+    /// Names the first invalid key; this configuration then stays effective.
     pub fn reload(&self, var: impl Fn(&str) -> Option<String>) -> Result<Reloaded, ConfigError> {
         self.reload_with_overlay(var, &[])
     }
 
-    /// The same, with settings merged over the file's own, one after the other.
+    /// Like [`Config::reload`], with the overlays merged over the file's settings in order.
     ///
     /// # Errors
     /// As for [`Config::reload`].
@@ -47,11 +47,11 @@
         self.replace(var, new, true)
     }
 
-    /// The file as it was last read, with other settings merged over its own, and checked as another file would be. The list of
-    /// backends isn't parsed again, so the cost depends on the settings alone, unless these name other zones.
+    /// Merges the overlays over the settings of the file as last read, and checks the result like a new file. The list of backends
+    /// is not parsed again, so the cost depends only on the size of the settings, unless these have new zones.
     ///
     /// # Errors
-    /// The configuration has no section `[changes]`, or names the first key that is wrong.
+    /// The configuration has no section `[changes]`; otherwise names the first invalid key.
     pub fn apply_overlay(
         &self,
         var: impl Fn(&str) -> Option<String>,
@@ -67,8 +67,8 @@
         Ok(self.replace(var, new, true)?.config)
     }
 
-    /// Makes `new` the successor of this configuration; `is_list_parsed` says whether its list of backends refers to its own
-    /// zones, rather than to these.
+    /// Makes `new` the successor of this configuration; `is_list_parsed` tells whether its list of backends was parsed with
+    /// the zones of `new`, rather than taken from this configuration.
     fn replace(
         &self,
         var: impl Fn(&str) -> Option<String>,
@@ -76,7 +76,7 @@
         is_list_parsed: bool,
     ) -> Result<Reloaded, ConfigError> {
         new.source = new.source.filter(|_| self.source.is_some());
-        // What a truncated file lacks would silently get its default, for example no slow start.
+        // Keys missing in a truncated file would silently get their defaults, for example no slow start.
         if let Some(key) = self.shape.missing_in(&new.shape) {
             return invalid(key, "is missing, and the file before had it");
         }
@@ -92,9 +92,9 @@
         Ok(Reloaded { config: new, needs_restart })
     }
 
-    /// Keeps classes that were known before of the kind that they had: the list of kinds (`FamilyInfo.Writes`) may not have been
-    /// updated when classes were added or removed, and then states other classes' kinds. For new classes it counts only where it
-    /// agrees with what is known of the others.
+    /// Keeps the kinds of classes that were known before: the list of kinds (`FamilyInfo.Writes`) may not have been updated when
+    /// classes were added or removed, and then its entries belong to other classes. For new classes it is used only if it agrees
+    /// with the known kinds of all others.
     fn keep_kinds(&mut self, before: &[Class]) {
         let known =
             |class: &Class| before.iter().find(|old| old.name == class.name).and_then(|old| old.write);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sections that only a restart changes must still fit to the new ones.
+    /// Checks that sections which only a restart changes are still valid with the new settings.
     fn check_kept_sections(&self, new: &Config) -> Result<(), ConfigError> {
         if let Some(iscsi) = &self.iscsi {
             iscsi::check(iscsi, &new.classes, &new.plans)?;
@@ -123,7 +123,7 @@
         gather_policies::check(self.gather_policies.iter().map(|policy| &**policy), &context)
     }
 
-    /// Gives classes, plans and zones that this configuration has the same indexes in the new one.
+    /// Keeps the indexes of this configuration's classes, plans and zones in the new one.
     fn keep_indexes(&self, new: &mut Config, is_list_parsed: bool) -> Result<(), ConfigError> {
         let names = |classes: &[Class]| classes.iter().map(|class| class.name.clone()).collect::<Vec<_>>();
         let classes = merge_names("settings.Classes", &names(&self.classes), &names(&new.classes))?;
@@ -164,7 +164,7 @@
         checks.into_iter().filter(|(_, is_equal)| !is_equal).map(|(key, _)| key).collect()
     }
 
-    /// Restores in `new` what only a restart changes.
+    /// Restores the values in `new` that only a restart changes.
     fn keep_until_restart(&self, new: &mut Config) {
         new.name = self.name.clone();
         new.listen = self.listen;
--- a/crates/config/src/section_names.rs
+++ b/crates/config/src/section_names.rs
@@ -1,15 +1,15 @@
-//! Types whose error texts state another name than their own.
+//! Support for section types whose name in error messages differs from their name in the code.
 //!
-//! Serde's messages state the type of a section ("expected struct Accord"). Operators search for these texts, so they stay, while
-//! the types have the names of the code. The attribute `remote` sets the name; it derives an inherent function in place of the
-//! trait, which the macro then implements by it.
+//! Serde's messages contain the type of a section ("expected struct Accord"). Operators search for these texts, so they must not
+//! change with a type's name. The attribute `remote` sets the name in messages. It derives an inherent function instead of the
+//! trait implementation, which the macro adds.
 
-/// Implements [`serde::Deserialize`] by the function that `#[serde(remote = "...")]` derives.
+/// Implements [`serde::Deserialize`] with the function that `#[serde(remote = "...")]` derives.
 macro_rules! impl_deserialize {
     ($type:ty) => {
         impl<'de> serde::Deserialize<'de> for $type {
             fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-                // The derived inherent function, which takes precedence over this one.
+                // Calls the derived inherent function, which takes precedence over this trait method.
                 <$type>::deserialize(deserializer)
             }
         }
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Cores; the program uses one.
+    /// CPU cores; the program uses one.
     pub cores: f64,
     /// Memory, in MB.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// File descriptors.
     pub sockets: usize,
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Timeouts of clients' connections.
+/// Timeouts of client connections.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
@@ -39,18 +39,18 @@
     }
 }
 
-/// A class, as requests name it.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// How long a client waits in total.
+    /// How long a client waits for a response in total.
     pub deadline: Micros,
-    /// Whether it writes; `None` where the file doesn't say, and the client's command decides.
+    /// Whether it writes; `None` if the file doesn't specify it, so that the client's command decides.
     pub write: Option<bool>,
 }
 
-/// A listener of its own.
+/// A section that consists of a listener.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
--- a/crates/config/src/shape.rs
+++ b/crates/config/src/shape.rs
@@ -1,14 +1,14 @@
-//! Which keys a file has, so that a later file can be compared with it.
+//! The keys that a file contains, for comparison with a later file.
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The keys of a platform's file: at its top, and of each object within its settings. All entries of a list count as one
-/// object, with the keys that they have in common.
+/// The keys of a platform's file: at the top level, and of each object within its settings. The entries of a list count as one
+/// object with the keys that all of them have.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Shape(BTreeMap<String, BTreeSet<String>>);
 
 impl Shape {
-    /// Keys at the top without which no gateway of the platform can serve.
+    /// Top-level keys that every gateway of the platform requires.
     const REQUIRED: [&'static str; 5] = ["name", "listen", "discovery", "limits", "settings"];
 
     /// The shape of a file's content.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The first key that `new` lacks. A list that has become empty lacks none.
+    /// The first key that is missing in `new`. A list that has become empty lacks no keys.
     pub fn missing_in(&self, new: &Shape) -> Option<String> {
         self.0.iter().find_map(|(path, keys)| {
             let new_keys = new.0.get(path)?;
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,10 +1,10 @@
-//! A file's text, parsed but not checked yet.
+//! A file that is parsed but not checked yet.
 use crate::shape::Shape;
 use crate::{ConfigError, Targets};
 use serde_json::Value;
 use std::sync::Arc;
 
-/// The keys that are read from a file of the platform, which may have others; an operator's may not.
+/// The keys that are read from the platform's file. Others are ignored there, while in an operator's file they are errors.
 const PLATFORM_KEYS: [&str; 12] = [
     "name",
     "listen",
@@ -32,24 +32,24 @@
 pub(crate) struct Source {
     /// Its name and text.
     pub file: FileText,
-    /// Its content without the list of backends.
+    /// Its content, without the list of backends.
     pub content: Value,
-    /// The keys that it has.
+    /// The keys that it contains.
     pub shape: Shape,
 }
 
-/// Where the list of backends comes from.
+/// The source of the list of backends.
 pub(crate) enum TargetSource {
-    /// There is none.
+    /// There is no list.
     None,
     /// The file's content.
     File(Value),
-    /// An earlier configuration with the same zones.
+    /// The list of an earlier configuration with the same zones.
     Parsed(Arc<Targets>),
 }
 
 impl Source {
-    /// Parses a file: TOML where its name ends so, else JSON.
+    /// Parses a file: TOML if its name ends with `.toml`, else JSON.
     pub fn parse(file: FileText) -> Result<(Source, TargetSource), ConfigError> {
         let is_operators = is_operators_file(&file.name);
         let mut content: Value = if is_operators {
@@ -59,7 +59,7 @@
                 .map_err(|error| ConfigError::new(&file.name, error.to_string()))?
         };
         let mut shape = Shape::default();
-        // The platform's file may gain keys; in an operator's, unknown keys are errors.
+        // Later versions of the platform's file may have more keys; in an operator's file, unknown keys are errors.
         if !is_operators {
             shape = Shape::of(&content);
             if let Some(object) = content.as_object_mut() {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether a file of that name is an operator's, rather than the platform's.
+/// Whether the file with this name is an operator's, rather than the platform's.
 pub(crate) fn is_operators_file(name: &str) -> bool {
     name.ends_with(".toml")
 }
--- a/crates/config/src/targets.rs
+++ b/crates/config/src/targets.rs
@@ -1,4 +1,4 @@
-//! The list of backends: discovery's messages, and the fixed list of a file.
+//! The list of backends: messages of discovery, and the fixed list of a file.
 use crate::error::invalid;
 use crate::ConfigError;
 use scheduler::interface::{BackendEntry, BackendId, BackendState, Micros, ShardId};
@@ -19,13 +19,13 @@
 /// A backend on the list.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What the scheduler learns of it.
+    /// Its entry in the scheduler's list.
     pub entry: BackendEntry,
-    /// Its endpoint; `None` where the list has no usable address.
+    /// Its endpoint; `None` if the list has no valid address.
     pub address: Option<SocketAddr>,
     /// Its protocol.
     pub protocol: BackendProtocol,
-    /// Its target's name, where the protocol is iSCSI.
+    /// The name of its iSCSI target, used if the protocol is iSCSI.
     pub target: String,
 }
 
@@ -68,16 +68,16 @@
     instances: Vec<TargetIn>,
 }
 
-/// Parses a message of discovery. Its times are Unix milliseconds; here alone they become the clock's microseconds.
+/// Parses a message of discovery. Its times are Unix milliseconds; this is the only place that converts them to microseconds.
 ///
 /// # Errors
-/// Names the first key that is wrong.
+/// Names the first invalid key.
 pub fn parse_targets(text: &[u8], zones: &[String]) -> Result<Targets, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(text);
-    let read: TargetsIn = serde_path_to_error::deserialize(&mut json)
+    let message: TargetsIn = serde_path_to_error::deserialize(&mut json)
         .map_err(|error| ConfigError::new(error.path().to_string(), error.inner().to_string()))?;
-    let mut targets = Vec::with_capacity(read.instances.len());
-    for (index, instance) in read.instances.into_iter().enumerate() {
+    let mut targets = Vec::with_capacity(message.instances.len());
+    for (index, instance) in message.instances.into_iter().enumerate() {
         let state = match instance.lifecycle.as_str() {
             "active" => BackendState::Ready,
             "leaving" => BackendState::Draining,
@@ -103,5 +103,5 @@
             target,
         });
     }
-    Ok(Targets { generation: read.generation, is_complete: read.reset, targets })
+    Ok(Targets { generation: message.generation, is_complete: message.reset, targets })
 }
--- a/crates/config/tests/coordination.rs
+++ b/crates/config/tests/coordination.rs
@@ -1,8 +1,8 @@
-//! The section `[accord]`: a valid file, and the key of each error.
+//! The section `[accord]`: valid files, and the key that each error names.
 #![allow(clippy::unwrap_used)]
 use rstest::rstest;
 
-const GOOD: &str = include_str!("../../../deploy/together.toml");
+const VALID: &str = include_str!("../../../deploy/together.toml");
 
 fn error_key(text: &str) -> String {
     config::read("front.toml", text).map(|_| ()).unwrap_err().key
@@ -10,24 +10,24 @@
 
 #[test]
 fn accepts_deployed_and_generated_files() {
-    let config = config::read("front.toml", GOOD).unwrap();
+    let config = config::read("front.toml", VALID).unwrap();
     let coordination = config.coordination.unwrap();
     assert_eq!(
         (coordination.members.len(), coordination.maintenance.total, coordination.lease_s),
         (5, 2, 2.0)
     );
-    let written = config::application("label-printer").unwrap();
+    let generated = config::application("label-printer").unwrap();
     assert!(
-        config::read("x.toml", &written).unwrap().coordination.is_none(),
+        config::read("x.toml", &generated).unwrap().coordination.is_none(),
         "off unless an operator sets it"
     );
     // The commented-out section is valid once uncommented.
-    let block = written.split_once("# [accord]").unwrap().1;
+    let block = generated.split_once("# [accord]").unwrap().1;
     let block: Vec<&str> =
         block.lines().map(|l| l.strip_prefix("# ").unwrap_or(l.trim_start_matches('#'))).collect();
     let key = "0123456789abcdef".repeat(4);
-    let set = format!("{written}\n[accord]{}", block.join("\n").replace("KEY", &key));
-    assert_eq!(config::read("x.toml", &set).unwrap().coordination.unwrap().members.len(), 1);
+    let enabled = format!("{generated}\n[accord]{}", block.join("\n").replace("KEY", &key));
+    assert_eq!(config::read("x.toml", &enabled).unwrap().coordination.unwrap().members.len(), 1);
 }
 
 #[rstest]
@@ -44,16 +44,16 @@
 #[case::fleet("FleetSize = 5", "FleetSize = 3", "settings.FleetSize")]
 #[case::unknown_key("lasts_s = 10.0", "lasts = 10.0", "accord.evidence.lasts")]
 #[case::share("share = 0.2", "share = 0.8", "accord.evidence.share")]
-fn names_the_key_of_each_error(#[case] good: &str, #[case] bad: &str, #[case] key: &str) {
-    assert!(GOOD.contains(good), "{good}");
-    let found = error_key(&GOOD.replacen(good, bad, 1));
+fn names_the_key_of_each_error(#[case] valid: &str, #[case] invalid: &str, #[case] key: &str) {
+    assert!(VALID.contains(valid), "{valid}");
+    let found = error_key(&VALID.replacen(valid, invalid, 1));
     assert!(found.starts_with(key), "{found}, not {key}");
 }
 
 #[test]
 fn platform_cannot_enable_coordination() {
     let value: serde_json::Value =
-        serde_json::to_value(toml::from_str::<toml::Value>(GOOD).unwrap()).unwrap();
+        serde_json::to_value(toml::from_str::<toml::Value>(VALID).unwrap()).unwrap();
     let config = config::read("config.json", &value.to_string()).unwrap();
     assert!(config.coordination.is_none());
 }
--- a/crates/config/tests/platform.rs
+++ b/crates/config/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's JSON: unknown keys are ignored, the environment takes precedence, and times of discovery become the
-//! clock's.
+//! The platform's JSON file: unknown keys are ignored, the environment takes precedence, and times of discovery are
+//! converted to microseconds.
 #![allow(clippy::unwrap_used)]
 use scheduler::interface::{BackendState, Micros};
 
@@ -26,7 +26,7 @@
         }
     };
     let config = config::from_env(env("127.0.0.9:6379"));
-    let fault = config::from_env(env("here")).unwrap_err();
+    let error = config::from_env(env("here")).unwrap_err();
     std::fs::remove_file(&path).unwrap();
     let config = config.unwrap();
     assert_eq!((config.name.as_str(), config.seed), ("n4", 0x8c1f30d27a5be964));
@@ -37,15 +37,16 @@
     assert_eq!(
         first.entry.started_at,
         Some(Micros(1_700_000_000_123_000)),
-        "milliseconds there, microseconds here"
+        "milliseconds in the file, microseconds in the configuration"
     );
     assert_eq!((first.entry.state, first.entry.zone, first.entry.shard.0), (BackendState::Draining, 1, 3));
     assert_eq!((second.entry.started_at, second.address, second.entry.zone), (None, None, 2));
     assert_eq!(config.backend_idle, Micros(15_000_000), "the default");
-    assert_eq!(fault.key, "GW_LISTEN");
+    assert_eq!(error.key, "GW_LISTEN");
 }
 
-/// A file that lacks an earlier key is rejected, also where the key has a default: the platform writes complete files.
+/// A file without a key that the earlier file had is rejected, even if the key has a default: the platform writes complete
+/// files, so such a file must be truncated.
 #[test]
 fn reload_rejects_file_without_earlier_keys() {
     let path = std::env::temp_dir().join(format!("lichenrudder-short-{}.json", std::process::id()));
@@ -53,22 +54,25 @@
     let env = move |key: &str| (key == "GW_CONFIG").then(|| file.clone());
     std::fs::write(&path, FILE).unwrap();
     let config = config::from_env(&env).unwrap();
-    let key_of = |from: &str, to: &str| {
+    let error_key = |from: &str, to: &str| {
         assert!(FILE.contains(from));
         std::fs::write(&path, FILE.replacen(from, to, 1)).unwrap();
         config.reload(&env).err().map(|e| e.key)
     };
-    assert_eq!(key_of("", ""), None);
-    assert_eq!(key_of("\"MaxAttempts\":3", "\"MaxAttempts\":4"), None);
-    assert_eq!(key_of("\"MostUnits\":6,", "").as_deref(), Some("settings (most_units)"));
-    assert_eq!(key_of("\"Zones\":[\"a\",\"b\"],", "").as_deref(), Some("settings.Zones"));
-    assert_eq!(key_of(",\"Writes\":[false]", "").as_deref(), Some("settings.FamilyInfo.Writes"));
+    assert_eq!(error_key("", ""), None);
+    assert_eq!(error_key("\"MaxAttempts\":3", "\"MaxAttempts\":4"), None);
+    assert_eq!(error_key("\"MostUnits\":6,", "").as_deref(), Some("settings (most_units)"));
+    assert_eq!(error_key("\"Zones\":[\"a\",\"b\"],", "").as_deref(), Some("settings.Zones"));
+    assert_eq!(error_key(",\"Writes\":[false]", "").as_deref(), Some("settings.FamilyInfo.Writes"));
     assert_eq!(
-        key_of("\"limits\":{\"cores\":0.5,\"memory_mb\":24,\"sockets\":40,\"novelty\":2},", "").as_deref(),
+        error_key("\"limits\":{\"cores\":0.5,\"memory_mb\":24,\"sockets\":40,\"novelty\":2},", "").as_deref(),
         Some("limits")
     );
-    assert_eq!(key_of("\"MaxAttempts\":3", "\"MaxAttempts\":0").as_deref(), Some("settings (max_attempts)"));
-    assert_eq!(key_of("\"DeadlineS\":1.2", "\"DeadlineS\":0").as_deref(), Some("settings (classes)"));
+    assert_eq!(
+        error_key("\"MaxAttempts\":3", "\"MaxAttempts\":0").as_deref(),
+        Some("settings (max_attempts)")
+    );
+    assert_eq!(error_key("\"DeadlineS\":1.2", "\"DeadlineS\":0").as_deref(), Some("settings (classes)"));
     std::fs::write(&path, "").unwrap();
     assert!(config.reload(&env).is_err());
     std::fs::write(&path, &FILE[..FILE.len() / 2]).unwrap();
@@ -76,7 +80,7 @@
     std::fs::remove_file(&path).unwrap();
 }
 
-/// Classes keep their kind over a reload, also where the list of kinds was not updated with them.
+/// Classes keep their kinds across a reload, even if the list of kinds was not updated with them.
 #[test]
 fn reload_keeps_kind_of_classes() {
     let path = std::env::temp_dir().join(format!("lichenrudder-kinds-{}.json", std::process::id()));
--- a/crates/iscsi/src/error.rs
+++ b/crates/iscsi/src/error.rs
@@ -1,36 +1,36 @@
-//! What makes the bytes of a connection invalid.
+//! Errors that end a session.
 
-/// Why a session can't go on: the peer broke the protocol, or one end declined the login.
+/// Why a session ends: the peer violated the protocol, or the login failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
     /// A data segment exceeds [`crate::MAX_DATA_BYTES`].
     #[error("a data segment is longer than 64 KiB")]
     DataSegmentTooLong,
-    /// A PDU of the full feature phase came before the login was complete.
-    #[error("before the login")]
+    /// A PDU of the full feature phase arrived before the login was complete.
+    #[error("a PDU of the full feature phase before the login")]
     BeforeLogin,
-    /// A login request came within a session.
-    #[error("a login in a session")]
+    /// A login request arrived in the full feature phase.
+    #[error("a login request in the full feature phase")]
     LoginWithinSession,
-    /// The target answered the login with a status other than success, or was about to.
+    /// The login failed with a status other than success.
     #[error("login refused")]
     LoginRefused,
-    /// The target's first login response doesn't complete the login, which this initiator requires.
-    #[error("the target wants to go on negotiating")]
+    /// The target's first login response doesn't complete the login, as this initiator requires.
+    #[error("the target requires further login negotiation")]
     LoginIncomplete,
     /// A command number was skipped.
-    #[error("a gap in the order of commands")]
+    #[error("a command number was skipped")]
     CommandGap,
     /// A Data-Out PDU doesn't continue the transfer that was requested.
-    #[error("data that was not asked for")]
+    #[error("unsolicited data")]
     UnsolicitedData,
-    /// A Data-In PDU doesn't continue the data that came before it.
-    #[error("data out of place")]
+    /// A Data-In PDU doesn't continue the data received so far.
+    #[error("Data-In out of order")]
     DataOutOfPlace,
     /// An R2T requests bytes outside the data of the write.
-    #[error("it asks for data that there is not")]
+    #[error("an R2T requests bytes outside the data of the write")]
     TransferOutOfRange,
-    /// A PDU answers no outstanding request.
-    #[error("not an answer to what was asked")]
+    /// A PDU doesn't answer an outstanding request.
+    #[error("a PDU that answers no outstanding request")]
     UnexpectedResponse,
 }
--- a/crates/iscsi/src/initiator.rs
+++ b/crates/iscsi/src/initiator.rs
@@ -1,4 +1,4 @@
-//! The initiator's end of a session that carries one command at a time.
+//! The initiator side of a session with one command at a time.
 mod login;
 mod response;
 
@@ -14,12 +14,13 @@
 const WRITE: u8 = 0x20;
 /// The flag of a Data-In PDU that carries the command's status.
 const HAS_STATUS: u8 = 0x01;
-/// A session with one connection, as the initiator holds it.
+
+/// The initiator side of a session with one connection.
 #[derive(Default)]
 pub struct Initiator {
     tag: u32,
     command_number: u32,
-    /// The number that the target's next status will have.
+    /// The expected number of the target's next status.
     expected_status_number: u32,
     segment_bytes: usize,
     first_burst_bytes: usize,
@@ -33,7 +34,7 @@
 }
 
 impl Initiator {
-    /// A session that offers so many bytes as its first burst: the rest of a write is sent when requested.
+    /// Creates a session that offers a first burst of `bytes`; the rest of a write is sent when the target requests it.
     pub fn with_first_burst(bytes: usize) -> Initiator {
         Initiator { offered_first_burst: Some(bytes), ..Initiator::default() }
     }
@@ -44,12 +45,12 @@
         self.command_number = self.command_number.wrapping_add(1);
     }
 
-    /// Sets the tag of the next command; a retry on another connection takes that of the first attempt.
+    /// Sets the tag of the next command; a retry on another connection uses the tag of the first attempt.
     pub fn set_next_tag(&mut self, tag: u32) {
         self.tag = tag.wrapping_sub(1);
     }
 
-    /// Sends a command that writes this data, or reads so many bytes; returns its tag.
+    /// Sends a command that writes the given data or reads `expected_bytes`; returns its tag.
     pub fn command(
         &mut self,
         lun: u8,
@@ -78,15 +79,15 @@
         self.tag
     }
 
-    /// Takes the first PDU off the bytes and returns how many bytes it used: 0 while it is incomplete. What the PDU
-    /// requires at once, such as data of a write, is appended to `out`.
+    /// Handles the first PDU of `bytes` and returns its length: 0 while it is incomplete. An immediate answer to the PDU,
+    /// such as data of a write, is appended to `out`.
     ///
     /// # Errors
-    /// The session can't go on, and its connection is to be closed.
+    /// The session has failed, and its connection must be closed.
     pub fn read(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<(usize, Response), ProtocolError> {
         let Some(pdu) = pdu::decode(bytes)? else { return Ok((0, Response::Pending)) };
         let (header, data) = (pdu.header, pdu.data);
-        // Data-In has a status number only where it says so, a ping of the target's and R2T never.
+        // Data-In has a status number only with the status flag; a ping from the target and an R2T never have one.
         let has_status_number = match header.opcode() {
             opcode::DATA_IN => header.flags() & HAS_STATUS != 0,
             opcode::NOP_IN => header.tag() != RESERVED_TAG,
--- a/crates/iscsi/src/initiator/login.rs
+++ b/crates/iscsi/src/initiator/login.rs
@@ -3,13 +3,13 @@
 use crate::pdu::{field, Header, FINAL};
 use crate::{opcode, text, ProtocolError, DEFAULT_SEGMENT_BYTES, MAX_DATA_BYTES, MIN_SEGMENT_BYTES};
 
-/// The flags of a login request or response that goes from operational negotiation to the full feature phase.
+/// The flags of a login request or response for the transit from operational negotiation to the full feature phase.
 const TO_FULL_FEATURE: u8 = 0x07;
-/// The flags of a login response that matter to whether the login is complete.
+/// The flags of a login response that completes the login.
 const LOGIN_COMPLETE: u8 = FINAL | 0x03;
 
 impl Initiator {
-    /// Begins a session: with that target, or a discovery session.
+    /// Starts a normal session with the given target, or a discovery session without one.
     pub fn login(&mut self, name: &str, target: Option<&str>, isid: [u8; 6], out: &mut Vec<u8>) {
         let first_burst_bytes = self.offered_first_burst.unwrap_or(MAX_DATA_BYTES);
         *self = Initiator {
@@ -44,7 +44,7 @@
         request.write(&data, out);
     }
 
-    /// Takes the login response, with the parameters that the target chose.
+    /// Handles the login response and applies the parameters that the target chose.
     pub(super) fn finish_login(&mut self, header: &Header, data: &[u8]) -> Result<Response, ProtocolError> {
         let status_class = header.0[36];
         if status_class != 0 {
--- a/crates/iscsi/src/initiator/response.rs
+++ b/crates/iscsi/src/initiator/response.rs
@@ -1,9 +1,9 @@
 //! What an initiator session reports to its caller.
 
-/// What a PDU of the target means for the session.
+/// The result of a PDU from the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Nothing that the caller has to act on.
+    /// The caller has nothing to do.
     Pending,
     /// The session has begun.
     LoggedIn,
--- a/crates/iscsi/src/lib.rs
+++ b/crates/iscsi/src/lib.rs
@@ -1,5 +1,5 @@
 //! Encoding and decoding of iSCSI (RFC 7143) in the subset that docs/iscsi.md lists: protocol data units, SCSI commands,
-//! and both ends of a session with one connection. Without I/O and without a clock: the caller moves the bytes.
+//! and both ends of a session with one connection. It uses neither I/O nor a clock: the caller transfers the bytes.
 mod error;
 pub mod initiator;
 pub mod opcode;
@@ -10,11 +10,11 @@
 
 pub use error::ProtocolError;
 
-/// The most bytes of data that a command transfers, and of a PDU's data segment.
+/// The maximum data of a command, and of a PDU's data segment, in bytes.
 pub const MAX_DATA_BYTES: usize = 64 * 1024;
-/// Bytes of a logical block.
+/// The size of a logical block, in bytes.
 pub const BLOCK_BYTES: usize = 512;
-/// What either end sends in one data segment until the other states its bound (RFC 7143, section 13.12).
+/// The maximum data segment that an end sends, in bytes, until the other end declares its own limit (RFC 7143, section 13.12).
 const DEFAULT_SEGMENT_BYTES: usize = 8192;
-/// The least that either end may state as the bound of a segment or burst (RFC 7143, sections 13.12 to 13.14).
+/// The smallest limit that either end may declare for a segment or burst, in bytes (RFC 7143, sections 13.12 to 13.14).
 const MIN_SEGMENT_BYTES: usize = 512;
--- a/crates/iscsi/src/opcode.rs
+++ b/crates/iscsi/src/opcode.rs
@@ -32,5 +32,5 @@
 pub const READY_TO_TRANSFER: u8 = 0x31;
 /// Reject.
 pub const REJECT: u8 = 0x3f;
-/// The bit of the first byte that takes a request outside the order of commands.
+/// The immediate bit of the first byte: the request is delivered outside the order of commands.
 pub const IMMEDIATE: u8 = 0x40;
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -1,16 +1,16 @@
-//! Protocol data units: a basic header segment of 48 bytes, then data padded to four bytes. Digests are never agreed to.
+//! Protocol data units: a basic header segment of 48 bytes, then data padded to four bytes. Digests are never negotiated.
 use crate::{opcode, ProtocolError, MAX_DATA_BYTES};
 
-/// Bytes of a basic header segment.
+/// The size of a basic header segment, in bytes.
 pub const HEADER_BYTES: usize = 48;
-/// A tag that stands for none.
+/// The reserved value for an absent tag.
 pub const RESERVED_TAG: u32 = 0xffff_ffff;
-/// The flag of the last PDU of a sequence; in login PDUs the transit to the next stage.
+/// The flag of the last PDU in a sequence; in login PDUs it requests the transit to the next stage.
 pub const FINAL: u8 = 0x80;
-/// Data segments are padded to a multiple of so many bytes.
+/// Data segments are padded to a multiple of this number of bytes.
 const PADDING_BYTES: usize = 4;
 
-/// Byte offsets of the 32-bit header fields (RFC 7143, section 11). Which of them a PDU has depends on its opcode.
+/// Byte offsets of the 32-bit header fields (RFC 7143, section 11). The opcode determines which of them a PDU has.
 pub mod field {
     /// Initiator Task Tag.
     pub const TASK_TAG: usize = 16;
@@ -45,7 +45,7 @@
 pub struct Header(pub [u8; HEADER_BYTES]);
 
 impl Header {
-    /// A header of that opcode with those flags and the initiator's task tag; all other bytes are 0.
+    /// Creates a header with this opcode, these flags and this initiator task tag; all other bytes are 0.
     pub fn new(opcode: u8, flags: u8, tag: u32) -> Header {
         let mut header = Header([0; HEADER_BYTES]);
         header.0[0] = opcode;
@@ -59,7 +59,7 @@
         self.0[0] & 0x3f
     }
 
-    /// Whether the request is taken outside the order of commands.
+    /// Whether the request is delivered outside the order of commands.
     pub fn is_immediate(&self) -> bool {
         self.0[0] & opcode::IMMEDIATE != 0
     }
@@ -84,7 +84,7 @@
         self.0[offset..offset + 4].copy_from_slice(&value.to_be_bytes());
     }
 
-    /// The LUN, where it is one of the first 256 in flat or peripheral addressing.
+    /// The LUN, if it is below 256 in flat or peripheral addressing.
     pub fn lun(&self) -> Option<u8> {
         match self.0[8..16] {
             [0 | 0x40, lun, 0, 0, 0, 0, 0, 0] => Some(lun),
@@ -116,7 +116,7 @@
 /// Decodes the first PDU of the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// [`ProtocolError::DataSegmentTooLong`], as soon as the header is there.
+/// [`ProtocolError::DataSegmentTooLong`], as soon as the header is complete.
 pub fn decode(bytes: &[u8]) -> Result<Option<Pdu<'_>>, ProtocolError> {
     let Some((header, _)) = bytes.split_first_chunk::<HEADER_BYTES>() else { return Ok(None) };
     let additional_headers_length = usize::from(header[4]) * 4;
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -1,4 +1,4 @@
-//! SCSI commands (SPC-3, SBC-3) and sense data, as far as a target here answers or an initiator sends them.
+//! SCSI commands (SPC-3, SBC-3) and sense data, limited to those that this target answers or this initiator sends.
 mod sense;
 pub mod status;
 
@@ -6,7 +6,7 @@
 
 use crate::{BLOCK_BYTES, MAX_DATA_BYTES};
 
-/// Pages of vital product data.
+/// Page codes of vital product data.
 const SUPPORTED_PAGES: u8 = 0x00;
 const UNIT_SERIAL_NUMBER: u8 = 0x80;
 const DEVICE_IDENTIFICATION: u8 = 0x83;
@@ -38,7 +38,7 @@
     TestUnitReady,
     /// REQUEST SENSE.
     RequestSense,
-    /// INQUIRY, with the page of vital product data if one is requested.
+    /// INQUIRY, with the requested page of vital product data, if any.
     Inquiry(Option<u8>),
     /// MODE SENSE (6).
     ModeSense,
@@ -52,22 +52,22 @@
     Read {
         /// The first block.
         lba: u64,
-        /// How many blocks.
+        /// The number of blocks.
         blocks: u32,
     },
     /// WRITE (10) or (16).
     Write {
         /// The first block.
         lba: u64,
-        /// How many blocks.
+        /// The number of blocks.
         blocks: u32,
     },
 }
 
-/// Parses a command descriptor block; returns the command and the most bytes that it allows as an answer.
+/// Parses a command descriptor block; returns the command and its allocation length, the maximum size of the answer in bytes.
 ///
 /// # Errors
-/// The sense to answer with, where the command or its form is not supported.
+/// The sense to report if the command or one of its fields is not supported.
 pub fn parse_command(cdb: &[u8; 16]) -> Result<(Command, usize), Sense> {
     let u16_at = |at: usize| u16::from_be_bytes([cdb[at], cdb[at + 1]]);
     let u32_at = |at: usize| u32::from_be_bytes([cdb[at], cdb[at + 1], cdb[at + 2], cdb[at + 3]]);
@@ -95,7 +95,7 @@
     })
 }
 
-/// The command descriptor block of a READ or WRITE; the 10-byte form where it is enough.
+/// The command descriptor block of a READ or WRITE; the 10-byte form if the range fits into it.
 pub fn transfer_cdb(is_write: bool, lba: u64, blocks: u32) -> [u8; 16] {
     let mut cdb = [0; 16];
     match (u32::try_from(lba), u16::try_from(blocks)) {
@@ -113,7 +113,7 @@
     cdb
 }
 
-/// A logical unit, as initiators see it.
+/// A logical unit as initiators see it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Disk {
     /// Its number.
@@ -150,10 +150,10 @@
     Ok([&[0x00, page, 0x00, body.len() as u8], body.as_slice()].concat())
 }
 
-/// The answer to a command that needs no backend; `None` for reads and writes, whose range it checks.
+/// The answer to a command that needs no backend; `None` for reads and writes, for which only the range is checked.
 ///
 /// # Errors
-/// The sense to answer with: no such LUN, a block beyond the end, or a field that is not supported.
+/// The sense to report: no such LUN, a block beyond the end, or a field that is not supported.
 pub fn answer_locally(command: Command, disk: Option<&Disk>, all: &[Disk]) -> Result<Option<Vec<u8>>, Sense> {
     let last_lba = |disk: &Disk| disk.blocks.saturating_sub(1);
     Ok(Some(match (command, disk) {
--- a/crates/iscsi/src/scsi/sense.rs
+++ b/crates/iscsi/src/scsi/sense.rs
@@ -1,6 +1,6 @@
 //! Sense data (SPC-3).
 
-/// What sense data reports.
+/// The sense key and codes of a failed command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sense {
     /// The sense key.
@@ -16,13 +16,13 @@
     pub const INVALID_COMMAND: Sense = Sense::new(0x05, 0x20, 0x00);
     /// A field of the command is invalid.
     pub const INVALID_FIELD: Sense = Sense::new(0x05, 0x24, 0x00);
-    /// The command reaches beyond the last block.
+    /// The command accesses blocks beyond the last one.
     pub const OUT_OF_RANGE: Sense = Sense::new(0x05, 0x21, 0x00);
     /// There is no such LUN.
     pub const LUN_NOT_SUPPORTED: Sense = Sense::new(0x05, 0x25, 0x00);
-    /// A read got no answer in time: aborted command, which initiators retry.
+    /// A read got no response in time: aborted command, which initiators retry.
     pub const READ_FAILED: Sense = Sense::new(0x0b, 0x08, 0x01);
-    /// A write failed and may have run: medium error, which initiators don't retry by themselves.
+    /// A write failed and may have been executed: medium error, which initiators don't retry automatically.
     pub const WRITE_FAILED: Sense = Sense::new(0x03, 0x0c, 0x00);
 
     /// No error.
--- a/crates/iscsi/src/target.rs
+++ b/crates/iscsi/src/target.rs
@@ -1,5 +1,5 @@
-//! The target's end of a session: login, the order of commands, and data in both directions. Reads and writes come out
-//! as events whose outcome the caller passes to [`Target::complete`]; everything else is answered here.
+//! The target side of a session: login, command ordering, and data in both directions. Reads and writes are reported as
+//! events, and the caller passes their outcome to [`Target::complete`]; everything else is answered here.
 mod command;
 mod data_transfer;
 mod full_feature;
@@ -15,10 +15,10 @@
 use std::rc::Rc;
 use types::{Phase, RejectReason, Task};
 
-/// Commands that may be unanswered on one connection.
+/// The maximum number of unanswered commands on one connection.
 pub const MAX_TASKS: usize = 16;
 
-/// A session with one connection, as the target holds it.
+/// The target side of a session with one connection.
 pub struct Target {
     description: Rc<TargetDescription>,
     phase: Phase,
@@ -41,7 +41,7 @@
 }
 
 impl Target {
-    /// A session before its login. `session_handle` is the TSIH that it will have; 0 is taken as 1.
+    /// Creates a session before its login. `session_handle` is its future TSIH; 0, which is reserved, is replaced by 1.
     pub fn new(description: Rc<TargetDescription>, session_handle: u16) -> Target {
         Target {
             description,
@@ -63,15 +63,15 @@
         }
     }
 
-    /// Whether commands are unanswered.
+    /// Whether there are unanswered commands.
     pub fn is_busy(&self) -> bool {
         !self.tasks.is_empty()
     }
 
-    /// Takes the first PDU off the bytes and returns how many bytes it used: 0 while it is incomplete.
+    /// Handles the first PDU of `bytes` and returns its length: 0 while it is incomplete.
     ///
     /// # Errors
-    /// The connection is to be closed once `out` is written.
+    /// The connection must be closed once `out` is written.
     pub fn read(
         &mut self,
         bytes: &[u8],
@@ -101,7 +101,7 @@
         Ok(pdu.length)
     }
 
-    /// Sends a response that carries a status number, and counts it.
+    /// Sends a response with a status number, and increments that number.
     fn send_status(&mut self, header: Header, data: &[u8], out: &mut Vec<u8>) {
         self.send(header, self.status_number, data, out);
         self.status_number = self.status_number.wrapping_add(1);
--- a/crates/iscsi/src/target/command.rs
+++ b/crates/iscsi/src/target/command.rs
@@ -1,4 +1,4 @@
-//! SCSI commands: what is answered at once, what becomes a task, and the responses.
+//! SCSI commands: immediate answers, tasks for reads and writes, and responses.
 use super::task_management::ManagementResponse;
 use super::types::{Event, Outcome, RejectReason, Task};
 use super::{Target, MAX_TASKS};
@@ -12,11 +12,11 @@
 const WRITE: u8 = 0x20;
 /// The flag of a response to a command that transferred less than expected.
 const UNDERFLOW: u8 = 0x02;
-/// What the initiator is told to wait when it has too many unanswered commands.
+/// The retry delay that an initiator with too many unanswered commands receives.
 const FULL_RETRY_AFTER_MS: u64 = 100;
 /// The unit of the status qualifier's delay (RFC 7144, SAM-5).
 const QUALIFIER_STEP_MS: u64 = 100;
-/// The longest delay that the status qualifier can state, in its unit.
+/// The longest delay that the status qualifier can express, in its unit.
 const MAX_QUALIFIER_STEPS: u64 = 0x3fef;
 
 /// A read or write of blocks.
@@ -27,7 +27,7 @@
 }
 
 impl Target {
-    /// Answers a command at once, or makes it a task.
+    /// Answers a command immediately, or creates a task for it.
     pub(super) fn handle_command(
         &mut self,
         request: &Header,
@@ -59,7 +59,7 @@
         let command = match command {
             Command::Read { lba, blocks } => BlockCommand { is_write: false, lba, blocks },
             Command::Write { lba, blocks } => BlockCommand { is_write: true, lba, blocks },
-            // `answer_locally` has answered all others.
+            // `answer_locally` has answered all other commands.
             _ => return,
         };
         let lun = disk.map_or(0, |disk| disk.lun);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Answers a read or a write; returns its status number, `None` where the task was aborted and nothing is sent.
+    /// Answers a read or a write; returns its status number, or `None` if the task was aborted and nothing is sent.
     pub fn complete(&mut self, tag: u32, outcome: Outcome<'_>, out: &mut Vec<u8>) -> Option<u32> {
         let task = self.tasks.remove(&tag)?;
         let status_number = self.status_number;
@@ -150,7 +150,7 @@
             Outcome::Good(_) => {}
             Outcome::Busy(retry_after_ms) => {
                 response.0[3] = status::BUSY;
-                // 0 states no delay.
+                // 0 means that no delay is specified.
                 let steps = retry_after_ms
                     .map_or(0, |delay| delay.div_ceil(QUALIFIER_STEP_MS).clamp(1, MAX_QUALIFIER_STEPS));
                 response.0[8..10].copy_from_slice(&(steps as u16).to_be_bytes());
@@ -164,7 +164,7 @@
         self.send_status(response, &sense_data, out);
     }
 
-    /// Sends the data of a read in Data-In PDUs; as they carry no status, their status number is 0.
+    /// Sends the data of a read in Data-In PDUs. They carry no status, so their status number is 0.
     fn send_data(&self, tag: u32, data: &[u8], out: &mut Vec<u8>) {
         let mut offset = 0;
         for (number, segment) in data.chunks(self.segment_bytes).enumerate() {
--- a/crates/iscsi/src/target/data_transfer.rs
+++ b/crates/iscsi/src/target/data_transfer.rs
@@ -1,11 +1,11 @@
-//! Data of writes: requested with R2T, received with Data-Out.
+//! Data of writes, requested with R2T and received with Data-Out.
 use super::types::{Event, RejectReason, Task};
 use super::Target;
 use crate::pdu::{field, Header, FINAL, RESERVED_TAG};
 use crate::{opcode, ProtocolError};
 
 impl Target {
-    /// Requests the next burst of a write's data, or passes the write on once all has arrived.
+    /// Requests the next burst of a write's data, or reports the write to the caller once all data has arrived.
     pub(super) fn advance_write(&mut self, tag: u32, out: &mut Vec<u8>, events: &mut Vec<Event>) {
         let (burst_bytes, transfer_tag) = (self.burst_bytes, self.next_transfer_tag);
         let Some(task) = self.tasks.get_mut(&tag) else { return };
@@ -30,7 +30,7 @@
         self.send(request, self.status_number, &[], out);
     }
 
-    /// Takes a Data-Out PDU.
+    /// Handles a Data-Out PDU.
     pub(super) fn receive_data(
         &mut self,
         header: &Header,
@@ -46,7 +46,7 @@
             }
             None if self.aborted_transfers.contains(&header.word(field::TRANSFER_TAG)) => return Ok(()),
             None => {
-                // Blocks must not be assembled wrongly: the write doesn't run, and the session ends.
+                // Misordered data must not be written: the write is not executed, and the session ends.
                 self.reject(RejectReason::ProtocolError, header, out);
                 return Err(ProtocolError::UnsolicitedData);
             }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Whether the PDU is the next of the transfer that was requested for the task.
+/// Whether the PDU is the next one of the transfer requested for the task.
 fn continues_transfer(task: &Task, header: &Header, data: &[u8]) -> bool {
     let end = task.data.len() + data.len();
     let is_last = header.flags() & FINAL != 0;
--- a/crates/iscsi/src/target/full_feature.rs
+++ b/crates/iscsi/src/target/full_feature.rs
@@ -1,11 +1,11 @@
-//! The full feature phase: the order of commands, and the requests that need no task.
+//! The full feature phase: command ordering, and requests that need no task.
 use super::types::{Event, Phase, RejectReason};
 use super::{Target, MAX_TASKS};
 use crate::pdu::{field, Header, FINAL, RESERVED_TAG};
 use crate::{opcode, text, ProtocolError};
 
 impl Target {
-    /// Handles a request of the full feature phase, if it is the next in order.
+    /// Handles a request of the full feature phase if it is the next in order.
     pub(super) fn handle_request(
         &mut self,
         request: &Header,
@@ -17,7 +17,7 @@
         if is_numbered {
             let ahead = request.word(field::COMMAND_NUMBER).wrapping_sub(self.command_number);
             if (1..MAX_TASKS as u32).contains(&ahead) {
-                // There is one connection, and it delivers in order: a gap within the window can't close.
+                // The only connection delivers in order, so the missing command of a gap within the window can't arrive any more.
                 self.reject(RejectReason::ProtocolError, request, out);
                 return Err(ProtocolError::CommandGap);
             }
--- a/crates/iscsi/src/target/login.rs
+++ b/crates/iscsi/src/target/login.rs
@@ -4,11 +4,11 @@
 use crate::pdu::{field, Header, FINAL};
 use crate::{opcode, text, ProtocolError, DEFAULT_SEGMENT_BYTES, MAX_DATA_BYTES, MIN_SEGMENT_BYTES};
 
-/// The most bytes of text that a login may take over all its requests.
+/// The maximum text of a login over all its requests, in bytes.
 const MAX_LOGIN_TEXT_BYTES: usize = 16 * 1024;
 /// The longest iSCSI name, in characters (RFC 7143, section 4.2.7).
 const MAX_NAME_CHARS: usize = 223;
-/// The flag of a login request whose text goes on in the next one.
+/// The flag of a login request whose text continues in the next one.
 const CONTINUE: u8 = 0x40;
 /// The bits of the current stage in the flags.
 const CURRENT_STAGE: u8 = 0x0c;
@@ -32,14 +32,14 @@
     SessionDoesNotExist = 10,
 }
 
-/// The response to an accepted login request.
+/// The content of the response to an accepted login request.
 struct Accepted {
     flags: u8,
     text: Vec<u8>,
     is_complete: bool,
 }
 
-/// What one login request's text negotiates.
+/// The result of negotiating one login request's text.
 struct Negotiated {
     reply: Vec<u8>,
     target: Option<String>,
@@ -93,7 +93,7 @@
         }
         let requested_handle = request.word(12) & 0xffff;
         if requested_handle != 0 {
-            // A session has one connection: none can join it.
+            // A session has only one connection, so no other can join it.
             return Err(Refusal::SessionDoesNotExist);
         }
         self.isid.copy_from_slice(&request.0[ISID]);
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Answers the keys of the text collected so far.
+    /// Negotiates the keys of the text collected so far.
     fn negotiate(&mut self) -> Result<Negotiated, Refusal> {
         let pairs = text::parse_pairs(&std::mem::take(&mut self.login_text));
         let mut negotiated = Negotiated { reply: Vec::new(), target: None };
@@ -137,7 +137,7 @@
         Ok(negotiated)
     }
 
-    /// The value that is answered to an operational parameter.
+    /// Negotiates an operational parameter; returns the value to answer with.
     fn negotiate_parameter(&mut self, key: &str, value: &str) -> String {
         let burst = || {
             let ours = MAX_DATA_BYTES;
@@ -170,7 +170,7 @@
         fixed.to_string()
     }
 
-    /// Requires the initiator's name and, in a normal session, this target's.
+    /// Requires the initiator's name and, in a normal session, the name of this target.
     fn check_names(&mut self, target: Option<&str>) -> Result<(), Refusal> {
         if self.initiator.is_empty() {
             return Err(Refusal::MissingParameter);
--- a/crates/iscsi/src/target/task_management.rs
+++ b/crates/iscsi/src/target/task_management.rs
@@ -1,4 +1,4 @@
-//! Task management requests: of them ABORT TASK is supported.
+//! Task management requests, of which only ABORT TASK is supported.
 use super::types::Event;
 use super::{Target, MAX_TASKS};
 use crate::opcode;
@@ -16,14 +16,14 @@
 }
 
 impl Target {
-    /// Answers a task management request, or notes an abort that is answered with its task.
+    /// Answers a task management request, or records an abort that is answered after its task.
     pub(super) fn manage_task(&mut self, request: &Header, out: &mut Vec<u8>, events: &mut Vec<Event>) {
         let function = request.flags() & !FINAL;
         let referenced_tag = request.word(field::REFERENCED_TAG);
         let response = match (function, self.tasks.get_mut(&referenced_tag)) {
             (ABORT_TASK, None) => ManagementResponse::TaskDoesNotExist,
             (ABORT_TASK, Some(task)) if task.is_write && !task.is_receiving() => {
-                // It may be running: its status tells the outcome, and the abort came too late.
+                // The write may be running, so it is too late to abort: its status reports the outcome.
                 task.abort_tag = Some(request.tag());
                 return;
             }
@@ -31,7 +31,7 @@
                 let (is_write, transfer_tag) = (task.is_write, task.transfer_tag);
                 self.tasks.remove(&referenced_tag);
                 if is_write {
-                    // Data of this transfer that is on its way is skipped and doesn't end the session.
+                    // Data of this transfer that is still in transit is skipped and doesn't end the session.
                     self.aborted_transfers.truncate(MAX_TASKS);
                     self.aborted_transfers.push_front(transfer_tag);
                 } else {
--- a/crates/iscsi/src/target/types.rs
+++ b/crates/iscsi/src/target/types.rs
@@ -1,7 +1,7 @@
-//! What a target session exchanges with its caller, and its tasks.
+//! Types that a target session exchanges with its caller, and its internal state.
 use crate::scsi::{Disk, Sense};
 
-/// What initiators learn of a target.
+/// The properties of a target that initiators see.
 #[derive(Clone, Debug)]
 pub struct TargetDescription {
     /// The target's iSCSI name.
@@ -12,7 +12,7 @@
     pub disks: Vec<Disk>,
 }
 
-/// What the caller has to act on.
+/// An event that the caller must handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A normal session has begun.
@@ -22,7 +22,7 @@
         /// The initiator's part of the session identifier.
         isid: [u8; 6],
     },
-    /// Blocks are to be read.
+    /// Read these blocks.
     Read {
         /// The task's tag.
         tag: u32,
@@ -30,10 +30,10 @@
         lun: u8,
         /// The first block.
         lba: u64,
-        /// How many blocks.
+        /// The number of blocks.
         blocks: u32,
     },
-    /// Blocks are to be written; all their data is here.
+    /// Write these blocks; their data is complete.
     Write {
         /// The task's tag.
         tag: u32,
@@ -48,16 +48,16 @@
     Aborted(u32),
     /// The initiator has received every status before this number.
     Acknowledged(u32),
-    /// The connection is to be closed once everything is written.
+    /// Close the connection once all output is written.
     Close,
 }
 
-/// How a read or a write ended.
+/// The outcome of a read or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome<'a> {
-    /// It was done; with the data of a read.
+    /// It succeeded, with the data of a read.
     Good(&'a [u8]),
-    /// It did not run; the initiator may retry after so many milliseconds.
+    /// It was not executed; the initiator may retry after this number of milliseconds.
     Busy(Option<u64>),
     /// It failed.
     Failed(Sense),
@@ -71,7 +71,7 @@
     pub(super) expected_bytes: usize,
     pub(super) is_write: bool,
     pub(super) data: Vec<u8>,
-    /// Bytes of data that a write needs before it can run; 0 once it was passed on.
+    /// The bytes of data that a write needs before it can run; 0 once it has been reported to the caller.
     pub(super) needed_bytes: usize,
     pub(super) transfer_tag: u32,
     /// The offset at which the requested transfer ends, in bytes.
--- a/crates/iscsi/tests/pdu.rs
+++ b/crates/iscsi/tests/pdu.rs
@@ -16,5 +16,5 @@
         (opcode::NOP_OUT, 7, &b"hello"[..], out.len())
     );
     out[5] = 2;
-    assert!(decode(&out).is_err(), "no receiver buffers megabytes for a length in a header");
+    assert!(decode(&out).is_err(), "an oversized length in a header is rejected before its data is buffered");
 }
