--- a/crates/scatter-gather/examples/figures.rs
+++ b/crates/scatter-gather/examples/figures.rs
@@ -1,6 +1,8 @@
-//! Prints what tracking the health of a failing zone is worth: the share of answers in time and the median wait of gathers
-//! that started while it failed, each as the mean over seeds with the least and the most, and how long it took to find the
-//! zone healthy again. Eight gateways, 2.5 gathers a second each, one request in each of four zones; in time is within 250 ms.
+//! Prints the effect of zone health tracking during a zone failure. For gathers that started while the zone failed: the
+//! share of answers in time, the median wait, and the shares of failed and complete answers. For the zone: the time until
+//! it was found healthy again. Each value is the mean over all seeds, with minimum and maximum.
+//!
+//! Eight gateways gather 2.5 times a second each, with one request to each of four zones; in time is within 250 ms.
 #[path = "../tests/common/sim/mod.rs"]
 mod sim;
 
@@ -8,16 +10,16 @@
 
 const SEEDS: u64 = 20;
 
-/// Mean, least and most of a figure.
-fn spread(runs: &[Measurements], figure: impl Fn(&Measurements) -> f64) -> String {
-    let all: Vec<f64> = runs.iter().map(figure).collect();
-    let mean = all.iter().sum::<f64>() / all.len() as f64;
-    let least = all.iter().copied().fold(f64::MAX, f64::min);
-    let most = all.iter().copied().fold(f64::MIN, f64::max);
-    format!("{mean:.2} ({least:.2}..{most:.2})")
+/// Mean, minimum and maximum of a measurement over all runs.
+fn summarize(runs: &[Measurements], value: impl Fn(&Measurements) -> f64) -> String {
+    let values: Vec<f64> = runs.iter().map(value).collect();
+    let mean = values.iter().sum::<f64>() / values.len() as f64;
+    let min = values.iter().copied().fold(f64::MAX, f64::min);
+    let max = values.iter().copied().fold(f64::MIN, f64::max);
+    format!("{mean:.2} ({min:.2}..{max:.2})")
 }
 
-/// The share of a count among all gathers, in percent.
+/// A count as a percentage of all gathers.
 fn percent(measured: &Measurements, count: usize) -> f64 {
     100.0 * count as f64 / measured.waits_us.len().max(1) as f64
 }
@@ -34,11 +36,11 @@
                     (0..SEEDS).map(|seed| run(seed, fault, knowledge, quorum)).collect();
                 println!(
                     "| {fault:?} | {quorum} | {knowledge:?} | {} | {} | {} | {} | {} |",
-                    spread(&runs, |measured| 100.0 * measured.share_in_time()),
-                    spread(&runs, Measurements::median_ms),
-                    spread(&runs, |measured| percent(measured, measured.failed)),
-                    spread(&runs, |measured| percent(measured, measured.complete)),
-                    spread(&runs, |measured| measured.found_healthy_after.as_secs_f64()),
+                    summarize(&runs, |measured| 100.0 * measured.share_in_time()),
+                    summarize(&runs, Measurements::median_ms),
+                    summarize(&runs, |measured| percent(measured, measured.failed)),
+                    summarize(&runs, |measured| percent(measured, measured.complete)),
+                    summarize(&runs, |measured| measured.found_healthy_after.as_secs_f64()),
                 );
             }
         }
--- a/crates/scatter-gather/src/answer.rs
+++ b/crates/scatter-gather/src/answer.rs
@@ -1,4 +1,4 @@
-//! The one answer of a gather.
+//! The answer of a gather.
 use crate::memory::Reservation;
 use crate::policy::Policy;
 use cluster_types::Zone;
@@ -11,44 +11,44 @@
 pub enum MissingReason {
     /// It did not arrive in time.
     Late,
-    /// Its zone is ejected: no request was sent, or the response was not waited for to the end.
+    /// Its zone is ejected: the request was not sent, or the wait for its response was cut short.
     ZoneEjected,
-    /// The request was rejected; nothing ran.
+    /// The request was rejected without being executed.
     Rejected,
-    /// The request failed, with the reason.
+    /// The request failed for this reason.
     Failed(Cow<'static, str>),
 }
 
-/// A response that is missing.
+/// A missing response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MissingResponse {
     /// The zone of the request.
     pub zone: Zone,
     /// The name of the request.
     pub request: Arc<str>,
-    /// Why.
+    /// Why the response is missing.
     pub reason: MissingReason,
 }
 
 /// The answer of a gather.
 #[derive(Debug)]
 pub enum Answer<V> {
-    /// Values, complete or partial.
+    /// The values, complete or partial.
     Gathered(Gathered<V>),
-    /// No answer.
+    /// There is no answer.
     Failed(Failure),
 }
 
-/// A value with the memory that is reserved for it.
+/// A value with its memory reservation.
 #[derive(Debug)]
 pub struct HeldValue<V> {
     /// The value.
     pub value: V,
-    /// Its share of the memory budget, which is returned when this is dropped.
+    /// The memory reserved for it, released on drop.
     pub reservation: Reservation,
 }
 
-/// The values that arrived. Whether they are complete is not stored: it follows from the slots.
+/// The values that arrived. Completeness is not stored but derived from the slots.
 #[derive(Debug)]
 pub struct Gathered<V> {
     policy: Arc<Policy>,
@@ -56,7 +56,7 @@
 }
 
 impl<V> Gathered<V> {
-    /// One slot for each request, in the policy's order. A slot too few counts as a missing response.
+    /// One slot for each request, in the policy's order. An absent slot counts as a missing response.
     pub(crate) fn new(
         policy: Arc<Policy>,
         mut slots: Vec<Result<HeldValue<V>, MissingReason>>,
@@ -70,23 +70,23 @@
         !self.slots.is_empty() && self.slots.iter().all(Result::is_ok)
     }
 
-    /// The name of each request with its value, in the policy's order; none where it is missing.
+    /// The name of each request with its value, in the policy's order; `None` if the response is missing.
     pub fn values(&self) -> impl Iterator<Item = (&Arc<str>, Option<&V>)> {
         let values = self.slots.iter().map(|slot| slot.as_ref().ok().map(|held| &held.value));
         self.policy.requests.iter().map(|request| &request.name).zip(values)
     }
 
-    /// The responses that are missing, in the policy's order.
+    /// The missing responses, in the policy's order.
     pub fn missing(&self) -> Vec<MissingResponse> {
         missing_responses(&self.policy, self.slots.iter().map(|slot| slot.as_ref().err().cloned()))
     }
 
-    /// The values with the memory that they hold, for a protocol that writes them one by one.
+    /// The values with their reservations, for a protocol that writes them one by one.
     pub fn into_values(self) -> Vec<Option<HeldValue<V>>> {
         self.slots.into_iter().map(Result::ok).collect()
     }
 
-    /// The values joined in the policy's order; none where one is missing, because those after it would stand in its place.
+    /// The values concatenated in the policy's order; `None` if one is missing, since later values would be misplaced.
     pub fn joined(&self) -> Option<Vec<u8>>
     where
         V: AsRef<[u8]>,
@@ -97,41 +97,41 @@
         values.filter(|values| !values.is_empty()).map(|values| values.concat())
     }
 
-    /// The bytes that it holds of the memory budget.
+    /// The bytes reserved for its values.
     pub fn reserved_bytes(&self) -> u64 {
         self.slots.iter().flatten().map(|held| held.reservation.bytes()).sum()
     }
 }
 
-/// What a gather failed on.
+/// The cause of a gather's failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The response to a required request won't arrive.
+    /// The response to a required request is missing.
     RequiredMissing(Arc<str>),
-    /// Too few responses arrive.
+    /// There are too few responses.
     TooFew,
 }
 
 /// A gather without an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What it failed on.
+    /// The cause of the failure.
     pub cause: Cause,
-    /// The responses that won't arrive. Those that were still waited for when it failed are not among them.
+    /// The missing responses, without those that were still pending when the gather failed.
     pub missing: Vec<MissingResponse>,
-    /// When a retry may be worthwhile, where rejected requests were told so.
+    /// When to retry, if rejections of shard requests said so.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// Whether all that is missing was rejected, so that the client may be rejected as well.
+    /// Whether all missing responses are rejections, so that the client's request can be rejected too.
     pub fn is_rejection(&self) -> bool {
         let is_rejected = |missing: &MissingResponse| missing.reason == MissingReason::Rejected;
         !self.missing.is_empty() && self.missing.iter().all(is_rejected)
     }
 }
 
-/// The missing responses, from the reason of each request that has one.
+/// The missing responses; `reasons` has one item for each request, `None` if its response is not missing.
 pub(crate) fn missing_responses(
     policy: &Policy,
     reasons: impl Iterator<Item = Option<MissingReason>>,
--- a/crates/scatter-gather/src/conclude.rs
+++ b/crates/scatter-gather/src/conclude.rs
@@ -1,8 +1,8 @@
-//! The end of a gather: its one answer, and what its requests have shown of their zones.
+//! Conclusion of a gather: builds its answer, and records the outcome for each zone.
 use crate::answer::{missing_responses, Answer, Cause, Failure, Gathered, HeldValue, MissingReason};
 use crate::gather::{Gather, GatherAction};
 use crate::memory::Size;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use crate::slot::Slot;
 use crate::zone::ZoneHealth;
 use cluster_types::Time;
@@ -10,21 +10,22 @@
 use std::time::Duration;
 
 impl<V: Size> Gather<V> {
-    /// Gives the answer. It is the only place that does, and only once.
-    pub(crate) fn conclude(&mut self, now: Time, shared: &mut Shared, out: &mut Vec<GatherAction<V>>) {
-        self.report_zones(now, shared);
+    /// Emits the answer. Called once for each gather; nothing else emits an answer.
+    pub(crate) fn conclude(&mut self, now: Time, shared: &mut SharedState, out: &mut Vec<GatherAction<V>>) {
+        self.record_zone_outcomes(now, shared);
         let is_answer = self.policy.is_answer(|request| self.slots[request].is_received());
-        let answer = if is_answer { self.gathered(now, shared) } else { self.failure(now, shared) };
+        let answer =
+            if is_answer { self.take_gathered(now, shared) } else { self.build_failure(now, shared) };
         match &answer {
             Answer::Gathered(gathered) if gathered.is_complete() => shared.counters.complete += 1,
             Answer::Gathered(_) => shared.counters.partial += 1,
             Answer::Failed(_) => shared.counters.failed += 1,
         }
         out.push(GatherAction::Answer(answer));
-        self.abandon_rest(out);
+        self.abandon_pending(out);
     }
 
-    fn gathered(&mut self, now: Time, shared: &Shared) -> Answer<V> {
+    fn take_gathered(&mut self, now: Time, shared: &SharedState) -> Answer<V> {
         let slots = (0..self.slots.len()).map(|request| self.take_value(request, now, shared)).collect();
         Answer::Gathered(Gathered::new(self.policy.clone(), slots))
     }
@@ -33,7 +34,7 @@
         &mut self,
         request: usize,
         now: Time,
-        shared: &Shared,
+        shared: &SharedState,
     ) -> Result<HeldValue<V>, MissingReason> {
         if let Some(reason) = self.missing_reason(request, now, shared) {
             return Err(reason);
@@ -47,9 +48,10 @@
         }
     }
 
-    fn failure(&self, now: Time, shared: &Shared) -> Answer<V> {
+    fn build_failure(&self, now: Time, shared: &SharedState) -> Answer<V> {
         let policy = &self.policy;
-        // Where an answer was still possible the waits are over, and all that is not here is lost; else what has ended.
+        // If an answer was still possible, the waits have expired and every response not received is missing; otherwise
+        // only the requests that have ended without a value are.
         let is_possible = policy.is_answer(|request| self.slots[request].is_possible());
         let is_lost = |request: &usize| {
             let slot = &self.slots[*request];
@@ -71,21 +73,21 @@
         Answer::Failed(Failure { cause, missing, retry_after: self.retry_after() })
     }
 
-    /// After this time the rejected requests that an answer needs may be retried; where even all of them would not do, the
-    /// longest time that one of them was given.
+    /// The shortest retry time after which enough rejected requests may be retried for an answer. If not even all of them
+    /// would be enough, the longest retry time of any.
     fn retry_after(&self) -> Option<Duration> {
         let mut times: Vec<Duration> = self.slots.iter().filter_map(Slot::retry_after).collect();
         times.sort();
-        let is_enough = |time: &Duration| {
+        let allows_answer = |time: &Duration| {
             self.policy.is_answer(|request| {
                 let slot = &self.slots[request];
                 slot.is_possible() || slot.retry_after().is_some_and(|retry_after| retry_after <= *time)
             })
         };
-        times.iter().copied().find(is_enough).or(times.last().copied())
+        times.iter().copied().find(allows_answer).or(times.last().copied())
     }
 
-    fn missing_reason(&self, request: usize, now: Time, shared: &Shared) -> Option<MissingReason> {
+    fn missing_reason(&self, request: usize, now: Time, shared: &SharedState) -> Option<MissingReason> {
         match self.slots.get(request)? {
             Slot::Received(_) => None,
             Slot::Waiting(_) => match shared.zones.health(now, &self.policy.requests.get(request)?.zone) {
@@ -96,14 +98,14 @@
         }
     }
 
-    /// Records what was found of each zone: all requests of a gather to a zone are one observation.
-    pub(crate) fn report_zones(&self, now: Time, shared: &mut Shared) {
+    /// Records the outcome for each zone: all requests of a gather to a zone count as one observation.
+    pub(crate) fn record_zone_outcomes(&self, now: Time, shared: &mut SharedState) {
         for (zone, requests) in self.policy.requests_by_zone() {
-            if self.reached_in(zone).any(|reached| reached == Some(true)) {
+            if self.reachability_in(zone).any(|reached| reached == Some(true)) {
                 continue;
             }
             let sent_at = |request: &usize| self.slots.get(*request).and_then(Slot::sent_at);
-            if self.reached_in(zone).any(|reached| reached == Some(false)) {
+            if self.reachability_in(zone).any(|reached| reached == Some(false)) {
                 shared.zones.record_unreachable(now, zone);
             } else if let Some(sent_at) = requests.iter().filter_map(sent_at).min() {
                 shared.zones.record_silence(now, zone, now.since(sent_at));
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Ends without an answer: requests that are waited for are abandoned, and all memory is returned.
-    pub(crate) fn abandon_rest(&mut self, out: &mut Vec<GatherAction<V>>) {
+    /// Ends the gather: abandons pending requests and releases the remaining memory.
+    pub(crate) fn abandon_pending(&mut self, out: &mut Vec<GatherAction<V>>) {
         self.is_over = true;
         for (request, slot) in self.slots.iter_mut().enumerate() {
             *slot = match slot.sent_at() {
--- a/crates/scatter-gather/src/gather.rs
+++ b/crates/scatter-gather/src/gather.rs
@@ -1,15 +1,16 @@
-//! One answer in the making.
+//! A gather collects the responses for one answer.
 //!
-//! - It ends as soon as nothing that it waits for is worth waiting for any more: all responses are in, or the waits of the
-//!   others are over. With a quorum it still waits for the missing responses until then, because a complete answer in time is
-//!   worth more than a partial one; a suspect zone makes that wait short.
-//! - It fails at once where no answer is possible any more, with the time for a retry where a rejected request was given one.
-//! - A response whose wait is over while others are waited for is still accepted as long as there is no answer.
-//! - All waits end at the client's deadline less the reply margin. What arrives after the answer is only counted.
+//! - It ends once all responses have arrived or the waits for the others have expired. A quorum does not end it early: it
+//!   keeps waiting for the missing responses, because a complete answer in time is worth more than a partial one. The wait
+//!   for a suspect zone is short.
+//! - It fails as soon as no answer is possible, with a retry time if a rejected request got one.
+//! - A response whose wait has expired is still accepted until the answer is produced.
+//! - All waits end by the client's deadline minus the reply margin. Responses after the answer do not change it; they are
+//!   counted, and their latency is recorded for the zone.
 use crate::answer::{Answer, MissingReason};
 use crate::memory::Size;
 use crate::policy::Policy;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use crate::slot::{Slot, Waiting};
 use crate::zone::ZoneHealth;
 use crate::zone_tracker::{WaitPlan, ZoneTracker};
@@ -19,21 +20,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The reason of a response that is larger than its limit.
+/// The failure reason of a response that exceeds its limit.
 pub(crate) const TOO_LARGE: &str = "too large";
 
-/// The end of a shard request.
+/// The outcome of a shard request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ShardResponse<V> {
-    /// It has a value.
+    /// It succeeded with a value.
     Value(V),
-    /// It was rejected by admission control, perhaps with the time for a retry. The gather does not send it again.
+    /// It was rejected by admission control, possibly with a retry time. The gather does not send it again.
     Rejected(Option<Duration>),
     /// It failed.
     Failed {
-        /// Why, in few words.
+        /// A short reason.
         reason: Cow<'static, str>,
-        /// Whether a backend answered: then the failure says nothing against the zone.
+        /// Whether a backend answered; if so, the failure does not count against the zone.
         is_zone_reachable: bool,
     },
 }
@@ -41,37 +42,37 @@
 /// An event for a gather.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GatherEvent<V> {
-    /// A shard request has ended.
+    /// A shard request ended.
     Response {
         /// The request, by its place in the policy.
         request: usize,
-        /// How it ended.
+        /// Its outcome.
         response: ShardResponse<V>,
     },
     /// Time has passed.
     Tick,
-    /// The health of a zone has changed.
+    /// The health of a zone changed.
     ZoneHealthChanged,
-    /// The client has left.
+    /// The client disconnected.
     ClientLeft,
 }
 
-/// What a gather asks its host to do.
+/// An action for the caller to perform.
 #[derive(Debug)]
 pub enum GatherAction<V> {
     /// Send a shard request.
     Send {
         /// The request, by its place in the policy.
         request: usize,
-        /// How long it may run.
+        /// When it must have ended.
         deadline: Time,
     },
-    /// The value of a shard request is not needed any more. Its end is still to be told, if it comes.
+    /// The value of a shard request is no longer needed. Its outcome must still be reported if there is one.
     Abandon {
         /// The request, by its place in the policy.
         request: usize,
     },
-    /// The one answer.
+    /// The gather's only answer.
     Answer(Answer<V>),
 }
 
@@ -82,18 +83,19 @@
     deadline: Time,
     remote_deadline: Time,
     pub(crate) slots: Vec<Slot<V>>,
-    /// For each request that has ended, whether its zone was reached; none where that is unknown.
+    /// Whether each request reached its zone; `None` if it has not ended or that is unknown.
     pub(crate) reached: Vec<Option<bool>>,
     pub(crate) is_over: bool,
 }
 
 impl<V: Size> Gather<V> {
-    /// Starts a gather: sends the requests that there is memory and a point for. The client leaves at `client_deadline`.
+    /// Starts a gather: sends the requests that have memory and whose zone is worth trying. The client stops waiting at
+    /// `client_deadline`.
     pub fn new(
         policy: Arc<Policy>,
         now: Time,
         client_deadline: Time,
-        shared: &mut Shared,
+        shared: &mut SharedState,
         out: &mut Vec<GatherAction<V>>,
     ) -> Self {
         let deadline = (client_deadline - policy.reply_margin()).max(now);
@@ -109,7 +111,7 @@
         gather
     }
 
-    /// The longest that responses of a zone are waited for.
+    /// When to stop waiting for responses of a zone at the latest.
     pub(crate) fn zone_deadline(&self, zones: &ZoneTracker, zone: &Zone) -> Time {
         if zones.is_remote(zone) {
             self.remote_deadline
@@ -118,7 +120,7 @@
         }
     }
 
-    fn send_requests(&mut self, now: Time, shared: &mut Shared, out: &mut Vec<GatherAction<V>>) {
+    fn send_requests(&mut self, now: Time, shared: &mut SharedState, out: &mut Vec<GatherAction<V>>) {
         let policy = self.policy.clone();
         let plans = self.plan_waits(now, shared);
         let mut reserved_bytes = 0u64;
@@ -146,46 +148,48 @@
         }
     }
 
-    /// What is done about each zone.
-    fn plan_waits(&self, now: Time, shared: &mut Shared) -> BTreeMap<Zone, WaitPlan> {
+    /// Whether to send requests to each zone, and how long to wait for it.
+    fn plan_waits(&self, now: Time, shared: &mut SharedState) -> BTreeMap<Zone, WaitPlan> {
         let policy = &self.policy;
         let is_healthy =
             |request: usize| shared.zones.health(now, &policy.requests[request].zone) == ZoneHealth::Healthy;
-        // Whether there is no answer without the zones that are not healthy.
+        // Whether the healthy zones alone don't suffice for an answer.
         let is_needed = !policy.is_answer(is_healthy);
         let mut plans = BTreeMap::new();
         for zone in policy.requests_by_zone().into_keys() {
-            let left = self.zone_deadline(&shared.zones, zone).since(now);
-            let plan = shared.zones.plan_wait(now, zone, left, is_needed);
+            let remaining = self.zone_deadline(&shared.zones, zone).since(now);
+            let plan = shared.zones.plan_wait(now, zone, remaining, is_needed);
             shared.counters.probes += u64::from(plan.is_probe);
             plans.insert(zone.clone(), plan);
         }
         plans
     }
 
-    /// Handles an event and appends the actions that follow. An unexpected event changes nothing and is counted.
+    /// Handles an event and appends the resulting actions. An unexpected response is counted and otherwise ignored.
     pub fn handle(
         &mut self,
         now: Time,
         event: GatherEvent<V>,
-        shared: &mut Shared,
+        shared: &mut SharedState,
         out: &mut Vec<GatherAction<V>>,
     ) {
         if !self.is_over && now > self.deadline && !matches!(event, GatherEvent::ClientLeft) {
-            // It was woken too late: what arrives only now arrives after the deadline.
+            // The wakeup was late: a response that arrives only now is past the deadline, so conclude without it.
             shared.counters.overdue += 1;
             self.conclude(now, shared, out);
         }
         match event {
             GatherEvent::Response { request, response } if self.is_over => {
-                self.received_late(now, request, response, shared);
+                self.handle_late_response(now, request, response, shared);
+            }
+            GatherEvent::Response { request, response } => {
+                self.handle_outcome(now, request, response, shared)
             }
-            GatherEvent::Response { request, response } => self.received(now, request, response, shared),
             GatherEvent::ZoneHealthChanged if !self.is_over => self.update_waits(now, shared),
             GatherEvent::ClientLeft if !self.is_over => {
                 shared.counters.client_left += 1;
-                self.report_zones(now, shared);
-                self.abandon_rest(out);
+                self.record_zone_outcomes(now, shared);
+                self.abandon_pending(out);
             }
             GatherEvent::ClientLeft | GatherEvent::ZoneHealthChanged | GatherEvent::Tick => {}
         }
@@ -198,17 +202,17 @@
         (!self.is_over).then(|| last.min(self.deadline))
     }
 
-    /// Whether it has ended: answered, or left by its client.
+    /// Whether the gather has ended: answered, or its client disconnected.
     pub fn is_over(&self) -> bool {
         self.is_over
     }
 
-    /// Whether it has ended, and the ends of all its requests are known.
+    /// Whether the gather and all its requests have ended.
     pub fn is_finished(&self) -> bool {
         self.is_over && !self.slots.iter().any(|slot| matches!(slot, Slot::Abandoned { .. }))
     }
 
-    /// The bytes that it holds of the memory budget.
+    /// The bytes that it has reserved of the memory budget.
     pub fn reserved_bytes(&self) -> u64 {
         self.slots.iter().map(Slot::reserved_bytes).sum()
     }
@@ -218,7 +222,7 @@
         self.deadline
     }
 
-    fn conclude_if_settled(&mut self, now: Time, shared: &mut Shared, out: &mut Vec<GatherAction<V>>) {
+    fn conclude_if_settled(&mut self, now: Time, shared: &mut SharedState, out: &mut Vec<GatherAction<V>>) {
         let is_possible = self.policy.is_answer(|request| self.slots[request].is_possible());
         let is_waiting = self.slots.iter().filter_map(Slot::wait_until).any(|until| until > now);
         let is_worth_waiting = is_possible && is_waiting && now < self.deadline;
--- a/crates/scatter-gather/src/gathers.rs
+++ b/crates/scatter-gather/src/gathers.rs
@@ -1,8 +1,8 @@
-//! All gathers that are open, and what they share. Bounded: at the bound a new one is rejected and counted.
+//! All open gathers and their shared state. Their number is limited; at the limit a new one is rejected and counted.
 use crate::gather::{Gather, GatherAction, GatherEvent};
 use crate::memory::{MemoryBudget, Size};
 use crate::policy::Policy;
-use crate::shared::{Counters, Shared};
+use crate::shared::{Counters, SharedState};
 use crate::zone_tracker::{ZoneReport, ZoneTracker};
 use cluster_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,35 +10,35 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long after its deadline a gather is remembered for late responses.
-const LATE_RESPONSE_TIME: Duration = Duration::from_secs(2);
+/// How long after its deadline an ended gather is kept to record late responses.
+const LATE_RESPONSE_RETENTION: Duration = Duration::from_secs(2);
 
-/// The number of a gather.
+/// The id of a gather.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GatherId(pub u64);
 
-/// As many gathers as may be are open: the client is rejected.
+/// The error when the limit on open gathers is reached; the client's request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("too many gathers are open")]
 pub struct TooManyGathers;
 
-/// All gathers.
+/// All open gathers.
 #[derive(Debug)]
 pub struct Gathers<V> {
     capacity: usize,
     next_id: u64,
     open: BTreeMap<GatherId, Gather<V>>,
-    /// When each is to be woken, or forgotten.
+    /// When to wake or remove each gather.
     wakeups: BTreeSet<(Time, GatherId)>,
     wakeup_of: BTreeMap<GatherId, Time>,
-    /// The version of the zones' health that all gathers have been told of.
+    /// The zone health version that all open gathers have been notified of.
     health_version: u64,
-    /// What they share.
-    pub shared: Shared,
+    /// The state that the gathers share.
+    pub shared: SharedState,
 }
 
 impl<V: Size> Gathers<V> {
-    /// No gathers; at most so many at once, including those that only wait for late responses.
+    /// An empty set for at most `capacity` gathers, including those kept only for late responses.
     pub fn new(capacity: usize, zones: ZoneTracker, budget: MemoryBudget) -> Gathers<V> {
         Gathers {
             capacity,
@@ -47,14 +47,14 @@
             wakeups: BTreeSet::new(),
             wakeup_of: BTreeMap::new(),
             health_version: 0,
-            shared: Shared { zones, budget, counters: Counters::default() },
+            shared: SharedState { zones, budget, counters: Counters::default() },
         }
     }
 
-    /// Starts a gather for a client that leaves at `client_deadline`.
+    /// Starts a gather for a client that waits until `client_deadline`.
     ///
     /// # Errors
-    /// As many gathers as may be are open, and none of them only waits for late responses.
+    /// The limit is reached, and no gather is kept only for late responses.
     pub fn start(
         &mut self,
         now: Time,
@@ -62,7 +62,7 @@
         client_deadline: Time,
         out: &mut Vec<(GatherId, GatherAction<V>)>,
     ) -> Result<GatherId, TooManyGathers> {
-        self.free_capacity()?;
+        self.make_room()?;
         let id = GatherId(self.next_id);
         self.next_id += 1;
         let mut actions = Vec::new();
@@ -70,12 +70,12 @@
         self.open.insert(id, gather);
         out.extend(actions.into_iter().map(|action| (id, action)));
         self.reschedule(id);
-        self.spread_health(now, out);
+        self.notify_health_changes(now, out);
         Ok(id)
     }
 
-    /// At the bound the oldest gather that only waits for late responses is forgotten.
-    fn free_capacity(&mut self) -> Result<(), TooManyGathers> {
+    /// At the limit, removes the oldest gather that is kept only for late responses.
+    fn make_room(&mut self) -> Result<(), TooManyGathers> {
         if self.open.len() < self.capacity {
             return Ok(());
         }
@@ -84,11 +84,11 @@
             self.shared.counters.rejected += 1;
             return Err(TooManyGathers);
         };
-        self.forget(over);
+        self.remove_gather(over);
         Ok(())
     }
 
-    /// Handles an event of one gather. One of an unknown gather is counted.
+    /// Handles an event for one gather. A response for an unknown gather is counted.
     pub fn handle(
         &mut self,
         now: Time,
@@ -96,27 +96,27 @@
         event: GatherEvent<V>,
         out: &mut Vec<(GatherId, GatherAction<V>)>,
     ) {
-        self.handle_one(now, id, event, out);
-        self.spread_health(now, out);
+        self.handle_event(now, id, event, out);
+        self.notify_health_changes(now, out);
     }
 
-    /// Wakes all gathers that are due.
+    /// Wakes or removes all gathers that are due.
     pub fn tick(&mut self, now: Time, out: &mut Vec<(GatherId, GatherAction<V>)>) {
         while let Some((at, id)) = self.wakeups.first().copied().filter(|(at, _)| *at <= now) {
             if self.open.get(&id).is_none_or(Gather::is_over) {
-                self.forget(id);
+                self.remove_gather(id);
             } else {
-                self.handle_one(now, id, GatherEvent::Tick, out);
+                self.handle_event(now, id, GatherEvent::Tick, out);
             }
-            // Guards against an endless loop over a gather that is still due at the same time.
+            // Prevents an endless loop if the gather is rescheduled for the same time.
             if self.wakeup_of.get(&id) == Some(&at) {
                 break;
             }
         }
-        self.spread_health(now, out);
+        self.notify_health_changes(now, out);
     }
 
-    /// Takes the other members' report on a zone.
+    /// Applies the other members' report on a zone.
     pub fn receive_report(
         &mut self,
         now: Time,
@@ -124,7 +124,7 @@
         out: &mut Vec<(GatherId, GatherAction<V>)>,
     ) {
         self.shared.zones.receive_report(now, report);
-        self.spread_health(now, out);
+        self.notify_health_changes(now, out);
     }
 
     /// When [`Gathers::tick`] is due.
@@ -132,17 +132,17 @@
         self.wakeups.first().map(|(at, _)| *at)
     }
 
-    /// How many are held, including those that only wait for late responses.
+    /// The number of gathers, including those kept only for late responses.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none is held.
+    /// Whether there are no gathers.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    fn handle_one(
+    fn handle_event(
         &mut self,
         now: Time,
         id: GatherId,
@@ -160,25 +160,26 @@
         self.reschedule(id);
     }
 
-    /// Tells all open gathers where the health of a zone has changed. Each round but the last ends gathers, so it terminates.
-    fn spread_health(&mut self, now: Time, out: &mut Vec<(GatherId, GatherAction<V>)>) {
+    /// Notifies all open gathers if the health of a zone has changed. Only gathers that end in a round can change the
+    /// health again, so the loop terminates.
+    fn notify_health_changes(&mut self, now: Time, out: &mut Vec<(GatherId, GatherAction<V>)>) {
         while self.health_version != self.shared.zones.version() {
             self.health_version = self.shared.zones.version();
             let is_open = |(_, gather): &(&GatherId, &Gather<V>)| !gather.is_over();
             let open: Vec<GatherId> = self.open.iter().filter(is_open).map(|(id, _)| *id).collect();
             for id in open {
-                self.handle_one(now, id, GatherEvent::ZoneHealthChanged, out);
+                self.handle_event(now, id, GatherEvent::ZoneHealthChanged, out);
             }
         }
     }
 
-    /// Renews when a gather is woken, and forgets one that is finished.
+    /// Updates the wakeup of a gather, or removes it if it is finished.
     fn reschedule(&mut self, id: GatherId) {
         let wakeup = match self.open.get(&id) {
             Some(gather) if !gather.is_finished() => {
-                gather.next_wakeup().unwrap_or(gather.deadline() + LATE_RESPONSE_TIME)
+                gather.next_wakeup().unwrap_or(gather.deadline() + LATE_RESPONSE_RETENTION)
             }
-            _ => return self.forget(id),
+            _ => return self.remove_gather(id),
         };
         if let Some(before) = self.wakeup_of.insert(id, wakeup) {
             self.wakeups.remove(&(before, id));
@@ -186,7 +187,7 @@
         self.wakeups.insert((wakeup, id));
     }
 
-    fn forget(&mut self, id: GatherId) {
+    fn remove_gather(&mut self, id: GatherId) {
         self.open.remove(&id);
         if let Some(before) = self.wakeup_of.remove(&id) {
             self.wakeups.remove(&(before, id));
--- a/crates/scatter-gather/src/health_rules.rs
+++ b/crates/scatter-gather/src/health_rules.rs
@@ -1,44 +1,46 @@
-//! When a zone is suspect or ejected, and when it is healthy again.
+//! Thresholds and intervals of zone health tracking.
 use std::time::Duration;
 
-/// When a zone is suspect or ejected, and when it is healthy again.
+/// Thresholds and intervals that decide when a zone is suspect or ejected, and when it is healthy again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthRules {
-    /// A zone that is not healthy is probed by every so many gathers,
+    /// An unhealthy zone is probed once per this number of gathers, subject to the two intervals below.
     pub probe_every_gathers: u32,
-    /// but not more often than this,
+    /// The minimum interval between probes of a zone.
     pub min_probe_interval: Duration,
-    /// and at least this often.
+    /// The interval after which a probe is due regardless of the number of gathers.
     pub max_probe_interval: Duration,
-    /// The shortest time that a zone is waited for, where a request is sent to it.
+    /// The minimum of the typical latency with its margin, and the wait for a suspect zone that is expected to respond too
+    /// late.
     pub min_wait: Duration,
-    /// The latency of a zone that was not measured yet.
+    /// The assumed latency of a zone without measurements.
     pub default_latency: Duration,
-    /// The factor on a suspect zone's usual latency for which it is waited for.
+    /// The factor by which waits for a suspect zone exceed its latency.
     pub latency_margin: f64,
-    /// The quantile of the measured times that is the usual latency.
+    /// The quantile of measured latencies that counts as the typical latency.
     pub latency_quantile: f64,
-    /// A wait of this length without a response always counts as a miss, however slow the zone was before.
+    /// A wait of this length without a response always counts as a miss, whatever the typical latency.
     pub conclusive_wait: Duration,
-    /// So many more gathers without a response than with one make a zone suspect.
+    /// A zone is suspect once its gathers without a response outnumber those with one by this many.
     pub suspect_misses: u32,
-    /// So many gathers in a row without a response eject it.
+    /// A zone is ejected after this number of consecutive gathers without a response.
     pub eject_misses: u32,
-    /// So many responses in a row make it healthy; twice as many after each relapse, eight times at most.
+    /// A suspect zone is healthy after this number of consecutive responses; each relapse doubles it, up to eightfold.
     pub recovery_responses: u32,
-    /// A zone that is suspect again so soon after its recovery has relapsed.
+    /// A zone that becomes suspect again within this time of its recovery has relapsed.
     pub relapse_window: Duration,
-    /// How long the measurements of this process count.
+    /// How long this process's measurements are valid.
     pub measurement_validity: Duration,
-    /// How long the reports of others count, from their observation on.
+    /// How long other members' reports and the latency of a late response are valid, from their observation.
     pub report_validity: Duration,
-    /// A zone that responded to this process so recently is not suspected by the reports of others.
+    /// Other members' reports are ignored for a zone that responded to this process within this time, if nothing was missed
+    /// since.
     pub recent_response: Duration,
-    /// The suspicion of others from which a zone is suspect.
+    /// The reported suspicion at which a zone is suspect.
     pub suspect_suspicion: f32,
-    /// The suspicion of others from which a zone is ejected,
+    /// The reported suspicion at which a zone is ejected, given enough sources and a miss of this process.
     pub eject_suspicion: f32,
-    /// if so many members report it.
+    /// The minimum number of reporting members to eject a zone.
     pub eject_sources: u32,
 }
 
--- a/crates/scatter-gather/src/lib.rs
+++ b/crates/scatter-gather/src/lib.rs
@@ -1,12 +1,12 @@
-//! Scatter-gather: one answer from the responses of several shards, in time, and perhaps partial. Free of I/O: events and time
-//! in, actions out.
+//! Scatter-gather: combines the responses of several shards into one answer within a deadline, possibly a partial one.
+//! Sans-I/O: events and the current time are inputs, actions are outputs.
 //!
-//! A [`Policy`] names the shard requests that make an answer, how many responses are needed, and how long remote zones are
-//! waited for. A [`Gather`] is one answer in the making; [`Gathers`] holds all that are open and what they share: the health
-//! of each zone ([`ZoneTracker`]) and the bound on their memory ([`MemoryBudget`]).
+//! A [`Policy`] lists the shard requests of an answer, how many responses are needed, and how long to wait for remote
+//! zones. A [`Gather`] collects the responses for one answer. [`Gathers`] holds all open gathers and their shared state:
+//! the health of each zone ([`ZoneTracker`]) and the memory limit ([`MemoryBudget`]).
 //!
-//! Each shard request is a request of its own for the scheduler, which alone decides on retries: a gather sends each once.
-//! Writes are never gathered: [`Policy::check`] rejects each class that is not known to read only.
+//! The scheduler treats each shard request as a separate request and alone decides on retries; a gather sends each once.
+//! Writes are never gathered: [`Policy::check`] rejects every class that is not declared read-only.
 mod answer;
 mod check;
 mod conclude;
@@ -34,7 +34,7 @@
 pub use memory::{MemoryBudget, Reservation, Size};
 pub use policy::{PartialResultPolicy, Policy, QuorumConditions, QuorumRule, ShardRequest};
 pub use policy_error::{PolicyError, PolicyErrorReason};
-pub use shared::{Counters, Shared};
+pub use shared::{Counters, SharedState};
 pub use status::{parse_status, AnswerStatus, MAX_STATUS_BYTES};
 pub use zone::ZoneHealth;
 pub use zone_tracker::{WaitPlan, ZoneCondition, ZoneObservation, ZoneReport, ZoneTracker, MAX_ZONES};
--- a/crates/scatter-gather/src/memory.rs
+++ b/crates/scatter-gather/src/memory.rs
@@ -1,4 +1,4 @@
-//! The bound on the bytes of all gathers together.
+//! The memory limit of all gathers together.
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -9,34 +9,34 @@
     reserved: AtomicU64,
 }
 
-/// A number of bytes that all gathers share; clones are the same budget.
+/// A budget of bytes that all gathers share; clones refer to the same budget.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget(Arc<Inner>);
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// A budget of `capacity` bytes.
     pub fn new(capacity: u64) -> MemoryBudget {
         MemoryBudget(Arc::new(Inner { capacity, reserved: AtomicU64::new(0) }))
     }
 
-    /// The bytes that may be reserved.
+    /// The total bytes that may be reserved.
     pub fn capacity(&self) -> u64 {
         self.0.capacity
     }
 
-    /// The bytes that are reserved now.
+    /// The bytes currently reserved.
     pub fn reserved(&self) -> u64 {
         self.0.reserved.load(Ordering::Relaxed)
     }
 
-    /// Reserves so many bytes; none where there are not enough.
+    /// Reserves bytes; `None` if not enough are available.
     pub fn reserve(&self, bytes: u64) -> Option<Reservation> {
         let mut reservation = Reservation { budget: self.clone(), bytes: 0 };
         reservation.resize(bytes).then_some(reservation)
     }
 }
 
-/// Bytes of a budget. They are returned when this is dropped, so that none are lost on any way out.
+/// Reserved bytes of a budget, released on drop so that no code path leaks them.
 #[derive(Debug)]
 pub struct Reservation {
     budget: MemoryBudget,
@@ -44,12 +44,12 @@
 }
 
 impl Reservation {
-    /// How many bytes.
+    /// The number of reserved bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Makes it so many bytes; false, with nothing changed, where the budget does not have them.
+    /// Changes the reservation to `bytes`; returns false and changes nothing if the budget has too few.
     pub fn resize(&mut self, bytes: u64) -> bool {
         let inner = &self.budget.0;
         let before = self.bytes;
@@ -73,13 +73,13 @@
     }
 }
 
-/// A value that takes memory.
+/// A value whose memory is budgeted.
 pub trait Size {
-    /// Its size in bytes.
+    /// The size in bytes.
     fn size(&self) -> u64;
 }
 
-macro_rules! impl_size_by_len {
+macro_rules! impl_size_from_len {
     ($($type:ty),*) => {$(
         impl Size for $type {
             fn size(&self) -> u64 {
@@ -89,4 +89,4 @@
     )*};
 }
 
-impl_size_by_len!(Vec<u8>, Rc<[u8]>, Arc<[u8]>, Box<[u8]>, String);
+impl_size_from_len!(Vec<u8>, Rc<[u8]>, Arc<[u8]>, Box<[u8]>, String);
--- a/crates/scatter-gather/src/policy_error.rs
+++ b/crates/scatter-gather/src/policy_error.rs
@@ -1,102 +1,105 @@
-//! What can be wrong with a `[[gather]]` table. The texts use the words of the configuration file.
+//! Errors in a `[[gather]]` table. Messages use the configuration file's key names.
+//!
+//! The messages about request classes also reach operators as reasons why a gateway rejected distributed settings. Their
+//! wording must not change.
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The longest name, in bytes.
+/// The maximum length of a name, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// A key of a `[[gather]]` table that can't work, and why.
+/// An invalid key of a `[[gather]]` table, and why it is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{key}: {reason}")]
 pub struct PolicyError {
-    /// The key, as a path.
+    /// The key, as a path from the table that was checked.
     pub key: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     #[source]
     pub reason: PolicyErrorReason,
 }
 
-/// What is wrong with a key.
+/// Why a key is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PolicyErrorReason {
-    /// A number of a piece or a volume is malformed.
+    /// A piece or volume id is malformed.
     #[error("must be 16 hex digits")]
     MalformedId,
-    /// A name is empty, too long, or has control characters.
-    #[error("must have 1 to {max} characters that can be read", max = MAX_NAME_BYTES)]
+    /// A name is empty, too long, or contains control characters.
+    #[error("must have 1 to {max} bytes and no control characters", max = MAX_NAME_BYTES)]
     InvalidName,
-    /// There are more tables than may be.
-    #[error("there are more than {0}")]
+    /// There are too many tables.
+    #[error("must have at most {0} entries")]
     TooMany(usize),
     /// A name is used twice.
-    #[error("{0:?} is there twice")]
+    #[error("duplicate name {0:?}")]
     Duplicate(Arc<str>),
-    /// Two gathers have the same piece of the same volume.
-    #[error("is another gather's piece of the same volume")]
-    PieceTaken,
-    /// A shard request asks for a piece that is gathered itself.
-    #[error("is gathered itself; parts are not")]
+    /// Two gathers are for the same piece of the same volume.
+    #[error("another gather has the same piece and volume")]
+    DuplicatePiece,
+    /// A shard request is for a piece that is itself gathered.
+    #[error("refers to another gather; gathers must not be nested")]
     NestedGather,
-    /// There is no shard request.
-    #[error("the tier is empty: one part at least is needed")]
+    /// There are no shard requests.
+    #[error("must have at least one entry")]
     NoRequests,
-    /// Two shard requests ask for the same.
-    #[error("asks for the same as a part before it")]
+    /// Two shard requests are for the same data.
+    #[error("requests the same data as an earlier part")]
     RepeatedRequest,
-    /// A share is out of range.
-    #[error("must be from 0 to 1")]
+    /// A fraction is out of range.
+    #[error("must be between 0 and 1")]
     ShareOutOfRange,
-    /// A share that must not be 0 is out of range.
+    /// A fraction that must not be 0 is out of range.
     #[error("must be above 0 and at most 1")]
     PositiveShareOutOfRange,
-    /// Not every client protocol can mark an answer as partial, so every response is needed.
-    #[error("must be \"all\": the wire has no words for a part-answer")]
+    /// A quorum is allowed only if every client protocol can mark an answer as partial.
+    #[error("must be \"all\": a client protocol cannot mark partial answers")]
     QuorumNeedsAll,
-    /// Not every client protocol can mark an answer as partial.
-    #[error("must be \"fail\": the wire has no words for a part-answer")]
+    /// Partial results are allowed only if every client protocol can mark an answer as partial.
+    #[error("must be \"fail\": a client protocol cannot mark partial answers")]
     PartialResultsUnsupported,
     /// The class is not in the configuration.
     #[error("unknown class {0:?}")]
     UnknownClass(Arc<str>),
-    /// The class writes.
+    /// Requests of the class write.
     #[error("class {0:?} writes; bookings never gather")]
     ClassWrites(Arc<str>),
-    /// The configuration does not say that the class only reads.
+    /// The configuration does not declare the class read-only.
     #[error("the file must say that class {0:?} only reads")]
     ClassMayWrite(Arc<str>),
-    /// The reply margin takes all of the class's deadline.
+    /// The reply margin is not below the class's deadline.
     #[error("must be below the class's deadline")]
     MarginTooLong,
-    /// The quorum's table is empty.
-    #[error("is empty: at_least, named or each_hall is needed, or \"all\"")]
+    /// The quorum table has no condition.
+    #[error("needs at_least, named or each_hall, or must be \"all\"")]
     NoCondition,
-    /// A number must not be 0.
+    /// A number is 0 where it must be positive.
     #[error("must be above 0")]
     Zero,
-    /// More responses are needed than there are requests.
-    #[error("is {needed} of {requests} parts")]
+    /// The quorum needs more responses than there are requests.
+    #[error("needs {needed} responses of {requests} parts")]
     QuorumTooLarge {
-        /// The responses that are needed.
+        /// The number of responses needed.
         needed: usize,
-        /// The requests that there are.
+        /// The number of requests.
         requests: usize,
     },
-    /// A required response has no request.
-    #[error("{0:?} is not a part")]
+    /// A required name is not the name of a request.
+    #[error("no part has the name {0:?}")]
     UnknownRequest(Arc<str>),
-    /// No response fits in the limit.
-    #[error("no part fits in it")]
-    NothingFits,
-    /// The responses of a quorum don't fit in the limit.
-    #[error("what suffices has up to {0} bytes")]
-    QuorumDoesNotFit(u64),
-    /// The range of blocks is empty.
-    #[error("has no blocks")]
+    /// Every request's response limit exceeds the total limit.
+    #[error("is below the limit of every part")]
+    BelowEveryResponseLimit,
+    /// The responses of the smallest quorum may exceed the total limit.
+    #[error("is below the {0} bytes that a quorum may need")]
+    BelowQuorumSize(u64),
+    /// The block range is empty.
+    #[error("the block range is empty")]
     NoBlocks,
-    /// Both or neither of `piece` and `blocks` are there.
-    #[error("one of piece and blocks is needed, not both")]
+    /// Both or neither of `piece` and `blocks` are set.
+    #[error("exactly one of piece and blocks must be set")]
     PieceOrBlocks,
-    /// Both or neither of `shard` and `box` are there.
-    #[error("one of shard and box is needed, not both")]
+    /// Both or neither of `shard` and `box` are set.
+    #[error("exactly one of shard and box must be set")]
     ShardOrBackend,
 }
--- a/crates/scatter-gather/src/quorum.rs
+++ b/crates/scatter-gather/src/quorum.rs
@@ -1,10 +1,9 @@
-//! When a set of responses is a quorum, when an answer is still possible, and which responses come first where memory is
-//! short.
+//! Decides whether a set of responses is a quorum or an answer, and which responses get memory first.
 use crate::policy::{PartialResultPolicy, Policy, QuorumConditions, QuorumRule};
 use cluster_types::Zone;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a share may exceed a whole number by and still count as that number.
+/// A fraction of a count may exceed an integer by this much and still be rounded down to it.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 impl Policy {
@@ -15,7 +14,7 @@
         }
     }
 
-    /// Whether there is no answer without the response to this request.
+    /// Whether the policy requires the response to this request.
     pub fn is_required(&self, request: usize) -> bool {
         let (Some(conditions), Some(request)) = (self.conditions(), self.requests.get(request)) else {
             return false;
@@ -23,7 +22,7 @@
         conditions.required.contains(&request.name)
     }
 
-    /// Whether the responses for which `has` is true are a quorum.
+    /// Whether the responses for which `has` is true form a quorum.
     pub fn is_quorum(&self, has: impl Fn(usize) -> bool) -> bool {
         let count = (0..self.requests.len()).filter(|request| has(*request)).count();
         if count == 0 {
@@ -42,11 +41,11 @@
     fn has_share_of_each_zone(&self, share: f64, has: impl Fn(usize) -> bool) -> bool {
         self.requests_by_zone().values().all(|requests| {
             let count = requests.iter().filter(|request| has(**request)).count();
-            count >= share_of(share, requests.len())
+            count >= responses_for_share(share, requests.len())
         })
     }
 
-    /// Whether the responses for which `has` is true make an answer, complete or partial.
+    /// Whether the responses for which `has` is true suffice for an answer, complete or partial.
     pub fn is_answer(&self, has: impl Fn(usize) -> bool) -> bool {
         match self.partial_results {
             PartialResultPolicy::Fail => self.is_quorum(has),
@@ -63,7 +62,8 @@
         zones
     }
 
-    /// The quorum with the smallest limits: the required responses, the smallest of each zone, then the smallest of all.
+    /// A quorum of responses with the smallest size limits: the required ones, the smallest of each zone, then the smallest
+    /// overall.
     pub(crate) fn smallest_quorum(&self) -> BTreeSet<usize> {
         let all = 0..self.requests.len();
         let Some(conditions) = self.conditions() else { return all.collect() };
@@ -73,7 +73,7 @@
         if let Some(share) = conditions.share_per_zone {
             for requests in self.requests_by_zone().values() {
                 let have = requests.iter().filter(|request| quorum.contains(request)).count();
-                let lacking = share_of(share, requests.len()).saturating_sub(have);
+                let lacking = responses_for_share(share, requests.len()).saturating_sub(have);
                 let of_zone = by_size.iter().filter(|request| requests.contains(request));
                 add_smallest(&mut quorum, of_zone, lacking);
             }
@@ -83,8 +83,8 @@
         quorum
     }
 
-    /// The order in which responses are given memory: a quorum first. Guards an answer against large responses that it does
-    /// not need.
+    /// The order in which memory is reserved for responses: a quorum first, so that large responses beyond it cannot
+    /// prevent an answer.
     pub(crate) fn memory_order(&self) -> Vec<usize> {
         let quorum = self.smallest_quorum();
         let rest: Vec<usize> = (0..self.requests.len()).filter(|request| !quorum.contains(request)).collect();
@@ -92,13 +92,13 @@
     }
 }
 
-/// Adds the first so many requests that are not in the quorum yet.
+/// Adds the first `count` requests that are not in the quorum yet.
 fn add_smallest<'a>(quorum: &mut BTreeSet<usize>, by_size: impl Iterator<Item = &'a usize>, count: usize) {
     let more: Vec<usize> = by_size.filter(|request| !quorum.contains(request)).take(count).copied().collect();
     quorum.extend(more);
 }
 
-/// How many responses of a zone a share is: rounded up, at least one.
-fn share_of(share: f64, requests: usize) -> usize {
+/// The number of responses for a fraction of a zone's requests: rounded up, at least one.
+fn responses_for_share(share: f64, requests: usize) -> usize {
     ((share * requests as f64 - ROUNDING_TOLERANCE).ceil() as usize).clamp(1, requests.max(1))
 }
--- a/crates/scatter-gather/src/responses.rs
+++ b/crates/scatter-gather/src/responses.rs
@@ -1,21 +1,21 @@
-//! What a gather does with the ends of its shard requests, and with changes of the zones' health.
+//! Handles outcomes of shard requests, and changes of zone health.
 use crate::answer::{HeldValue, MissingReason};
 use crate::gather::{Gather, ShardResponse, TOO_LARGE};
 use crate::memory::{Reservation, Size};
-use crate::shared::Shared;
+use crate::shared::SharedState;
 use crate::slot::{Slot, Waiting};
 use crate::zone::ZoneHealth;
 use cluster_types::{Time, Zone};
 use std::mem;
 
 impl<V: Size> Gather<V> {
-    /// A shard request has ended before the answer.
-    pub(crate) fn received(
+    /// Handles the outcome of a shard request before the answer.
+    pub(crate) fn handle_outcome(
         &mut self,
         now: Time,
         request: usize,
         response: ShardResponse<V>,
-        shared: &mut Shared,
+        shared: &mut SharedState,
     ) {
         let Some(Waiting { sent_at, reservation, .. }) = self.take_waiting(request) else {
             shared.counters.unexpected_responses += 1;
@@ -24,10 +24,10 @@
         self.slots[request] = match response {
             ShardResponse::Value(value) => {
                 let zone = self.zone(request);
-                let is_first_of_zone = !self.reached_in(&zone).any(|reached| reached == Some(true));
+                let is_first_of_zone = !self.reachability_in(&zone).any(|reached| reached == Some(true));
                 self.reached[request] = Some(true);
                 shared.zones.record_response(now, &zone, now.since(sent_at), is_first_of_zone);
-                self.hold(value, reservation, shared)
+                self.store_value(value, reservation, shared)
             }
             ShardResponse::Rejected(retry_after) => {
                 Slot::Missing { reason: MissingReason::Rejected, retry_after }
@@ -40,7 +40,7 @@
         self.update_waits(now, shared);
     }
 
-    /// Takes a request that is waited for out of its slot.
+    /// Takes a pending request out of its slot.
     fn take_waiting(&mut self, request: usize) -> Option<Waiting> {
         let slot = self.slots.get_mut(request)?;
         match mem::replace(slot, Slot::Done) {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Keeps a value, if it fits in the limits.
-    fn hold(&self, value: V, mut reservation: Reservation, shared: &mut Shared) -> Slot<V> {
+    /// Stores a value if it fits in the limits.
+    fn store_value(&self, value: V, mut reservation: Reservation, shared: &mut SharedState) -> Slot<V> {
         let total_bytes = self.reserved_bytes().saturating_add(value.size());
         if total_bytes <= self.policy.max_total_bytes && reservation.resize(value.size()) {
             return Slot::Received(HeldValue { value, reservation });
@@ -62,8 +62,8 @@
         Slot::missing(MissingReason::Failed(TOO_LARGE.into()))
     }
 
-    /// Whether the zone was reached, by each of its requests.
-    pub(crate) fn reached_in<'a>(&'a self, zone: &'a Zone) -> impl Iterator<Item = Option<bool>> + 'a {
+    /// Whether each of a zone's requests reached it; `None` if that is unknown.
+    pub(crate) fn reachability_in<'a>(&'a self, zone: &'a Zone) -> impl Iterator<Item = Option<bool>> + 'a {
         let requests = self.policy.requests.iter().zip(&self.reached);
         requests.filter(move |(request, _)| request.zone == *zone).map(|(_, reached)| *reached)
     }
@@ -72,13 +72,13 @@
         self.policy.requests.get(request).map(|request| request.zone.clone()).unwrap_or_default()
     }
 
-    /// A shard request has ended after the answer.
-    pub(crate) fn received_late(
+    /// Handles the outcome of a shard request after the answer.
+    pub(crate) fn handle_late_response(
         &mut self,
         now: Time,
         request: usize,
         response: ShardResponse<V>,
-        shared: &mut Shared,
+        shared: &mut SharedState,
     ) {
         let Some(slot @ Slot::Abandoned { .. }) = self.slots.get_mut(request) else {
             shared.counters.unexpected_responses += 1;
@@ -91,9 +91,9 @@
         }
     }
 
-    /// Adapts the waits to what is known now: a suspect zone may be needed now, or not any more. A probe is never made
-    /// shorter.
-    pub(crate) fn update_waits(&mut self, now: Time, shared: &Shared) {
+    /// Updates the waits after a response or a change of zone health: a suspect zone may have become needed, or no longer
+    /// be needed. The wait of a probe is never shortened below its plan.
+    pub(crate) fn update_waits(&mut self, now: Time, shared: &SharedState) {
         let is_healthy = |request: usize| {
             shared.zones.health(now, &self.policy.requests[request].zone) == ZoneHealth::Healthy
         };
@@ -106,8 +106,8 @@
             let zone = &self.policy.requests[index].zone;
             let zone_deadline = self.zone_deadline(&shared.zones, zone);
             if let Slot::Waiting(waiting) = &mut self.slots[index] {
-                let left = zone_deadline.since(waiting.sent_at);
-                let wait = shared.zones.worthwhile_wait(now, zone, left, is_needed);
+                let remaining = zone_deadline.since(waiting.sent_at);
+                let wait = shared.zones.worthwhile_wait(now, zone, remaining, is_needed);
                 waiting.wait_until = (waiting.sent_at + wait).max(waiting.probe_until);
             }
         }
--- a/crates/scatter-gather/src/shared.rs
+++ b/crates/scatter-gather/src/shared.rs
@@ -1,19 +1,19 @@
-//! What all gathers of a process share.
+//! The state shared by all gathers of a process.
 use crate::memory::MemoryBudget;
 use crate::zone_tracker::ZoneTracker;
 
-/// What all gathers of a process share.
+/// The state shared by all gathers of a process.
 #[derive(Debug)]
-pub struct Shared {
+pub struct SharedState {
     /// The health of the zones.
     pub zones: ZoneTracker,
-    /// The bound on memory.
+    /// The memory limit.
     pub budget: MemoryBudget,
-    /// Counters since the start.
+    /// Counters since process start.
     pub counters: Counters,
 }
 
-/// Counters since the start.
+/// Counters since process start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Gathers that were started.
@@ -24,22 +24,22 @@
     pub partial: u64,
     /// Gathers that failed.
     pub failed: u64,
-    /// Gathers whose client left before the answer.
+    /// Gathers whose client disconnected before the answer.
     pub client_left: u64,
     /// Gathers that were rejected because too many were open.
     pub rejected: u64,
-    /// Gathers that were woken after their deadline.
+    /// Gathers that received an event only after their deadline, before they had ended.
     pub overdue: u64,
-    /// Responses that arrived after the answer.
+    /// Values that arrived after the gather had ended.
     pub late_responses: u64,
-    /// Responses that were not awaited.
+    /// Responses without a pending request.
     pub unexpected_responses: u64,
     /// Requests that were not sent because their zone is ejected.
     pub not_sent: u64,
-    /// Gathers that probed a zone, by zone.
+    /// Probes; a gather that probes several zones counts once for each.
     pub probes: u64,
-    /// Responses too large for the limit of the gather or of all.
+    /// Responses, or requests because of their limit, that were too large for the request, the gather or the memory budget.
     pub too_large: u64,
-    /// Requests that were not sent because other gathers hold the memory.
+    /// Requests that were not sent because the memory budget was exhausted.
     pub out_of_memory: u64,
 }
--- a/crates/scatter-gather/src/slot.rs
+++ b/crates/scatter-gather/src/slot.rs
@@ -6,51 +6,51 @@
 
 #[derive(Debug)]
 pub(crate) enum Slot<V> {
-    /// Sent, and waited for.
+    /// The request was sent and its response is pending.
     Waiting(Waiting),
-    /// The value is here.
+    /// The value has arrived.
     Received(HeldValue<V>),
-    /// It won't arrive.
+    /// No value will arrive.
     Missing {
         reason: MissingReason,
-        /// When a retry may be worthwhile, where the request was rejected with such a time.
+        /// When to retry, if the rejection said so.
         retry_after: Option<Duration>,
     },
-    /// The gather ended while its response was waited for.
+    /// The gather ended while the response was pending.
     Abandoned { sent_at: Time },
-    /// Nothing more is known of it.
+    /// The request has ended, and its value or reason is no longer held.
     Done,
 }
 
-/// A request whose response is waited for.
+/// A request whose response is pending.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub sent_at: Time,
-    /// How long it is worth waiting for.
+    /// When to stop waiting for the response.
     pub wait_until: Time,
-    /// How long a probe waits for it in any case.
+    /// The earliest `wait_until` for a probe; `sent_at` if this is not a probe.
     pub probe_until: Time,
-    /// The memory for the value.
+    /// The memory reserved for the value.
     pub reservation: Reservation,
 }
 
 impl<V> Slot<V> {
-    /// A response that is missing without a time for a retry.
+    /// A missing response without a retry time.
     pub fn missing(reason: MissingReason) -> Slot<V> {
         Slot::Missing { reason, retry_after: None }
     }
 
-    /// Whether the value is here.
+    /// Whether the value has arrived.
     pub fn is_received(&self) -> bool {
         matches!(self, Slot::Received(_))
     }
 
-    /// Whether the value is here or may still arrive.
+    /// Whether the value has arrived or may still arrive.
     pub fn is_possible(&self) -> bool {
         matches!(self, Slot::Received(_) | Slot::Waiting(_))
     }
 
-    /// How long it is worth waiting for; none where it is not waited for.
+    /// When to stop waiting; `None` if no response is pending.
     pub fn wait_until(&self) -> Option<Time> {
         match self {
             Slot::Waiting(waiting) => Some(waiting.wait_until),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// When the request was sent; none where it is not waited for.
+    /// When the request was sent; `None` if no response is pending.
     pub fn sent_at(&self) -> Option<Time> {
         match self {
             Slot::Waiting(waiting) => Some(waiting.sent_at),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The bytes that it has reserved.
+    /// The bytes reserved for the value.
     pub fn reserved_bytes(&self) -> u64 {
         match self {
             Slot::Waiting(Waiting { reservation, .. }) | Slot::Received(HeldValue { reservation, .. }) => {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Why it is missing, where that is known.
+    /// Why the response is missing; `None` if it is not.
     pub fn missing_reason(&self) -> Option<MissingReason> {
         match self {
             Slot::Missing { reason, .. } => Some(reason.clone()),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// When a retry may be worthwhile, where the request was rejected with such a time.
+    /// When to retry, if the request was rejected with such a time.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Slot::Missing { reason: MissingReason::Rejected, retry_after } => *retry_after,
--- a/crates/scatter-gather/src/status.rs
+++ b/crates/scatter-gather/src/status.rs
@@ -1,24 +1,24 @@
-//! The text that tells a client what is missing of an answer: `whole`, `part missing=hall-b/east:late,...` or
+//! The status text that tells a client which responses an answer lacks: `whole`, `part missing=hall-b/east:late,...` or
 //! `failed cause=too-few missing=...`.
 //!
-//! Letters, digits, `-`, `_` and `.` stand for themselves, all other bytes as `%` and two hex digits. The words are part of
-//! the protocol, and older than the names here.
+//! ASCII letters, digits, `-`, `_` and `.` are written literally, other bytes as `%` and two hex digits. The keywords are
+//! part of the protocol and predate the Rust names.
 use crate::answer::{Answer, Cause, Failure, Gathered, MissingReason, MissingResponse};
 use cluster_types::Zone;
 use std::fmt;
 use std::sync::Arc;
 
-/// The longest text that is read, in bytes.
+/// The maximum length of a status text that is parsed, in bytes.
 pub const MAX_STATUS_BYTES: usize = 64 << 10;
 
-/// What the text says.
+/// The status of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
     /// No response is missing.
     Complete,
-    /// These responses are missing; one at least.
+    /// These responses are missing; the list is not empty.
     Partial(Vec<MissingResponse>),
-    /// There is no answer.
+    /// There is no answer, for this cause and with these missing responses.
     Failed(Cause, Vec<MissingResponse>),
 }
 
@@ -89,7 +89,7 @@
     byte.is_ascii_alphanumeric() || b"-_.".contains(&byte)
 }
 
-/// Writes a name with its escapes.
+/// Displays a name with percent escapes.
 struct Escaped<'a>(&'a str);
 
 impl fmt::Display for Escaped<'_> {
@@ -105,7 +105,7 @@
     }
 }
 
-/// Reads a status; none for any other text, such as `part` without a missing response or with needless escapes.
+/// Parses a status text; `None` for any text that is not canonical, such as one with an empty list or needless escapes.
 pub fn parse_status(text: &str) -> Option<AnswerStatus> {
     if text.len() > MAX_STATUS_BYTES {
         return None;
@@ -116,7 +116,7 @@
         Some(("failed", rest)) => parse_failed(rest.strip_prefix("cause=")?)?,
         _ => return None,
     };
-    // Guards against two texts with one meaning, as with needless escapes.
+    // Accept only the canonical form: needless escapes would give several texts for one status.
     (status.to_string() == text).then_some(status)
 }
 
--- a/crates/scatter-gather/src/zone.rs
+++ b/crates/scatter-gather/src/zone.rs
@@ -1,34 +1,34 @@
-//! What is known of one zone: measurements of this process, and reports of others.
+//! Health record of one zone, from this process's measurements and the other members' reports.
 use crate::health_rules::HealthRules;
 use crate::latency::LatencyHistogram;
 use cluster_types::Time;
 use std::time::Duration;
 
-/// The most that relapses lengthen a recovery: twice as many responses are needed for each.
+/// The maximum number of relapses that count; each doubles the responses needed for recovery.
 const MAX_RELAPSES: u32 = 3;
 
-/// The health of a zone, the best first.
+/// The health of a zone, from best to worst.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ZoneHealth {
-    /// Waited for to the end.
+    /// Its responses are waited for until the deadline.
     #[default]
     Healthy,
-    /// Sent requests, and waited for as long as its responses usually take.
+    /// Requests are sent, but waited for only as long as its responses usually take.
     Suspect,
-    /// Sent requests only as a probe, or where there is no answer without it.
+    /// Requests are sent only as a probe, or if there is no answer without the zone.
     Ejected,
 }
 
-/// What others report of a zone.
+/// The other members' combined report on a zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerReport {
     pub suspicion: f32,
     pub sources: u32,
-    /// When they observed it, on this process's clock.
+    /// When they observed the zone, on this process's clock.
     pub observed_at: Time,
 }
 
-/// What this process has observed of a zone.
+/// This process's observation of a zone.
 pub(crate) struct OwnObservation {
     pub is_responding: bool,
     pub is_slow: bool,
@@ -46,14 +46,14 @@
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneRecord {
-    /// The health by the measurements of this process.
+    /// The health according to this process's measurements.
     health: ZoneHealth,
-    /// How many more gathers had no response than had one; 0 at least.
+    /// How many more gathers had no response than had one; never below 0.
     excess_misses: u32,
-    /// Gathers in a row without a response, and how many of them could not reach the zone.
+    /// Consecutive gathers without a response, and how many of them could not reach the zone.
     misses: u32,
     unreachable_misses: u32,
-    /// Gathers in a row with a response.
+    /// Consecutive gathers with a response.
     responses: u32,
     relapses: u32,
     recovered_at: Option<Time>,
@@ -67,7 +67,7 @@
 }
 
 impl ZoneRecord {
-    /// The usual latency, with a margin.
+    /// The typical latency times the margin.
     pub fn typical_latency(&self, rules: &HealthRules) -> Duration {
         match self.latencies.quantile(rules.latency_quantile) {
             Some(latency) => with_margin(latency, rules.latency_margin).max(rules.min_wait),
@@ -75,13 +75,13 @@
         }
     }
 
-    /// The latency of the last late response, with a margin; none where there was none recently.
+    /// The latency of the last late response times the margin; `None` without a recent one.
     pub fn late_latency(&self, now: Time, rules: &HealthRules) -> Option<Duration> {
         let late = self.late_response.filter(|late| now.since(late.at) < rules.report_validity)?;
         Some(with_margin(late.latency, rules.latency_margin))
     }
 
-    /// Forgets everything but the latencies once the last measurement is too old.
+    /// Resets everything except the latencies if the last measurement is too old.
     fn expire(&mut self, now: Time, rules: &HealthRules) {
         if self.measured_at.is_some_and(|at| now.since(at) >= rules.measurement_validity) {
             self.health = ZoneHealth::Healthy;
@@ -95,7 +95,7 @@
         self.measured_at = Some(now);
     }
 
-    /// The zone has responded. `is_first` is true once a gather: all its responses are one observation.
+    /// Records a response. `is_first` is true for a gather's first response of the zone: all of them are one observation.
     pub fn record_response(&mut self, now: Time, latency: Duration, is_first: bool, rules: &HealthRules) {
         self.latencies.record(latency);
         if !is_first {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A gather ended without a response of the zone, though it waited long enough, or could not reach it.
+    /// Records that a gather ended without a response of the zone, after a conclusive wait or without reaching it.
     pub fn record_miss(&mut self, now: Time, is_unreachable: bool, rules: &HealthRules) {
         self.expire(now, rules);
         self.responses = 0;
@@ -130,7 +130,7 @@
         self.excess_misses = self.excess_misses.saturating_add(1).min(rules.eject_misses);
         self.unreachable_misses = self.unreachable_misses.saturating_add(u32::from(is_unreachable));
         if self.health == ZoneHealth::Healthy && self.excess_misses >= rules.suspect_misses {
-            // Guards against a zone that comes and goes: each time it has to respond for longer.
+            // A flapping zone needs more responses for each recovery.
             let is_relapse = self.recovered_at.is_some_and(|at| now.since(at) < rules.relapse_window);
             self.relapses = if is_relapse { (self.relapses + 1).min(MAX_RELAPSES) } else { 0 };
             self.health = ZoneHealth::Suspect;
@@ -140,12 +140,12 @@
         }
     }
 
-    /// The zone responded after its gather had ended, and slower than usual.
+    /// Records a response that arrived after its gather had ended and took longer than usual.
     pub fn record_late_response(&mut self, now: Time, latency: Duration) {
         self.late_response = Some(LateResponse { latency, at: now });
     }
 
-    /// The health by the measurements of this process alone.
+    /// The health according to this process's measurements alone.
     pub fn own_health(&self, now: Time, rules: &HealthRules) -> ZoneHealth {
         match self.measured_at {
             Some(at) if now.since(at) < rules.measurement_validity => self.health,
@@ -153,9 +153,9 @@
         }
     }
 
-    /// The health by the reports of others, as far as they count here. They are nothing against a zone that responded to this
-    /// process since, or does so now. They eject a zone only where several members report it and this process has missed a
-    /// response too; otherwise they make it suspect.
+    /// The health according to other members' reports. Reports are ignored if the zone has responded to this process since
+    /// they were observed, or recently without a miss after that. They eject a zone only if several members report it and
+    /// this process has missed a response too; otherwise they make it suspect.
     fn peer_health(&self, now: Time, rules: &HealthRules) -> ZoneHealth {
         let Some(report) = self.valid_report(now, rules) else { return ZoneHealth::Healthy };
         let is_responding = self.responded_at.is_some_and(|at| {
@@ -176,12 +176,12 @@
         self.peer_report.filter(|report| now.since(report.observed_at) < rules.report_validity)
     }
 
-    /// The health by measurements and reports.
+    /// The worse of the measured and the reported health.
     pub fn health(&self, now: Time, rules: &HealthRules) -> ZoneHealth {
         self.own_health(now, rules).max(self.peer_health(now, rules))
     }
 
-    /// Whether others found it healthy since the last probe: worth a probe soon.
+    /// Whether other members found the zone healthy since the last probe, so that the next probe should come early.
     fn is_reported_healthy(&self, now: Time, rules: &HealthRules) -> bool {
         self.valid_report(now, rules).is_some_and(|report| {
             let is_newer = self.probed_at.is_none_or(|at| report.observed_at > at);
@@ -189,31 +189,32 @@
         })
     }
 
-    /// Whether a gather that has so long for the zone is to be a probe.
-    pub fn is_probe_due(&self, now: Time, left: Duration, rules: &HealthRules) -> bool {
-        let is_early =
+    /// Whether a gather with this much time for the zone should probe it.
+    pub fn is_probe_due(&self, now: Time, remaining: Duration, rules: &HealthRules) -> bool {
+        let may_probe_early =
             self.gathers_since_probe >= rules.probe_every_gathers || self.is_reported_healthy(now, rules);
         let since = self.probed_at.map(|at| now.since(at));
         let is_due = since.is_none_or(|since| {
-            since >= rules.max_probe_interval || (since >= rules.min_probe_interval && is_early)
+            since >= rules.max_probe_interval || (since >= rules.min_probe_interval && may_probe_early)
         });
-        // A probe that can't wait as long as the zone takes shows nothing; it is left to a later gather, unless none had the
-        // time for long.
-        let is_able = left >= self.typical_latency(rules)
+        // A probe that is shorter than the typical latency is inconclusive, so it is left to a later gather, unless there
+        // was no probe for twice the maximum interval.
+        let is_conclusive = remaining >= self.typical_latency(rules)
             || since.is_none_or(|since| since >= rules.max_probe_interval * 2);
-        is_due && is_able
+        is_due && is_conclusive
     }
 
-    /// Whether only others suspect it: this process has missed nothing.
+    /// Whether only other members suspect the zone: this process has missed no response.
     pub fn is_suspected_by_others_only(&self, now: Time, rules: &HealthRules) -> bool {
         self.misses == 0 && self.own_health(now, rules) == ZoneHealth::Healthy
     }
 
-    /// What is reported to others: only measurements of this process, so that no report is passed on in circles.
+    /// The observation to report to other members. It covers only this process's measurements, so that reports don't
+    /// circulate.
     pub fn observation(&self, now: Time, rules: &HealthRules) -> Option<OwnObservation> {
         let measured_at = self.measured_at.filter(|at| now.since(*at) < rules.measurement_validity)?;
         let confidence = match self.own_health(now, rules) {
-            // One or two misses are no report against it, and none for it.
+            // With too few misses for suspicion (one or two by default), report neither for nor against the zone.
             ZoneHealth::Healthy if self.excess_misses > 0 => return None,
             ZoneHealth::Healthy => 1.0,
             _ if self.misses == 0 => 0.5,
@@ -232,8 +233,8 @@
     }
 }
 
-/// A latency with a margin, in whole microseconds as all times are. Guards against a wait that is cut to microseconds, hence
-/// shorter than the latency that it was made from, and then shows nothing.
+/// A latency times a margin, in whole microseconds like every `Time`. A wait with a finer fraction would be truncated to
+/// less than the latency it is compared with, and would then be inconclusive.
 fn with_margin(latency: Duration, margin: f64) -> Duration {
     Duration::from_micros((latency.as_micros() as f64 * margin) as u64)
 }
--- a/crates/scatter-gather/src/zone_tracker.rs
+++ b/crates/scatter-gather/src/zone_tracker.rs
@@ -1,91 +1,92 @@
-//! The health of all zones, and how long waiting for their responses is worthwhile.
+//! Tracks the health of all zones, and decides how long to wait for their responses.
 use crate::health_rules::HealthRules;
 use crate::zone::{OwnObservation, PeerReport, ZoneHealth, ZoneRecord};
 use cluster_types::{Time, Zone};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most zones that are tracked. Reports on others are counted and ignored, and they are waited for to the end.
+/// The maximum number of tracked zones. Observations of further zones are counted and ignored: they count as healthy
+/// and are waited for until the deadline.
 pub const MAX_ZONES: usize = 256;
 
-/// What the other members report of a zone, as membership has combined it.
+/// The other members' report on a zone, as combined by membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneReport {
     /// The zone.
     pub zone: Zone,
-    /// How much they suspect it, from 0 to 1.
+    /// How strongly they suspect the zone, from 0 to 1.
     pub suspicion: f32,
-    /// How many members report it, without this process.
+    /// How many members report it, excluding this process.
     pub sources: u32,
-    /// How long ago the newest of them observed it.
+    /// The age of the newest observation.
     pub age: Duration,
 }
 
-/// How a zone was found.
+/// The observed condition of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneCondition {
     /// It responds.
     Healthy,
     /// It responds too late.
     Slow,
-    /// It can't be reached, or its backends fail.
+    /// It is unreachable, or its backends fail.
     Failing,
     /// It does not respond.
     Silent,
 }
 
-/// What this process reports of a zone to the other members.
+/// This process's observation of a zone, for the other members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneObservation {
     /// The zone.
     pub zone: Zone,
-    /// How it was found.
+    /// The observed condition.
     pub condition: ZoneCondition,
-    /// How certain that is, from 0 to 1.
+    /// The confidence in the condition, from 0 to 1.
     pub confidence: f32,
-    /// How long ago it was found so.
+    /// The age of the observation.
     pub age: Duration,
-    /// How long it may count.
+    /// How long the observation is valid.
     pub valid_for: Duration,
 }
 
-/// What a gather does about a zone.
+/// Whether a gather sends requests to a zone, and how long it waits for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitPlan {
-    /// Whether requests are sent to it at all.
+    /// Whether requests are sent to the zone at all.
     pub is_sent: bool,
-    /// How long its responses are waited for.
+    /// How long to wait for its responses.
     pub wait: Duration,
-    /// Whether this is a probe.
+    /// Whether the gather probes the zone.
     pub is_probe: bool,
 }
 
 /// The health of all zones.
 #[derive(Clone, Debug)]
 pub struct ZoneTracker {
-    own: Option<Zone>,
+    own_zone: Option<Zone>,
     rules: HealthRules,
     zones: BTreeMap<Zone, ZoneRecord>,
     version: u64,
-    /// Reports that were malformed: a suspicion out of range.
+    /// Reports that were rejected because their suspicion was out of range.
     pub malformed_reports: u64,
-    /// Reports and measurements of zones beyond the bound.
+    /// Reports and measurements of zones beyond [`MAX_ZONES`].
     pub untracked: u64,
 }
 
 impl ZoneTracker {
-    /// A tracker without measurements. `own` is the zone of this process; without it each zone counts as remote.
-    pub fn new(own: Option<Zone>, rules: HealthRules) -> ZoneTracker {
+    /// A tracker without measurements. `own_zone` is the zone of this process; if it is `None`, every zone is remote.
+    pub fn new(own_zone: Option<Zone>, rules: HealthRules) -> ZoneTracker {
         let zones = BTreeMap::new();
-        ZoneTracker { own, rules, zones, version: 0, malformed_reports: 0, untracked: 0 }
+        ZoneTracker { own_zone, rules, zones, version: 0, malformed_reports: 0, untracked: 0 }
     }
 
-    /// Whether a zone is another than that of this process.
+    /// Whether a zone is not the zone of this process.
     pub fn is_remote(&self, zone: &Zone) -> bool {
-        self.own.as_ref() != Some(zone)
+        self.own_zone.as_ref() != Some(zone)
     }
 
-    /// Grows whenever the health of a zone has changed, so that open gathers can be notified.
+    /// A version that grows with each recorded change of a zone's health, so that open gathers can be notified.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -95,27 +96,30 @@
         self.zones.get(zone).map_or(ZoneHealth::Healthy, |record| record.health(now, &self.rules))
     }
 
-    /// How long waiting for a zone is worthwhile, of the time left for it. Where it is needed, that is, where there is no
-    /// answer without it, it is waited for as in a probe, and to the end where only others suspect it: a wrong report fails
-    /// no gather.
-    pub fn worthwhile_wait(&self, now: Time, zone: &Zone, left: Duration, is_needed: bool) -> Duration {
-        let Some(record) = self.zones.get(zone) else { return left };
+    /// How long waiting for a zone is worthwhile, within the remaining time. A needed zone (there is no answer without it)
+    /// is waited for as long as in a probe, or for all the remaining time if only other members suspect it, so that a false
+    /// report cannot make a gather fail.
+    pub fn worthwhile_wait(&self, now: Time, zone: &Zone, remaining: Duration, is_needed: bool) -> Duration {
+        let Some(record) = self.zones.get(zone) else { return remaining };
         let late = record.late_latency(now, &self.rules);
-        let long = late.unwrap_or_default().max(record.typical_latency(&self.rules)).min(left);
+        let extended = late.unwrap_or_default().max(record.typical_latency(&self.rules)).min(remaining);
         match record.health(now, &self.rules) {
-            ZoneHealth::Healthy => left,
-            _ if is_needed && record.is_suspected_by_others_only(now, &self.rules) => left,
-            _ if is_needed => long,
+            ZoneHealth::Healthy => remaining,
+            _ if is_needed && record.is_suspected_by_others_only(now, &self.rules) => remaining,
+            _ if is_needed => extended,
             ZoneHealth::Ejected => Duration::ZERO,
-            // Its responses won't arrive in time: only a probe waits for that.
-            ZoneHealth::Suspect if late.is_some_and(|late| late > left) => self.rules.min_wait.min(left),
-            ZoneHealth::Suspect => long,
+            // Its responses are expected too late, so only a probe waits for them.
+            ZoneHealth::Suspect if late.is_some_and(|late| late > remaining) => {
+                self.rules.min_wait.min(remaining)
+            }
+            ZoneHealth::Suspect => extended,
         }
     }
 
-    /// What a gather that starts does about a zone; to be called once a zone. A needed one is always sent its requests.
-    pub fn plan_wait(&mut self, now: Time, zone: &Zone, left: Duration, is_needed: bool) -> WaitPlan {
-        let wait = self.worthwhile_wait(now, zone, left, is_needed);
+    /// Plans a new gather's wait for a zone; call it once for each zone of the gather. A needed zone is always sent its
+    /// requests.
+    pub fn plan_wait(&mut self, now: Time, zone: &Zone, remaining: Duration, is_needed: bool) -> WaitPlan {
+        let wait = self.worthwhile_wait(now, zone, remaining, is_needed);
         let Some(record) = self.zones.get_mut(zone) else {
             return WaitPlan { is_sent: true, wait, is_probe: false };
         };
@@ -124,43 +128,44 @@
             return WaitPlan { is_sent: true, wait, is_probe: false };
         }
         record.gathers_since_probe = record.gathers_since_probe.saturating_add(1);
-        let is_probe = record.is_probe_due(now, left, &self.rules);
+        let is_probe = record.is_probe_due(now, remaining, &self.rules);
         if is_probe {
             record.probed_at = Some(now);
             record.gathers_since_probe = 0;
         }
-        // Where it was too slow recently, its usual latency is enough to find it healthy: a late response is recorded anyway.
-        let late = record.late_latency(now, &self.rules).filter(|late| *late <= left);
-        let long = late.unwrap_or_default().max(record.typical_latency(&self.rules));
-        let wait = if is_probe { wait.max(long.min(left)) } else { wait };
+        // If the zone was recently too slow for the remaining time, a probe waits for the typical latency only: that is
+        // enough to find a recovered zone healthy, and a late response is recorded anyway.
+        let late = record.late_latency(now, &self.rules).filter(|late| *late <= remaining);
+        let extended = late.unwrap_or_default().max(record.typical_latency(&self.rules));
+        let wait = if is_probe { wait.max(extended.min(remaining)) } else { wait };
         WaitPlan { is_sent: is_probe || is_needed || health != ZoneHealth::Ejected, wait, is_probe }
     }
 
-    /// Whether a wait of that length without a response shows anything of a zone.
+    /// Whether a wait of this length without a response counts as a miss.
     fn is_conclusive(&self, zone: &Zone, waited: Duration) -> bool {
         let record = self.zones.get(zone);
-        let usual = record.map_or(self.rules.default_latency, |record| record.typical_latency(&self.rules));
-        waited >= usual.min(self.rules.conclusive_wait)
+        let typical = record.map_or(self.rules.default_latency, |record| record.typical_latency(&self.rules));
+        waited >= typical.min(self.rules.conclusive_wait)
     }
 
-    /// A zone has responded in time; `is_first` for its first response in a gather.
+    /// Records a response in time; `is_first` is true for a zone's first response in a gather.
     pub fn record_response(&mut self, now: Time, zone: &Zone, latency: Duration, is_first: bool) {
         self.update(now, zone, |record, rules| record.record_response(now, latency, is_first, rules));
     }
 
-    /// A gather ended without any response of a zone, having waited that long. A wait too short to be conclusive is ignored.
+    /// Records that a gather ended without any response of a zone after this wait. An inconclusive wait is ignored.
     pub fn record_silence(&mut self, now: Time, zone: &Zone, waited: Duration) {
         if self.is_conclusive(zone, waited) {
             self.update(now, zone, |record, rules| record.record_miss(now, false, rules));
         }
     }
 
-    /// A gather ended without any response of a zone, and a request could not reach it.
+    /// Records that a gather ended without any response of a zone and a request could not reach it.
     pub fn record_unreachable(&mut self, now: Time, zone: &Zone) {
         self.update(now, zone, |record, rules| record.record_miss(now, true, rules));
     }
 
-    /// A zone responded after its gather had ended. A response that took no longer than usual counts as one in time.
+    /// Records a response after its gather had ended. A latency too short to count as a miss counts as a response in time.
     pub fn record_late_response(&mut self, now: Time, zone: &Zone, latency: Duration) {
         if self.is_conclusive(zone, latency) {
             self.update(now, zone, |record, _| record.record_late_response(now, latency));
@@ -169,7 +174,7 @@
         }
     }
 
-    /// Takes the report of the other members; it replaces the one before.
+    /// Applies the other members' report on a zone, replacing the previous one.
     pub fn receive_report(&mut self, now: Time, report: &ZoneReport) {
         if !(0.0..=1.0).contains(&report.suspicion) {
             self.malformed_reports += 1;
@@ -180,7 +185,7 @@
         self.update(now, &report.zone, |record, _| record.peer_report = Some(peer_report));
     }
 
-    /// What is reported to the other members: only measurements of this process.
+    /// The observations to report to the other members: this process's measurements only.
     pub fn observations(&self, now: Time) -> Vec<ZoneObservation> {
         let observe = |(zone, record): (&Zone, &ZoneRecord)| {
             let observed = record.observation(now, &self.rules)?;
--- a/crates/scatter-gather/tests/arbitrary_input.rs
+++ b/crates/scatter-gather/tests/arbitrary_input.rs
@@ -1,4 +1,5 @@
-//! Any order of events: one answer, in time, never complete with a response missing, and all memory returned.
+//! Property tests: for any order of events there is one answer, in time, never complete with a response missing, and all
+//! memory is released.
 #![allow(clippy::unwrap_used)]
 mod common;
 use cluster_types::Time;
@@ -12,8 +13,8 @@
 
 const ZONES: [&str; 3] = ["home", "east", "we%st/,:"];
 
-/// The zone of each request, and further lines of a policy.
-fn table() -> impl Strategy<Value = (Vec<usize>, String)> {
+/// The zone of each request, and extra lines of a policy.
+fn policy_lines() -> impl Strategy<Value = (Vec<usize>, String)> {
     let required = proptest::collection::vec(any::<prop::sample::Index>(), 0..3);
     let zones = proptest::collection::vec(0..ZONES.len(), 1..8);
     (zones, 0..4u8, required, 0.1..1.0f64, any::<bool>(), 150..900u64, 0.0..1.0f64).prop_map(
@@ -39,22 +40,23 @@
     )
 }
 
-/// One step: after so many milliseconds a request ends, time passes, a report arrives, or the client leaves.
+/// One step: a delay in milliseconds, then the kind, request and size of an event. A request ends, time passes, a report
+/// arrives, or the client disconnects.
 fn step() -> impl Strategy<Value = (u64, u8, usize, u64)> {
     (0..200u64, 0..20u8, 0..9usize, 0..260u64)
 }
 
-fn build(zones: &[usize], more: &str) -> Policy {
+fn build_policy(zones: &[usize], extra_lines: &str) -> Policy {
     let request = |(index, zone): (usize, &usize)| format!("p{index}@{}", ZONES[*zone]);
     let requests: Vec<String> = zones.iter().enumerate().map(request).collect();
-    let text = more.replace("remote_share = ", "#");
-    let remote_share = more.split("remote_share = ").nth(1).unwrap().parse().unwrap();
+    let text = extra_lines.replace("remote_share = ", "#");
+    let remote_share = extra_lines.split("remote_share = ").nth(1).unwrap().parse().unwrap();
     Policy { remote_share, ..(*policy(&requests.join(" "), &text)).clone() }
 }
 
-/// What the test expects of a gather.
+/// The test's model of a gather.
 struct Expected {
-    /// Requests that are waited for, or were when the gather ended.
+    /// Requests that are pending, or were when the gather ended.
     outstanding: BTreeSet<usize>,
     /// The sizes of the values that arrived before the answer.
     received: BTreeMap<usize, u64>,
@@ -62,7 +64,7 @@
     has_client_left: bool,
 }
 
-/// What the step's number stands for; none where only time passes.
+/// The response for a step's kind; `None` for other events.
 fn response(kind: u8, size: u64) -> Option<ShardResponse<Bytes>> {
     match kind {
         0..10 => Some(ShardResponse::Value(vec![7; size as usize])),
@@ -72,8 +74,8 @@
     }
 }
 
-/// Plays one step.
-fn play(test: &mut TestGather, expected: &mut Expected, now: u64, kind: u8, request: usize, size: u64) {
+/// Applies one step to the gather and the model.
+fn apply_step(test: &mut TestGather, expected: &mut Expected, now: u64, kind: u8, request: usize, size: u64) {
     let is_over = test.gather.is_over();
     match (kind, response(kind, size)) {
         (_, Some(response)) => {
@@ -118,14 +120,14 @@
         }
     };
     let values = gathered.values().enumerate();
-    let here: Vec<usize> =
+    let present: Vec<usize> =
         values.filter(|(_, (_, value))| value.is_some()).map(|(request, _)| request).collect();
-    prop_assert!(here.iter().all(|request| expected.received.contains_key(request)));
-    prop_assert!(policy.is_answer(|request| here.contains(&request)));
-    prop_assert_eq!(gathered.is_complete(), here.len() == count);
+    prop_assert!(present.iter().all(|request| expected.received.contains_key(request)));
+    prop_assert!(policy.is_answer(|request| present.contains(&request)));
+    prop_assert_eq!(gathered.is_complete(), present.len() == count);
     prop_assert_eq!(gathered.joined().is_some(), text == "whole");
-    prop_assert_eq!(gathered.missing().len() + here.len(), count);
-    prop_assert_eq!(reserved, here.iter().map(|request| expected.received[request]).sum::<u64>());
+    prop_assert_eq!(gathered.missing().len() + present.len(), count);
+    prop_assert_eq!(reserved, present.iter().map(|request| expected.received[request]).sum::<u64>());
     Ok(())
 }
 
@@ -133,30 +135,30 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn gives_one_truthful_answer_in_time((zones, more) in table(), steps in proptest::collection::vec(step(), 0..60),
+    fn gives_one_correct_answer_in_time((zones, extra_lines) in policy_lines(), steps in proptest::collection::vec(step(), 0..60),
                                          misses in 0..9u32, capacity in 100..2000u64) {
-        let policy = Arc::new(build(&zones, &more));
+        let policy = Arc::new(build_policy(&zones, &extra_lines));
         let mut tracker = ZoneTracker::new(Some("home".into()), HealthRules::default());
         for miss in 0..misses {
             let zone = ZONES[1 + miss as usize % 2].into();
             tracker.record_silence(Time(u64::from(miss)), &zone, ms(900));
         }
         let budget = MemoryBudget::new(capacity);
-        let shared = Shared { zones: tracker, ..shared_with(budget.clone()) };
+        let shared = SharedState { zones: tracker, ..shared_with(budget.clone()) };
         let mut test = TestGather::new(&policy, 0, 1000, shared);
         let outstanding = test.sent.iter().copied().collect();
         let mut expected =
             Expected { outstanding, received: BTreeMap::new(), late_responses: 0, has_client_left: false };
         let mut now = 0;
-        for (after, kind, request, size) in steps {
-            now += after;
-            test.pass(now);
-            play(&mut test, &mut expected, now, kind, request, size);
+        for (delay_ms, kind, request, size) in steps {
+            now += delay_ms;
+            test.advance(now);
+            apply_step(&mut test, &mut expected, now, kind, request, size);
             let reserved = test.gather.reserved_bytes();
             prop_assert!(reserved <= budget.reserved() && budget.reserved() <= capacity);
             prop_assert!(reserved <= policy.max_total_bytes);
         }
-        test.pass(5000);
+        test.advance(5000);
         prop_assert_eq!(test.answers.len(), usize::from(!expected.has_client_left));
         prop_assert!(test.gather.is_over() && test.gather.next_wakeup().is_none());
         prop_assert_eq!(test.shared.counters.late_responses, expected.late_responses);
@@ -170,7 +172,7 @@
     }
 
     #[test]
-    fn reads_every_status_it_writes(list in proptest::collection::vec((".*", ".*", 0..4u8, ".*"), 1..6),
+    fn parses_every_written_status(list in proptest::collection::vec((".*", ".*", 0..4u8, ".*"), 1..6),
                                     required in proptest::option::of(".*"), is_failed: bool) {
         let missing = list.into_iter().map(|(zone, request, kind, reason)| {
             let reason = match kind {
@@ -189,7 +191,7 @@
     }
 
     #[test]
-    fn rejects_noise_or_reads_it_exactly(text in "(whole|part|failed)?( missing=| cause=)?[a-z%/:,()0-9]{0,30}") {
+    fn parses_only_canonical_status(text in "(whole|part|failed)?( missing=| cause=)?[a-z%/:,()0-9]{0,30}") {
         if let Some(status) = parse_status(&text) {
             prop_assert_eq!(status.to_string(), text);
         }
@@ -197,7 +199,7 @@
 }
 
 #[test]
-fn rejects_partial_status_without_missing_response() {
+fn rejects_status_with_absent_or_misplaced_parts() {
     for text in [
         "part",
         "part missing=",
--- a/crates/scatter-gather/tests/common/mod.rs
+++ b/crates/scatter-gather/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: policies, and a gather driven by the test.
+//! Shared test support: policies, and a gather driven by the test.
 #![allow(dead_code, clippy::unwrap_used)]
 use cluster_types::Time;
 use scatter_gather::*;
@@ -17,11 +17,11 @@
     Time(count * 1000)
 }
 
-/// A policy with requests from `name@zone` words, and further lines.
-pub fn policy(requests: &str, more: &str) -> Arc<Policy> {
+/// A policy with requests from space-separated `name@zone` pairs, and extra TOML lines.
+pub fn policy(requests: &str, extra_lines: &str) -> Arc<Policy> {
     let mut text = format!(
         "name = \"stock\"\nvolume = \"00000000000000aa\"\npiece = \"00000000000000bb\"\nclass = \"read\"\n\
-         remote_share = 0.5\nway_back_ms = 20\npart_bytes = 100\n{more}\n"
+         remote_share = 0.5\nway_back_ms = 20\npart_bytes = 100\n{extra_lines}\n"
     );
     for (index, request) in requests.split(' ').enumerate() {
         let (name, zone) = request.split_once('@').unwrap();
@@ -32,44 +32,45 @@
     Arc::new(toml::from_str(&text).unwrap())
 }
 
-pub fn shared() -> Shared {
+pub fn shared() -> SharedState {
     shared_with(MemoryBudget::new(1 << 20))
 }
 
-pub fn shared_with(budget: MemoryBudget) -> Shared {
+pub fn shared_with(budget: MemoryBudget) -> SharedState {
     let zones = ZoneTracker::new(Some("home".into()), HealthRules::default());
-    Shared { zones, budget, counters: Counters::default() }
+    SharedState { zones, budget, counters: Counters::default() }
 }
 
-/// Shared state in which a zone has responded within 20 ms and then missed so many gathers.
-pub fn missed(zone: &str, times: u32) -> Shared {
+/// Shared state in which a zone has responded within 20 ms and then missed `misses` gathers.
+pub fn shared_after_misses(zone: &str, misses: u32) -> SharedState {
     let mut shared = shared();
     (0..50).for_each(|i| shared.zones.record_response(at_ms(i), &zone.into(), ms(20), true));
-    (0..times).for_each(|i| shared.zones.record_silence(at_ms(50 + u64::from(i)), &zone.into(), ms(480)));
+    (0..misses).for_each(|i| shared.zones.record_silence(at_ms(50 + u64::from(i)), &zone.into(), ms(480)));
     shared
 }
 
-/// One gather and its actions so far.
+/// A gather, and the actions that it has emitted.
 pub struct TestGather {
     pub gather: Gather<Bytes>,
-    pub shared: Shared,
+    pub shared: SharedState,
     pub sent: Vec<usize>,
     pub abandoned: Vec<usize>,
     pub answers: Vec<(Time, Answer<Bytes>)>,
 }
 
 impl TestGather {
-    /// A gather from and until these times, in milliseconds.
-    pub fn new(policy: &Arc<Policy>, now: u64, until: u64, mut shared: Shared) -> TestGather {
+    /// Starts a gather at `now_ms` with a client deadline of `deadline_ms`.
+    pub fn new(policy: &Arc<Policy>, now_ms: u64, deadline_ms: u64, mut shared: SharedState) -> TestGather {
         let mut actions = Vec::new();
-        let gather = Gather::new(policy.clone(), at_ms(now), at_ms(until), &mut shared, &mut actions);
+        let gather =
+            Gather::new(policy.clone(), at_ms(now_ms), at_ms(deadline_ms), &mut shared, &mut actions);
         let (sent, abandoned, answers) = Default::default();
         let mut test = TestGather { gather, shared, sent, abandoned, answers };
-        test.take(at_ms(now), actions);
+        test.record_actions(at_ms(now_ms), actions);
         test
     }
 
-    fn take(&mut self, now: Time, actions: Vec<GatherAction<Bytes>>) {
+    fn record_actions(&mut self, now: Time, actions: Vec<GatherAction<Bytes>>) {
         for action in actions {
             match action {
                 GatherAction::Send { request, .. } => self.sent.push(request),
@@ -82,32 +83,33 @@
     pub fn handle(&mut self, now: Time, event: GatherEvent<Bytes>) {
         let mut actions = Vec::new();
         self.gather.handle(now, event, &mut self.shared, &mut actions);
-        self.take(now, actions);
+        self.record_actions(now, actions);
     }
 
-    pub fn respond(&mut self, now: u64, request: usize, response: ShardResponse<Bytes>) {
-        self.handle(at_ms(now), GatherEvent::Response { request, response });
+    pub fn respond(&mut self, now_ms: u64, request: usize, response: ShardResponse<Bytes>) {
+        self.handle(at_ms(now_ms), GatherEvent::Response { request, response });
     }
 
     /// Responds with a value of ten bytes.
-    pub fn respond_value(&mut self, now: u64, request: usize) {
-        self.respond(now, request, ShardResponse::Value(vec![request as u8; 10]));
+    pub fn respond_value(&mut self, now_ms: u64, request: usize) {
+        self.respond(now_ms, request, ShardResponse::Value(vec![request as u8; 10]));
     }
 
-    /// Lets time pass, and wakes the gather when it is due.
-    pub fn pass(&mut self, until: u64) {
-        while let Some(wakeup) = self.gather.next_wakeup().filter(|wakeup| *wakeup <= at_ms(until)) {
+    /// Advances time to `until_ms`, and wakes the gather whenever it is due.
+    pub fn advance(&mut self, until_ms: u64) {
+        while let Some(wakeup) = self.gather.next_wakeup().filter(|wakeup| *wakeup <= at_ms(until_ms)) {
             self.handle(wakeup, GatherEvent::Tick);
         }
     }
 
-    /// The one answer: when, in milliseconds, and its status.
+    /// The time of the answer in milliseconds, and its status text.
     pub fn answer(&self) -> Option<(u64, String)> {
         assert!(self.answers.len() <= 1, "more than one answer");
         self.answers.first().map(|(time, answer)| (time.0 / 1000, answer.status().to_string()))
     }
 }
 
-pub fn answer(ms: u64, text: &str) -> Option<(u64, String)> {
+/// The expected [`TestGather::answer`].
+pub fn expected_answer(ms: u64, text: &str) -> Option<(u64, String)> {
     Some((ms, text.to_string()))
 }
--- a/crates/scatter-gather/tests/common/sim/measurements.rs
+++ b/crates/scatter-gather/tests/common/sim/measurements.rs
@@ -1,14 +1,14 @@
-//! What a run measures.
+//! The measurements of a simulation run.
 use std::time::Duration;
 
-/// What was measured of gathers that started while the zone failed.
+/// Measurements of the gathers that started while the zone failed.
 #[derive(Debug, Default)]
 pub struct Measurements {
     pub waits_us: Vec<u64>,
     pub in_time: usize,
     pub failed: usize,
     pub complete: usize,
-    /// From the recovery until the last gateway found the zone healthy for good.
+    /// The time from the zone's recovery until every gateway permanently considered it healthy.
     pub found_healthy_after: Duration,
     pub late_responses: u64,
 }
--- a/crates/scatter-gather/tests/common/sim/mod.rs
+++ b/crates/scatter-gather/tests/common/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways that gather over four zones, one of which fails for a while. Seeded; time is simulated.
+//! A seeded simulation, in virtual time, of gateways that gather from four zones, one of which fails for a while.
 #![allow(dead_code, clippy::unwrap_used)]
 pub mod measurements;
 mod reports;
@@ -18,11 +18,11 @@
     Unreachable,
     Slow,
     Flapping,
-    /// It is healthy, and others report that it is not.
+    /// The zone is healthy, but other members report that it is not.
     FalseReports,
 }
 
-/// What gateways know of the zones' health.
+/// What the gateways know about zone health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Knowledge {
     Nothing,
@@ -35,10 +35,10 @@
 const RECOVERED_AT: u64 = 15_000_000;
 const END: u64 = 36_000_000;
 const GATEWAYS: usize = 8;
-/// The time within which an answer is in time.
+/// An answer within this time is in time.
 const LATENCY_OBJECTIVE_US: u64 = 250_000;
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The request to the zone that fails.
+/// The index of the request to the failing zone.
 const FAILING_REQUEST: usize = 3;
 /// How often gateways exchange reports.
 const REPORT_INTERVAL_US: u64 = 200_000;
@@ -63,20 +63,20 @@
     Arc::new(toml::from_str(&text).unwrap())
 }
 
-fn has_failed(now: u64) -> bool {
+fn is_failing(now: u64) -> bool {
     (FAILED_AT..RECOVERED_AT).contains(&now)
 }
 
-/// How long the last zone takes for a request that is sent now; none where it does not respond.
-fn failing_latency(fault: Fault, now: u64, usual: u64) -> Option<u64> {
-    if !has_failed(now) {
-        return Some(usual);
+/// The latency of the last zone for a request sent at `now`; `None` if it does not respond.
+fn failing_latency(fault: Fault, now: u64, normal_us: u64) -> Option<u64> {
+    if !is_failing(now) {
+        return Some(normal_us);
     }
     match fault {
         Fault::Unreachable => None,
-        Fault::Slow => Some(usual * 30),
-        Fault::Flapping => (now / 700_000).is_multiple_of(2).then_some(usual),
-        Fault::FalseReports => Some(usual),
+        Fault::Slow => Some(normal_us * 30),
+        Fault::Flapping => (now / 700_000).is_multiple_of(2).then_some(normal_us),
+        Fault::FalseReports => Some(normal_us),
     }
 }
 
@@ -127,8 +127,8 @@
             if now > END {
                 break;
             }
-            let is_of_gateway = self.step(now, event);
-            if is_of_gateway && now > RECOVERED_AT && self.is_found_unhealthy(Time(now)) {
+            let is_gateway_event = self.step(now, event);
+            if is_gateway_event && now > RECOVERED_AT && self.is_found_unhealthy(Time(now)) {
                 last_unhealthy = now;
             }
         }
@@ -147,7 +147,7 @@
         self.gateways.iter().any(|gathers| health(gathers) != ZoneHealth::Healthy)
     }
 
-    /// Handles an event; returns whether it was one of a gateway.
+    /// Handles an event; returns whether it belonged to a gateway.
     fn step(&mut self, now: u64, event: SimEvent) -> bool {
         let time = Time(now);
         let mut actions = Vec::new();
@@ -179,7 +179,7 @@
             }
         };
         for (id, action) in actions {
-            self.carry_out(now, gateway, id, action);
+            self.execute(now, gateway, id, action);
         }
         if let Some(wakeup) = self.gateways[gateway].next_wakeup() {
             self.schedule(wakeup.0.max(now + 1), SimEvent::Wakeup { gateway });
@@ -187,14 +187,14 @@
         true
     }
 
-    fn carry_out(&mut self, now: u64, gateway: usize, id: GatherId, action: GatherAction<Vec<u8>>) {
+    fn execute(&mut self, now: u64, gateway: usize, id: GatherId, action: GatherAction<Vec<u8>>) {
         match action {
             GatherAction::Send { request, .. } => {
-                let usual = self.random.random_range(20_000..60_000);
+                let normal_us = self.random.random_range(20_000..60_000);
                 let latency = if request == FAILING_REQUEST {
-                    failing_latency(self.fault, now, usual)
+                    failing_latency(self.fault, now, normal_us)
                 } else {
-                    Some(usual)
+                    Some(normal_us)
                 };
                 if let Some(latency) = latency {
                     self.schedule(now + latency, SimEvent::Respond { gateway, id, request });
@@ -203,7 +203,7 @@
             GatherAction::Abandon { .. } => {}
             GatherAction::Answer(answer) => {
                 let started_at = self.started_at.remove(&(gateway, id)).unwrap_or(now);
-                if has_failed(started_at) {
+                if is_failing(started_at) {
                     self.measure(now - started_at, &answer);
                 }
             }
@@ -218,7 +218,7 @@
         self.measured.complete += usize::from(answer.status() == AnswerStatus::Complete);
     }
 
-    /// Each gateway receives the combined report of the others.
+    /// Delivers to each gateway the combined report of the others.
     fn exchange_reports(&mut self, now: Time) {
         let zone = self.failing_zone.clone();
         let observe = |gathers: &Gathers<Vec<u8>>| {
@@ -230,13 +230,13 @@
             let others: Vec<&ZoneObservation> =
                 others.filter_map(|(_, observed)| observed.as_ref()).collect();
             let Some(mut report) = combined_report(&zone, &others) else { continue };
-            if self.fault == Fault::FalseReports && has_failed(now.0) {
+            if self.fault == Fault::FalseReports && is_failing(now.0) {
                 (report.suspicion, report.sources, report.age) = (1.0, 7, Duration::ZERO);
             }
             let mut actions = Vec::new();
             gathers.receive_report(now, &report, &mut actions);
             let is_send = |action: &GatherAction<Vec<u8>>| matches!(action, GatherAction::Send { .. });
-            assert!(!actions.iter().any(|(_, action)| is_send(action)), "a report sends no request");
+            assert!(!actions.iter().any(|(_, action)| is_send(action)), "a report must not send a request");
         }
     }
 }
--- a/crates/scatter-gather/tests/common/sim/reports.rs
+++ b/crates/scatter-gather/tests/common/sim/reports.rs
@@ -1,12 +1,12 @@
-//! The reports of several gateways as one, as membership combines them.
+//! Combines the reports of several gateways the way membership does.
 use cluster_types::Zone;
 use scatter_gather::*;
 use std::time::Duration;
 
-/// How old a report is when it arrives.
+/// The age of a report on arrival.
 const REPORT_DELAY: Duration = Duration::from_millis(150);
 
-/// What the majority of the others reports; none without a report.
+/// The report of the majority; `None` without a report.
 pub fn combined_report(zone: &Zone, others: &[&ZoneObservation]) -> Option<ZoneReport> {
     let is_bad = |observed: &ZoneObservation| observed.condition != ZoneCondition::Healthy;
     let confidence = |bad: bool| -> f32 {
--- a/crates/scatter-gather/tests/golden.rs
+++ b/crates/scatter-gather/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The forms that operators and clients see, held by files under `tests/golden/`: the `[[gather]]` table of a configuration
-//! file, which is read only, and the text that tells a client what is missing of an answer, which is written and read.
+//! Compatibility of external formats with the files under `tests/golden/`: the `[[gather]]` table of a configuration file,
+//! which is only parsed, and the status text of an answer, which is written and parsed.
 #![allow(clippy::unwrap_used)]
 use cluster_types::{BlockRange, Volume};
 use scatter_gather::{
@@ -7,7 +7,7 @@
     QuorumConditions, QuorumRule, ShardRequest,
 };
 
-/// The table with nothing but what it must have.
+/// A policy with the required keys only.
 fn minimal() -> Policy {
     Policy {
         name: "stock".into(),
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn table_with_every_key_is_read() {
-    let read: Policy = toml::from_str(include_str!("golden/policy.toml")).unwrap();
+fn parses_table_with_every_key() {
+    let parsed: Policy = toml::from_str(include_str!("golden/policy.toml")).unwrap();
     let east = ShardRequest {
         name: "east".into(),
         zone: "hall-a".into(),
@@ -59,19 +59,19 @@
         max_total_bytes: 300_000,
         ..minimal()
     };
-    assert_eq!(read, expected);
+    assert_eq!(parsed, expected);
 }
 
 #[test]
-fn table_without_optional_keys_has_the_defaults() {
-    let read: Policy = toml::from_str(include_str!("golden/policy_defaults.toml")).unwrap();
-    assert_eq!(read, minimal());
-    let written_out: Policy = toml::from_str(include_str!("golden/policy_fail.toml")).unwrap();
-    assert_eq!(written_out, minimal());
+fn parses_defaults_of_omitted_keys() {
+    let parsed: Policy = toml::from_str(include_str!("golden/policy_defaults.toml")).unwrap();
+    assert_eq!(parsed, minimal());
+    let explicit: Policy = toml::from_str(include_str!("golden/policy_fail.toml")).unwrap();
+    assert_eq!(explicit, minimal());
 }
 
 #[test]
-fn texts_of_answers_are_written_and_read() {
+fn writes_and_parses_status_texts() {
     let missing = |zone: &str, request: &str, reason| MissingResponse {
         zone: zone.into(),
         request: request.into(),
@@ -98,7 +98,7 @@
     ];
     let file = include_str!("golden/answers.txt");
     assert_eq!(values.iter().map(|status| format!("{status}\n")).collect::<String>(), file);
-    let read: Vec<AnswerStatus> = file.lines().map(|line| parse_status(line).unwrap()).collect();
-    assert_eq!(read, values);
-    assert_eq!(read.iter().map(|status| format!("{status}\n")).collect::<String>(), file);
+    let parsed: Vec<AnswerStatus> = file.lines().map(|line| parse_status(line).unwrap()).collect();
+    assert_eq!(parsed, values);
+    assert_eq!(parsed.iter().map(|status| format!("{status}\n")).collect::<String>(), file);
 }
--- a/crates/scatter-gather/tests/latency.rs
+++ b/crates/scatter-gather/tests/latency.rs
@@ -1,8 +1,8 @@
-//! Quantiles of measured times.
+//! Latency quantiles.
 use scatter_gather::LatencyHistogram;
 use std::time::Duration;
 
-/// The bound of the bucket that a span falls in.
+/// The upper bound of the bucket that a duration falls in.
 fn upper_bound(span: Duration) -> Duration {
     let mut latencies = LatencyHistogram::default();
     latencies.record(span);
@@ -10,13 +10,13 @@
 }
 
 #[test]
-fn bucket_bounds_its_spans_within_a_quarter() {
+fn bucket_bound_exceeds_its_durations_by_at_most_a_quarter() {
     for span_us in (0..100_000).chain([1 << 20, (1 << 20) - 1, 30_000_000]) {
         let bound_us = upper_bound(Duration::from_micros(span_us)).as_micros() as u64;
         let is_close = bound_us as f64 <= span_us as f64 * 1.25 + 1.0;
         assert!(bound_us >= span_us && is_close, "{span_us} {bound_us}");
     }
-    // The bound of the last of 104 buckets, four an octave.
+    // The upper bound of the last of 104 buckets, four per power of two.
     assert_eq!(upper_bound(Duration::from_micros(u64::MAX)), Duration::from_micros((8 << 24) - 1));
 }
 
--- a/crates/scatter-gather/tests/memory.rs
+++ b/crates/scatter-gather/tests/memory.rs
@@ -1,9 +1,9 @@
-//! The bound on memory.
+//! The memory budget.
 #![allow(clippy::unwrap_used)]
 use scatter_gather::MemoryBudget;
 
 #[test]
-fn reserves_nothing_beyond_capacity_and_returns_everything() {
+fn reserves_up_to_capacity_and_releases_everything() {
     let budget = MemoryBudget::new(100);
     let mut first = budget.reserve(60).unwrap();
     assert!(budget.reserve(41).is_none() && budget.reserve(u64::MAX).is_none());
--- a/crates/scatter-gather/tests/policy.rs
+++ b/crates/scatter-gather/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The tables that an operator may write, and the errors of those that can't work.
+//! Validation of `[[gather]]` tables: accepted tables, and the error of each invalid one.
 #![allow(clippy::unwrap_used)]
 mod common;
 use common::{ms, policy};
@@ -10,7 +10,7 @@
     vec![class("read", Some(false)), class("booking", Some(true)), class("either", None)]
 }
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 name = "stock"
 volume = "00000000000000aa"
 piece = "00000000000000bb"
@@ -35,56 +35,59 @@
 bytes = 100
 "#;
 
-fn read(text: &str) -> Policy {
+fn parse(text: &str) -> Policy {
     toml::from_str(text).unwrap()
 }
 
 #[test]
-fn accepts_full_table_and_defaults_to_all_or_nothing() {
-    assert_eq!(read(GOOD).check(true, &classes()), Ok(()));
-    let plain = policy("a@x b@y", "");
-    assert_eq!((plain.quorum.clone(), plain.partial_results), (QuorumRule::All, PartialResultPolicy::Fail));
-    assert_eq!(plain.check(false, &classes()), Ok(()));
+fn accepts_full_table_and_requires_all_responses_by_default() {
+    assert_eq!(parse(VALID).check(true, &classes()), Ok(()));
+    let default_policy = policy("a@x b@y", "");
+    assert_eq!(
+        (default_policy.quorum.clone(), default_policy.partial_results),
+        (QuorumRule::All, PartialResultPolicy::Fail)
+    );
+    assert_eq!(default_policy.check(false, &classes()), Ok(()));
 }
 
 #[rstest]
 #[case("class = \"read\"", "class = \"booking\"", "class: class \"booking\" writes; bookings never gather")]
 #[case("class = \"read\"", "class = \"either\"", "class: the file must say that class \"either\" only reads")]
 #[case("class = \"read\"", "class = \"x\"", "class: unknown class \"x\"")]
-#[case("name = \"west\"", "name = \"east\"", "part[1].name: \"east\" is there twice")]
-#[case("named = [\"east\"]", "named = [\"north\"]", "suffices.named[0]: \"north\" is not a part")]
-#[case("at_least = 1", "at_least = 3", "suffices.at_least: is 3 of 2 parts")]
+#[case("name = \"west\"", "name = \"east\"", "part[1].name: duplicate name \"east\"")]
+#[case("named = [\"east\"]", "named = [\"north\"]", "suffices.named[0]: no part has the name \"north\"")]
+#[case("at_least = 1", "at_least = 3", "suffices.at_least: needs 3 responses of 2 parts")]
 #[case("each_hall = 0.5", "each_hall = 1.5", "suffices.each_hall: must be above 0 and at most 1")]
 #[case(
     "{ at_least = 1, named = [\"east\"], each_hall = 0.5 }",
     "{}",
-    "suffices: is empty: at_least, named or each_hall is needed, or \"all\""
+    "suffices: needs at_least, named or each_hall, or must be \"all\""
 )]
-#[case("remote_share = 0.6", "remote_share = 1.1", "remote_share: must be from 0 to 1")]
-#[case("remote_share = 0.6", "remote_share = nan", "remote_share: must be from 0 to 1")]
+#[case("remote_share = 0.6", "remote_share = 1.1", "remote_share: must be between 0 and 1")]
+#[case("remote_share = 0.6", "remote_share = nan", "remote_share: must be between 0 and 1")]
 #[case("way_back_ms = 15", "way_back_ms = 1200", "way_back_ms: must be below the class's deadline")]
-#[case("most_bytes = 300", "most_bytes = 99", "most_bytes: no part fits in it")]
-#[case("most_bytes = 300", "most_bytes = 299", "most_bytes: what suffices has up to 300 bytes")]
-#[case("box = \"box-7\"", "", "part[1].shard: one of shard and box is needed, not both")]
+#[case("most_bytes = 300", "most_bytes = 99", "most_bytes: is below the limit of every part")]
+#[case("most_bytes = 300", "most_bytes = 299", "most_bytes: is below the 300 bytes that a quorum may need")]
+#[case("box = \"box-7\"", "", "part[1].shard: exactly one of shard and box must be set")]
 #[case(
     "shard = 3",
     "shard = 3\nblocks = { first = 0, end = 1 }",
-    "part[0].piece: one of piece and blocks is needed, not both"
+    "part[0].piece: exactly one of piece and blocks must be set"
 )]
-#[case("end = 64", "end = 0", "part[1].blocks: has no blocks")]
+#[case("end = 64", "end = 0", "part[1].blocks: the block range is empty")]
 #[case("bytes = 100", "bytes = 0", "part[1].bytes: must be above 0")]
 #[case("piece = \"00000000000000bb\"", "piece = \"bb\"", "piece: must be 16 hex digits")]
-fn names_key_of_each_error(#[case] good: &str, #[case] bad: &str, #[case] expected: &str) {
-    assert!(GOOD.contains(good));
-    let error = read(&GOOD.replace(good, bad)).check(true, &classes()).unwrap_err();
+fn names_key_of_each_error(#[case] valid: &str, #[case] invalid: &str, #[case] expected: &str) {
+    assert!(VALID.contains(valid));
+    let error = parse(&VALID.replace(valid, invalid)).check(true, &classes()).unwrap_err();
     assert_eq!(error.to_string(), expected);
 }
 
 #[rstest]
 #[case("suffices = { at_least = 1 }", "suffices: must be \"all\"")]
 #[case("otherwise = \"in-part\"", "otherwise: must be \"fail\"")]
-fn clients_without_partial_answers_need_every_response(#[case] more: &str, #[case] expected: &str) {
-    let policy = policy("a@x b@y", more);
+fn requires_all_responses_without_partial_result_support(#[case] extra_lines: &str, #[case] expected: &str) {
+    let policy = policy("a@x b@y", extra_lines);
     assert_eq!(policy.check(true, &classes()), Ok(()));
     assert!(policy.check(false, &classes()).unwrap_err().to_string().starts_with(expected));
 }
@@ -94,24 +97,25 @@
 #[case("suffices = { atleast = 1 }")]
 #[case("sufices = \"all\"")]
 #[case("otherwise = \"whole\"")]
-fn rejects_unknown_keys_and_values(#[case] more: &str) {
+fn rejects_unknown_keys_and_values(#[case] extra_lines: &str) {
     let head =
         "name = \"x\"\nvolume = \"00000000000000aa\"\npiece = \"00000000000000bb\"\nclass = \"read\"\n";
     assert!(
-        toml::from_str::<Policy>(head).is_ok() && toml::from_str::<Policy>(&format!("{head}{more}")).is_err()
+        toml::from_str::<Policy>(head).is_ok()
+            && toml::from_str::<Policy>(&format!("{head}{extra_lines}")).is_err()
     );
-    assert_eq!(read(head).check(true, &classes()).unwrap_err().key, "part");
+    assert_eq!(parse(head).check(true, &classes()).unwrap_err().key, "part");
 }
 
 #[test]
 fn checks_gathers_against_each_other() {
-    let (good, classes) = (read(GOOD), classes());
+    let (valid, classes) = (parse(VALID), classes());
     let key = |all: &[Policy]| check_all(all, true, &classes).map_err(|error| error.key);
-    assert_eq!(key(std::slice::from_ref(&good)), Ok(()));
-    assert_eq!(key(&[good.clone(), good.clone()]), Err("gather[1].name".into()));
-    let other = Policy { name: "other".into(), ..good.clone() };
-    assert_eq!(key(&[good.clone(), other.clone()]), Err("gather[1].piece".into()));
-    // Its piece is requested by the first one: a gather within a gather.
-    let inner = Policy { piece: "00000000000000CC".into(), ..other };
-    assert_eq!(key(&[good, inner]), Err("gather[0].part[0].piece".into()));
+    assert_eq!(key(std::slice::from_ref(&valid)), Ok(()));
+    assert_eq!(key(&[valid.clone(), valid.clone()]), Err("gather[1].name".into()));
+    let other = Policy { name: "other".into(), ..valid.clone() };
+    assert_eq!(key(&[valid.clone(), other.clone()]), Err("gather[1].piece".into()));
+    // The first gather requests this gather's piece, so they would be nested.
+    let nested = Policy { piece: "00000000000000CC".into(), ..other };
+    assert_eq!(key(&[valid, nested]), Err("gather[0].part[0].piece".into()));
 }
--- a/crates/scatter-gather/tests/simulation.rs
+++ b/crates/scatter-gather/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Many gathers of eight gateways with a zone that fails for ten seconds, in simulated time.
+//! Gathers of eight gateways while a zone fails for ten seconds, in simulated time.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::sim::{run, Fault, Knowledge, Measurements};
@@ -19,7 +19,7 @@
 #[case(Fault::Unreachable, 0.5, 4)]
 #[case(Fault::Slow, 0.5, 5)]
 #[case(Fault::Flapping, 0.03, 20)]
-fn tracking_health_keeps_answers_in_time_and_detects_recovery(
+fn health_tracking_keeps_answers_in_time_and_detects_recovery(
     #[case] fault: Fault,
     #[case] gain: f64,
     #[case] recovery_s: u64,
@@ -28,11 +28,11 @@
     let nothing = run_seeds(fault, Knowledge::Nothing, quorum);
     let own = run_seeds(fault, Knowledge::OwnMeasurements, quorum);
     let shared = run_seeds(fault, Knowledge::Shared, quorum);
-    let (without, with_own, with_shared) =
+    let (without_tracking, with_own, with_shared) =
         (share_in_time(&nothing), share_in_time(&own), share_in_time(&shared));
     assert!(
-        with_shared >= with_own && with_own >= without + gain,
-        "in time: {without} knowing nothing, {with_own} own, {with_shared} shared"
+        with_shared >= with_own && with_own >= without_tracking + gain,
+        "share in time: {without_tracking} untracked, {with_own} own, {with_shared} shared"
     );
     for (number, measured) in own.iter().chain(&shared).enumerate() {
         let found_healthy_after = measured.found_healthy_after;
@@ -47,7 +47,7 @@
 #[rstest]
 #[case("{ at_least = 3 }")]
 #[case("\"all\"")]
-fn false_reports_about_healthy_zone_change_nothing(#[case] quorum: &str) {
+fn ignores_false_reports_about_healthy_zone(#[case] quorum: &str) {
     for seed in 0..SEEDS {
         let measured = run(seed, Fault::FalseReports, Knowledge::Shared, quorum);
         let expected = (1.0, 0, measured.waits_us.len());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn needed_zone_loses_no_response_in_time() {
+fn tracking_needed_flapping_zone_loses_no_answer() {
     for seed in 0..SEEDS {
         let without = run(seed, Fault::Flapping, Knowledge::Nothing, "\"all\"");
         let with = run(seed, Fault::Flapping, Knowledge::Shared, "\"all\"");
--- a/crates/scatter-gather/tests/zones.rs
+++ b/crates/scatter-gather/tests/zones.rs
@@ -1,28 +1,28 @@
-//! The health of zones, and what it does to gathers.
+//! Zone health, and its effect on gathers.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 mod common;
 use common::*;
 use scatter_gather::*;
 use std::time::Duration;
 
-const FOUR: &str = "a@home b@home c@east d@west";
-const PARTIAL: &str = "otherwise = \"in-part\"";
+const FOUR_REQUESTS: &str = "a@home b@home c@east d@west";
+const ALLOW_PARTIAL: &str = "otherwise = \"in-part\"";
 
 fn report(zone: &str, suspicion: f32, sources: u32) -> ZoneReport {
     ZoneReport { zone: zone.into(), suspicion, sources, age: Duration::ZERO }
 }
 
 #[test]
-fn ejected_zone_is_only_probed() {
-    let policy = policy(FOUR, "suffices = { at_least = 3 }");
-    let mut shared = missed("west", 6);
+fn sends_ejected_zone_only_probes() {
+    let policy = policy(FOUR_REQUESTS, "suffices = { at_least = 3 }");
+    let mut shared = shared_after_misses("west", 6);
     assert_eq!(shared.zones.health(at_ms(60), &"west".into()), ZoneHealth::Ejected);
     assert_eq!(shared.zones.worthwhile_wait(at_ms(60), &"west".into(), ms(480), false), Duration::ZERO);
     let mut sent = Vec::new();
     for i in 0..40u64 {
         let mut test = TestGather::new(&policy, 100 + i * 50, 1100 + i * 50, shared);
         (0..3).for_each(|request| test.respond_value(110 + i * 50, request));
-        test.pass(3200);
+        test.advance(3200);
         let (when, text) = test.answer().unwrap();
         assert!(when < 100 + i * 50 + 100 && text == "part missing=west/d:cut-off", "{when} {text}");
         sent.push(test.sent.len());
@@ -33,48 +33,48 @@
 }
 
 #[test]
-fn needed_zone_is_waited_for_although_ejected() {
-    let mut shared = missed("west", 6);
+fn waits_for_ejected_zone_if_needed() {
+    let mut shared = shared_after_misses("west", 6);
     shared.zones.plan_wait(at_ms(90), &"west".into(), ms(480), false);
-    let mut test = TestGather::new(&policy(FOUR, ""), 100, 1100, shared);
+    let mut test = TestGather::new(&policy(FOUR_REQUESTS, ""), 100, 1100, shared);
     assert_eq!(test.sent.len(), 4);
     (0..4).for_each(|request| test.respond_value(120, request));
-    assert_eq!(test.answer(), answer(120, "whole"));
+    assert_eq!(test.answer(), expected_answer(120, "whole"));
 }
 
 #[test]
-fn gather_without_time_does_not_count_against_zone() {
-    let mut shared = missed("west", 0);
+fn ignores_inconclusive_waits() {
+    let mut shared = shared_after_misses("west", 0);
     for i in 0..20u64 {
         let mut test = TestGather::new(&policy("a@west", ""), 100 + i * 30, 150 + i * 30, shared);
-        test.pass(5000);
+        test.advance(5000);
         shared = test.shared;
     }
     assert_eq!(shared.zones.health(at_ms(900), &"west".into()), ZoneHealth::Healthy);
 }
 
 #[test]
-fn reports_of_others_eject_only_with_own_misses_and_several_sources() {
+fn reports_eject_only_with_own_misses_and_several_sources() {
     let zone = "west".into();
-    let mut zones = missed("west", 0).zones;
+    let mut zones = shared_after_misses("west", 0).zones;
     zones.receive_report(at_ms(100), &report("west", 1.0, 9));
-    assert_eq!(zones.health(at_ms(100), &zone), ZoneHealth::Healthy, "it responded here just now");
+    assert_eq!(zones.health(at_ms(100), &zone), ZoneHealth::Healthy, "it responded to this process just now");
     assert_eq!(
         zones.health(at_ms(900), &zone),
         ZoneHealth::Suspect,
-        "no longer, and nothing was missed here"
+        "its response is not recent any more, and this process missed none"
     );
     zones.record_silence(at_ms(901), &zone, ms(480));
-    assert_eq!(zones.health(at_ms(901), &zone), ZoneHealth::Ejected, "own misses and reports");
+    assert_eq!(zones.health(at_ms(901), &zone), ZoneHealth::Ejected, "both own misses and reports");
     zones.receive_report(at_ms(902), &report("west", 1.0, 1));
-    assert_eq!(zones.health(at_ms(902), &zone), ZoneHealth::Suspect, "a single source");
+    assert_eq!(zones.health(at_ms(902), &zone), ZoneHealth::Suspect, "reports of a single source");
     assert_eq!(zones.health(at_ms(60_000), &zone), ZoneHealth::Healthy, "everything expires");
     zones.receive_report(at_ms(902), &report("west", f32::NAN, 1));
     assert_eq!(zones.malformed_reports, 1);
 }
 
 #[test]
-fn reports_of_others_are_not_passed_on() {
+fn does_not_forward_reports_of_others() {
     let mut zones = shared().zones;
     zones.receive_report(at_ms(1), &report("west", 1.0, 9));
     assert!(
@@ -95,9 +95,10 @@
 
 #[test]
 fn report_shortens_wait_of_open_gather() {
-    let mut gathers: Gathers<Bytes> = Gathers::new(4, missed("west", 1).zones, MemoryBudget::new(1000));
+    let mut gathers: Gathers<Bytes> =
+        Gathers::new(4, shared_after_misses("west", 1).zones, MemoryBudget::new(1000));
     let mut out = Vec::new();
-    let id = gathers.start(at_ms(100), policy(FOUR, PARTIAL), at_ms(1100), &mut out).unwrap();
+    let id = gathers.start(at_ms(100), policy(FOUR_REQUESTS, ALLOW_PARTIAL), at_ms(1100), &mut out).unwrap();
     (0..3).for_each(|request| {
         gathers.handle(
             at_ms(110),
@@ -116,8 +117,8 @@
 }
 
 #[test]
-fn flapping_zone_needs_more_responses_each_time() {
-    let (zone, mut zones) = ("west".into(), missed("west", 0).zones);
+fn recovery_needs_more_responses_after_each_relapse() {
+    let (zone, mut zones) = ("west".into(), shared_after_misses("west", 0).zones);
     let mut now = 1000;
     let mut needed = Vec::new();
     for _ in 0..6 {
@@ -134,29 +135,32 @@
 }
 
 #[test]
-fn silent_suspect_zone_is_ejected_and_recovers_by_probes() {
-    let policy = policy(FOUR, "suffices = { at_least = 3 }");
-    let (mut shared, zone) = (missed("west", 3), "west".into());
-    let mut seen = Vec::new();
+fn ejects_silent_suspect_zone_until_probes_find_recovery() {
+    let policy = policy(FOUR_REQUESTS, "suffices = { at_least = 3 }");
+    let (mut shared, zone) = (shared_after_misses("west", 3), "west".into());
+    let mut health_after_gather = Vec::new();
     for i in 0..20u64 {
-        let from = 100 + i * 400;
-        let mut test = TestGather::new(&policy, from, from + 1000, shared);
-        (0..3).for_each(|request| test.respond_value(from + 10, request));
+        let start_ms = 100 + i * 400;
+        let mut test = TestGather::new(&policy, start_ms, start_ms + 1000, shared);
+        (0..3).for_each(|request| test.respond_value(start_ms + 10, request));
         if i >= 6 && test.sent.contains(&3) {
-            test.respond_value(from + 20, 3);
+            test.respond_value(start_ms + 20, 3);
         }
-        test.pass(from + 399);
-        seen.push(test.shared.zones.health(at_ms(from + 399), &zone));
+        test.advance(start_ms + 399);
+        health_after_gather.push(test.shared.zones.health(at_ms(start_ms + 399), &zone));
         shared = test.shared;
     }
-    assert_eq!(seen[0], ZoneHealth::Suspect);
-    assert_eq!(seen[2], ZoneHealth::Ejected);
-    assert!(seen[5] == ZoneHealth::Ejected && seen[12] == ZoneHealth::Healthy, "{seen:?}");
+    assert_eq!(health_after_gather[0], ZoneHealth::Suspect);
+    assert_eq!(health_after_gather[2], ZoneHealth::Ejected);
+    assert!(
+        health_after_gather[5] == ZoneHealth::Ejected && health_after_gather[12] == ZoneHealth::Healthy,
+        "{health_after_gather:?}"
+    );
 }
 
 #[test]
-fn late_responses_teach_higher_latency() {
-    let (zone, mut zones) = ("west".into(), missed("west", 3).zones);
+fn late_response_lengthens_wait() {
+    let (zone, mut zones) = ("west".into(), shared_after_misses("west", 3).zones);
     let short = zones.worthwhile_wait(at_ms(60), &zone, ms(480), false);
     zones.record_late_response(at_ms(60), &zone, ms(200));
     assert!(short < ms(60) && zones.worthwhile_wait(at_ms(60), &zone, ms(480), false) == ms(300));
@@ -164,34 +168,39 @@
     assert_eq!(
         zones.worthwhile_wait(at_ms(62), &zone, ms(480), false),
         ms(10),
-        "it would not arrive in time"
+        "a response would not arrive in time"
     );
     assert_eq!(zones.observations(at_ms(62))[0].condition, ZoneCondition::Slow);
 }
 
 #[test]
-fn responses_of_one_gather_are_one_observation() {
-    let mut test = TestGather::new(&policy("a@west b@west c@west d@west", ""), 100, 1100, missed("west", 3));
+fn counts_responses_of_one_gather_as_one_observation() {
+    let mut test = TestGather::new(
+        &policy("a@west b@west c@west d@west", ""),
+        100,
+        1100,
+        shared_after_misses("west", 3),
+    );
     (0..4).for_each(|request| test.respond_value(110, request));
     assert_eq!(test.shared.zones.health(at_ms(110), &"west".into()), ZoneHealth::Suspect);
 }
 
 #[test]
-fn probe_waits_for_typical_latency_and_needed_zone_to_the_end_on_reports_alone() {
-    let (zone, mut zones) = ("west".into(), missed("west", 6).zones);
+fn probe_waits_for_typical_latency_and_reports_alone_shorten_no_needed_wait() {
+    let (zone, mut zones) = ("west".into(), shared_after_misses("west", 6).zones);
     let probe = zones.plan_wait(at_ms(60), &zone, ms(480), false);
     assert!(probe.is_probe && probe.wait >= ms(30) && probe.wait < ms(60), "{probe:?}");
     let next = zones.plan_wait(at_ms(61), &zone, ms(480), false);
     assert_eq!(next, WaitPlan { is_sent: false, wait: Duration::ZERO, is_probe: false });
-    let mut zones = missed("west", 0).zones;
+    let mut zones = shared_after_misses("west", 0).zones;
     zones.receive_report(at_ms(900), &report("west", 1.0, 9));
     assert!(zones.plan_wait(at_ms(900), &zone, ms(480), false).wait < ms(60));
     assert_eq!(zones.plan_wait(at_ms(900), &zone, ms(480), true).wait, ms(480));
 }
 
 #[test]
-fn zone_that_misses_more_than_it_responds_is_suspect() {
-    let (zone, mut zones) = ("west".into(), missed("west", 0).zones);
+fn suspects_zone_with_more_misses_than_responses() {
+    let (zone, mut zones) = ("west".into(), shared_after_misses("west", 0).zones);
     for i in 0..12 {
         (0..2).for_each(|_| zones.record_silence(at_ms(100 + i), &zone, ms(480)));
         zones.record_response(at_ms(100 + i), &zone, ms(20), true);
