--- a/crates/scale-bench/src/chart.rs
+++ b/crates/scale-bench/src/chart.rs
@@ -4,12 +4,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Pixels of one panel.
-const PANEL: (u32, u32) = (560, 320);
-/// Panels beside each other.
-const ACROSS: usize = 2;
+/// Width and height of a panel in pixels.
+const PANEL_SIZE_PX: (u32, u32) = (560, 320);
+/// Panels in a row.
+const PANELS_PER_ROW: usize = 2;
 /// Colours of variants, in their order.
-const COLOURS: [RGBColor; 6] = [
+const SERIES_COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 95, 14),
     RGBColor(44, 140, 44),
@@ -20,27 +20,30 @@
 
 type Points = Vec<(f64, f64)>;
 
-/// Draws a panel for each of these figures: all plays as points, a line through the means of each size.
+/// Draws a panel for each of these figures: all runs as points, a line through the means of each size.
 pub fn draw(report: &Report, figures: &[&str], path: &Path) -> Result<(), Error> {
-    let shown: Vec<&str> =
-        figures.iter().copied().filter(|f| report.plays.iter().any(|p| p.figures.contains_key(*f))).collect();
-    let rows = shown.len().div_ceil(ACROSS).max(1);
-    let size = (PANEL.0 * ACROSS as u32, PANEL.1 * rows as u32 + 40);
+    let figures: Vec<&str> = figures
+        .iter()
+        .copied()
+        .filter(|f| report.runs.iter().any(|run| run.figures.contains_key(*f)))
+        .collect();
+    let rows = figures.len().div_ceil(PANELS_PER_ROW).max(1);
+    let size = (PANEL_SIZE_PX.0 * PANELS_PER_ROW as u32, PANEL_SIZE_PX.1 * rows as u32 + 40);
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, size).into_drawing_area();
-        area.fill(&WHITE).map_err(fault)?;
+        area.fill(&WHITE).map_err(chart_error)?;
         let title = format!("{} ({}), seed {}", report.measurement, report.version, report.seed);
-        let area = area.titled(&title, ("sans-serif", 20)).map_err(fault)?;
-        for (figure, panel) in shown.iter().zip(area.split_evenly((rows, ACROSS))) {
+        let area = area.titled(&title, ("sans-serif", 20)).map_err(chart_error)?;
+        for (figure, panel) in figures.iter().zip(area.split_evenly((rows, PANELS_PER_ROW))) {
             draw_panel(report, figure, &panel)?;
         }
-        area.present().map_err(fault)?;
+        area.present().map_err(chart_error)?;
     }
     std::fs::write(path, text).map_err(Error::io(path))
 }
 
-fn fault(e: impl std::fmt::Display) -> Error {
+fn chart_error(e: impl std::fmt::Display) -> Error {
     Error::part("chart", e)
 }
 
@@ -50,13 +53,13 @@
     panel: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
 ) -> Result<(), Error> {
     let mut series: BTreeMap<&str, Points> = BTreeMap::new();
-    for play in &report.plays {
-        if let Some(value) = play.figure(figure) {
-            series.entry(play.variant.as_str()).or_default().push((play.size as f64, value));
+    for run in &report.runs {
+        if let Some(value) = run.figure(figure) {
+            series.entry(run.variant.as_str()).or_default().push((run.size as f64, value));
         }
     }
-    let most = |of: fn(&(f64, f64)) -> f64| {
-        let values = series.values().flatten().map(of);
+    let axis_max = |coordinate: fn(&(f64, f64)) -> f64| {
+        let values = series.values().flatten().map(coordinate);
         values.fold(0.0_f64, f64::max).max(1e-9) * 1.05
     };
     let mut chart = ChartBuilder::on(panel)
@@ -64,31 +67,31 @@
         .margin(10)
         .x_label_area_size(28)
         .y_label_area_size(72)
-        .build_cartesian_2d(0.0..most(|p| p.0), 0.0..most(|p| p.1))
-        .map_err(fault)?;
-    chart.configure_mesh().x_desc("size").max_light_lines(1).draw().map_err(fault)?;
+        .build_cartesian_2d(0.0..axis_max(|p| p.0), 0.0..axis_max(|p| p.1))
+        .map_err(chart_error)?;
+    chart.configure_mesh().x_desc("size").max_light_lines(1).draw().map_err(chart_error)?;
     for (n, (variant, points)) in series.iter().enumerate() {
-        let colour = COLOURS[n % COLOURS.len()];
-        let drawn = chart.draw_series(LineSeries::new(means(points), &colour)).map_err(fault)?;
+        let colour = SERIES_COLOURS[n % SERIES_COLOURS.len()];
+        let line = chart.draw_series(LineSeries::new(size_means(points), &colour)).map_err(chart_error)?;
         if !variant.is_empty() {
-            drawn.label(*variant).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
+            line.label(*variant).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
         }
         let dots = points.iter().map(|p| Circle::new(*p, 3, colour.filled()));
-        chart.draw_series(dots).map_err(fault)?;
+        chart.draw_series(dots).map_err(chart_error)?;
     }
     if series.keys().any(|variant| !variant.is_empty()) {
         let labels = chart.configure_series_labels().position(SeriesLabelPosition::UpperLeft).draw();
-        labels.map_err(fault)?;
+        labels.map_err(chart_error)?;
     }
     Ok(())
 }
 
-/// The mean of each size.
-fn means(points: &Points) -> Points {
+/// Returns the mean at each size.
+fn size_means(points: &Points) -> Points {
     let sizes: BTreeSet<u64> = points.iter().map(|p| p.0 as u64).collect();
     let mean = |size: u64| {
-        let of: Vec<f64> = points.iter().filter(|p| p.0 as u64 == size).map(|p| p.1).collect();
-        (size as f64, of.iter().sum::<f64>() / of.len().max(1) as f64)
+        let values: Vec<f64> = points.iter().filter(|p| p.0 as u64 == size).map(|p| p.1).collect();
+        (size as f64, values.iter().sum::<f64>() / values.len().max(1) as f64)
     };
     sizes.into_iter().map(mean).collect()
 }
--- a/crates/scale-bench/src/log/load.rs
+++ b/crates/scale-bench/src/consensus_sim/usage.rs
@@ -1,39 +1,39 @@
-//! What a group says and does, and why a play of it stops.
+//! Messages and processor time of a cluster, and the reason why a run stops.
 
-/// Why a play did not come to its end.
+/// Why a run stopped early.
 #[derive(Debug, thiserror::Error)]
-pub enum Stopped {
-    /// In real time.
-    #[error("the time of a play passed at {0} us of simulated time")]
-    Passed(u64),
-    /// In simulated time.
+pub enum StopReason {
+    /// The real-time limit has passed.
+    #[error("the time limit of the run passed at {0} us of simulated time")]
+    DeadlinePassed(u64),
+    /// The simulated time limit has passed.
     #[error("{0} after {1} us of simulated time")]
-    Unsettled(&'static str, u64),
+    TimedOut(&'static str, u64),
 }
 
-/// What members have said and done so far.
+/// Messages and processor time of members so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct Usage {
     /// Simulated time.
     pub span_us: u64,
-    /// Messages of all.
+    /// Messages of all members.
     pub messages: u64,
     /// Their bytes, sealed.
     pub bytes: u64,
-    /// Of these, the leader's.
+    /// The bytes that the leader sent.
     pub leader_bytes: u64,
     /// The leader's processor time.
     pub leader_us: f64,
-    /// The processor time of all.
+    /// The processor time of all members.
     pub all_us: f64,
-    /// How many others there are.
+    /// The number of followers.
     pub followers: f64,
 }
 
-impl Load {
-    /// What came after an earlier one.
-    pub fn since(&self, earlier: &Load) -> Load {
-        Load {
+impl Usage {
+    /// The difference from an earlier reading.
+    pub fn since(&self, earlier: &Usage) -> Usage {
+        Usage {
             span_us: self.span_us - earlier.span_us,
             messages: self.messages - earlier.messages,
             bytes: self.bytes - earlier.bytes,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A follower's processor time: the mean of all.
+    /// A follower's processor time: the mean over all followers.
     pub fn follower_us(&self) -> f64 {
         (self.all_us - self.leader_us) / self.followers.max(1.0)
     }
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong.
+//! Errors of the measurements.
 use std::path::PathBuf;
 
 /// Why a measurement ended.
@@ -7,43 +7,43 @@
     /// A line can't be fitted.
     #[error("too few sizes for a line: {0}, and at least 2 are needed")]
     TooFewSizes(usize),
-    /// A figure is no number.
+    /// A size or figure is not finite.
     #[error("a size or figure is not finite")]
     NotFinite,
-    /// An option's value does not do.
+    /// An option's value is invalid.
     #[error("{option}: {reason}")]
     Option {
         /// The option.
         option: &'static str,
-        /// Why.
+        /// The cause.
         reason: String,
     },
     /// A file or process can't be used.
     #[error("{path}: {source}")]
     Io {
-        /// Which.
+        /// The file or process.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A part refused what it was given.
+    /// A component rejected its input.
     #[error("{part}: {reason}")]
     Part {
-        /// Which.
+        /// The component.
         part: &'static str,
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
 
 impl Error {
-    /// A file or process that can't be used.
+    /// Creates the error for a file or process that can't be used.
     pub fn io(path: impl Into<PathBuf>) -> impl FnOnce(std::io::Error) -> Error {
         let path = path.into();
         move |source| Error::Io { path, source }
     }
 
-    /// A part that refused what it was given.
+    /// Creates the error for a component that rejected its input.
     pub fn part(part: &'static str, reason: impl ToString) -> Error {
         Error::Part { part, reason: reason.to_string() }
     }
--- a/crates/scale-bench/src/files.rs
+++ b/crates/scale-bench/src/generated_config.rs
@@ -1,42 +1,42 @@
-//! Configuration files with many boxes, as an operator or the platform writes them.
+//! Configuration files with many backends, as an operator or the platform writes them.
 use crate::Error;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Zones over which boxes are spread.
+/// Zones over which backends are spread.
 pub const ZONES: u64 = 12;
 
-/// The form of a file.
+/// The format of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Form {
-    /// An operator's.
+pub enum FileFormat {
+    /// TOML, as operators write it.
     Toml,
-    /// The platform's.
+    /// JSON, as the platform writes it.
     Json,
 }
 
-impl Form {
-    /// The ending of such a file's name, which tells the program how to read it.
-    pub fn ending(self) -> &'static str {
+impl FileFormat {
+    /// The file name extension, from which the gateway derives the format.
+    pub fn extension(self) -> &'static str {
         match self {
-            Form::Toml => "toml",
-            Form::Json => "json",
+            FileFormat::Toml => "toml",
+            FileFormat::Json => "json",
         }
     }
 }
 
-/// A box as discovery and the fixed list of a file name it. One that is moved stands at another port.
-pub fn instance(n: u64, moved: bool) -> Value {
+/// A backend as listed by discovery and by the fixed list of a file; a moved one has another port.
+pub fn instance(n: u64, is_moved: bool) -> Value {
     json!({
         "instanceId": format!("box-{n:05}"),
-        "hostPort": format!("127.0.0.1:{}", if moved { 6391 } else { 6390 }),
+        "hostPort": format!("127.0.0.1:{}", if is_moved { 6391 } else { 6390 }),
         "zone": zone(n),
         "cell": n,
         "lifecycle": "active",
     })
 }
 
-/// The zone of a box.
+/// The zone of a backend.
 fn zone(n: u64) -> String {
     format!("zone-{:02}", n % ZONES)
 }
@@ -46,8 +46,12 @@
     (0..ZONES).map(zone).collect()
 }
 
-/// A file whose list is of these boxes.
-pub fn with_instances(form: Form, listen: SocketAddr, instances: Vec<Value>) -> Result<String, Error> {
+/// A file that lists these backends.
+pub fn config_with_instances(
+    format: FileFormat,
+    listen: SocketAddr,
+    instances: Vec<Value>,
+) -> Result<String, Error> {
     let value = json!({
         "name": "front-0",
         "listen": listen.to_string(),
@@ -75,13 +79,18 @@
             "Rules": { "AskWithinS": 10.0, "ColdFrom": 0.18, "FallS": 1.0, "TipMultiple": 2.0, "WarmUpS": 18.0 },
         },
     });
-    match form {
-        Form::Toml => toml::to_string(&value).map_err(|e| Error::part("file", e)),
-        Form::Json => serde_json::to_string(&value).map_err(|e| Error::part("file", e)),
+    match format {
+        FileFormat::Toml => toml::to_string(&value).map_err(|e| Error::part("file", e)),
+        FileFormat::Json => serde_json::to_string(&value).map_err(|e| Error::part("file", e)),
     }
 }
 
-/// A file with so many boxes, of which one is moved.
-pub fn text(form: Form, listen: SocketAddr, size: u64, moved: Option<u64>) -> Result<String, Error> {
-    with_instances(form, listen, (0..size).map(|n| instance(n, moved == Some(n))).collect())
+/// A file with the given number of backends, one of them moved.
+pub fn config_text(
+    format: FileFormat,
+    listen: SocketAddr,
+    size: u64,
+    moved_index: Option<u64>,
+) -> Result<String, Error> {
+    config_with_instances(format, listen, (0..size).map(|n| instance(n, moved_index == Some(n))).collect())
 }
--- a/crates/scale-bench/src/machine.rs
+++ b/crates/scale-bench/src/machine.rs
@@ -1,7 +1,7 @@
 //! The machine that a measurement ran on.
 use serde::Serialize;
 
-/// What `/proc` says of the machine; what it does not say is left out.
+/// Properties of the machine from `/proc`; unavailable ones are absent.
 #[derive(Clone, Debug, Serialize)]
 pub struct Machine {
     /// The processor's name.
@@ -17,24 +17,24 @@
 }
 
 impl Machine {
-    /// Looks at this machine.
-    pub fn look() -> Machine {
+    /// Reads the properties of this machine.
+    pub fn detect() -> Machine {
         let read = |path: &str| std::fs::read_to_string(path).ok();
         let processors = read("/proc/cpuinfo").unwrap_or_default();
-        let memory = read("/proc/meminfo").and_then(|t| field(&t, "MemTotal"));
+        let memory = read("/proc/meminfo").and_then(|t| status_field(&t, "MemTotal"));
         let kilobytes = memory.and_then(|m| m.trim_end_matches(" kB").parse::<u64>().ok());
         Machine {
-            processor: field(&processors, "model name"),
+            processor: status_field(&processors, "model name"),
             cores: processors.lines().filter(|l| l.starts_with("processor")).count(),
-            allowed: read("/proc/self/status").and_then(|t| field(&t, "Cpus_allowed_list")),
+            allowed: read("/proc/self/status").and_then(|t| status_field(&t, "Cpus_allowed_list")),
             memory_bytes: kilobytes.map(|k| k * 1024),
             kernel: read("/proc/sys/kernel/osrelease").map(|t| t.trim().to_string()),
         }
     }
 }
 
-/// The value of a line `NAME: VALUE`.
-pub(crate) fn field(text: &str, name: &str) -> Option<String> {
+/// Returns the value of the first line `NAME: VALUE`.
+pub(crate) fn status_field(text: &str, name: &str) -> Option<String> {
     let mut pairs = text.lines().filter_map(|line| line.split_once(':'));
     pairs.find(|(key, _)| key.trim() == name).map(|(_, value)| value.trim().to_string())
 }
--- a/crates/scale-bench/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -3,21 +3,24 @@
 mod cli;
 
 use clap::Parser;
-use cli::{Cli, Common, Network, Weigh, What};
+use cli::{Cli, Common, Measurement, MemoryTarget, Network};
 use rustix::process::{setrlimit, Resource, Rlimit};
-use scale_bench::memory::Weight;
-use scale_bench::{file, front, list, log, members, memory, path, targets, Error, Plan, Play, Report};
+use scale_bench::memory::MemoryUsage;
+use scale_bench::{
+    backend_list, config_file, consensus_sim, data_path, discovery, gateway_process, membership_sim, memory,
+    Error, Plan, Report, Run,
+};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The most memory that this process, and each that it starts, may take: 11 GiB.
-const MEMORY: u64 = 11 << 30;
+/// The most memory that this process, and each that it starts, may map: 11 GiB.
+const MEMORY_LIMIT_BYTES: u64 = 11 << 30;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).init();
-    match run(cli.what) {
+    match run(cli.measurement) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             tracing::error!("{e}");
@@ -26,53 +29,55 @@
     }
 }
 
-/// Guards the machine against a part that grows without end.
-fn bound_memory() -> Result<(), Error> {
-    let bound = Rlimit { current: Some(MEMORY), maximum: Some(MEMORY) };
-    setrlimit(Resource::As, bound).map_err(|e| Error::part("memory bound", e))
+/// Limits the memory of this process and its children, so that a runaway component cannot exhaust the machine.
+fn limit_memory() -> Result<(), Error> {
+    let limit = Rlimit { current: Some(MEMORY_LIMIT_BYTES), maximum: Some(MEMORY_LIMIT_BYTES) };
+    setrlimit(Resource::As, limit).map_err(|e| Error::part("memory limit", e))
 }
 
-fn plan(sizes: &[u64], common: &Common) -> Result<Plan, Error> {
+fn build_plan(sizes: &[u64], common: &Common) -> Result<Plan, Error> {
     let mut sizes = sizes.to_vec();
     sizes.sort_unstable();
     sizes.dedup();
     let program = std::env::current_exe().map_err(Error::io("this program"))?;
-    let limit = Duration::from_secs(common.play_s);
-    Ok(Plan { sizes, plays: common.plays, seed: common.seed, limit, program: Some(program) })
+    let limit = Duration::from_secs(common.run_limit_s);
+    Ok(Plan { sizes, runs: common.runs, seed: common.seed, limit, program: Some(program) })
 }
 
-/// The two ends of a range.
-fn range(option: &'static str, ends: &[u64], most: u64) -> Result<(u64, u64), Error> {
+/// Parses the two ends of a range.
+fn parse_range(option: &'static str, ends: &[u64], limit: u64) -> Result<(u64, u64), Error> {
     match ends {
-        [least, greatest] if least <= greatest && *greatest <= most => Ok((*least, *greatest)),
-        _ => Err(Error::Option {
-            option,
-            reason: format!("must be two numbers, the lesser first, up to {most}"),
-        }),
+        [min, max] if min <= max && *max <= limit => Ok((*min, *max)),
+        _ => {
+            Err(Error::Option { option, reason: format!("must be two ascending numbers of at most {limit}") })
+        }
     }
 }
 
-fn delay(network: &Network) -> Result<(u64, u64), Error> {
-    range("--delay-ms", &network.delay_ms, 10_000)
+fn parse_delay(network: &Network) -> Result<(u64, u64), Error> {
+    parse_range("--delay-ms", &network.delay_ms, 10_000)
 }
 
-/// The program that is named, or the one beside this tool.
-fn program(front: Option<PathBuf>) -> Result<PathBuf, Error> {
-    let beside = || std::env::current_exe().map(|own| own.with_file_name("gateway"));
-    let front = front.map_or_else(beside, Ok).map_err(Error::io("this program"))?;
-    if front.is_file() {
-        Ok(front)
+/// Returns the given gateway program, or by default the one in the directory of this tool.
+fn gateway_program(gateway: Option<PathBuf>) -> Result<PathBuf, Error> {
+    let default_path = || std::env::current_exe().map(|own| own.with_file_name("gateway"));
+    let gateway = gateway.map_or_else(default_path, Ok).map_err(Error::io("this program"))?;
+    if gateway.is_file() {
+        Ok(gateway)
     } else {
-        Err(Error::Option { option: "--front", reason: format!("{} is no file", front.display()) })
+        Err(Error::Option { option: "--front", reason: format!("{} is not a file", gateway.display()) })
     }
 }
 
-fn run(what: What) -> Result<(), Error> {
-    bound_memory()?;
-    match what {
-        What::List { sizes, volumes, hosts, changes, common } => {
-            let plays = list::run(&plan(&sizes, &common)?, &list::Options { hosts, volumes, changes })?;
-            let shown = [
+fn run(measurement: Measurement) -> Result<(), Error> {
+    limit_memory()?;
+    match measurement {
+        Measurement::Scheduler { sizes, volumes, gateways, changes, common } => {
+            let runs = backend_list::measure(
+                &build_plan(&sizes, &common)?,
+                &backend_list::Options { gateways, volumes, changes },
+            )?;
+            let figures = [
                 "first_list_us",
                 "whole_list_p50_us",
                 "change_p50_us",
@@ -84,11 +89,12 @@
                 "resident_added_bytes",
                 "resident_node_bytes",
             ];
-            finish("list", plays, &shown, &common)
+            write_report("list", runs, &figures, &common)
         }
-        What::File { sizes, forms, common } => {
-            let plays = file::run(&plan(&sizes, &common)?, &file::Options { forms })?;
-            let shown = [
+        Measurement::ConfigFile { sizes, formats, common } => {
+            let runs =
+                config_file::measure(&build_plan(&sizes, &common)?, &config_file::Options { formats })?;
+            let figures = [
                 "file_bytes",
                 "reload_p50_us",
                 "reload_read_p50_us",
@@ -96,18 +102,18 @@
                 "resident_bytes",
                 "peak_bytes",
             ];
-            finish("file", plays, &shown, &common)
+            write_report("file", runs, &figures, &common)
         }
-        What::Targets { sizes, common } => {
-            let plays = targets::run(&plan(&sizes, &common)?)?;
-            let shown = ["whole_bytes", "whole_p50_us", "change_mean_bytes", "change_p50_us"];
-            finish("targets", plays, &shown, &common)
+        Measurement::Discovery { sizes, common } => {
+            let runs = discovery::measure(&build_plan(&sizes, &common)?)?;
+            let figures = ["whole_bytes", "whole_p50_us", "change_mean_bytes", "change_p50_us"];
+            write_report("targets", runs, &figures, &common)
         }
-        What::Members { sizes, loss, bytes_s, rest_s, network, common } => {
-            let (delay_ms, settle_s) = (delay(&network)?, network.settle_s);
-            let options = members::Options { loss, delay_ms, bytes_s, settle_s, rest_s };
-            let plays = members::run(&plan(&sizes, &common)?, &options)?;
-            let shown = [
+        Measurement::Membership { sizes, loss, bytes_s, rest_s, network, common } => {
+            let (delay_ms, settle_s) = (parse_delay(&network)?, network.settle_s);
+            let options = membership_sim::Options { loss, delay_ms, bytes_s, settle_s, rest_s };
+            let runs = membership_sim::measure(&build_plan(&sizes, &common)?, &options)?;
+            let figures = [
                 "rest_member_messages_s",
                 "rest_member_bytes_s",
                 "rest_member_cpu_us_s",
@@ -115,15 +121,17 @@
                 "death_known_to_all_sim_s",
                 "restart_known_to_all_sim_s",
             ];
-            finish("members", plays, &shown, &common)
+            write_report("members", runs, &figures, &common)
         }
-        What::Log { sizes, entry_bytes, entries, disk_us, idle_s, network, common } => {
-            let (delay_ms, disk_us) = (delay(&network)?, range("--disk-us", &disk_us, 10_000_000)?);
+        Measurement::Consensus { sizes, entry_bytes, entries, disk_us, idle_s, network, common } => {
+            let (delay_ms, disk_us) =
+                (parse_delay(&network)?, parse_range("--disk-us", &disk_us, 10_000_000)?);
             let entry_bytes = entry_bytes.iter().map(|n| *n as usize).collect();
             let settle_s = network.settle_s;
-            let options = log::Options { entry_bytes, entries, delay_ms, disk_us, settle_s, idle_s };
-            let plays = log::run(&plan(&sizes, &common)?, &options)?;
-            let shown = [
+            let options =
+                consensus_sim::Options { entry_bytes, entries, delay_ms, disk_us, settle_s, idle_s };
+            let runs = consensus_sim::measure(&build_plan(&sizes, &common)?, &options)?;
+            let figures = [
                 "messages_entry",
                 "bytes_entry",
                 "leader_cpu_us_entry",
@@ -133,12 +141,12 @@
                 "idle_messages_s",
                 "idle_leader_cpu_us_s",
             ];
-            finish("log", plays, &shown, &common)
+            write_report("log", runs, &figures, &common)
         }
-        What::Front { sizes, front, forms, common } => {
-            let options = front::Options { front: program(front)?, forms };
-            let plays = front::run(&plan(&sizes, &common)?, &options)?;
-            let shown = [
+        Measurement::Gateway { sizes, gateway, formats, common } => {
+            let options = gateway_process::Options { gateway: gateway_program(gateway)?, formats };
+            let runs = gateway_process::measure(&build_plan(&sizes, &common)?, &options)?;
+            let figures = [
                 "start_ms",
                 "start_cpu_us",
                 "start_resident_bytes",
@@ -146,35 +154,40 @@
                 "reload_cpu_p50_us",
                 "reload_told_p50_ms",
             ];
-            finish("front", plays, &shown, &common)
+            write_report("front", runs, &figures, &common)
         }
-        What::Path { sizes, front, volumes, box_us, span_s, common } => {
-            let (takes, span) = (Duration::from_micros(box_us), Duration::from_secs(span_s));
-            let options = path::Options { front: program(front)?, volumes, takes, span };
-            let plays = path::run(&plan(&sizes, &common)?, &options)?;
-            let shown =
+        Measurement::DataPath { sizes, gateway, volumes, backend_time_us, span_s, common } => {
+            let (service_time, span) = (Duration::from_micros(backend_time_us), Duration::from_secs(span_s));
+            let options =
+                data_path::Options { gateway: gateway_program(gateway)?, volumes, service_time, span };
+            let runs = data_path::measure(&build_plan(&sizes, &common)?, &options)?;
+            let figures =
                 ["front_cpu_read_us", "reads_s", "client_p50_us", "client_p99_us", "errors", "front_cores"];
-            finish("path", plays, &shown, &common)
+            write_report("path", runs, &figures, &common)
         }
-        What::Weigh(what) => weigh(&what),
+        Measurement::Memory(target) => measure_memory(&target),
     }
 }
 
-fn weigh(what: &Weigh) -> Result<(), Error> {
-    let weight: Weight = match what {
-        Weigh::List { size, hosts, volumes } => memory::of_list(*hosts, *size, *volumes, 0)?,
-        Weigh::File { size, form, reloads } => file::weigh(*form, *size, *reloads)?,
+fn measure_memory(target: &MemoryTarget) -> Result<(), Error> {
+    let usage: MemoryUsage = match target {
+        MemoryTarget::Scheduler { size, gateways, volumes } => {
+            memory::measure_backend_list(*gateways, *size, *volumes, 0)?
+        }
+        MemoryTarget::ConfigFile { size, format, reloads } => {
+            config_file::measure_memory(*format, *size, *reloads)?
+        }
     };
-    serde_json::to_writer(std::io::stdout(), &weight).map_err(|e| Error::part("weigh", e))
+    serde_json::to_writer(std::io::stdout(), &usage).map_err(|e| Error::part("memory", e))
 }
 
-fn finish(name: &str, plays: Vec<Play>, shown: &[&str], common: &Common) -> Result<(), Error> {
-    let report = Report::new(name, &common.revision, common.seed, plays, &common.at);
+fn write_report(name: &str, runs: Vec<Run>, figures: &[&str], common: &Common) -> Result<(), Error> {
+    let report = Report::new(name, &common.revision, common.seed, runs, &common.predicted_sizes);
     match &common.json {
         Some(path) => report.write(path)?,
         None => {
             serde_json::to_writer_pretty(std::io::stdout(), &report).map_err(|e| Error::part("report", e))?
         }
     }
-    common.chart.iter().try_for_each(|path| scale_bench::chart::draw(&report, shown, path))
+    common.chart.iter().try_for_each(|path| scale_bench::chart::draw(&report, figures, path))
 }
--- a/crates/scale-bench/src/memory.rs
+++ b/crates/scale-bench/src/memory.rs
@@ -1,46 +1,46 @@
-//! Memory that a part takes, weighed in a process of its own.
-use crate::machine::field;
-use crate::process::finish;
-use crate::{list, Error, Plan, Play};
+//! Memory use of a component, measured in a separate process.
+use crate::child_process::wait_output;
+use crate::machine::status_field;
+use crate::{backend_list, Error, Plan, Run};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-/// What a process weighed.
+/// Memory use of a process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Weight {
-    /// Resident bytes before the part was there.
+pub struct MemoryUsage {
+    /// Resident bytes before the component is created.
     pub before: u64,
-    /// Resident bytes with it.
+    /// Resident bytes with the component.
     pub after: u64,
-    /// Resident bytes at the most.
+    /// Peak resident bytes.
     pub peak: u64,
 }
 
-impl Weight {
-    /// Weighs what is made; it is kept until after.
-    pub fn of<T>(make: impl FnOnce() -> Result<T, Error>) -> Result<Weight, Error> {
-        let before = resident()?;
-        let made = make()?;
-        let after = resident()?;
-        let peak = peak("/proc/self/status")?;
-        drop(made);
-        Ok(Weight { before, after, peak })
+impl MemoryUsage {
+    /// Measures the memory of the value that `make` returns, which is dropped only after the measurement.
+    pub fn measure<T>(make: impl FnOnce() -> Result<T, Error>) -> Result<MemoryUsage, Error> {
+        let before = resident_bytes()?;
+        let value = make()?;
+        let after = resident_bytes()?;
+        let peak = peak_resident_bytes("/proc/self/status")?;
+        drop(value);
+        Ok(MemoryUsage { before, after, peak })
     }
 
-    /// Puts what was weighed among a play's figures.
-    pub fn put(&self, play: &mut Play) {
+    /// Records the memory figures in a run.
+    pub fn record(&self, run: &mut Run) {
         let added = self.after.saturating_sub(self.before) as f64;
-        play.put("resident_added_bytes", added);
-        play.put("resident_bytes", self.after as f64);
-        play.put("peak_bytes", self.peak as f64);
-        play.put("resident_node_bytes", added / play.size.max(1) as f64);
+        run.record("resident_added_bytes", added);
+        run.record("resident_bytes", self.after as f64);
+        run.record("peak_bytes", self.peak as f64);
+        run.record("resident_node_bytes", added / run.size.max(1) as f64);
     }
 }
 
-/// This process's resident bytes.
-pub fn resident() -> Result<u64, Error> {
+/// Reads the resident bytes of this process.
+pub fn resident_bytes() -> Result<u64, Error> {
     let path = "/proc/self/statm";
     let text = std::fs::read_to_string(path).map_err(Error::io(path))?;
     let pages: Option<u64> = text.split_whitespace().nth(1).and_then(|n| n.parse().ok());
@@ -48,42 +48,42 @@
     Ok(pages * rustix::param::page_size() as u64)
 }
 
-/// The most resident bytes that the process of this status file had.
-pub fn peak(path: &str) -> Result<u64, Error> {
-    kilobytes(path, "VmHWM")
+/// Reads the peak resident bytes from a process's status file.
+pub fn peak_resident_bytes(path: &str) -> Result<u64, Error> {
+    status_bytes(path, "VmHWM")
 }
 
-/// A field of a status file, in bytes.
-pub fn kilobytes(path: &str, name: &str) -> Result<u64, Error> {
+/// Reads a field of a status file, in bytes.
+pub fn status_bytes(path: &str, name: &str) -> Result<u64, Error> {
     let text = std::fs::read_to_string(path).map_err(Error::io(path))?;
-    let value = field(&text, name).and_then(|v| v.trim_end_matches(" kB").trim().parse::<u64>().ok());
+    let value = status_field(&text, name).and_then(|v| v.trim_end_matches(" kB").trim().parse::<u64>().ok());
     value.map(|kilobytes| kilobytes * 1024).ok_or_else(|| Error::part("status", format!("no {name}")))
 }
 
-/// Runs the tool anew to weigh a part, no longer than that.
-pub fn weigh(program: &Path, what: &[String], limit: Duration) -> Result<Weight, Error> {
+/// Runs this tool again to measure the memory of a component, at most for `limit`.
+pub fn measure_in_child(program: &Path, args: &[String], limit: Duration) -> Result<MemoryUsage, Error> {
     let mut command = Command::new(program);
-    command.arg("weigh").args(what).stdin(Stdio::null()).stdout(Stdio::piped());
+    command.arg("weigh").args(args).stdin(Stdio::null()).stdout(Stdio::piped());
     let child = command.spawn().map_err(Error::io(program))?;
-    let output = finish(child, limit).map_err(Error::io(program))?;
-    serde_json::from_slice(&output).map_err(|e| Error::part("weigh", e))
+    let output = wait_output(child, limit).map_err(Error::io(program))?;
+    serde_json::from_slice(&output).map_err(|e| Error::part("memory", e))
 }
 
-/// Weighs a part for a play, where the plan has a program to do so; the play says so where that fails.
-pub fn put(plan: &Plan, what: &[String], play: &mut Play) {
+/// Records the memory of a component if the plan names a program to measure it; a failure marks the run incomplete.
+pub fn record_in_child(plan: &Plan, args: &[String], run: &mut Run) {
     let Some(program) = &plan.program else { return };
-    match weigh(program, what, plan.limit) {
-        Ok(weight) => weight.put(play),
-        Err(e) => play.partial(format!("memory was not weighed: {e}")),
+    match measure_in_child(program, args, plan.limit) {
+        Ok(usage) => usage.record(run),
+        Err(e) => run.mark_incomplete(format!("memory was not measured: {e}")),
     }
 }
 
-/// Weighs the decision module with a list and traffic, in this process.
-pub fn of_list(hosts: u32, size: u64, volumes: u32, seed: u64) -> Result<Weight, Error> {
-    Weight::of(|| {
-        let mut table = list::Table::new(hosts, seed)?;
-        table.whole(list::entries(size));
-        table.traffic(size, volumes);
-        Ok(table)
+/// Measures the memory of the scheduler with a list and traffic, in this process.
+pub fn measure_backend_list(gateways: u32, size: u64, volumes: u32, seed: u64) -> Result<MemoryUsage, Error> {
+    MemoryUsage::measure(|| {
+        let mut harness = backend_list::SchedulerHarness::new(gateways, seed)?;
+        harness.set_full_list(backend_list::entries(size));
+        harness.send_traffic(size, volumes);
+        Ok(harness)
     })
 }
--- a/crates/scale-bench/src/plan.rs
+++ b/crates/scale-bench/src/plan.rs
@@ -1,50 +1,50 @@
-//! What is common to all measurements.
+//! Sizes, runs and limits that all measurements share.
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Sizes, plays, seed and bounds of a measurement.
+/// Sizes, runs, seed and limits of a measurement.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The sizes.
     pub sizes: Vec<u64>,
-    /// How often each size is played.
-    pub plays: u32,
-    /// The first play's seed; each play after it takes the next.
+    /// Number of runs of each size.
+    pub runs: u32,
+    /// The first run's seed; each run after it takes the next.
     pub seed: u64,
-    /// How long one play may take.
+    /// Real-time limit of a run.
     pub limit: Duration,
-    /// This tool's own program, which weighs memory in processes of its own; none leaves memory out.
+    /// This tool's own program, which measures memory in separate processes; without it, memory is not measured.
     pub program: Option<PathBuf>,
 }
 
 impl Plan {
-    /// Each size with each of its plays and the play's seed.
-    pub fn plays(&self) -> impl Iterator<Item = (u64, u32, u64)> + '_ {
-        let each = move |size: &u64| {
+    /// Each size with each of its runs and the run's seed.
+    pub fn runs(&self) -> impl Iterator<Item = (u64, u32, u64)> + '_ {
+        let runs_of_size = move |size: &u64| {
             let size = *size;
-            (0..self.plays).map(move |play| (size, play, self.seed.wrapping_add(u64::from(play))))
+            (0..self.runs).map(move |run| (size, run, self.seed.wrapping_add(u64::from(run))))
         };
-        self.sizes.iter().flat_map(each)
+        self.sizes.iter().flat_map(runs_of_size)
     }
 
-    /// When a play that begins now must end.
-    pub fn bound(&self) -> Bound {
-        Bound(Instant::now() + self.limit)
+    /// The deadline of a run that begins now.
+    pub fn deadline(&self) -> Deadline {
+        Deadline(Instant::now() + self.limit)
     }
 }
 
-/// When a play must end.
+/// The end of a run's real-time limit.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound(Instant);
+pub struct Deadline(Instant);
 
-impl Bound {
-    /// Whether that time has come.
-    pub fn passed(self) -> bool {
+impl Deadline {
+    /// Whether the deadline has passed.
+    pub fn has_passed(self) -> bool {
         Instant::now() >= self.0
     }
 
-    /// How long it is until then.
-    pub fn left(self) -> Duration {
+    /// The time left until the deadline.
+    pub fn remaining(self) -> Duration {
         self.0.saturating_duration_since(Instant::now())
     }
 }
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -1,6 +1,6 @@
-//! What a measurement gave, as it is written down.
+//! The report of a measurement.
+use crate::line_fit::{fit_line, LineFit};
 use crate::machine::Machine;
-use crate::slope::{slope, Slope};
 use crate::Error;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,32 +8,34 @@
 
 /// One measurement at one size under one seed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Play {
-    /// The size.
+pub struct Run {
+    /// Its size.
     pub size: u64,
-    /// What besides the size was varied.
+    /// The parameter varied besides the size.
     pub variant: String,
-    /// Which play of its size it is, from 0.
-    pub play: u32,
+    /// The index among the runs of its size, from 0.
+    #[serde(rename = "play")]
+    pub index: u32,
     /// Its seed.
     pub seed: u64,
-    /// Whether it came to its end, and to what it was to show.
-    pub whole: bool,
-    /// What is to be known of it; why, where it is not whole.
+    /// Whether it ran to its end and produced all its figures.
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
+    /// Remarks, with the reason if the run is incomplete.
     pub notes: Vec<String>,
     /// All figures, by name; the unit is the name's last word.
     pub figures: BTreeMap<String, f64>,
 }
 
-impl Play {
-    /// A play that has no figures yet.
-    pub fn new(variant: impl Into<String>, (size, play, seed): (u64, u32, u64)) -> Play {
+impl Run {
+    /// A run that has no figures yet.
+    pub fn new(variant: impl Into<String>, (size, index, seed): (u64, u32, u64)) -> Run {
         let (variant, notes, figures) = (variant.into(), Vec::new(), BTreeMap::new());
-        Play { size, variant, play, seed, whole: true, notes, figures }
+        Run { size, variant, index, seed, is_complete: true, notes, figures }
     }
 
     /// Adds a figure.
-    pub fn put(&mut self, name: &str, value: f64) {
+    pub fn record(&mut self, name: &str, value: f64) {
         self.figures.insert(name.into(), value);
     }
 
@@ -42,64 +44,84 @@
         self.figures.get(name).copied()
     }
 
-    /// Says that it did not come to its end.
-    pub fn partial(&mut self, why: impl Into<String>) {
-        let why = why.into();
-        tracing::warn!(size = self.size, variant = %self.variant, play = self.play, why, "not whole");
-        self.whole = false;
-        self.notes.push(why);
+    /// Marks it as incomplete.
+    pub fn mark_incomplete(&mut self, reason: impl Into<String>) {
+        let reason = reason.into();
+        tracing::warn!(
+            size = self.size,
+            variant = %self.variant,
+            play = self.index,
+            why = reason,
+            "run is incomplete"
+        );
+        self.is_complete = false;
+        self.notes.push(reason);
     }
 
-    /// Tells of it in the log of this tool.
-    pub fn done(self) -> Play {
-        tracing::info!(size = self.size, variant = %self.variant, play = self.play, whole = self.whole, "played");
+    /// Logs the end of the run.
+    pub fn log_finished(self) -> Run {
+        tracing::info!(
+            size = self.size,
+            variant = %self.variant,
+            play = self.index,
+            whole = self.is_complete,
+            "run finished"
+        );
         self
     }
 }
 
 /// The line through one figure of one variant.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Fitted {
+pub struct FigureFit {
     /// The variant.
     pub variant: String,
     /// The figure.
     pub figure: String,
-    /// The line; none where it can't be drawn.
-    pub line: Option<Slope>,
-    /// Why not.
+    /// The line; none where no line can be fitted.
+    pub line: Option<LineFit>,
+    /// The reason why no line was fitted.
     pub error: Option<String>,
 }
 
-/// All that a measurement gave.
+/// The results of a measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The sub-command.
+    /// The subcommand.
     pub measurement: String,
-    /// The whole command line, with the program's name alone.
+    /// The whole command line, with the program's path reduced to its name.
     pub command: Vec<String>,
     /// The version that was measured.
     pub version: String,
-    /// The first play's seed.
+    /// The first run's seed.
     pub seed: u64,
     /// The machine.
     pub machine: Machine,
-    /// Every play.
-    pub plays: Vec<Play>,
-    /// The lines through the plays that are whole.
-    pub fitted: Vec<Fitted>,
+    /// Every run.
+    #[serde(rename = "plays")]
+    pub runs: Vec<Run>,
+    /// The lines through the complete runs.
+    #[serde(rename = "fitted")]
+    pub fits: Vec<FigureFit>,
 }
 
 impl Report {
-    /// Puts plays together with the lines through them.
-    pub fn new(measurement: &str, version: &str, seed: u64, plays: Vec<Play>, at: &[u64]) -> Report {
+    /// Builds the report and fits the lines.
+    pub fn new(
+        measurement: &str,
+        version: &str,
+        seed: u64,
+        runs: Vec<Run>,
+        predicted_sizes: &[u64],
+    ) -> Report {
         let mut command: Vec<String> = std::env::args().collect();
         if let Some(program) = command.first_mut() {
             let name = Path::new(program.as_str()).file_name().map(|n| n.to_string_lossy().into_owned());
             *program = name.unwrap_or_default();
         }
-        let fitted = fit(&plays, at);
+        let fits = fit_figures(&runs, predicted_sizes);
         let (measurement, version) = (measurement.into(), version.into());
-        Report { measurement, command, version, seed, machine: Machine::look(), plays, fitted }
+        Report { measurement, command, version, seed, machine: Machine::detect(), runs, fits }
     }
 
     /// Writes it as JSON.
@@ -109,18 +131,19 @@
     }
 }
 
-fn fit(plays: &[Play], at: &[u64]) -> Vec<Fitted> {
-    let at: Vec<f64> = at.iter().map(|size| *size as f64).collect();
+fn fit_figures(runs: &[Run], predicted_sizes: &[u64]) -> Vec<FigureFit> {
+    let predicted_sizes: Vec<f64> = predicted_sizes.iter().map(|size| *size as f64).collect();
     let names: BTreeSet<(&str, &str)> =
-        plays.iter().flat_map(|p| p.figures.keys().map(|f| (p.variant.as_str(), f.as_str()))).collect();
+        runs.iter().flat_map(|run| run.figures.keys().map(|f| (run.variant.as_str(), f.as_str()))).collect();
     let line = |(variant, figure): (&str, &str)| {
-        let of = plays.iter().filter(|p| p.whole && p.variant == variant);
-        let points: Vec<_> = of.filter_map(|p| Some((p.size as f64, p.figure(figure)?))).collect();
-        let (line, error) = match slope(&points, &at) {
+        let complete = runs.iter().filter(|run| run.is_complete && run.variant == variant);
+        let points: Vec<_> =
+            complete.filter_map(|run| Some((run.size as f64, run.figure(figure)?))).collect();
+        let (line, error) = match fit_line(&points, &predicted_sizes) {
             Ok(line) => (Some(line), None),
             Err(e) => (None, Some(e.to_string())),
         };
-        Fitted { variant: variant.into(), figure: figure.into(), line, error }
+        FigureFit { variant: variant.into(), figure: figure.into(), line, error }
     };
     names.into_iter().map(line).collect()
 }
--- a/crates/scale-bench/tests/commands.rs
+++ b/crates/scale-bench/tests/command_line.rs
@@ -1,22 +1,22 @@
-//! The tool as a process: what it writes, and what it says of bad arguments.
+//! The tool as a process: its output files, and its errors for invalid arguments.
 #![allow(clippy::unwrap_used)]
 mod common;
-use common::program;
+use common::tool_path;
 use serde_json::Value;
 use std::process::{Command, Output};
 
-fn run(words: &[&str]) -> Output {
-    Command::new(program()).args(words).env_remove("SCALE_REVISION").output().unwrap()
+fn run_tool(args: &[&str]) -> Output {
+    Command::new(tool_path()).args(args).env_remove("SCALE_REVISION").output().unwrap()
 }
 
 #[test]
-fn json_and_chart_hold_what_was_measured() {
+fn writes_json_report_and_chart() {
     let folder = tempfile::tempdir().unwrap();
     let (json, chart) = (folder.path().join("t.json"), folder.path().join("t.svg"));
     let (json_text, chart_text) = (json.to_str().unwrap(), chart.to_str().unwrap());
     let words = ["targets", "--sizes", "3,9,27", "--plays", "2", "--seed", "4", "--at", "23000"];
     let files = ["--revision", "abc123", "--json", json_text, "--chart", chart_text];
-    let output = run(&[&words[..], &files[..]].concat());
+    let output = run_tool(&[&words[..], &files[..]].concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let report: Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
     assert_eq!((&report["measurement"], &report["version"]), (&"targets".into(), &"abc123".into()));
@@ -25,14 +25,14 @@
     let machine = &report["machine"];
     assert!(machine["cores"].as_u64() > Some(0) && machine["memory_bytes"].as_u64() > Some(1 << 20));
     assert!(machine["kernel"].as_str().is_some_and(|text| !text.is_empty()));
-    let plays = report["plays"].as_array().unwrap();
-    assert_eq!(plays.len(), 6);
-    assert_eq!((&plays[1]["size"], &plays[1]["play"], &plays[1]["seed"]), (&3.into(), &1.into(), &5.into()));
-    assert!(plays
+    let runs = report["plays"].as_array().unwrap();
+    assert_eq!(runs.len(), 6);
+    assert_eq!((&runs[1]["size"], &runs[1]["play"], &runs[1]["seed"]), (&3.into(), &1.into(), &5.into()));
+    assert!(runs
         .iter()
-        .all(|play| play["whole"] == true && play["figures"]["whole_p50_us"].as_f64() > Some(0.0)));
-    let fitted = report["fitted"].as_array().unwrap();
-    let bytes = fitted.iter().find(|line| line["figure"] == "whole_bytes").unwrap();
+        .all(|run| run["whole"] == true && run["figures"]["whole_p50_us"].as_f64() > Some(0.0)));
+    let fits = report["fitted"].as_array().unwrap();
+    let bytes = fits.iter().find(|line| line["figure"] == "whole_bytes").unwrap();
     let line = &bytes["line"];
     assert!(line["slope"].as_f64() > Some(50.0) && line["bend"].as_f64().is_some());
     assert_eq!((&line["at"][0]["size"], &line["at"][0]["beyond"]), (&23000.0.into(), &true.into()));
@@ -42,8 +42,8 @@
 }
 
 #[test]
-fn one_size_has_no_line_and_says_why() {
-    let output = run(&["targets", "--sizes", "3", "--plays", "1"]);
+fn reports_why_one_size_has_no_line() {
+    let output = run_tool(&["targets", "--sizes", "3", "--plays", "1"]);
     assert!(output.status.success());
     let report: Value = serde_json::from_slice(&output.stdout).unwrap();
     let line = &report["fitted"][0];
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn bad_arguments_end_with_an_error_that_names_the_option() {
-    let bad: [(&[&str], &str); 9] = [
+fn rejects_invalid_arguments_naming_the_option() {
+    let cases: [(&[&str], &str); 9] = [
         (&["list", "--sizes", "0"], "--sizes"),
         (&["targets", "--sizes", "3,many"], "--sizes"),
         (&["members", "--sizes", "1002"], "--sizes"),
@@ -64,10 +64,10 @@
         (&["log", "--disk-us", "7"], "--disk-us"),
         (&["front", "--front", "no-such-program"], "--front"),
     ];
-    for (words, option) in bad {
-        let output = run(words);
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert!(!output.status.success() && said.contains(option), "{words:?}: {said}");
-        assert!(!said.contains("panicked"), "{said}");
+    for (words, option) in cases {
+        let result = run_tool(words);
+        let output = String::from_utf8_lossy(&result.stderr);
+        assert!(!result.status.success() && output.contains(option), "{words:?}: {output}");
+        assert!(!output.contains("panicked"), "{output}");
     }
 }
