--- a/crates/scale-bench/src/backend_list/mod.rs
+++ b/crates/scale-bench/src/backend_list/mod.rs
@@ -99,21 +99,22 @@
     scheduler: Scheduler,
     now: i64,
     sent: Vec<(RequestId, BackendId)>,
-    sends: u64,
-    refused: u64,
+    sent_count: u64,
+    rejected_count: u64,
     actions: Vec<Action>,
 }
 
 impl SchedulerHarness {
     /// Creates a scheduler that knows no backends.
     pub fn new(gateways: u32, seed: u64) -> Result<SchedulerHarness, Error> {
-        let scheduler = Scheduler::new(settings(gateways), seed).map_err(|e| Error::part("scheduler", e))?;
+        let scheduler =
+            Scheduler::new(settings(gateways), seed).map_err(|e| Error::component("scheduler", e))?;
         Ok(SchedulerHarness {
             scheduler,
             now: 1_000_000,
             sent: Vec::new(),
-            sends: 0,
-            refused: 0,
+            sent_count: 0,
+            rejected_count: 0,
             actions: Vec::new(),
         })
     }
@@ -126,10 +127,10 @@
         for action in self.actions.drain(..) {
             match action {
                 Action::Send { id, backend, .. } => {
-                    self.sends += 1;
+                    self.sent_count += 1;
                     self.sent.push((id, backend));
                 }
-                Action::Reject { .. } => self.refused += 1,
+                Action::Reject { .. } => self.rejected_count += 1,
                 _ => {}
             }
         }
@@ -141,8 +142,8 @@
         self.handle(Event::Endpoints(EndpointUpdate::Full(entries)))
     }
 
-    fn change_state(&mut self, n: u64, state: BackendState) -> f64 {
-        self.handle(Event::Endpoints(EndpointUpdate::Delta(vec![entry(n, state)])))
+    fn change_state(&mut self, index: u64, state: BackendState) -> f64 {
+        self.handle(Event::Endpoints(EndpointUpdate::Delta(vec![entry(index, state)])))
     }
 
     /// Sends requests of the given number of volumes, spread over the shards. Every other request that is sent is
@@ -182,8 +183,8 @@
     let mut harness = SchedulerHarness::new(options.gateways, seed)?;
     run.record("first_list_us", harness.set_full_list(entries(size)));
     harness.send_traffic(size, volumes);
-    run.record("requests_refused", harness.refused as f64);
-    run.record("requests_sent", harness.sends as f64);
+    run.record("requests_refused", harness.rejected_count as f64);
+    run.record("requests_sent", harness.sent_count as f64);
     run.record("requests_arrived", f64::from(volumes * REQUESTS_PER_VOLUME));
     let mut full_lists = Quantiles::new()?;
     for _ in 0..FULL_LISTS {
--- a/crates/scale-bench/src/chart.rs
+++ b/crates/scale-bench/src/chart.rs
@@ -44,7 +44,7 @@
 }
 
 fn chart_error(e: impl std::fmt::Display) -> Error {
-    Error::part("chart", e)
+    Error::component("chart", e)
 }
 
 fn draw_panel(
--- a/crates/scale-bench/src/config_file.rs
+++ b/crates/scale-bench/src/config_file.rs
@@ -42,9 +42,9 @@
             tempfile::Builder::new().suffix(&suffix).tempfile().map_err(Error::io("a temporary file"))?;
         write_config(&file, format, size, None)?;
         let (config, took) = cpu_time::measure(|| config::from_env(|key| env_variable(&file, key)));
-        let config = config.map_err(|e| Error::part("config", e))?;
+        let config = config.map_err(|e| Error::component("config", e))?;
         let scheduler =
-            Scheduler::new(config.settings.clone(), seed).map_err(|e| Error::part("scheduler", e))?;
+            Scheduler::new(config.settings.clone(), seed).map_err(|e| Error::component("scheduler", e))?;
         let mut loaded = LoadedConfig { file, format, size, config, scheduler, now: CLOCK_STEP_US };
         loaded.apply_backend_list();
         Ok((loaded, took))
@@ -67,14 +67,14 @@
         self.now += CLOCK_STEP_US;
         let (config, file) = (&self.config, &self.file);
         let (read, reading) = cpu_time::measure(|| config.reload(|key| env_variable(file, key)));
-        let new = read.map_err(|e| Error::part("config", e))?.config;
+        let new = read.map_err(|e| Error::component("config", e))?.config;
         let (applied, applying) = cpu_time::measure(|| {
             let reloaded = self.scheduler.reload(Micros(self.now), new.settings.clone());
             self.config = new;
             self.apply_backend_list();
             reloaded
         });
-        applied.map_err(|e| Error::part("scheduler", e))?;
+        applied.map_err(|e| Error::component("scheduler", e))?;
         Ok((reading, applying))
     }
 }
--- a/crates/scale-bench/src/consensus_sim/cluster.rs
+++ b/crates/scale-bench/src/consensus_sim/cluster.rs
@@ -15,7 +15,7 @@
 /// Number of events between checks of the real-time limit.
 const CHECK_INTERVAL: u64 = 4_096;
 
-enum ScheduledEvent {
+enum SimEvent {
     Wake,
     Sealed(Vec<u8>),
     Written(u64),
@@ -41,17 +41,17 @@
     disk_us: (u64, u64),
     member_indices: HashMap<MemberId, usize>,
     hosts: Vec<MemberHost>,
-    event_queue: BTreeMap<(u64, u64), (usize, ScheduledEvent)>,
-    scheduled: u64,
+    event_queue: BTreeMap<(u64, u64), (usize, SimEvent)>,
+    event_sequence: u64,
     steps: u64,
     messages: u64,
     bytes: u64,
-    tickets: u64,
-    committed: Option<u64>,
+    last_ticket: u64,
+    committed_at: Option<u64>,
 }
 
-fn incarnation(nth: usize) -> u64 {
-    nth as u64 + 1
+fn incarnation(index: usize) -> u64 {
+    index as u64 + 1
 }
 
 impl SimCluster {
@@ -61,11 +61,11 @@
             (0..count).map(|n| MemberId::from(format!("front-{n:03}").as_str())).collect();
         let keys = Keys::new([9; 32], None);
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut host = |nth: usize| -> Result<MemberHost, Error> {
-            let (me, incarnation) = (names[nth].clone(), incarnation(nth));
+        let mut host = |index: usize| -> Result<MemberHost, Error> {
+            let (me, incarnation) = (names[index].clone(), incarnation(index));
             let config = Config::new(me.clone(), names.clone());
             let node = Node::new(config, StoredState::empty(incarnation), Time(0), rng.random());
-            let node = node.map_err(|e| Error::part("consensus", e))?;
+            let node = node.map_err(|e| Error::component("consensus", e))?;
             let sealer = Sealer::new(keys.clone(), me.clone(), incarnation).with_max_bytes(MAX_FRAME_BYTES);
             let opener = Opener::new(keys.clone(), me).with_max_bytes(MAX_FRAME_BYTES);
             Ok(MemberHost { node, sealer, opener, write_done_at: 0, cpu_us: 0.0, sent_bytes: 0 })
@@ -73,8 +73,8 @@
         let hosts = (0..count).map(&mut host).collect::<Result<Vec<_>, _>>()?;
         let member_indices = names.iter().cloned().enumerate().map(|(n, name)| (name, n)).collect();
         let (delay_us, disk_us) = ((options.delay_ms.0 * 1_000, options.delay_ms.1 * 1_000), options.disk_us);
-        let (event_queue, committed) = (BTreeMap::new(), None);
-        let (now, scheduled, steps, messages, bytes, tickets) = (0, 0, 0, 0, 0, 0);
+        let (event_queue, committed_at) = (BTreeMap::new(), None);
+        let (now, event_sequence, steps, messages, bytes, last_ticket) = (0, 0, 0, 0, 0, 0);
         let mut cluster = SimCluster {
             now,
             deadline,
@@ -84,16 +84,16 @@
             member_indices,
             hosts,
             event_queue,
-            scheduled,
+            event_sequence,
             steps,
             messages,
             bytes,
-            tickets,
-            committed,
+            last_ticket,
+            committed_at,
         };
         for n in 0..count {
             let at = cluster.rng.random_range(0..START_SPREAD_US);
-            cluster.schedule(at, n, ScheduledEvent::Wake);
+            cluster.schedule(at, n, SimEvent::Wake);
         }
         Ok(cluster)
     }
@@ -116,9 +116,9 @@
         }
     }
 
-    fn schedule(&mut self, at: u64, target: usize, event: ScheduledEvent) {
-        self.scheduled += 1;
-        self.event_queue.insert((at.max(self.now), self.scheduled), (target, event));
+    fn schedule(&mut self, at: u64, target: usize, event: SimEvent) {
+        self.event_sequence += 1;
+        self.event_queue.insert((at.max(self.now), self.event_sequence), (target, event));
     }
 
     /// Processes the next scheduled event. Returns false, with the clock at `end`, if there is none before that.
@@ -134,14 +134,12 @@
         };
         self.now = at;
         match event {
-            ScheduledEvent::Wake
-                if self.hosts[target].node.next_wakeup().is_some_and(|wake| wake.0 <= at) =>
-            {
+            SimEvent::Wake if self.hosts[target].node.next_wakeup().is_some_and(|wake| wake.0 <= at) => {
                 self.deliver(target, Event::Tick);
             }
-            ScheduledEvent::Wake => {}
-            ScheduledEvent::Written(batch) => self.deliver(target, Event::Persisted { batch_id: batch }),
-            ScheduledEvent::Sealed(bytes) => {
+            SimEvent::Wake => {}
+            SimEvent::Written(batch) => self.deliver(target, Event::Persisted { batch_id: batch }),
+            SimEvent::Sealed(bytes) => {
                 let (event, took) = cpu_time::measure(|| self.hosts[target].open(&bytes));
                 self.hosts[target].cpu_us += took;
                 if let Some(event) = event {
@@ -166,14 +164,16 @@
                     let write_time = self.rng.random_range(self.disk_us.0..=self.disk_us.1);
                     let at = self.hosts[target].write_done_at.max(now) + write_time;
                     self.hosts[target].write_done_at = at;
-                    self.schedule(at, target, ScheduledEvent::Written(batch.id));
+                    self.schedule(at, target, SimEvent::Written(batch.id));
+                }
+                Action::Committed { ticket, .. } if ticket == self.last_ticket => {
+                    self.committed_at = Some(now)
                 }
-                Action::Committed { ticket, .. } if ticket == self.tickets => self.committed = Some(now),
                 _ => {}
             }
         }
         if let Some(wake) = wake {
-            self.schedule(wake.0.max(now + 1), target, ScheduledEvent::Wake);
+            self.schedule(wake.0.max(now + 1), target, SimEvent::Wake);
         }
     }
 
@@ -187,7 +187,7 @@
         self.messages += 1;
         self.bytes += sealed.len() as u64;
         let delay = self.rng.random_range(self.delay_us.0..=self.delay_us.1);
-        self.schedule(self.now + delay, receiver, ScheduledEvent::Sealed(sealed));
+        self.schedule(self.now + delay, receiver, SimEvent::Sealed(sealed));
     }
 
     /// Runs up to the given simulated time.
@@ -207,9 +207,8 @@
         let end = self.now + limit_us;
         loop {
             let now = Time(self.now);
-            let is_ready_leader =
-                |h: &MemberHost| h.node.role() == Role::Leader && h.node.lease_expiry(now).is_some();
-            if let Some(leader) = self.hosts.iter().position(is_ready_leader) {
+            let leads = |h: &MemberHost| h.node.role() == Role::Leader && h.node.lease_expiry(now).is_some();
+            if let Some(leader) = self.hosts.iter().position(leads) {
                 return Ok(leader);
             }
             if !self.step(end)? {
@@ -221,11 +220,11 @@
     /// Puts an entry into the log and runs until it is committed, at most for the given time; returns the time taken.
     pub fn commit(&mut self, leader: usize, data: Vec<u8>, limit_us: u64) -> Result<u64, StopReason> {
         let from = self.now;
-        self.tickets += 1;
-        self.committed = None;
-        self.deliver(leader, Event::Propose { ticket: self.tickets, data: data.into() });
+        self.last_ticket += 1;
+        self.committed_at = None;
+        self.deliver(leader, Event::Propose { ticket: self.last_ticket, data: data.into() });
         loop {
-            if let Some(at) = self.committed {
+            if let Some(at) = self.committed_at {
                 return Ok(at - from);
             }
             if !self.step(from + limit_us)? {
--- a/crates/scale-bench/src/data_path/backends.rs
+++ b/crates/scale-bench/src/data_path/backends.rs
@@ -16,24 +16,25 @@
 pub struct StubBackend {
     /// The address at which it listens.
     pub address: SocketAddr,
-    served: Arc<AtomicU64>,
-    opened: Arc<AtomicU64>,
+    served_reads: Arc<AtomicU64>,
+    opened_connections: Arc<AtomicU64>,
     closed: Arc<AtomicBool>,
     accept_thread: Option<JoinHandle<()>>,
 }
 
 impl StubBackend {
     /// Starts a backend that takes `service_time` for each read.
-    pub fn open(service_time: Duration) -> Result<StubBackend, Error> {
-        let fault = Error::io("loopback");
-        let bind = || {
+    pub fn start(service_time: Duration) -> Result<StubBackend, Error> {
+        let to_error = Error::io("loopback");
+        let listen = || {
             let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
             Ok((listener.local_addr()?, listener))
         };
-        let (address, listener) = bind().map_err(fault)?;
-        let (served, opened) = (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
+        let (address, listener) = listen().map_err(to_error)?;
+        let (served_reads, opened_connections) = (Arc::<AtomicU64>::default(), Arc::<AtomicU64>::default());
         let closed = Arc::<AtomicBool>::default();
-        let (served_count, opened_count, is_closed) = (served.clone(), opened.clone(), closed.clone());
+        let (served_count, opened_count, is_closed) =
+            (served_reads.clone(), opened_connections.clone(), closed.clone());
         let accept_thread = Builder::new().spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 if is_closed.load(Ordering::Relaxed) {
@@ -41,26 +42,26 @@
                 }
                 opened_count.fetch_add(1, Ordering::Relaxed);
                 let served = served_count.clone();
-                let serving = Builder::new()
+                let spawned = Builder::new()
                     .stack_size(STACK_BYTES)
                     .spawn(move || serve(stream, service_time, &served));
-                if let Err(e) = serving {
+                if let Err(e) = spawned {
                     tracing::warn!("cannot serve a connection of a stub backend: {e}");
                 }
             }
         });
         let accept_thread = Some(accept_thread.map_err(Error::io("a thread"))?);
-        Ok(StubBackend { address, served, opened, closed, accept_thread })
+        Ok(StubBackend { address, served_reads, opened_connections, closed, accept_thread })
     }
 
     /// The number of reads answered.
-    pub fn served(&self) -> u64 {
-        self.served.load(Ordering::Relaxed)
+    pub fn served_reads(&self) -> u64 {
+        self.served_reads.load(Ordering::Relaxed)
     }
 
     /// The number of connections that the gateway has opened.
-    pub fn opened(&self) -> u64 {
-        self.opened.load(Ordering::Relaxed)
+    pub fn opened_connections(&self) -> u64 {
+        self.opened_connections.load(Ordering::Relaxed)
     }
 }
 
--- a/crates/scale-bench/src/data_path/clients.rs
+++ b/crates/scale-bench/src/data_path/clients.rs
@@ -27,19 +27,19 @@
 #[derive(Default)]
 pub struct ClientResults {
     /// The latency of each served read, in microseconds.
-    pub served_us: Vec<f32>,
+    pub latencies_us: Vec<f32>,
     /// The number of reads with an error reply.
     pub errors: u64,
     /// The first error reply.
     pub first_error: Option<String>,
     /// Why its connection ended early.
-    pub ended: Option<String>,
+    pub end_reason: Option<String>,
 }
 
-/// All clients.
+/// The clients of a run.
 pub struct ClientPool {
     phase: Arc<AtomicU8>,
-    running: Vec<JoinHandle<ClientResults>>,
+    threads: Vec<JoinHandle<ClientResults>>,
 }
 
 impl ClientPool {
@@ -58,14 +58,14 @@
                 if let Err(e) =
                     send_requests(gateway, (index, count, seed), (volumes, shards), &phase, &mut results)
                 {
-                    results.ended = Some(e.to_string());
+                    results.end_reason = Some(e.to_string());
                 }
                 results
             };
             Builder::new().stack_size(STACK_BYTES).spawn(work)
         };
-        let running: io::Result<Vec<_>> = (0..count).map(client).collect();
-        Ok(ClientPool { running: running.map_err(Error::io("a thread"))?, phase })
+        let threads: io::Result<Vec<_>> = (0..count).map(client).collect();
+        Ok(ClientPool { threads: threads.map_err(Error::io("a thread"))?, phase })
     }
 
     /// Starts the measured phase.
@@ -76,7 +76,7 @@
     /// Stops all clients and returns their results.
     pub fn stop(self) -> Vec<ClientResults> {
         self.phase.store(STOPPED, Ordering::Relaxed);
-        self.running.into_iter().filter_map(|client| client.join().ok()).collect()
+        self.threads.into_iter().filter_map(|client| client.join().ok()).collect()
     }
 }
 
@@ -104,11 +104,11 @@
         command.clear();
         let (piece, id) = (format!("{n:016x}"), n.to_string());
         resp::write_command(&mut command, &[b"PREAD", piece.as_bytes(), id.as_bytes(), arguments.as_bytes()]);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         stream.write_all(&command)?;
-        let error = read_reply(&mut stream, &mut received)?;
-        match error {
-            None if is_measured => results.served_us.push(begun.elapsed().as_secs_f32() * 1e6),
+        let error_line = read_reply(&mut stream, &mut received)?;
+        match error_line {
+            None if is_measured => results.latencies_us.push(started_at.elapsed().as_secs_f32() * 1e6),
             None => {}
             Some(line) => {
                 results.errors += u64::from(is_measured);
@@ -126,12 +126,12 @@
     loop {
         let parsed = resp::reply(received, resp::MAX_VALUE_BYTES).map_err(io::Error::other)?;
         if let Some((reply, consumed)) = parsed {
-            let error = match reply {
+            let error_line = match reply {
                 resp::Reply::Error(line) => Some(String::from_utf8_lossy(line).into_owned()),
                 _ => None,
             };
             received.drain(..consumed);
-            return Ok(error);
+            return Ok(error_line);
         }
         match stream.read(&mut bytes)? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/scale-bench/src/data_path/mod.rs
+++ b/crates/scale-bench/src/data_path/mod.rs
@@ -48,10 +48,10 @@
 
 fn measure_phases(plan: &Plan, options: &Options, volumes: u64, run: &mut Run) -> Result<(), Error> {
     let backends: Vec<StubBackend> =
-        (0..BACKENDS).map(|_| StubBackend::open(options.service_time)).collect::<Result<_, _>>()?;
+        (0..BACKENDS).map(|_| StubBackend::start(options.service_time)).collect::<Result<_, _>>()?;
     let instance = |(cell, stub): (usize, &StubBackend)| {
-        let (name, at) = (format!("box-{cell}"), stub.address.to_string());
-        json!({ "instanceId": name, "hostPort": at, "zone": "zone-00", "cell": cell, "lifecycle": "active" })
+        let (name, address) = (format!("box-{cell}"), stub.address.to_string());
+        json!({ "instanceId": name, "hostPort": address, "zone": "zone-00", "cell": cell, "lifecycle": "active" })
     };
     let text = |listen| {
         generated_config::config_with_instances(
@@ -62,44 +62,44 @@
     };
     let gateway = GatewayProcess::start(&options.gateway, FileFormat::Toml, text, plan.deadline())?;
     let clients = ClientPool::start(gateway.listen, (run.size, run.seed), volumes, BACKENDS)?;
-    sleep(WARM_UP_TIME.min(plan.limit));
-    let opened = || backends.iter().map(StubBackend::opened).sum::<u64>() as f64;
-    let before = opened();
-    let (cpu, ticks, served) =
-        (gateway.cpu_us()?, gateway.ticks_us()?, backends.iter().map(StubBackend::served).sum::<u64>());
+    sleep(WARM_UP_TIME.min(plan.run_limit));
+    let opened_connections = || backends.iter().map(StubBackend::opened_connections).sum::<u64>() as f64;
+    let opened_before = opened_connections();
+    let (cpu, ticks, served_reads) =
+        (gateway.cpu_us()?, gateway.ticks_us()?, backends.iter().map(StubBackend::served_reads).sum::<u64>());
     clients.start_measuring();
-    let begun = Instant::now();
-    sleep(options.span.min(plan.limit));
+    let started_at = Instant::now();
+    sleep(options.span.min(plan.run_limit));
     let cpu = gateway.cpu_us()? - cpu;
-    let (ticks, span) = (gateway.ticks_us()? - ticks, begun.elapsed().as_secs_f64());
-    let served = backends.iter().map(StubBackend::served).sum::<u64>() - served;
+    let (ticks, span) = (gateway.ticks_us()? - ticks, started_at.elapsed().as_secs_f64());
+    let served_reads = backends.iter().map(StubBackend::served_reads).sum::<u64>() - served_reads;
     let results = clients.stop();
-    let mut took = Quantiles::new()?;
-    results.iter().flat_map(|client| &client.served_us).for_each(|us| took.record(f64::from(*us)));
+    let mut latencies = Quantiles::new()?;
+    results.iter().flat_map(|client| &client.latencies_us).for_each(|us| latencies.record(f64::from(*us)));
     // Counts only reads that backends answered while the processor time was measured, none that ended later.
-    let reads = served.max(1) as f64;
-    run.record("reads", served as f64);
+    let reads = served_reads.max(1) as f64;
+    run.record("reads", served_reads as f64);
     run.record("reads_s", reads / span);
     run.record("front_cpu_read_us", cpu / reads);
     run.record("front_ticks_read_us", ticks / reads);
     run.record("front_cores", cpu / 1e6 / span);
-    run.record("box_connections_opened", opened() - before);
+    run.record("box_connections_opened", opened_connections() - opened_before);
     run.record("errors", results.iter().map(|client| client.errors).sum::<u64>() as f64);
-    run.record("front_peak_bytes", gateway.resident()?.1);
-    took.record_in("client", "us", run);
-    let ended: Vec<&String> = results.iter().filter_map(|client| client.ended.as_ref()).collect();
-    run.record("connections_ended", ended.len() as f64);
+    run.record("front_peak_bytes", gateway.resident_bytes()?.1);
+    latencies.record_in("client", "us", run);
+    let end_reasons: Vec<&String> = results.iter().filter_map(|client| client.end_reason.as_ref()).collect();
+    run.record("connections_ended", end_reasons.len() as f64);
     if let Some(line) = results.iter().find_map(|client| client.first_error.as_ref()) {
         run.notes.push(format!("some reads failed, first: {line}"));
     }
-    if let Some(reason) = ended.first() {
+    if let Some(reason) = end_reasons.first() {
         run.mark_incomplete(format!(
             "{} of {} connections ended early, first: {reason}",
-            ended.len(),
+            end_reasons.len(),
             run.size
         ));
     }
-    if served == 0 {
+    if served_reads == 0 {
         run.mark_incomplete("no read was served");
     }
     Ok(())
--- a/crates/scale-bench/src/discovery.rs
+++ b/crates/scale-bench/src/discovery.rs
@@ -29,7 +29,7 @@
     let parse = |text: &[u8], quantiles: &mut Quantiles| -> Result<usize, Error> {
         let (parsed, took) = cpu_time::measure(|| config::parse_targets(text, &zones));
         quantiles.record(took);
-        parsed.map(|t| t.targets.len()).map_err(|e| Error::part("targets", e))
+        parsed.map(|t| t.targets.len()).map_err(|e| Error::component("targets", e))
     };
     let (mut full_lists, mut changes) = (Quantiles::new()?, Quantiles::new()?);
     let text = message(true, 0..size);
--- a/crates/scale-bench/src/error.rs
+++ b/crates/scale-bench/src/error.rs
@@ -27,10 +27,10 @@
         source: std::io::Error,
     },
     /// A component rejected its input.
-    #[error("{part}: {reason}")]
-    Part {
+    #[error("{component}: {reason}")]
+    Component {
         /// The component.
-        part: &'static str,
+        component: &'static str,
         /// The cause.
         reason: String,
     },
@@ -44,7 +44,7 @@
     }
 
     /// Creates the error for a component that rejected its input.
-    pub fn part(part: &'static str, reason: impl ToString) -> Error {
-        Error::Part { part, reason: reason.to_string() }
+    pub fn component(component: &'static str, reason: impl ToString) -> Error {
+        Error::Component { component, reason: reason.to_string() }
     }
 }
--- a/crates/scale-bench/src/gateway_process.rs
+++ b/crates/scale-bench/src/gateway_process.rs
@@ -39,17 +39,17 @@
     process: KillOnDrop,
     /// The address at which it accepts clients.
     pub listen: SocketAddr,
-    file: PathBuf,
+    config_path: PathBuf,
     output: Receiver<String>,
     /// Time from its start until it answered.
     pub startup_time: Duration,
-    _folder: tempfile::TempDir,
+    _directory: tempfile::TempDir,
 }
 
 /// Returns a loopback address with a port that is free now.
 fn free_address() -> Result<SocketAddr, Error> {
-    let free = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr();
-    free().map_err(Error::io("loopback"))
+    let bind_any = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr();
+    bind_any().map_err(Error::io("loopback"))
 }
 
 impl GatewayProcess {
@@ -61,15 +61,20 @@
         text: impl Fn(SocketAddr) -> Result<String, Error>,
         deadline: Deadline,
     ) -> Result<GatewayProcess, Error> {
-        let folder = tempfile::tempdir().map_err(Error::io("a temporary folder"))?;
-        let (file, listen) = (folder.path().join(format!("front.{}", format.extension())), free_address()?);
-        std::fs::write(&file, text(listen)?).map_err(Error::io(&file))?;
+        let directory = tempfile::tempdir().map_err(Error::io("a temporary directory"))?;
+        let (config_path, listen) =
+            (directory.path().join(format!("front.{}", format.extension())), free_address()?);
+        std::fs::write(&config_path, text(listen)?).map_err(Error::io(&config_path))?;
         let mut command = Command::new(program);
         for key in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_ADMIN", "TMPDIR"] {
             command.env_remove(key);
         }
-        command.env("GW_CONFIG", &file).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let begun = Instant::now();
+        command
+            .env("GW_CONFIG", &config_path)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
+        let started_at = Instant::now();
         let mut process = KillOnDrop(command.spawn().map_err(Error::io(program))?);
         let (sender, output) = channel();
         if let Some(pipe) = process.0.stderr.take() {
@@ -79,12 +84,19 @@
         }
         while !answers_ping(listen) {
             if deadline.has_passed() || process.0.try_wait().map_err(Error::io(program))?.is_some() {
-                let last: Vec<String> = output.try_iter().collect();
-                return Err(Error::part("gateway", format!("it does not answer: {last:?}")));
+                let lines: Vec<String> = output.try_iter().collect();
+                return Err(Error::component("gateway", format!("it does not answer: {lines:?}")));
             }
             std::thread::sleep(CHECK_INTERVAL);
         }
-        Ok(GatewayProcess { process, listen, file, output, startup_time: begun.elapsed(), _folder: folder })
+        Ok(GatewayProcess {
+            process,
+            listen,
+            config_path,
+            output,
+            startup_time: started_at.elapsed(),
+            _directory: directory,
+        })
     }
 
     fn proc_path(&self, file: &str) -> String {
@@ -101,7 +113,7 @@
             text.split_whitespace().next()?.parse().ok()
         };
         let nanos: Option<f64> = threads.flatten().map(time).sum();
-        nanos.map(|n| n / 1e3).ok_or_else(|| Error::part("gateway", "a thread has no schedstat"))
+        nanos.map(|n| n / 1e3).ok_or_else(|| Error::component("gateway", "a thread has no schedstat"))
     }
 
     /// Processor time of the whole process in clock ticks, converted to microseconds: coarse, but
@@ -112,12 +124,13 @@
         let after = text.rsplit_once(')').map_or("", |(_, rest)| rest);
         let stat_field = |n: usize| after.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok());
         let ticks = stat_field(11).zip(stat_field(12)).map(|(user, system)| user + system);
-        let ticks = ticks.ok_or_else(|| Error::part("gateway", "no processor times in its stat file"))?;
+        let ticks =
+            ticks.ok_or_else(|| Error::component("gateway", "no processor times in its stat file"))?;
         Ok(ticks * 1e6 / rustix::param::clock_ticks_per_second() as f64)
     }
 
     /// Returns the current and the peak resident bytes.
-    pub fn resident(&self) -> Result<(f64, f64), Error> {
+    pub fn resident_bytes(&self) -> Result<(f64, f64), Error> {
         let path = self.proc_path("status");
         Ok((memory::status_bytes(&path, "VmRSS")? as f64, memory::peak_resident_bytes(&path)? as f64))
     }
@@ -132,7 +145,7 @@
                 return Ok(now);
             }
             if deadline.has_passed() {
-                return Err(Error::part("gateway", "it does not become idle"));
+                return Err(Error::component("gateway", "it does not become idle"));
             }
             before = now;
         }
@@ -141,15 +154,16 @@
     /// Writes another file and signals a reload. Returns the time until the gateway logged the reload, and the
     /// processor time until it was idle.
     fn reload(&self, text: String, deadline: Deadline) -> Result<(Duration, f64), Error> {
-        std::fs::write(&self.file, text).map_err(Error::io(&self.file))?;
+        std::fs::write(&self.config_path, text).map_err(Error::io(&self.config_path))?;
         while self.output.try_recv().is_ok() {}
-        let (before, begun) = (self.cpu_us()?, Instant::now());
+        let (before, started_at) = (self.cpu_us()?, Instant::now());
         let process = Pid::from_child(&self.process.0);
-        kill_process(process, Signal::HUP).map_err(|e| Error::part("gateway", e))?;
-        let line = self.output.recv_timeout(deadline.remaining()).map_err(|e| Error::part("gateway", e))?;
-        let took = begun.elapsed();
+        kill_process(process, Signal::HUP).map_err(|e| Error::component("gateway", e))?;
+        let line =
+            self.output.recv_timeout(deadline.remaining()).map_err(|e| Error::component("gateway", e))?;
+        let took = started_at.elapsed();
         if !line.starts_with("reload discovery") {
-            return Err(Error::part("gateway", format!("unexpected log line {line:?}")));
+            return Err(Error::component("gateway", format!("unexpected log line {line:?}")));
         }
         Ok((took, self.wait_idle(deadline)? - before))
     }
@@ -189,7 +203,7 @@
     let gateway = GatewayProcess::start(&options.gateway, format, text, deadline)?;
     run.record("start_ms", gateway.startup_time.as_secs_f64() * 1e3);
     let started = gateway.wait_idle(deadline)?;
-    let (resident, peak) = gateway.resident()?;
+    let (resident, peak) = gateway.resident_bytes()?;
     run.record("start_cpu_us", started);
     run.record("start_resident_bytes", resident);
     run.record("start_peak_bytes", peak);
@@ -208,7 +222,7 @@
     cpu.record_in("reload_cpu", "us", run);
     logged.record_in("reload_told", "ms", run);
     run.record("reload_ticks_mean_us", (gateway.ticks_us()? - ticks) / f64::from(RELOADS));
-    let (resident, peak) = gateway.resident()?;
+    let (resident, peak) = gateway.resident_bytes()?;
     run.record("reloaded_resident_bytes", resident);
     run.record("reloaded_peak_bytes", peak);
     Ok(())
--- a/crates/scale-bench/src/generated_config.rs
+++ b/crates/scale-bench/src/generated_config.rs
@@ -80,8 +80,8 @@
         },
     });
     match format {
-        FileFormat::Toml => toml::to_string(&value).map_err(|e| Error::part("file", e)),
-        FileFormat::Json => serde_json::to_string(&value).map_err(|e| Error::part("file", e)),
+        FileFormat::Toml => toml::to_string(&value).map_err(|e| Error::component("file", e)),
+        FileFormat::Json => serde_json::to_string(&value).map_err(|e| Error::component("file", e)),
     }
 }
 
--- a/crates/scale-bench/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -32,7 +32,7 @@
 /// Limits the memory of this process and its children, so that a runaway component cannot exhaust the machine.
 fn limit_memory() -> Result<(), Error> {
     let limit = Rlimit { current: Some(MEMORY_LIMIT_BYTES), maximum: Some(MEMORY_LIMIT_BYTES) };
-    setrlimit(Resource::As, limit).map_err(|e| Error::part("memory limit", e))
+    setrlimit(Resource::As, limit).map_err(|e| Error::component("memory limit", e))
 }
 
 fn build_plan(sizes: &[u64], common: &Common) -> Result<Plan, Error> {
@@ -40,8 +40,8 @@
     sizes.sort_unstable();
     sizes.dedup();
     let program = std::env::current_exe().map_err(Error::io("this program"))?;
-    let limit = Duration::from_secs(common.run_limit_s);
-    Ok(Plan { sizes, runs: common.runs, seed: common.seed, limit, program: Some(program) })
+    let run_limit = Duration::from_secs(common.run_limit_s);
+    Ok(Plan { sizes, runs: common.runs, seed: common.seed, run_limit, program: Some(program) })
 }
 
 /// Parses the two ends of a range.
@@ -178,16 +178,15 @@
             config_file::measure_memory(*format, *size, *reloads)?
         }
     };
-    serde_json::to_writer(std::io::stdout(), &usage).map_err(|e| Error::part("memory", e))
+    serde_json::to_writer(std::io::stdout(), &usage).map_err(|e| Error::component("memory", e))
 }
 
 fn write_report(name: &str, runs: Vec<Run>, figures: &[&str], common: &Common) -> Result<(), Error> {
     let report = Report::new(name, &common.revision, common.seed, runs, &common.predicted_sizes);
     match &common.json {
         Some(path) => report.write(path)?,
-        None => {
-            serde_json::to_writer_pretty(std::io::stdout(), &report).map_err(|e| Error::part("report", e))?
-        }
+        None => serde_json::to_writer_pretty(std::io::stdout(), &report)
+            .map_err(|e| Error::component("report", e))?,
     }
     common.chart.iter().try_for_each(|path| scale_bench::chart::draw(&report, figures, path))
 }
--- a/crates/scale-bench/src/membership_sim/network.rs
+++ b/crates/scale-bench/src/membership_sim/network.rs
@@ -23,7 +23,7 @@
 /// Number of events between checks of the real-time limit.
 const CHECK_INTERVAL: u64 = 4_096;
 
-enum ScheduledEvent {
+enum SimEvent {
     Start,
     Wake,
     Datagram { from: usize, bytes: Vec<u8> },
@@ -41,8 +41,8 @@
     addresses: HashMap<SocketAddr, usize>,
     members: Vec<Option<Membership>>,
     wakeups: Vec<Option<Time>>,
-    event_queue: BTreeMap<(Time, u64), (usize, ScheduledEvent)>,
-    scheduled: u64,
+    event_queue: BTreeMap<(Time, u64), (usize, SimEvent)>,
+    event_sequence: u64,
     steps: u64,
     running: usize,
     /// Usage so far.
@@ -70,7 +70,7 @@
             }
         };
         let settings: Vec<Settings> = all.iter().map(member_settings).collect();
-        settings.iter().try_for_each(Settings::validate).map_err(|e| Error::part("members", e))?;
+        settings.iter().try_for_each(Settings::validate).map_err(|e| Error::component("members", e))?;
         let mut network = SimNetwork {
             now: Time(0),
             deadline,
@@ -83,7 +83,7 @@
             members: (0..count).map(|_| None).collect(),
             wakeups: vec![None; count],
             event_queue: BTreeMap::new(),
-            scheduled: 0,
+            event_sequence: 0,
             steps: 0,
             running: 0,
             usage: Usage::default(),
@@ -91,7 +91,7 @@
         };
         for n in 0..count {
             let at = Time(network.rng.random_range(0..START_SPREAD_US));
-            network.schedule(at, n, ScheduledEvent::Start);
+            network.schedule(at, n, SimEvent::Start);
         }
         Ok(network)
     }
@@ -106,9 +106,9 @@
         self.rng.random_range(0..self.members.len())
     }
 
-    fn schedule(&mut self, at: Time, target: usize, event: ScheduledEvent) {
-        self.scheduled += 1;
-        self.event_queue.insert((at, self.scheduled), (target, event));
+    fn schedule(&mut self, at: Time, target: usize, event: SimEvent) {
+        self.event_sequence += 1;
+        self.event_queue.insert((at, self.event_sequence), (target, event));
     }
 
     /// Starts a member's process, with an incarnation above the earlier ones.
@@ -116,7 +116,7 @@
         let settings = &mut self.settings[index];
         settings.incarnation += INCARNATION_STEP;
         let members = Membership::new(settings.clone(), self.keys.clone(), self.now, self.rng.random());
-        self.members[index] = Some(members.map_err(|e| Error::part("members", e))?);
+        self.members[index] = Some(members.map_err(|e| Error::component("members", e))?);
         self.running += 1;
         self.deliver(index, Event::Tick);
         Ok(())
@@ -195,17 +195,17 @@
         self.advance_to(at.max(self.now));
         let Some((_, (target, event))) = self.event_queue.pop_first() else { return Ok(false) };
         match event {
-            ScheduledEvent::Start if self.members[target].is_none() => {
+            SimEvent::Start if self.members[target].is_none() => {
                 // The settings have been validated already.
                 let _ = self.start_member(target);
             }
-            ScheduledEvent::Start => {}
-            ScheduledEvent::Wake if self.wakeups[target] == Some(at) => {
+            SimEvent::Start => {}
+            SimEvent::Wake if self.wakeups[target] == Some(at) => {
                 self.wakeups[target] = None;
                 self.deliver(target, Event::Tick);
             }
-            ScheduledEvent::Wake => {}
-            ScheduledEvent::Datagram { from, bytes } => {
+            SimEvent::Wake => {}
+            SimEvent::Datagram { from, bytes } => {
                 let from = self.settings[from].me.address;
                 self.deliver(target, Event::Datagram { from, bytes });
             }
@@ -244,7 +244,7 @@
         let Some(wake) = wake.map(|wake| wake.max(now)) else { return };
         if self.wakeups[target].is_none_or(|scheduled| scheduled != wake) {
             self.wakeups[target] = Some(wake);
-            self.schedule(wake, target, ScheduledEvent::Wake);
+            self.schedule(wake, target, SimEvent::Wake);
         }
     }
 
@@ -254,6 +254,6 @@
             return;
         }
         let delay = self.rng.random_range(self.delay_us.0..=self.delay_us.1);
-        self.schedule(self.now + Duration::from_micros(delay), to, ScheduledEvent::Datagram { from, bytes });
+        self.schedule(self.now + Duration::from_micros(delay), to, SimEvent::Datagram { from, bytes });
     }
 }
--- a/crates/scale-bench/src/memory.rs
+++ b/crates/scale-bench/src/memory.rs
@@ -44,7 +44,7 @@
     let path = "/proc/self/statm";
     let text = std::fs::read_to_string(path).map_err(Error::io(path))?;
     let pages: Option<u64> = text.split_whitespace().nth(1).and_then(|n| n.parse().ok());
-    let pages = pages.ok_or_else(|| Error::part("statm", "no resident pages"))?;
+    let pages = pages.ok_or_else(|| Error::component("statm", "no resident pages"))?;
     Ok(pages * rustix::param::page_size() as u64)
 }
 
@@ -57,7 +57,7 @@
 pub fn status_bytes(path: &str, name: &str) -> Result<u64, Error> {
     let text = std::fs::read_to_string(path).map_err(Error::io(path))?;
     let value = status_field(&text, name).and_then(|v| v.trim_end_matches(" kB").trim().parse::<u64>().ok());
-    value.map(|kilobytes| kilobytes * 1024).ok_or_else(|| Error::part("status", format!("no {name}")))
+    value.map(|kilobytes| kilobytes * 1024).ok_or_else(|| Error::component("status", format!("no {name}")))
 }
 
 /// Runs this tool again to measure the memory of a component, at most for `limit`.
@@ -66,13 +66,13 @@
     command.arg("weigh").args(args).stdin(Stdio::null()).stdout(Stdio::piped());
     let child = command.spawn().map_err(Error::io(program))?;
     let output = wait_output(child, limit).map_err(Error::io(program))?;
-    serde_json::from_slice(&output).map_err(|e| Error::part("memory", e))
+    serde_json::from_slice(&output).map_err(|e| Error::component("memory", e))
 }
 
 /// Records the memory of a component if the plan names a program to measure it; a failure marks the run incomplete.
 pub fn record_in_child(plan: &Plan, args: &[String], run: &mut Run) {
     let Some(program) = &plan.program else { return };
-    match measure_in_child(program, args, plan.limit) {
+    match measure_in_child(program, args, plan.run_limit) {
         Ok(usage) => usage.record(run),
         Err(e) => run.mark_incomplete(format!("memory was not measured: {e}")),
     }
--- a/crates/scale-bench/src/plan.rs
+++ b/crates/scale-bench/src/plan.rs
@@ -12,7 +12,7 @@
     /// The first run's seed; each run after it takes the next.
     pub seed: u64,
     /// Real-time limit of a run.
-    pub limit: Duration,
+    pub run_limit: Duration,
     /// This tool's own program, which measures memory in separate processes; without it, memory is not measured.
     pub program: Option<PathBuf>,
 }
@@ -29,7 +29,7 @@
 
     /// The deadline of a run that begins now.
     pub fn deadline(&self) -> Deadline {
-        Deadline(Instant::now() + self.limit)
+        Deadline(Instant::now() + self.run_limit)
     }
 }
 
--- a/crates/scale-bench/src/quantiles.rs
+++ b/crates/scale-bench/src/quantiles.rs
@@ -15,7 +15,7 @@
     pub fn new() -> Result<Quantiles, Error> {
         Histogram::new_with_bounds(1, MAX_SCALED, 3)
             .map(Quantiles)
-            .map_err(|e| Error::part("hdrhistogram", e))
+            .map_err(|e| Error::component("hdrhistogram", e))
     }
 
     /// Adds a value.
@@ -25,7 +25,7 @@
 
     /// Adds all values of another collection.
     pub fn add(&mut self, other: &Quantiles) -> Result<(), Error> {
-        self.0.add(&other.0).map_err(|e| Error::part("hdrhistogram", e))
+        self.0.add(&other.0).map_err(|e| Error::component("hdrhistogram", e))
     }
 
     /// The number of values.
--- a/crates/scale-bench/src/report.rs
+++ b/crates/scale-bench/src/report.rs
@@ -126,7 +126,7 @@
 
     /// Writes it as JSON.
     pub fn write(&self, path: &Path) -> Result<(), Error> {
-        let text = serde_json::to_string_pretty(self).map_err(|e| Error::part("report", e))?;
+        let text = serde_json::to_string_pretty(self).map_err(|e| Error::component("report", e))?;
         std::fs::write(path, text + "\n").map_err(Error::io(path))
     }
 }
--- a/crates/scale-bench/tests/command_line.rs
+++ b/crates/scale-bench/tests/command_line.rs
@@ -11,12 +11,12 @@
 
 #[test]
 fn writes_json_report_and_chart() {
-    let folder = tempfile::tempdir().unwrap();
-    let (json, chart) = (folder.path().join("t.json"), folder.path().join("t.svg"));
+    let directory = tempfile::tempdir().unwrap();
+    let (json, chart) = (directory.path().join("t.json"), directory.path().join("t.svg"));
     let (json_text, chart_text) = (json.to_str().unwrap(), chart.to_str().unwrap());
-    let words = ["targets", "--sizes", "3,9,27", "--plays", "2", "--seed", "4", "--at", "23000"];
+    let args = ["targets", "--sizes", "3,9,27", "--plays", "2", "--seed", "4", "--at", "23000"];
     let files = ["--revision", "abc123", "--json", json_text, "--chart", chart_text];
-    let output = run_tool(&[&words[..], &files[..]].concat());
+    let output = run_tool(&[&args[..], &files[..]].concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let report: Value = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
     assert_eq!((&report["measurement"], &report["version"]), (&"targets".into(), &"abc123".into()));
@@ -64,10 +64,10 @@
         (&["log", "--disk-us", "7"], "--disk-us"),
         (&["front", "--front", "no-such-program"], "--front"),
     ];
-    for (words, option) in cases {
-        let result = run_tool(words);
+    for (args, option) in cases {
+        let result = run_tool(args);
         let output = String::from_utf8_lossy(&result.stderr);
-        assert!(!result.status.success() && output.contains(option), "{words:?}: {output}");
+        assert!(!result.status.success() && output.contains(option), "{args:?}: {output}");
         assert!(!output.contains("panicked"), "{output}");
     }
 }
--- a/crates/scale-bench/tests/common/mod.rs
+++ b/crates/scale-bench/tests/common/mod.rs
@@ -9,8 +9,8 @@
 }
 
 pub fn plan(sizes: &[u64], seed: u64) -> Plan {
-    let (sizes, limit, program) = (sizes.to_vec(), Duration::from_secs(10), Some(tool_path()));
-    Plan { sizes, runs: 1, seed, limit, program }
+    let (sizes, run_limit, program) = (sizes.to_vec(), Duration::from_secs(10), Some(tool_path()));
+    Plan { sizes, runs: 1, seed, run_limit, program }
 }
 
 /// Asserts that every run is complete and has each of these figures above zero.
--- a/crates/scale-bench/tests/measurements.rs
+++ b/crates/scale-bench/tests/measurements.rs
@@ -95,7 +95,7 @@
     let runs = membership_sim::measure(&plan(&[8], 5), &membership_options(1)).unwrap();
     assert!(!runs[0].is_complete && runs[0].notes.iter().any(|note| note.contains("a death was not known")));
     assert!(runs[0].figure("death_known_to_all_sim_s").is_none() && runs[0].figure("rest_bytes").is_some());
-    let short = scale_bench::Plan { limit: Duration::ZERO, ..plan(&[40], 5) };
+    let short = scale_bench::Plan { run_limit: Duration::ZERO, ..plan(&[40], 5) };
     let runs = membership_sim::measure(&short, &membership_options(60)).unwrap();
     assert!(
         !runs[0].is_complete
