--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who may ask for votes, who may give them, and which votes count.
+//! Elections: which members may request votes, which may grant them, and which votes count.
 use crate::entry::LogPosition;
 use crate::message::{Message, VoteResponse};
 use crate::node::Node;
@@ -8,34 +8,37 @@
 use cluster_types::MemberId;
 
 impl Node {
-    /// Whether the group is known to be bootstrapped for good.
+    /// Whether this member knows that the group's bootstrap is committed.
     pub(crate) fn is_bootstrapped(&self) -> bool {
-        self.commit_index > 0 || self.log.last().index > 1
+        self.commit_index > 0 || self.log.last_position().index > 1
     }
 
-    /// Whether the incarnation of this store is admitted: by the bootstrap entry, or by an entry known to be committed. What is
-    /// promised on the strength of that waits until the knowledge is on disk.
+    /// Whether the incarnation of this store is admitted: by the bootstrap entry, or by an entry known to be committed. Votes and
+    /// acknowledgements that rely on this are held back until that commit index is on disk.
     pub(crate) fn is_admitted(&self) -> bool {
         let admitted = self.log.incarnations_at(self.commit_index.max(1));
-        admitted.get(&self.config.me) == Some(&self.incarnation)
+        admitted.get(&self.config.own_id) == Some(&self.incarnation)
     }
 
     pub(crate) fn can_campaign(&self) -> bool {
         self.is_bootstrapped() && self.is_admitted() && self.storage.is_healthy()
     }
 
-    /// Asks whether this member would be elected, so that a hopeless election disturbs no other member.
+    /// Asks whether this member would be elected, so that an election without a chance does not raise the term of other members.
     pub(crate) fn start_pre_vote(&mut self) {
         self.become_follower(self.term, None);
         self.role = Role::PreCandidate;
-        self.votes.insert(self.config.me.clone());
-        self.broadcast_when_durable(&Message::PreVoteRequest { term: self.term + 1, last: self.log.last() });
+        self.votes.insert(self.config.own_id.clone());
+        self.broadcast_when_durable(&Message::PreVoteRequest {
+            term: self.term + 1,
+            last: self.log.last_position(),
+        });
         self.tally_votes();
     }
 
     fn broadcast_when_durable(&mut self, message: &Message) {
         for member in self.config.members.clone() {
-            if member != self.config.me {
+            if member != self.config.own_id {
                 self.send_when_durable(&member, message.clone());
             }
         }
@@ -47,20 +50,20 @@
             return;
         }
         self.become_follower(self.term + 1, None);
-        self.become_candidate(&Message::VoteRequest { term: self.term, last: self.log.last() });
+        self.become_candidate(&Message::VoteRequest { term: self.term, last: self.log.last_position() });
     }
 
     /// Votes for itself in the current term and sends the request to all others.
     pub(crate) fn become_candidate(&mut self, request: &Message) {
         self.role = Role::Candidate;
-        self.vote = Some(Vote { candidate: self.config.me.clone(), incarnation: self.incarnation });
+        self.vote = Some(Vote { candidate: self.config.own_id.clone(), incarnation: self.incarnation });
         self.storage.note_hard_state();
         self.storage.defer(DurableEffect::OwnVote { term: self.term });
         self.broadcast_when_durable(request);
     }
 
     pub(crate) fn count_own_vote(&mut self) {
-        self.votes.insert(self.config.me.clone());
+        self.votes.insert(self.config.own_id.clone());
         self.tally_votes();
     }
 
@@ -77,8 +80,8 @@
         }
     }
 
-    /// Whether this member may vote at all now; counts the reason where it may not. Guards the lease of a leader, and what a
-    /// lost or failing disk has forgotten.
+    /// Whether this member may vote at all now; if not, the reason is counted. Protects the lease of a leader, and prevents a
+    /// second vote after the first was lost with a lost or failing disk.
     fn can_vote(&mut self) -> bool {
         if !self.is_admitted() {
             self.counters.unadmitted_incarnation += 1;
@@ -105,7 +108,7 @@
         if !self.can_vote() {
             return;
         }
-        let is_granted = term > self.term && last >= self.log.last();
+        let is_granted = term > self.term && last >= self.log.last_position();
         let response = VoteResponse {
             term: if is_granted { term } else { self.term },
             is_pre_vote: true,
@@ -128,11 +131,11 @@
         if term > self.term {
             self.become_follower(term, None);
         }
-        let is_up_to_date = last >= self.log.last();
+        let is_up_to_date = last >= self.log.last_position();
         self.answer_vote_request(from, incarnation, term, is_up_to_date);
     }
 
-    /// Answers a candidate of that term. The vote is given at most once, to one incarnation of one member.
+    /// Answers a candidate in `term`. At most one vote is granted per term, to one incarnation of one member.
     pub(crate) fn answer_vote_request(
         &mut self,
         from: &MemberId,
@@ -142,8 +145,9 @@
     ) {
         let vote = Some(Vote { candidate: from.clone(), incarnation });
         let is_undecided = matches!(self.role, Role::Follower | Role::PreCandidate);
-        let is_free = is_undecided && self.leader.is_none() && self.vote.is_none();
-        let is_granted = is_willing && term == self.term && (is_free || (is_undecided && self.vote == vote));
+        let has_uncast_vote = is_undecided && self.leader.is_none() && self.vote.is_none();
+        let is_granted =
+            is_willing && term == self.term && (has_uncast_vote || (is_undecided && self.vote == vote));
         if is_granted {
             self.become_follower(term, self.leader.clone());
             if self.vote != vote {
--- a/crates/maintenance/src/proposal/recovery_step.rs
+++ b/crates/maintenance/src/proposal/recovery_step.rs
@@ -1,4 +1,4 @@
-//! The next step of a recovery.
+//! Proposes the next step of a recovery.
 use super::view::ClusterView;
 use crate::command::Command;
 use crate::quota::{distribute_quotas, Quotas};
@@ -7,7 +7,7 @@
 use cluster_types::BackendId;
 
 impl MaintenanceState {
-    /// The next stage of a backend, other quotas at the same one, or the end of its recovery.
+    /// The next stage of a backend, different quotas within the same stage, or the end of its recovery.
     pub(super) fn next_recovery_step(
         &self,
         backend: &BackendId,
@@ -32,7 +32,7 @@
         Some(Command::SetStage { backend: backend.clone(), after: recovery.step(), stage, quotas })
     }
 
-    /// The quotas to set at a stage; none where the present step may stay.
+    /// The quotas to set at a stage; `None` if the current step needs no change.
     fn next_quotas(
         &self,
         backend: &BackendId,
@@ -46,7 +46,7 @@
         let mut quotas = distribute_quotas(capacity, &weights);
         let is_same_stage = recovery.stage() == Some(stage);
         let current = without_zeros(recovery.quotas());
-        if is_same_stage && !justify_a_step(&current, &quotas) {
+        if is_same_stage && !is_step_justified(&current, &quotas) {
             return None;
         }
         if recovery.max_in_use_with(&quotas) > u32::from(capacity) {
@@ -66,8 +66,8 @@
     quotas
 }
 
-/// Whether other quotas are worth a step: a member has joined or left, or over a quarter of the stage is unassigned.
-fn justify_a_step(current: &Quotas, wanted: &Quotas) -> bool {
+/// Whether different quotas justify a new step: a member has joined or left, or over a quarter of the stage is unassigned.
+fn is_step_justified(current: &Quotas, wanted: &Quotas) -> bool {
     let sum = |quotas: &Quotas| quotas.values().map(|permille| u32::from(*permille)).sum::<u32>();
     let wanted_members = wanted.iter().filter(|(_, permille)| **permille > 0).map(|(member, _)| member);
     !current.keys().eq(wanted_members) || sum(current) * 4 < sum(wanted) * 3
