--- a/crates/gateway/src/admin/health_checks.rs
+++ b/crates/gateway/src/admin/health_checks.rs
@@ -47,10 +47,10 @@
 /// The line of the agent check: whether this gateway takes requests, and a weight that decreases with its load (open requests, or the
 /// share of rejected ones).
 fn agent_line(context: &Context) -> String {
-    if context.lifecycle.stopping.get().is_some() {
+    if context.lifecycle.stopping_since.get().is_some() {
         return "drain\n".into();
     }
-    if !context.lifecycle.serving.get() {
+    if !context.lifecycle.is_serving.get() {
         return "down\n".into();
     }
     let open_percent = (100 * context.counters.open.get() / MAX_REQUESTS) as u64;
@@ -86,7 +86,7 @@
     if method != "GET" && method != "HEAD" {
         return http::response(405, "Method Not Allowed", "GET or HEAD\n");
     }
-    let is_ready = context.lifecycle.serving.get() && context.lifecycle.stopping.get().is_none();
+    let is_ready = context.lifecycle.is_serving.get() && context.lifecycle.stopping_since.get().is_none();
     let mut answer = match target {
         "/healthz" => http::response(200, "OK", "ok\n"),
         "/readyz" if is_ready => http::response(200, "OK", "ready\n"),
--- a/crates/gateway/src/admin/operators.rs
+++ b/crates/gateway/src/admin/operators.rs
@@ -6,7 +6,7 @@
 use crate::config_overlay::actor::ConfigOverlay;
 use crate::context::Context;
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
-use crate::scatter_gather::handle::Gathering;
+use crate::scatter_gather::handle::GatherHandle;
 use async_io::Timer;
 use futures_lite::future;
 use scheduler::interface::BackendId;
@@ -37,7 +37,7 @@
     /// The distributed configuration, if the configuration has `[changes]`.
     pub config_overlay: Option<Rc<ConfigOverlay>>,
     /// The scatter-gather actor, if the configuration has policies for it.
-    pub gathering: Option<Gathering>,
+    pub gathering: Option<GatherHandle>,
 }
 
 /// Answers one call.
@@ -79,7 +79,7 @@
 /// Whether this process serves clients: it listens, has an endpoint list, and is not shutting down.
 fn is_ready(context: &Context) -> bool {
     let lifecycle = &context.lifecycle;
-    lifecycle.listening.get() && lifecycle.serving.get() && lifecycle.stopping.get().is_none()
+    lifecycle.is_listening.get() && lifecycle.is_serving.get() && lifecycle.stopping_since.get().is_none()
 }
 
 /// Formats the metrics, one `NAME=VALUE` per line.
@@ -99,8 +99,8 @@
         }
     }
     for (name, count) in [
-        ("relayed", context.counters.relayed.get()),
-        ("open_requests", (context.counters.unanswered.get() + context.gauges.passing.get()) as u64),
+        ("relayed", context.counters.sent_attempts.get()),
+        ("open_requests", (context.counters.unanswered.get() + context.gauges.streamed_values.get()) as u64),
         ("registry_entries", pool.len() as u64),
         ("out_of_rotation", out_of_rotation as u64),
         ("cfg_accepted", context.counters.reloads.get()),
--- a/crates/gateway/src/backend/actor.rs
+++ b/crates/gateway/src/backend/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of one backend: it starts attempts, each alone on a connection, and keeps idle connections for reuse.
+//! The actor of one backend: starts attempts, one at a time on each connection, and pools idle connections.
 use crate::backend::attempt;
 use crate::backend::endpoint::BackendContext;
 use crate::net::close_reason::CloseReason;
@@ -14,10 +14,10 @@
 const MAX_IDLE_CONNECTIONS: usize = 48;
 /// How often idle connections are checked for their age.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection rests before it is reused, in microseconds: a duplicate reply, which may follow some milliseconds later, must
-/// not be taken for the reply to the next command.
-pub const REST_US: i64 = 5_000;
-/// An idle connection is reused for this part of the time after which the backend closes it.
+/// The minimum idle time of a connection before it is reused, in microseconds: a duplicate reply, which may arrive some milliseconds
+/// later, must not be matched to the next command.
+pub const REUSE_DELAY_US: i64 = 5_000;
+/// The fraction of the backend's idle timeout during which an idle connection is reused.
 const REUSE_FRACTION: f64 = 0.6;
 
 /// A message to a backend's actor.
@@ -34,12 +34,12 @@
     Stop,
 }
 
-/// Runs until the backend is forgotten and no attempt is in flight, which closes the mailbox.
+/// Runs until the backend is removed from the pool and no attempt is in flight, which closes the mailbox.
 pub async fn run(backend: BackendContext, inbox: Receiver<BackendMessage>, own: WeakSender<BackendMessage>) {
     let mut inbox = Box::pin(inbox);
     let mut idle = IdleConnections { backend: backend.clone(), connections: Vec::new() };
     loop {
-        backend.endpoint.idle.set(idle.connections.len());
+        backend.endpoint.idle_count.set(idle.connections.len());
         let sweep = async {
             if idle.connections.is_empty() {
                 future::pending::<()>().await;
@@ -73,13 +73,14 @@
         connection.incarnation == self.backend.endpoint.incarnation.get()
     }
 
-    /// Removes the connection to reuse: of those that have rested the one used last, else the one that has rested the longest. One to
-    /// an earlier incarnation is closed instead.
+    /// Removes the connection to reuse: the most recently used of those past the reuse delay, else the longest idle one. A connection
+    /// to an earlier incarnation is closed instead.
     fn take(&mut self) -> Option<BackendConnection> {
         let now = self.backend.context.clock.now();
-        let rested =
-            self.connections.iter().rposition(|connection| now.0 - connection.idle_since.0 >= REST_US);
-        let connection = (!self.connections.is_empty()).then(|| self.connections.remove(rested.unwrap_or(0)));
+        let reusable =
+            self.connections.iter().rposition(|connection| now.0 - connection.idle_since.0 >= REUSE_DELAY_US);
+        let connection =
+            (!self.connections.is_empty()).then(|| self.connections.remove(reusable.unwrap_or(0)));
         connection.filter(|connection| self.is_current(connection))
     }
 
@@ -124,7 +125,7 @@
     }
 }
 
-/// When a connection has rested, for an attempt with that deadline.
-pub fn rested_at(connection: &BackendConnection, deadline: Micros) -> Micros {
-    Micros(connection.idle_since.0 + REST_US).min(deadline)
+/// When the reuse delay of a connection ends, for an attempt with that deadline.
+pub fn reusable_at(connection: &BackendConnection, deadline: Micros) -> Micros {
+    Micros(connection.idle_since.0 + REUSE_DELAY_US).min(deadline)
 }
--- a/crates/gateway/src/backend/attempt.rs
+++ b/crates/gateway/src/backend/attempt.rs
@@ -1,5 +1,5 @@
 //! One attempt at a backend: gets a connection, makes the exchange, and reports the outcome to the scheduler.
-use crate::backend::actor::{rested_at, BackendMessage};
+use crate::backend::actor::{reusable_at, BackendMessage};
 use crate::backend::endpoint::BackendContext;
 use crate::backend::exchange::Exchanged;
 use crate::backend::value::{AttemptEnd, ValueWriter};
@@ -14,7 +14,7 @@
 use futures_lite::{future, StreamExt};
 use scheduler::interface::{AttemptOutcome, Micros};
 
-/// How long after its client's deadline a streamed value is cut, in microseconds.
+/// How long after its client's deadline the streaming of a value is aborted, in microseconds.
 const STREAM_GRACE_US: i64 = 10_000_000;
 
 /// Carries out an attempt, on the idle connection where it is still usable, else on a new one. A connection that can be reused
@@ -26,13 +26,13 @@
     own: Option<Sender<BackendMessage>>,
 ) {
     let _in_flight = backend.endpoint.statistics.begin();
-    let connection = match usable(&backend, &attempt, idle).await {
+    let connection = match wait_until_reusable(&backend, &attempt, idle).await {
         Some(connection) => Ok(connection),
         None => connect(&backend, &attempt).await,
     };
     let end = match connection {
         Err(outcome) => Some(attempt.ended(outcome)),
-        Ok(connection) if is_overtaken(&backend, &attempt, &connection) => {
+        Ok(connection) if is_obsolete(&backend, &attempt, &connection) => {
             release_unused(&backend, connection, own);
             Some(attempt.ended(AttemptOutcome::NotSent))
         }
@@ -43,25 +43,25 @@
     }
 }
 
-/// The idle connection once it has rested, if nothing has arrived on it meanwhile, not even its end.
-async fn usable(
+/// Waits for the end of the idle connection's reuse delay. Returns the connection if neither bytes nor its end arrived meanwhile.
+async fn wait_until_reusable(
     backend: &BackendContext,
     attempt: &Attempt,
     idle: Option<BackendConnection>,
 ) -> Option<BackendConnection> {
     let mut connection = idle?;
     let clock = &backend.context.clock;
-    let rested = rested_at(&connection, attempt.deadline);
-    if rested > clock.now() {
-        Timer::at(clock.instant(rested)).await;
+    let reusable = reusable_at(&connection, attempt.deadline);
+    if reusable > clock.now() {
+        Timer::at(clock.instant(reusable)).await;
     }
     let is_quiet = future::poll_once(connection.stream.next()).await.is_none();
     is_quiet.then_some(connection)
 }
 
-/// Whether the attempt may no longer begin: while the connection was awaited the backend began to drain or restarted, the client left,
-/// or the window for retries ended.
-fn is_overtaken(backend: &BackendContext, attempt: &Attempt, connection: &BackendConnection) -> bool {
+/// Whether the attempt may no longer begin: while it waited for the connection, the backend began to drain or restarted, the client
+/// disconnected, or the retry window ended.
+fn is_obsolete(backend: &BackendContext, attempt: &Attempt, connection: &BackendConnection) -> bool {
     connection.incarnation != backend.endpoint.incarnation.get() || !backend.may_begin(attempt)
 }
 
@@ -93,10 +93,10 @@
 ) -> Option<AttemptEnd> {
     let BackendContext { context, endpoint, .. } = backend;
     endpoint.statistics.sent(context.clock.now());
-    let (exchanged, mut is_reusable) = match endpoint.speaks.get() {
+    let (exchanged, mut is_reusable) = match endpoint.protocol.get() {
         BackendProtocol::Resp => resp_exchange::exchange(context, attempt, &mut connection.stream).await,
         BackendProtocol::Iscsi => {
-            let target = endpoint.target.borrow().clone();
+            let target = endpoint.target_name.borrow().clone();
             let session = &mut connection.session;
             iscsi_exchange::exchange(backend, attempt, &mut connection.stream, session, &target).await
         }
@@ -129,7 +129,7 @@
     let (writer, value) = ValueWriter::new(&context.gauges, length);
     let end = AttemptEnd { value: Some(value), ..attempt.ended(AttemptOutcome::Ok) };
     report(backend, attempt, end).await;
-    // Until the stream says otherwise: a value that never ends, or a client that never reads, is cut at the time below.
+    // The default reason; `streaming` replaces it. A value that never ends, or a client that never reads, is aborted at `cut_at`.
     connection.stream.reason = CloseReason::Cut;
     let streamed = streaming::stream(context, scheduler, attempt, &mut connection.stream, writer, parts);
     let cut_at = context.clock.instant(Micros(attempt.request.deadline.0 + STREAM_GRACE_US));
@@ -145,5 +145,5 @@
     let (volume, units) = (&attempt.request.volume, attempt.request.units);
     backend.endpoint.statistics.ended(backend.context.clock.now(), end.outcome, volume, units);
     // The mailbox is closed only at the end of the process.
-    drop(backend.scheduler.send(SchedulerMessage::Ended(end)).await);
+    drop(backend.scheduler.send(SchedulerMessage::AttemptEnded(end)).await);
 }
--- a/crates/gateway/src/backend/endpoint.rs
+++ b/crates/gateway/src/backend/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one backend, and what its actor and its attempts share.
+//! The state of one backend that its actor and its attempts share.
 use crate::backend::start_times::Start;
 use crate::backend::statistics::BackendStatistics;
 use crate::context::Context;
@@ -18,15 +18,15 @@
     pub address: Cell<Option<SocketAddr>>,
     /// Whether it is draining or gone.
     pub is_closed: Cell<bool>,
-    /// Its last start, where the list tells one.
+    /// Its last start, where the list reports one.
     pub start: Cell<Option<Start>>,
     /// The protocol it speaks.
-    pub speaks: Cell<BackendProtocol>,
+    pub protocol: Cell<BackendProtocol>,
     /// The name of its target, for iSCSI.
-    pub target: RefCell<String>,
+    pub target_name: RefCell<String>,
     /// The number of its idle connections.
-    pub idle: Cell<usize>,
-    /// What is measured of it.
+    pub idle_count: Cell<usize>,
+    /// Statistics of its attempts.
     pub statistics: Rc<BackendStatistics>,
     /// Grows with each restart and each change of address; connections belong to one incarnation.
     pub incarnation: Cell<u32>,
--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -20,7 +20,7 @@
     let luns = &config.iscsi.as_ref()?.luns;
     let lun = luns.iter().find(|lun| *lun.volume == *request.volume)?;
     let extent = request.extent.unwrap_or_else(|| {
-        // RESP2 clients name keys: each has its place on the volume.
+        // RESP2 clients address data by key: maps the key to a piece of the volume.
         let pieces = u64::from(lun.blocks / lun.piece_blocks).max(1);
         let piece = u64::from_str_radix(&request.key, 16).unwrap_or(0) % pieces;
         let blocks = match &request.body {
@@ -95,7 +95,7 @@
 fn log_in(context: &Context, session: &mut Initiator, target: &str, out: &mut Vec<u8>) {
     let name = format!("iqn.2026-12.lichenrudder:front-{}", context.config().name);
     // Each connection is a session of its own, with an ISID that this process never uses again.
-    let [.., high, upper, lower, low] = context.number().0.to_be_bytes();
+    let [.., high, upper, lower, low] = context.next_request_id().0.to_be_bytes();
     session.login(&name, Some(target), [0x80, high, upper, lower, low, 0], out);
 }
 
@@ -129,7 +129,7 @@
             let event = future::or(async { self.stream.next().await }, timed_out).await;
             if self.is_logged_in && self.stream.output.is_empty() && !self.is_sent {
                 self.is_sent = true;
-                context.counters.relayed();
+                context.counters.count_sent_attempt();
             }
             let end = match event {
                 Some(Ok(SocketEvent::Wrote)) => None,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The end of an attempt whose connection can't go on; before the command was sent, it could not connect.
+    /// The end of an attempt whose connection is broken; before the command was sent it counts as a failure to connect.
     fn broken(&self, outcome: AttemptOutcome) -> (AttemptEnd, bool) {
         let outcome = if self.is_sent { outcome } else { AttemptOutcome::ConnectFailed };
         (self.attempt.ended(outcome), false)
@@ -160,9 +160,9 @@
         loop {
             match self.session.read(self.stream.input.contiguous(), &mut self.out) {
                 Ok((0, _)) => return None,
-                Ok((used, told)) => {
+                Ok((used, response)) => {
                     self.stream.input.consume(used);
-                    if let Some(end) = self.handle(told) {
+                    if let Some(end) = self.handle(response) {
                         return Some(end);
                     }
                 }
@@ -174,9 +174,9 @@
         }
     }
 
-    fn handle(&mut self, told: Response) -> Option<(AttemptEnd, bool)> {
-        match told {
-            // While the session was established the backend began to drain, or the client left.
+    fn handle(&mut self, response: Response) -> Option<(AttemptEnd, bool)> {
+        match response {
+            // During the login the backend began to drain, or the client disconnected.
             Response::LoggedIn if !self.is_logged_in && !self.backend.may_begin(self.attempt) => {
                 let is_reusable = !self.backend.endpoint.is_closed.get() && self.stream.input.is_empty();
                 self.stream.reason = CloseReason::Drained;
--- a/crates/gateway/src/backend/pool.rs
+++ b/crates/gateway/src/backend/pool.rs
@@ -1,5 +1,5 @@
-//! The pool of backends: an actor for each one on the endpoint list, informed of what discovery, operators and the coordination group
-//! say about it.
+//! The pool of backends: one actor for each backend on the endpoint list, updated by discovery, operators and the coordination
+//! group.
 use crate::admin::suspension_files::Snapshot;
 use crate::admin::suspensions::{Persistence, Suspensions};
 use crate::backend::actor::BackendMessage;
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// Messages that may wait for one backend before no further attempt is started there.
+/// Messages queued for one backend at which no further attempt is started there.
 const MAILBOX_LIMIT: usize = 1024;
 
 /// A backend's actor as the pool sees it.
@@ -86,15 +86,15 @@
     /// Asks a backend with idle connections to close one. Returns false where none has any.
     pub(super) fn evict_idle_connection(&self) -> bool {
         self.handles.borrow().values().any(|handle| {
-            let idle = handle.endpoint.idle.get();
-            handle.endpoint.idle.set(idle.saturating_sub(1));
+            let idle = handle.endpoint.idle_count.get();
+            handle.endpoint.idle_count.set(idle.saturating_sub(1));
             idle > 0 && handle.mailbox.try_send(BackendMessage::EvictIdle).is_ok()
         })
     }
 
     /// Takes an update from discovery. Returns it for the scheduler, with suspensions and the overlay applied.
     ///
-    /// The actors are updated first: attempts that the scheduler has started and that have not been sent must know of a drain.
+    /// The actors are updated first: a drain must stop attempts that the scheduler has started and that have not been sent.
     pub fn update_from_discovery(&self, targets: &Targets) -> EndpointUpdate {
         let targets = &*self.with_overlay(targets);
         let entries = self.update(&targets.targets, targets.is_complete);
@@ -128,7 +128,7 @@
         let entries = entries.into_iter().map(|entry| self.suspensions.apply_to(entry)).collect();
         self.update_scheduler(EndpointUpdate::Delta(entries)).await;
         // The update does not come from discovery: while that is unavailable, the scheduler must go on treating it so.
-        if self.context.config().discovery.is_some() && !self.context.lifecycle.watching.get() {
+        if self.context.config().discovery.is_some() && !self.context.lifecycle.is_watching.get() {
             self.update_scheduler(EndpointUpdate::Failed).await;
         }
     }
@@ -147,7 +147,7 @@
             drop(handle.mailbox.try_send(BackendMessage::EndpointChanged));
             entries.push(entry);
         }
-        // Cached: it must not pass for a sign of life from discovery.
+        // `Cached`, so that the scheduler does not take it as evidence that discovery is alive.
         self.update_scheduler(EndpointUpdate::Cached(entries)).await;
     }
 
--- a/crates/gateway/src/backend/pool_update.rs
+++ b/crates/gateway/src/backend/pool_update.rs
@@ -1,4 +1,4 @@
-//! Updating the pool to the endpoint list: starting actors, and telling those that run.
+//! Updates the pool from the endpoint list: starts actors, and notifies running ones.
 use crate::backend::actor::{self, BackendMessage};
 use crate::backend::endpoint::{BackendContext, Endpoint};
 use crate::backend::pool::{BackendHandle, BackendPool};
@@ -58,14 +58,14 @@
         }
         entry.started_at = entry.started_at.and(endpoint.start.get()).map(|start| start.at);
         endpoint.entry.replace(entry.clone());
-        endpoint.speaks.set(target.protocol);
+        endpoint.protocol.set(target.protocol);
         endpoint.address.set(target.address);
         endpoint.is_closed.set(self.suspensions.apply_to(entry.clone()).state != BackendState::Ready);
         drop(handle.mailbox.try_send(BackendMessage::EndpointChanged));
     }
 
-    /// When each start that an update reports counts as notified: now, and later starts a little later, so that of two backends
-    /// of one shard the one that started last is known.
+    /// The notification time of each start that an update reports: now, in the order of the starts, so that it is known which of
+    /// two backends of one shard started last.
     fn notification_times(&self, targets: &[Target]) -> impl Fn(Micros) -> Micros {
         let mut reported: Vec<Micros> = targets.iter().filter_map(|target| target.entry.started_at).collect();
         reported.sort_unstable();
@@ -83,9 +83,9 @@
             address: Cell::new(None),
             is_closed: Cell::new(false),
             start: Cell::new(None),
-            speaks: Cell::new(target.protocol),
-            target: RefCell::new(target.target.clone()),
-            idle: Cell::new(0),
+            protocol: Cell::new(target.protocol),
+            target_name: RefCell::new(target.target.clone()),
+            idle_count: Cell::new(0),
             statistics: Rc::default(),
             incarnation: Cell::new(0),
         });
--- a/crates/gateway/src/backend/resp_encoding.rs
+++ b/crates/gateway/src/backend/resp_encoding.rs
@@ -3,8 +3,8 @@
 use dispatch::{Attempt, Bytes};
 use scheduler::interface::AttemptOutcome;
 
-/// The command of an attempt. The deadline that it tells the backend is what is left of the attempt's, in milliseconds.
-pub fn command(context: &Context, attempt: &Attempt) -> Vec<u8> {
+/// Encodes the command of an attempt. It carries the time that is left until the attempt's deadline, in milliseconds.
+pub fn encode_command(context: &Context, attempt: &Attempt) -> Vec<u8> {
     let request = &attempt.request;
     let wait_ms = ((attempt.deadline.0 - context.clock.now().0) / 1000).max(1);
     let config = context.config();
@@ -24,7 +24,7 @@
     encoded
 }
 
-/// What a reply says.
+/// A decoded reply.
 pub struct ReplyOutcome {
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
@@ -42,15 +42,15 @@
 }
 
 /// Whether what follows an error line's first word has the form of usage figures, such as ` cost=4 inflight=7,queue=2`.
-fn are_figures(text: &[u8]) -> bool {
+fn are_usage_figures(text: &[u8]) -> bool {
     let is_pair = |pair: &[u8]| pair.contains(&b'=') && pair.iter().all(u8::is_ascii_graphic);
     text.is_empty() || (text[0] == b' ' && text[1..].split(|byte| b" ,".contains(byte)).all(is_pair))
 }
 
 /// Decodes a reply; `None` for one that violates the protocol.
 ///
-/// Only an error line of the exact form promises that nothing has run, and only an array that begins with a value serves a request.
-pub fn outcome(reply: &resp::Reply<'_>) -> Option<ReplyOutcome> {
+/// Only an error line of the exact form guarantees that nothing has run, and only an array that begins with a value serves a request.
+pub fn decode_reply(reply: &resp::Reply<'_>) -> Option<ReplyOutcome> {
     match reply {
         resp::Reply::Error(line) => error_outcome(line),
         resp::Reply::Array(parts) => match parts.first() {
@@ -71,7 +71,7 @@
 fn error_outcome(line: &[u8]) -> Option<ReplyOutcome> {
     let is_text = |text: &[u8]| text.iter().all(|byte| (b' '..=b'~').contains(byte));
     match (line.strip_prefix(b"BUSY"), line.strip_prefix(b"ERR")) {
-        (Some(rest), _) if are_figures(rest) => {
+        (Some(rest), _) if are_usage_figures(rest) => {
             Some(ReplyOutcome::without_value(AttemptOutcome::Rejected, remote_units(rest)))
         }
         (_, Some(rest)) if is_text(rest) => {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The units that usage figures say were served through other gateways.
+/// The units served through other gateways, from usage figures.
 pub fn remote_units(figures: &[u8]) -> f64 {
     let words = figures.split(|byte| b" ,".contains(byte));
     let cost = words.filter_map(|word| word.strip_prefix(b"cost=")).next();
--- a/crates/gateway/src/backend/resp_exchange.rs
+++ b/crates/gateway/src/backend/resp_exchange.rs
@@ -1,6 +1,6 @@
 //! An exchange with a RESP2 backend: the command and its reply.
 use crate::backend::exchange::Exchanged;
-use crate::backend::resp_encoding::{command, outcome, ReplyOutcome};
+use crate::backend::resp_encoding::{decode_reply, encode_command, ReplyOutcome};
 use crate::backend::value::{self, AttemptEnd, Value};
 use crate::context::Context;
 use crate::counts::Weight;
@@ -24,12 +24,12 @@
     attempt: &Attempt,
     stream: &mut Connection,
 ) -> (Exchanged, bool) {
-    stream.output.push(&command(context, attempt));
+    stream.output.push(&encode_command(context, attempt));
     let deadline = context.clock.instant(attempt.deadline);
     let mut timer = Timer::at(deadline);
-    let mut weight = Weight::new(&context.gauges, |gauges| &gauges.arriving);
+    let mut weight = Weight::new(&context.gauges, |gauges| &gauges.arriving_bytes);
     loop {
-        // A reply arrives in one go: one that stalls is broken, and the time left is needed for another attempt.
+        // Backends write a reply at once: one that stalls is broken, and the remaining time is needed for another attempt.
         let has_begun = !stream.input.is_empty();
         if has_begun {
             timer = Timer::at(deadline.min(Instant::now() + REPLY_STALL_TIMEOUT));
@@ -45,7 +45,7 @@
         }
         let outcome = match event {
             Some(Ok(SocketEvent::Wrote)) => {
-                context.counters.relayed();
+                context.counters.count_sent_attempt();
                 continue;
             }
             Some(Ok(SocketEvent::Read)) => match read_reply(context, attempt, stream) {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Whether the command's last byte was written: only before that it is certain that nothing runs.
+/// Whether the command's last byte was written; before that the backend can't have executed it.
 fn is_sent(stream: &Connection) -> bool {
     stream.output.is_empty()
 }
@@ -78,8 +78,8 @@
 /// Consumes the head of a long value that can be streamed to its client, where one has arrived.
 fn begin_stream(context: &Context, attempt: &Attempt, stream: &mut Connection) -> Option<Exchanged> {
     let head = resp::long_value_head(stream.input.contiguous(), resp::MAX_VALUE_BYTES)?;
-    let is_streamable = attempt.request.accepts_stream && head.value_bytes <= value::LONGEST;
-    if !is_streamable || !is_sent(stream) || context.arriving_full() {
+    let is_streamable = attempt.request.accepts_stream && head.value_bytes <= value::MAX_STREAMED_BYTES;
+    if !is_streamable || !is_sent(stream) || context.is_arriving_full() {
         return None;
     }
     stream.input.consume(head.length);
@@ -89,22 +89,22 @@
 /// The attempt's end by the reply in the input buffer, and whether the connection can be reused; `None` while the reply is incomplete.
 fn read_reply(context: &Context, attempt: &Attempt, stream: &mut Connection) -> Option<(AttemptEnd, bool)> {
     let is_sent = is_sent(stream);
-    // Long values may arrive only while there is memory for all that are arriving.
+    // Long values are accepted only while the memory for arriving values is not exhausted.
     let has_room = stream.input.remaining() > 0
-        && (stream.input.allocated() <= resp::MAX_VALUE_BYTES || !context.arriving_full());
-    let (reply, used) = match resp::reply(stream.input.contiguous(), context.longest_value()) {
+        && (stream.input.allocated() <= resp::MAX_VALUE_BYTES || !context.is_arriving_full());
+    let (reply, used) = match resp::reply(stream.input.contiguous(), context.max_value_bytes()) {
         Ok(None) if has_room => return None,
         Ok(Some(reply)) => reply,
         _ => {
             stream.reason = CloseReason::Protocol;
-            // As far as can be told the command has run, and the backend is healthy.
+            // Presumably the command was executed, and the backend is healthy.
             let outcome = if is_sent { AttemptOutcome::Error } else { AttemptOutcome::ConnectFailed };
             return Some((attempt.ended(outcome), false));
         }
     };
-    let ReplyOutcome { outcome, remote_units, value } = match outcome(&reply) {
-        Some(said) if is_sent || said.outcome == AttemptOutcome::Rejected => said,
-        // Whatever was answered, it was not this command.
+    let ReplyOutcome { outcome, remote_units, value } = match decode_reply(&reply) {
+        Some(decoded) if is_sent || decoded.outcome == AttemptOutcome::Rejected => decoded,
+        // The command was not sent completely: the reply can't belong to it.
         _ if !is_sent => ReplyOutcome::without_value(AttemptOutcome::ConnectFailed, 0.0),
         _ => {
             stream.reason = CloseReason::Protocol;
--- a/crates/gateway/src/backend/start_times.rs
+++ b/crates/gateway/src/backend/start_times.rs
@@ -1,8 +1,8 @@
 //! Start times of backends by this process's monotonic clock.
 //!
 //! Discovery reports starts in Unix time. A wall clock that is ahead, here or at the backend, would let a backend that has just started
-//! skip slow start. So a start counts from when this process was first notified of it, unless it is longer ago than any step of the wall
-//! clock could pretend.
+//! skip slow start. So a start counts from when this process was first notified of it, unless it is longer ago than the largest
+//! tolerated step of the wall clock.
 use scheduler::interface::Micros;
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/gateway/src/backend/statistics.rs
+++ b/crates/gateway/src/backend/statistics.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Volumes that are counted for one backend; further ones are not.
+/// The maximum number of volumes that are counted for one backend.
 const MAX_VOLUMES: usize = 1024;
-/// Units decay to a half in this time, in microseconds.
+/// The half-life of the units, in microseconds.
 const HALF_LIFE_US: f64 = 10e6;
-/// Volumes with fewer units than this are forgotten.
+/// Volumes with fewer units than this are removed.
 const NEGLIGIBLE_UNITS: f64 = 1e-3;
 
 /// The statistics of one backend.
@@ -110,7 +110,7 @@
         self.last_answered.get()
     }
 
-    /// Units a second that it serves for each volume, in thousandths.
+    /// The rate at which it serves each volume, in thousandths of a unit per second.
     pub fn rates(&self, now: Micros) -> BTreeMap<Rc<str>, u64> {
         self.decay(now);
         // A steady rate adds up to rate x half-life / ln 2.
--- a/crates/gateway/src/backend/streaming.rs
+++ b/crates/gateway/src/backend/streaming.rs
@@ -1,7 +1,7 @@
 //! Streaming a long value from a RESP2 backend to its client while it arrives.
 use crate::backend::resp_encoding::remote_units;
 use crate::backend::resp_exchange::REPLY_STALL_TIMEOUT;
-use crate::backend::value::{ValueWriter, PIECE};
+use crate::backend::value::{ValueWriter, PIECE_BYTES};
 use crate::context::Context;
 use crate::counts::Weight;
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a streamed value may stall. Its client has received a part of it, so no other backend can be asked, and closing the
-/// connection would lose the request.
+/// How long a streamed value may stall. Its client has received a part of it, so the request can't be retried at another backend, and
+/// closing the connection would lose it.
 const VALUE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// The end of a value, in bytes, that is withheld until the backend has completed it.
+/// The size of the end of a value that is withheld until the backend has completed the value.
 const WITHHELD_BYTES: usize = 1024;
 /// The line ending after a bulk string.
 const LINE_END: &[u8] = b"\r\n";
@@ -30,38 +30,38 @@
     mut writer: ValueWriter,
     parts: usize,
 ) -> bool {
-    let mut weight = Weight::new(&context.gauges, |gauges| &gauges.arriving);
-    weight.set(3 * PIECE);
+    let mut weight = Weight::new(&context.gauges, |gauges| &gauges.arriving_bytes);
+    weight.set(3 * PIECE_BYTES);
     if !forward_all_but_end(stream, &mut writer).await {
         return false;
     }
-    let end = writer.left;
-    let is_delivered = writer.put(&stream.input.contiguous()[..end]).await;
+    let end = writer.remaining;
+    let is_delivered = writer.send(&stream.input.contiguous()[..end]).await;
     stream.input.consume(end + LINE_END.len());
     drop(writer);
     read_trailer(scheduler, attempt, stream, parts).await && is_delivered
 }
 
 /// Forwards the value as it arrives, up to the withheld end, and waits until that is complete in the input buffer. Returns false
-/// where the value can't be completed or its client has gone.
+/// where the value can't be completed or its client has disconnected.
 async fn forward_all_but_end(stream: &mut Connection, writer: &mut ValueWriter) -> bool {
     loop {
-        while writer.left > WITHHELD_BYTES && !stream.input.is_empty() {
+        while writer.remaining > WITHHELD_BYTES && !stream.input.is_empty() {
             let bytes = stream.input.first_slice();
-            let count = bytes.len().min(writer.left - WITHHELD_BYTES).min(PIECE);
-            let is_delivered = writer.put(&bytes[..count]).await;
+            let count = bytes.len().min(writer.remaining - WITHHELD_BYTES).min(PIECE_BYTES);
+            let is_delivered = writer.send(&bytes[..count]).await;
             stream.input.consume(count);
             if !is_delivered {
-                // The client has gone, while this backend goes on sending.
+                // The client has disconnected while the backend is still sending.
                 stream.reason = CloseReason::Bound;
                 return false;
             }
         }
-        if writer.left <= WITHHELD_BYTES {
+        if writer.remaining <= WITHHELD_BYTES {
             let bytes = stream.input.contiguous();
-            match bytes.get(writer.left..writer.left + LINE_END.len()) {
+            match bytes.get(writer.remaining..writer.remaining + LINE_END.len()) {
                 Some(LINE_END) => return true,
-                // The value has another length than announced: the client must not get its end.
+                // The value's length differs from the announced one: the client must not receive its end.
                 Some(_) => {
                     stream.reason = CloseReason::Protocol;
                     return false;
@@ -69,7 +69,7 @@
                 None => {}
             }
         }
-        stream.input.reserve(PIECE);
+        stream.input.reserve(PIECE_BYTES);
         if !wait_for_more(stream, VALUE_STALL_TIMEOUT).await {
             return false;
         }
--- a/crates/gateway/src/backend/value.rs
+++ b/crates/gateway/src/backend/value.rs
@@ -1,5 +1,5 @@
 //! Values from backends: complete ones, and long ones that are streamed while they arrive. The end of a streamed value is withheld until
-//! the backend has completed it, so that a client which received all of it can rely on it, and any other can tell.
+//! the backend has completed it, so that a client that received all of it can rely on it, and any other client can detect the failure.
 use crate::counts::{Count, Gauges};
 use async_channel::{Receiver, Sender};
 use dispatch::Bytes;
@@ -10,10 +10,10 @@
 /// A final answer to a client, with a value of this program.
 pub type Answer = dispatch::Response<Value>;
 
-/// The size of a piece, in bytes at the most.
-pub const PIECE: usize = 16 * 1024;
+/// The maximum size of a piece, in bytes.
+pub const PIECE_BYTES: usize = 16 * 1024;
 /// The longest value that is streamed, in bytes; a reply that announces more violates the protocol.
-pub const LONGEST: usize = 8 * 1024 * 1024;
+pub const MAX_STREAMED_BYTES: usize = 8 * 1024 * 1024;
 
 /// A value.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 pub struct ValueWriter {
     pieces: Sender<Bytes>,
     /// The bytes that are still to be sent.
-    pub left: usize,
+    pub remaining: usize,
     _count: Count,
 }
 
@@ -61,15 +61,15 @@
     /// A value of `length` bytes, and the writer for it.
     pub fn new(gauges: &Rc<Gauges>, length: usize) -> (ValueWriter, Value) {
         let (sender, pieces) = async_channel::bounded(1);
-        let count = Count::up(gauges, |gauges| &gauges.passing);
-        let writer = ValueWriter { pieces: sender, left: length, _count: count };
+        let count = Count::new(gauges, |gauges| &gauges.streamed_values);
+        let writer = ValueWriter { pieces: sender, remaining: length, _count: count };
         (writer, Value::Streamed(StreamedValue { length, pieces }))
     }
 
-    /// Sends a piece once the client has taken the one before. Returns false where the client has gone. Dropping the future drops the
+    /// Sends a piece once the client has taken the one before. Returns false where the client has disconnected. Dropping the future drops the
     /// piece: the value can't be completed then.
-    pub async fn put(&mut self, bytes: &[u8]) -> bool {
-        self.left -= bytes.len();
+    pub async fn send(&mut self, bytes: &[u8]) -> bool {
+        self.remaining -= bytes.len();
         self.pieces.send(Bytes::from(bytes)).await.is_ok()
     }
 }
--- a/crates/gateway/src/client/command.rs
+++ b/crates/gateway/src/client/command.rs
@@ -72,7 +72,7 @@
     let is_write = match args[0].to_ascii_uppercase().as_slice() {
         b"PREAD" => false,
         b"PWRITE" => true,
-        b"PING" if context.lifecycle.serving.get() => return Ok(Command::Answered(b"+PONG\r\n".to_vec())),
+        b"PING" if context.lifecycle.is_serving.get() => return Ok(Command::Answered(b"+PONG\r\n".to_vec())),
         b"PING" => return Err(CommandError::NotServing),
         b"CLIENT" | b"SELECT" => return Ok(Command::Answered(b"+OK\r\n".to_vec())),
         _ => return Err(CommandError::UnknownCommand),
--- a/crates/gateway/src/client/connection_slots.rs
+++ b/crates/gateway/src/client/connection_slots.rs
@@ -74,7 +74,7 @@
             is_eviction_sent: Cell::new(false),
             eviction,
         });
-        let number = slots.context.number().0;
+        let number = slots.context.next_request_id().0;
         slots.entries.borrow_mut().insert(number, entry.clone());
         ConnectionSlot { slots: slots.clone(), number, entry, evictions }
     }
@@ -113,7 +113,7 @@
         let context = &self.context;
         let now = context.clock.now();
         // Without a slot the request of a new connection would fail, while an evicted client only has to reconnect.
-        let is_exhausted = context.gauges.clients.get() >= context.exhausted_clients();
+        let is_exhausted = context.gauges.client_connections.get() >= context.client_exhaustion_threshold();
         let slots = self.entries.borrow();
         let may_evict = |entry: &&Rc<Entry>| {
             let idle_us = now.0 - entry.activity_since.get().0;
@@ -143,7 +143,7 @@
     /// and keep the connection open.
     pub async fn evict_idle(&self) {
         let context = &self.context;
-        while context.gauges.clients.get() >= context.client_limit() / SCARCE_DIVISOR {
+        while context.gauges.client_connections.get() >= context.client_limit() / SCARCE_DIVISOR {
             let Some(entry) = self.eviction_candidate() else { return };
             entry.is_eviction_sent.set(true);
             // A full channel already holds an eviction message.
--- a/crates/gateway/src/client/resp_server.rs
+++ b/crates/gateway/src/client/resp_server.rs
@@ -13,7 +13,7 @@
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::{Connection, SocketEvent};
 use crate::net::socket::Socket;
-use crate::scatter_gather::handle::{GatherClient, Gathering};
+use crate::scatter_gather::handle::{GatherClient, GatherHandle};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use dispatch::Bytes;
@@ -38,12 +38,13 @@
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     slots: Rc<ConnectionSlots>,
-    gathering: Option<Gathering>,
+    gathering: Option<GatherHandle>,
     listener: Async<TcpListener>,
 ) {
     // Above the limit a few clients are accepted and get their requests rejected; further ones stay pending, since the descriptors
     // are needed for other connections.
-    let has_slot = || context.gauges.clients.get() < context.client_limit() + context.over_limit_clients();
+    let has_slot =
+        || context.gauges.client_connections.get() < context.client_limit() + context.over_limit_clients();
     let server = Server { context: context.clone(), scheduler, slots: slots.clone(), gathering };
     let on_accept = |socket, address| context.executor.spawn(server.clone().serve(socket, address)).detach();
     // Once a successor listens at the same address, new connections must not reach a process that is about to end.
@@ -63,13 +64,13 @@
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     slots: Rc<ConnectionSlots>,
-    gathering: Option<Gathering>,
+    gathering: Option<GatherHandle>,
 }
 
 impl Server {
     /// Drives a client's session until its connection is to be closed, then closes it.
     async fn serve(self, socket: Socket, address: SocketAddr) {
-        let count = Count::up(&self.context.gauges, |gauges| &gauges.clients);
+        let count = Count::new(&self.context.gauges, |gauges| &gauges.client_connections);
         let mut stream = Connection::new(socket, "client", address, BUFFER_BYTES);
         let (answers, answered) = async_channel::bounded(MAX_PIPELINED_COMMANDS);
         let mut answered = Box::pin(answered);
@@ -95,13 +96,13 @@
         let idle_timeouts =
             IdleTimeouts { scarce: idle_timeout, exhausted: idle_timeout.min(EXHAUSTED_IDLE_TIMEOUT) };
         Session {
-            is_over_limit: context.gauges.clients.get() > context.client_limit(),
+            is_over_limit: context.gauges.client_connections.get() > context.client_limit(),
             answers,
             slots: VecDeque::new(),
             first_slot: 0,
             closing: None,
             slot: ConnectionSlot::acquire(slots, idle_timeouts),
-            ring_weight: Weight::new(&context.gauges, |gauges| &gauges.rings),
+            ring_weight: Weight::new(&context.gauges, |gauges| &gauges.ring_bytes),
             connected_at: context.clock.now(),
             arrivals: ArrivalTimes::default(),
             command_deadline: None,
@@ -188,7 +189,7 @@
             _ => Wakeup::Socket,
         }
     };
-    let is_stopping = context.lifecycle.stopping.get().is_some();
+    let is_stopping = context.lifecycle.stopping_since.get().is_some();
     let shutdown = async {
         if is_stopping {
             future::pending::<()>().await;
@@ -232,7 +233,7 @@
         match (slot.id, session.gather_client.as_ref().filter(|_| slot.is_gathered)) {
             (Some(id), Some(gather_client)) => gather_client.gathering.left(id).await,
             // The mailbox is closed only at the end of the process.
-            (Some(id), None) => drop(session.scheduler.send(SchedulerMessage::Left(id)).await),
+            (Some(id), None) => drop(session.scheduler.send(SchedulerMessage::ClientLeft(id)).await),
             (None, _) => {}
         }
     }
--- a/crates/gateway/src/client/response.rs
+++ b/crates/gateway/src/client/response.rs
@@ -63,21 +63,21 @@
         };
         // Clients that send requests without reading the responses would exhaust the memory. The request was executed, so the client
         // gets a failure rather than a rejection, which would say that it was not.
-        let unsent = context.gauges.unsent.get() + weight;
+        let unsent = context.gauges.unsent_bytes.get() + weight;
         if weight > SMALL_RESPONSE_BYTES && unsent > context.unsent_limit() {
             return PendingResponse::new(
                 context,
                 EncodedResponse::Bytes(b"-ERR too many answers wait for clients\r\n".to_vec()),
             );
         }
-        context.gauges.unsent.set(unsent);
+        context.gauges.unsent_bytes.set(unsent);
         PendingResponse { response, copied: 0, is_end_encoded: false, weight, gauges: context.gauges.clone() }
     }
 }
 
 impl Drop for PendingResponse {
     fn drop(&mut self) {
-        self.gauges.unsent.set(self.gauges.unsent.get() - self.weight);
+        self.gauges.unsent_bytes.set(self.gauges.unsent_bytes.get() - self.weight);
     }
 }
 
--- a/crates/gateway/src/client/response_queue.rs
+++ b/crates/gateway/src/client/response_queue.rs
@@ -17,7 +17,7 @@
         let first_before = self.first_slot;
         while let Some(waiting) = self.slots.front_mut().and_then(|slot| slot.response.as_mut()) {
             // Unread responses stay in this queue, where their memory is counted, instead of filling the buffers of many connections.
-            if !stream.output.is_empty() && self.context.rings_full() {
+            if !stream.output.is_empty() && self.context.are_rings_full() {
                 break;
             }
             let piece = waiting.response.remaining(waiting.copied);
--- a/crates/gateway/src/client/session.rs
+++ b/crates/gateway/src/client/session.rs
@@ -10,7 +10,7 @@
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
 use crate::net::close_reason::CloseReason;
 use crate::net::connection::Connection;
-use crate::scatter_gather::handle::{Begin, GatherClient};
+use crate::scatter_gather::handle::{GatherClient, GatherRequest};
 use async_channel::Sender;
 use dispatch::Request;
 use ring_buffer::RingBuffer;
@@ -119,7 +119,7 @@
             self.command_deadline = Some(Micros(now.0 + self.command_timeout_us()));
         }
         // Many large incomplete commands would exhaust the memory.
-        if stream.input.allocated() > UNCOUNTED_RING_BYTES && self.context.rings_full() {
+        if stream.input.allocated() > UNCOUNTED_RING_BYTES && self.context.are_rings_full() {
             self.push(None, Some(EncodedResponse::bytes("-ERR too much is half there\r\n")));
             self.closing = Some(CloseReason::Bound);
             return None;
@@ -136,7 +136,7 @@
 
     /// Rejects a request without passing it to the scheduler.
     fn reject(&mut self, class: usize) {
-        self.context.counters.answer(class, AnswerKind::Rejected);
+        self.context.counters.count_answer(class, AnswerKind::Rejected);
         self.push(None, Some(encode(Answer::Rejected(None))));
     }
 
@@ -166,7 +166,8 @@
         }
         let unread_deadline =
             (!stream.output.is_empty()).then_some(Micros(self.last_progress.at.0 + self.unread_timeout_us()));
-        let is_frequent = self.context.lifecycle.stopping.get().is_some() || stream.input.remaining() == 0;
+        let is_frequent =
+            self.context.lifecycle.stopping_since.get().is_some() || stream.input.remaining() == 0;
         let check_us = if is_frequent { FREQUENT_CHECK_US } else { RARE_CHECK_US };
         let deadlines = [self.command_deadline.filter(|_| self.closing.is_none()), unread_deadline];
         let next_deadline = deadlines.into_iter().flatten().min().unwrap_or(Micros(i64::MAX));
@@ -187,10 +188,10 @@
 
     /// Submits a request to the scheduler; rejects it if the mailbox is full.
     fn submit(&mut self, request: Request) {
-        let (id, class) = (self.context.number(), request.class);
+        let (id, class) = (self.context.next_request_id(), request.class);
         let slot = self.next_slot();
         let ticket = Ticket { slot, to: self.answers.clone(), class };
-        match self.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)) {
+        match self.scheduler.try_send(SchedulerMessage::Submit(id, request, ticket)) {
             Ok(()) => self.push(Some(id), None),
             Err(_) => self.reject(class),
         }
@@ -207,10 +208,11 @@
             .as_ref()
             .and_then(|client| client.gathering.policy(&self.context.config(), &request));
         let (Some(gather_client), Some(policy)) = (&self.gather_client, policy) else { return Some(request) };
-        let (id, class) = (self.context.number(), request.class);
+        let (id, class) = (self.context.next_request_id(), request.class);
         let slot = self.next_slot();
-        let begin = Begin { id, policy, request, slot, to: gather_client.responses.0.clone() };
-        if gather_client.gathering.begin(begin) {
+        let gather_request =
+            GatherRequest { id, policy, request, slot, to: gather_client.responses.0.clone() };
+        if gather_client.gathering.begin(gather_request) {
             self.slots.push_back(Slot { id: Some(id), is_gathered: true, response: None });
         } else {
             self.reject(class);
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// Reads the system's clocks once; from then on only the monotonic one counts.
+    /// Reads the system's clocks once; later times follow the monotonic clock only.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix_us: unix.as_micros() as i64, start: Instant::now() }
--- a/crates/gateway/src/command_line.rs
+++ b/crates/gateway/src/command_line.rs
@@ -5,7 +5,7 @@
 /// Why the program ends with a failure.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The arguments are not understood.
+    /// The arguments are invalid.
     #[error("usage: gateway | gateway config write APP | gateway config check FILE")]
     Usage,
     /// The gateway could not start.
@@ -32,7 +32,7 @@
     },
 }
 
-/// Runs the command that the arguments name; without arguments, serves until the program is told to end.
+/// Runs the command that the arguments name; without arguments, serves until the process is signalled to stop.
 ///
 /// # Errors
 /// [`CommandError`]; its text is what the user sees.
@@ -50,7 +50,7 @@
     }
 }
 
-/// Writes to standard output. An error means that the reader has gone, which is no failure of the command.
+/// Writes to standard output. An error means that the reader has closed the pipe, which is no failure of the command.
 fn print(text: &str) {
     drop(io::stdout().write_all(text.as_bytes()));
 }
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -1,8 +1,8 @@
-//! The distributed configuration at this gateway: updates from relays are applied whole or not at all, over the file's configuration. An
-//! actor that meets its host (`coordination::distribution`) through mailboxes; without the section `[changes]` it is never started.
+//! The distributed configuration at this gateway: updates from relays are applied atomically over the file's configuration. An actor
+//! that exchanges messages with its host (`coordination::distribution`); without the section `[changes]` it is not started.
 use crate::admin::operators::Operators;
 use crate::backend::pool::BackendPool;
-use crate::config_overlay::effective::{EffectiveConfig, Next, Rejection};
+use crate::config_overlay::effective::{EffectiveConfig, PreparedUpdate, Rejection};
 use crate::config_overlay::host_settings::host_settings;
 use crate::context::Context;
 use crate::messages::{SchedulerMailbox, SchedulerMessage};
@@ -88,7 +88,7 @@
         self.values.borrow().settings()
     }
 
-    /// How many keys meant nothing to this gateway.
+    /// How many keys this gateway did not know.
     pub fn unknown_keys(&self) -> u64 {
         self.unknown_keys.get()
     }
@@ -125,19 +125,19 @@
         self.handle.report_apply_result(reported.collect()).await;
     }
 
-    fn next(&self, is_snapshot: bool, changes: &[Change]) -> Result<Next, Vec<Rejection>> {
+    fn next(&self, is_snapshot: bool, changes: &[Change]) -> Result<PreparedUpdate, Vec<Rejection>> {
         let config = self.context.config();
         let configure = |overlay: &[Value]| config.apply_overlay(|key| std::env::var(key).ok(), overlay);
         self.values.borrow().next(is_snapshot, changes, &config, configure)
     }
 
-    async fn apply(&self, next: Next) {
-        // The scheduler first, as at a reload.
+    async fn apply(&self, next: PreparedUpdate) {
+        // The scheduler is updated first, as on a reload.
         if let Some(config) = next.config {
             let reload = SchedulerMessage::Reload(Some(Box::new(config.settings.clone())));
             // The mailbox is closed only at the end of the process.
             drop(self.scheduler.send(reload).await);
-            self.context.configure(config);
+            self.context.set_config(config);
         }
         if !next.backends.is_empty() {
             self.pool.set_overlay(next.values.backends(), &next.backends).await;
--- a/crates/gateway/src/config_overlay/effective.rs
+++ b/crates/gateway/src/config_overlay/effective.rs
@@ -11,14 +11,14 @@
 /// The name of a key whose value is a shard's backend.
 const BACKEND: &str = "box";
 
-/// What a key means to this gateway.
+/// The kind of value that a key has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum KeyKind {
     /// Settings.
     Settings,
     /// The backend of this shard.
     Backend(u32),
-    /// Nothing that it knows.
+    /// An unknown key.
     Unknown,
 }
 
@@ -81,16 +81,16 @@
     backends: BTreeMap<Key, Target>,
 }
 
-/// What is to be applied after changes.
+/// The result of changes, to be applied.
 #[derive(Debug)]
-pub struct Next {
+pub struct PreparedUpdate {
     /// The values.
     pub values: EffectiveConfig,
     /// The configuration, where it changes.
     pub config: Option<Config>,
     /// Backends whose entries change.
     pub backends: Vec<Target>,
-    /// Keys that mean nothing to this gateway.
+    /// The number of changed keys that this gateway does not know.
     pub unknown_keys: u64,
 }
 
@@ -136,7 +136,7 @@
         changes: &[Change],
         config: &Config,
         configure: impl Fn(&[Value]) -> Result<Config, config::ConfigError>,
-    ) -> Result<Next, Vec<Rejection>> {
+    ) -> Result<PreparedUpdate, Vec<Rejection>> {
         let mut values = if is_snapshot { EffectiveConfig::default() } else { self.clone() };
         let (mut rejections, mut unknown_keys, mut backends) = (vec![], 0, vec![]);
         for change in changes {
@@ -156,7 +156,7 @@
             }
         }
         backends.extend(self.released(&values, config));
-        Ok(Next { values, config: next_config, backends, unknown_keys })
+        Ok(PreparedUpdate { values, config: next_config, backends, unknown_keys })
     }
 
     /// Applies one change; a backend that it sets is added to `backends`.
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    /// The keys of the new settings that can't be applied: those with which a configuration is faulty that was valid without.
+    /// The keys of the new settings that can't be applied: those that make a configuration faulty which is valid without them.
     fn find_faulty(
         &self,
         values: &EffectiveConfig,
@@ -206,15 +206,15 @@
             }
         }
         if rejections.is_empty() {
-            // Only all of them together are faulty.
+            // Each key is valid by itself, and only their combination is faulty.
             let reject = |key: &Key| Rejection { key: key.clone(), error: fault.clone().into() };
             rejections.extend(values.settings.keys().map(reject));
         }
         rejections
     }
 
-    /// Backends that are no longer in the distributed configuration: as the file lists them, else gone. Where there is discovery, its next
-    /// update counts instead.
+    /// Backends that are no longer in the distributed configuration: as the file lists them, else marked as gone. With discovery this
+    /// is left to its next update.
     fn released(&self, values: &EffectiveConfig, config: &Config) -> Vec<Target> {
         if config.discovery.is_some() {
             return vec![];
--- a/crates/gateway/src/config_overlay/host_settings.rs
+++ b/crates/gateway/src/config_overlay/host_settings.rs
@@ -21,7 +21,8 @@
         },
         ..config_distribution::Settings::default()
     };
-    let voters = config.coordination.iter().flat_map(|accord| &accord.members).map(|member| &member.name);
+    let voters =
+        config.coordination.iter().flat_map(|coordination| &coordination.members).map(|member| &member.name);
     let expected_reporters = voters.chain(section.relays.iter().map(|relay| &relay.name));
     Ok(Settings {
         own_id: MemberId(config.name.as_str().into()),
@@ -52,8 +53,8 @@
     regions.chain(zones).chain(shards).chain(volumes)
 }
 
-/// The relays in the order of preference. Which of equal ones is the first depends on the gateway's name, so that they share the
-/// gateways.
+/// The relays in the order of preference. Equal ones are rotated by a hash of the gateway's name, which spreads the gateways
+/// over them.
 pub fn order_relays(name: &str, relays: &[config::Upstream]) -> Vec<Upstream> {
     let mut hash = DefaultHasher::new();
     name.hash(&mut hash);
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -26,21 +26,21 @@
 /// The process's lifecycle.
 pub struct Lifecycle {
     /// When the graceful shutdown began.
-    pub stopping: Cell<Option<Micros>>,
-    /// By when everything must be answered during the shutdown.
+    pub stopping_since: Cell<Option<Micros>>,
+    /// The time by which every request must be answered during the shutdown.
     pub answer_by: Cell<Option<Micros>>,
     /// Closed when the shutdown begins.
     pub stopped: (Sender<()>, Receiver<()>),
     /// Whether an endpoint list is known, so that requests can be served.
-    pub serving: Cell<bool>,
+    pub is_serving: Cell<bool>,
     /// Whether the listener of clients is open.
-    pub listening: Cell<bool>,
+    pub is_listening: Cell<bool>,
     /// Whether discovery has sent anything since the start.
-    pub has_heard_discovery: Cell<bool>,
+    pub has_discovery_data: Cell<bool>,
     /// Whether a watch on discovery is established.
-    pub watching: Cell<bool>,
+    pub is_watching: Cell<bool>,
     /// The other process of this gateway.
-    pub other: Cell<OtherProcess>,
+    pub other_process: Cell<OtherProcess>,
 }
 
 /// The state shared by all actors.
@@ -56,21 +56,21 @@
     /// Counters for operators and load balancers.
     pub counters: ProcessCounters,
     config: RefCell<Rc<Config>>,
-    next_number: Cell<u64>,
+    last_request_id: Cell<u64>,
 }
 
 impl Context {
     /// Creates the context of a process that starts.
     pub fn new(config: Config) -> Rc<Context> {
         let lifecycle = Lifecycle {
-            stopping: Cell::new(None),
+            stopping_since: Cell::new(None),
             answer_by: Cell::new(None),
             stopped: async_channel::bounded(1),
-            serving: Cell::new(false),
-            listening: Cell::new(false),
-            has_heard_discovery: Cell::new(false),
-            watching: Cell::new(false),
-            other: Cell::new(OtherProcess::None),
+            is_serving: Cell::new(false),
+            is_listening: Cell::new(false),
+            has_discovery_data: Cell::new(false),
+            is_watching: Cell::new(false),
+            other_process: Cell::new(OtherProcess::None),
         };
         Rc::new(Context {
             executor: LocalExecutor::new(),
@@ -79,7 +79,7 @@
             lifecycle,
             counters: ProcessCounters::default(),
             config: RefCell::new(Rc::new(config)),
-            next_number: Cell::new(0),
+            last_request_id: Cell::new(0),
         })
     }
 
@@ -89,26 +89,26 @@
     }
 
     /// Replaces the effective configuration.
-    pub fn configure(&self, config: Config) {
+    pub fn set_config(&self, config: Config) {
         self.config.replace(Rc::new(config));
     }
 
-    /// A new number for a request; never returned again.
-    pub fn number(&self) -> RequestId {
-        self.next_number.set(self.next_number.get() + 1);
-        RequestId(self.next_number.get())
+    /// Returns a new request id; ids are never reused.
+    pub fn next_request_id(&self) -> RequestId {
+        self.last_request_id.set(self.last_request_id.get() + 1);
+        RequestId(self.last_request_id.get())
     }
 
     /// A number for an iSCSI session, not 0.
-    pub fn session(&self) -> u16 {
-        (self.number().0 % 0xffff) as u16 + 1
+    pub fn next_session_number(&self) -> u16 {
+        (self.next_request_id().0 % 0xffff) as u16 + 1
     }
 
-    /// Begins the graceful shutdown, by the deadlines of the present configuration: a later one does not move SIGKILL.
+    /// Begins the graceful shutdown, with the deadlines of the present configuration: a later reload does not change when SIGKILL comes.
     pub fn begin_stopping(&self) {
         let (since, config) = (self.clock.now(), self.config());
         let longest_deadline = config.classes.iter().map(|c| c.deadline.0).max().unwrap_or(0);
-        self.lifecycle.stopping.set(Some(since));
+        self.lifecycle.stopping_since.set(Some(since));
         self.lifecycle.answer_by.set(Some(shutdown_times::answer_deadline(since, longest_deadline)));
         self.lifecycle.stopped.0.close();
     }
@@ -116,16 +116,17 @@
     /// Whether client connections are to be closed between requests: late in the shutdown, or at once where a successor serves their
     /// clients.
     pub fn closes_between_requests(&self) -> bool {
-        let closes = if self.has_successor() { self.lifecycle.stopping.get() } else { self.answer_by() };
+        let closes =
+            if self.has_successor() { self.lifecycle.stopping_since.get() } else { self.answer_by() };
         closes.is_some_and(|at| self.clock.now() >= at)
     }
 
     /// Whether a successor process is alive.
     pub fn has_successor(&self) -> bool {
-        matches!(self.lifecycle.other.get(), OtherProcess::Successor(_))
+        matches!(self.lifecycle.other_process.get(), OtherProcess::Successor(_))
     }
 
-    /// By when everything must be answered, once the shutdown has begun.
+    /// The time by which every request must be answered, once the shutdown has begun.
     pub fn answer_by(&self) -> Option<Micros> {
         self.lifecycle.answer_by.get()
     }
--- a/crates/gateway/src/coordination/measurements.rs
+++ b/crates/gateway/src/coordination/measurements.rs
@@ -1,4 +1,4 @@
-//! What this gateway measures of its backends for the coordination group.
+//! Measures this gateway's backends for the coordination group.
 use crate::backend::endpoint::Endpoint;
 use crate::backend::pool::BackendPool;
 use crate::context::Context;
@@ -13,24 +13,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often this gateway measures. A drain is complete by the first measurement with nothing in flight.
+/// The interval between measurements. A drain is complete at the first measurement with nothing in flight.
 const INTERVAL: Duration = Duration::from_millis(100);
-/// How long the scheduler has to say which backends are ejected; without an answer none counts as ejected.
+/// The timeout of the query for ejected backends; without an answer no backend counts as ejected.
 const SCHEDULER_TIMEOUT: Duration = Duration::from_millis(50);
-/// An ejected backend that has answered nothing for so long counts as dead, in microseconds.
+/// The time without an answer after which an ejected backend counts as dead, in microseconds.
 const DEAD_AFTER_US: i64 = 2_000_000;
 
 /// Measures until the process ends.
 pub async fn run(context: Rc<Context>, scheduler: SchedulerMailbox, pool: Rc<BackendPool>, handle: Handle) {
     loop {
         Timer::after(INTERVAL).await;
-        let ejected = ejected_backends(&scheduler).await;
-        // A full mailbox loses the measurement; the next one replaces it.
+        let ejected = query_ejected_backends(&scheduler).await;
+        // If the mailbox is full the measurement is dropped; the next one replaces it.
         handle.send(CoordinationMessage::Measured(measure(&context, &pool, &ejected)));
     }
 }
 
-async fn ejected_backends(scheduler: &SchedulerMailbox) -> BTreeSet<BackendId> {
+async fn query_ejected_backends(scheduler: &SchedulerMailbox) -> BTreeSet<BackendId> {
     let (to, from) = async_channel::bounded(1);
     if scheduler.try_send(SchedulerMessage::GetEjected(to)).is_err() {
         return BTreeSet::new();
@@ -46,7 +46,7 @@
 fn measure(context: &Context, pool: &BackendPool, ejected: &BTreeSet<BackendId>) -> Measurements {
     let (config, now) = (context.config(), context.clock.now());
     let mut measurements =
-        Measurements { is_complete: context.lifecycle.serving.get(), ..Measurements::default() };
+        Measurements { is_complete: context.lifecycle.is_serving.get(), ..Measurements::default() };
     let endpoints = pool.endpoints();
     for endpoint in &endpoints {
         endpoint.statistics.is_enabled.set(true);
@@ -94,8 +94,8 @@
     }
 }
 
-/// The backends that could serve what `endpoint` serves: itself, and others that hold the same shard. Without another one its data is
-/// nowhere else.
+/// The backends that could serve what `endpoint` serves: itself, and others that hold the same shard. If there is no other
+/// backend, only this one has the data.
 fn replicas(endpoints: &[Rc<Endpoint>], endpoint: &Endpoint) -> Vec<BackendId> {
     let entry = endpoint.entry.borrow();
     let others = endpoints.iter().filter_map(|other| {
--- a/crates/gateway/src/coordination/member.rs
+++ b/crates/gateway/src/coordination/member.rs
@@ -1,5 +1,5 @@
-//! This gateway as a member of the coordination group: it carries out what the group has agreed on. An actor that meets its host
-//! (`coordination`) through two mailboxes; without the section `[accord]` it is never started.
+//! This gateway as a member of the coordination group: it carries out what the group has agreed on. An actor that exchanges messages with
+//! its host (the `coordination` crate) through two mailboxes; without the section `[accord]` it is not started.
 use crate::backend::pool::BackendPool;
 use crate::context::Context;
 use crate::coordination::measurements;
@@ -83,21 +83,25 @@
     let (to_gateway, messages) = async_channel::bounded(MAILBOX_CAPACITY);
     let log = |line: &str| crate::log::line(format_args!("{line}"));
     let handle = coordination::start(host_settings(context, section)?, to_gateway, distribution, log)?;
-    context.executor.spawn(carry_out(context.clone(), pool.clone(), messages)).detach();
+    context.executor.spawn(carry_out_agreements(context.clone(), pool.clone(), messages)).detach();
     let measuring = measurements::run(context.clone(), scheduler.clone(), pool.clone(), handle.clone());
     context.executor.spawn(measuring).detach();
     Ok(Some(handle))
 }
 
 /// Carries out what the group has agreed on.
-async fn carry_out(context: Rc<Context>, pool: Rc<BackendPool>, messages: Receiver<GatewayMessage>) {
+async fn carry_out_agreements(
+    context: Rc<Context>,
+    pool: Rc<BackendPool>,
+    messages: Receiver<GatewayMessage>,
+) {
     while let Ok(message) = messages.recv().await {
         let is_drain = matches!(message, GatewayMessage::Drain { .. });
         let (backend, is_suspended, reason) = match message {
             GatewayMessage::Drain { backend, order } => {
                 (backend, true, format!("order={}", order.map_or(0, |order| order.0)))
             }
-            // With no quota here the backend stays suspended at this gateway, while others begin.
+            // With a quota of 0 the backend stays suspended at this gateway, while other gateways begin to use it.
             GatewayMessage::Undrain { backend, quota } => {
                 (backend, quota == Quota::Permille(0), format!("quota={}", quota_text(quota)))
             }
@@ -108,7 +112,7 @@
             pool.endpoints().into_iter().find(|endpoint| endpoint.entry.borrow().backend == backend);
         if let Some(endpoint) = endpoint {
             if !is_suspended {
-                // Whatever the list says of its start, it may be warming up.
+                // It may be warming up, whatever start time the list reports.
                 endpoint.statistics.return_to_service(context.clock.now());
             } else if is_drain {
                 endpoint.statistics.take_out_of_service();
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -29,7 +29,7 @@
     /// Final answers by class.
     pub answers: RefCell<Vec<AnswerCounts>>,
     /// Attempts that were sent completely.
-    pub relayed: Cell<u64>,
+    pub sent_attempts: Cell<u64>,
     /// Configuration files that were accepted since the start.
     pub reloads: Cell<u64>,
     /// Configuration files that were faulty.
@@ -44,7 +44,7 @@
 
 impl ProcessCounters {
     /// Counts a final answer to a request of a class.
-    pub fn answer(&self, class: usize, kind: AnswerKind) {
+    pub fn count_answer(&self, class: usize, kind: AnswerKind) {
         let mut answers = self.answers.borrow_mut();
         if answers.len() <= class {
             answers.resize(class + 1, AnswerCounts::default());
@@ -58,7 +58,7 @@
     }
 
     /// Counts an attempt that was sent completely.
-    pub fn relayed(&self) {
-        self.relayed.set(self.relayed.get() + 1);
+    pub fn count_sent_attempt(&self) {
+        self.sent_attempts.set(self.sent_attempts.get() + 1);
     }
 }
--- a/crates/gateway/src/counts.rs
+++ b/crates/gateway/src/counts.rs
@@ -1,4 +1,4 @@
-//! Gauges of what is open and of the memory it uses; each contribution lasts until its guard is dropped.
+//! Gauges of open connections and of memory use; each contribution lasts until its guard is dropped.
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -6,17 +6,17 @@
 #[derive(Default)]
 pub struct Gauges {
     /// Client connections.
-    pub clients: Cell<usize>,
+    pub client_connections: Cell<usize>,
     /// Connections to backends, including those being established.
-    pub upstream: Cell<usize>,
+    pub backend_connections: Cell<usize>,
     /// Bytes of responses that wait to be sent.
-    pub unsent: Cell<usize>,
+    pub unsent_bytes: Cell<usize>,
     /// Bytes of client connections' ring buffers, beyond what each may use uncounted.
-    pub rings: Cell<usize>,
+    pub ring_bytes: Cell<usize>,
     /// Bytes of replies that are arriving from backends.
-    pub arriving: Cell<usize>,
+    pub arriving_bytes: Cell<usize>,
     /// Values that are being streamed.
-    pub passing: Cell<usize>,
+    pub streamed_values: Cell<usize>,
 }
 
 /// Selects a gauge.
@@ -57,7 +57,7 @@
 
 impl Count {
     /// Adds one to a gauge.
-    pub fn up(gauges: &Rc<Gauges>, selector: Selector) -> Count {
+    pub fn new(gauges: &Rc<Gauges>, selector: Selector) -> Count {
         let gauge = selector(gauges);
         gauge.set(gauge.get() + 1);
         Count { gauges: gauges.clone(), selector }
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The actor that keeps the endpoint list up to date: one watch on discovery, resumed from the last version. `backoff` decides when it
-//! calls.
+//! The actor that keeps the endpoint list up to date: one watch on discovery, resumed from the last version. The `backoff` crate schedules
+//! its calls.
 use crate::backend::pool::BackendPool;
 use crate::context::Context;
 use crate::discovery::watch::{protocol_error, Watch};
@@ -22,7 +22,7 @@
 /// A call that is not established yet.
 type PendingCall = Pin<Box<dyn Future<Output = Result<Box<Watch>, CloseReason>>>>;
 
-/// The call rate for one of all gateways.
+/// The call rate of one gateway, derived from the number of gateways.
 fn backoff_policy(config: &Config) -> BackoffPolicy {
     BackoffPolicy::for_callers(config.settings.gateways)
 }
@@ -38,13 +38,13 @@
     let config = context.config();
     let now = context.clock.now().0;
     let mut caller = Caller::new(backoff_policy(&config), config.seed, now);
-    // All gateways may start at once, and discovery is one service for all: spread the first calls, where lists are pushed anyway.
+    // All gateways may start at once and share one discovery service: spread their first calls where discovery pushes lists.
     if config.settings.discovery_mode == DiscoveryMode::Subscribe {
         caller.delay_first_call(now);
     }
     let mut list = EndpointList { context, scheduler, pool, version: config.known.generation, caller };
     loop {
-        // Read each time: a reload may have changed the address, which is then asked for the changes after the known version.
+        // Read for each watch: a reload may have changed the address. The new one is asked for the changes after the known version.
         let config = list.context.config();
         list.caller.set_policy(backoff_policy(&config));
         let reason = match config.discovery {
@@ -58,7 +58,7 @@
             CloseReason::Timeout => list.caller.watch_ended(now, Failure::Silent),
             _ => list.caller.watch_ended(now, Failure::Ended),
         }
-        // Backends that leave from now on go unnoticed until the next watch: the scheduler has to be careful.
+        // Until the next watch, backends that are removed go unnoticed: the scheduler must know that its list may be stale.
         drop(list.scheduler.send(SchedulerMessage::Endpoints(EndpointUpdate::Failed)).await);
     }
 }
@@ -77,7 +77,7 @@
     /// A message; `None` at the end of the process.
     Message(Option<DiscoveryMessage>),
     /// A call was established, or failed.
-    Called(u64, Result<Box<Watch>, CloseReason>),
+    CallCompleted(u64, Result<Box<Watch>, CloseReason>),
     /// The watch has received bytes, or was closed.
     Received(Result<(), CloseReason>),
     /// The time of the next call, or of the watch's timeout.
@@ -85,7 +85,7 @@
 }
 
 /// Waits for the first call that is established or has failed; forever where there is no call.
-async fn first_called(calls: &mut Vec<(u64, PendingCall)>) -> (u64, Result<Box<Watch>, CloseReason>) {
+async fn first_completed_call(calls: &mut Vec<(u64, PendingCall)>) -> (u64, Result<Box<Watch>, CloseReason>) {
     future::poll_fn(|cx| {
         for index in 0..calls.len() {
             if let Poll::Ready(result) = calls[index].1.as_mut().poll(cx) {
@@ -97,15 +97,15 @@
     .await
 }
 
-/// What a failed call says about discovery. A reset may be that of a call that waited too long.
-fn failure(reason: CloseReason) -> Failure {
+/// Classifies the failure of a call. A reset may mean that the call waited too long at an overloaded service.
+fn classify_failure(reason: CloseReason) -> Failure {
     match reason {
         CloseReason::ConnectFailed => Failure::Down,
         _ => Failure::Overloaded,
     }
 }
 
-/// Waits for a message that ends the present call or watch. The scheduler's request for a watch does not: it is being served.
+/// Waits for a message that ends the present call or watch. The scheduler's request for a watch is skipped: one is under way.
 async fn next_message(inbox: &mut Inbox) -> Wakeup {
     loop {
         match inbox.next().await {
@@ -126,9 +126,9 @@
             Err(reason) => reason,
             Ok(mut watch) => {
                 self.caller.watch_established(self.context.clock.now().0);
-                self.context.lifecycle.watching.set(true);
+                self.context.lifecycle.is_watching.set(true);
                 watch.stream.reason = self.follow(&mut watch, inbox).await;
-                self.context.lifecycle.watching.set(false);
+                self.context.lifecycle.is_watching.set(false);
                 watch.stream.reason
             }
         }
@@ -148,15 +148,15 @@
                 Wakeup::Due
             };
             let called = async {
-                let (number, result) = first_called(&mut calls).await;
-                Wakeup::Called(number, result)
+                let (number, result) = first_completed_call(&mut calls).await;
+                Wakeup::CallCompleted(number, result)
             };
             match future::or(future::or(next_message(inbox), called), call_due).await {
-                Wakeup::Called(_, Ok(watch)) => return Ok(watch),
-                Wakeup::Called(number, Err(reason)) => {
-                    self.caller.call_failed(context.clock.now().0, number, failure(reason));
+                Wakeup::CallCompleted(_, Ok(watch)) => return Ok(watch),
+                Wakeup::CallCompleted(number, Err(reason)) => {
+                    self.caller.call_failed(context.clock.now().0, number, classify_failure(reason));
                 }
-                // The address may have changed: a watch at the old one is of no use.
+                // The address may have changed, which makes a watch at the old one useless.
                 Wakeup::Message(message) => return Err(close_reason(message)),
                 Wakeup::Received(_) => {}
                 Wakeup::Due => {
@@ -173,7 +173,7 @@
         let context = self.context.clone();
         let (mut last_alive, mut has_reported, mut has_received) = (context.clock.now(), false, false);
         loop {
-            match self.take_objects(watch).await {
+            match self.apply_objects(watch).await {
                 Ok(count) => {
                     // A watch without changes is established all the same: the scheduler must not ask for another.
                     if !std::mem::replace(&mut has_reported, true) && count == 0 {
@@ -190,7 +190,7 @@
             if watch.is_done {
                 return CloseReason::Done;
             }
-            if std::mem::take(&mut has_received) && watch.objects.take_is_alive() {
+            if std::mem::take(&mut has_received) && watch.objects.take_has_activity() {
                 last_alive = context.clock.now();
             }
             let received = async { Wakeup::Received(watch.receive().await) };
@@ -200,7 +200,7 @@
             };
             match future::or(future::or(next_message(inbox), received), timed_out).await {
                 Wakeup::Received(Ok(())) => has_received = true,
-                Wakeup::Called(..) => {}
+                Wakeup::CallCompleted(..) => {}
                 Wakeup::Received(Err(reason)) => return reason,
                 Wakeup::Message(message) => return close_reason(message),
                 Wakeup::Due => return CloseReason::Timeout,
@@ -209,11 +209,11 @@
     }
 
     /// Applies the objects that have arrived on a watch. Returns their number.
-    async fn take_objects(&mut self, watch: &mut Watch) -> Result<u64, CloseReason> {
+    async fn apply_objects(&mut self, watch: &mut Watch) -> Result<u64, CloseReason> {
         let mut count = 0;
-        self.context.lifecycle.has_heard_discovery.set(true);
+        self.context.lifecycle.has_discovery_data.set(true);
         loop {
-            let object = match watch.first.take() {
+            let object = match watch.first_object.take() {
                 Some(object) => Some(object),
                 None => watch.objects.next_object().map_err(|error| protocol_error(&error))?,
             };
@@ -227,7 +227,7 @@
                     .send(SchedulerMessage::Endpoints(self.pool.update_from_discovery(&targets)))
                     .await,
             );
-            self.context.lifecycle.serving.set(true);
+            self.context.lifecycle.is_serving.set(true);
         }
     }
 }
--- a/crates/gateway/src/discovery/json_stream.rs
+++ b/crates/gateway/src/discovery/json_stream.rs
@@ -23,7 +23,7 @@
     is_escaped: bool,
     /// Whether a line has ended between objects since `take_line_end`.
     has_line_end: bool,
-    /// Whether anything but blanks has arrived since `take_is_alive`.
+    /// Whether anything but whitespace has arrived since `take_has_activity`.
     has_content: bool,
 }
 
@@ -90,9 +90,9 @@
         std::mem::take(&mut self.has_line_end)
     }
 
-    /// Whether the stream has shown a sign of life since the last call. Within an object blanks alone are none: it may have broken
-    /// off there.
-    pub fn take_is_alive(&mut self) -> bool {
+    /// Whether the stream has been active since the last call. Whitespace within an object does not count: the sender may have
+    /// stopped in the middle of it.
+    pub fn take_has_activity(&mut self) -> bool {
         std::mem::take(&mut self.has_content) || self.depth == 0
     }
 
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -19,7 +19,7 @@
     /// The objects that have arrived on it.
     pub objects: JsonStream,
     /// The first object, where the watch began with one.
-    pub first: Option<Range<usize>>,
+    pub first_object: Option<Range<usize>>,
     /// Whether its answer has ended regularly.
     pub is_done: bool,
     length: Option<BodyLength>,
@@ -51,7 +51,7 @@
         stream.reason = CloseReason::Replaced;
         let (objects, chunks) = (JsonStream::default(), ChunkDecoder::default());
         let mut watch =
-            Box::new(Watch { stream, objects, first: None, is_done: false, length: None, chunks });
+            Box::new(Watch { stream, objects, first_object: None, is_done: false, length: None, chunks });
         loop {
             let established = match watch.receive().await {
                 Ok(()) => watch.is_established(),
@@ -69,8 +69,8 @@
     }
 
     fn is_established(&mut self) -> Result<bool, CloseReason> {
-        self.first = self.objects.next_object().map_err(|error| protocol_error(&error))?;
-        let is_established = self.first.is_some() || self.objects.take_line_end();
+        self.first_object = self.objects.next_object().map_err(|error| protocol_error(&error))?;
+        let is_established = self.first_object.is_some() || self.objects.take_line_end();
         if !is_established && self.is_done {
             // The answer has ended, and was empty.
             return Err(CloseReason::Done);
--- a/crates/gateway/src/iscsi/request.rs
+++ b/crates/gateway/src/iscsi/request.rs
@@ -24,7 +24,7 @@
     // The scheduler expects no larger requests.
     let max_units = (config.settings.max_request_units as u32).max(1);
     Some(Request {
-        name: format!("{:016x}", context.number().0).into(),
+        name: format!("{:016x}", context.next_request_id().0).into(),
         class,
         plan: config.plan(&lun.plan)?,
         is_write: body.is_some(),
--- a/crates/gateway/src/iscsi/server.rs
+++ b/crates/gateway/src/iscsi/server.rs
@@ -67,7 +67,7 @@
     let on_accept = |socket, address| {
         context.executor.spawn(serve(target.clone(), slots.clone(), socket, address)).detach();
     };
-    let has_slot = || context.gauges.clients.get() < context.client_limit();
+    let has_slot = || context.gauges.client_connections.get() < context.client_limit();
     let shutdown = async || future::pending().await;
     accept(listener, has_slot, async || slots.evict_idle().await, on_accept, shutdown).await;
 }
@@ -89,7 +89,7 @@
 /// Drives a session until its connection is to be closed.
 async fn serve(target: Rc<TargetContext>, slots: Rc<ConnectionSlots>, socket: Socket, address: SocketAddr) {
     let context = target.context.clone();
-    let _count = Count::up(&context.gauges, |gauges| &gauges.clients);
+    let _count = Count::new(&context.gauges, |gauges| &gauges.client_connections);
     let mut stream = Connection::new(socket, "initiator", address, BUFFER_BYTES);
     // The listener holds one more reference.
     if Rc::strong_count(&target) > MAX_SESSIONS + 1 {
@@ -170,7 +170,7 @@
         Wakeup::Closed(CloseReason::Replaced)
     };
     let timer = async {
-        let is_stopping = context.lifecycle.stopping.get().is_some();
+        let is_stopping = context.lifecycle.stopping_since.get().is_some();
         Timer::after(if is_stopping { SHUTDOWN_CHECK_INTERVAL } else { CHECK_INTERVAL }).await;
         Wakeup::Timer
     };
--- a/crates/gateway/src/iscsi/session.rs
+++ b/crates/gateway/src/iscsi/session.rs
@@ -53,8 +53,8 @@
     /// Creates a session that is not logged in yet. `answers` receives the final answers, each with the number of its task.
     pub fn new(shared: Rc<TargetContext>, answers: Sender<(u64, Answer)>) -> Session {
         Session {
-            target: Target::new(shared.description.clone(), shared.context.session()),
-            number: shared.context.number().0,
+            target: Target::new(shared.description.clone(), shared.context.next_session_number()),
+            number: shared.context.next_request_id().0,
             name: None,
             replaced: async_channel::bounded(1),
             answers,
@@ -117,7 +117,7 @@
                 let task = number.and_then(|number| self.tasks.remove(&number));
                 if let Some(id) = task.and_then(|task| task.read) {
                     // The mailbox is closed only at the end of the process.
-                    drop(self.shared.scheduler.send(SchedulerMessage::Left(id)).await);
+                    drop(self.shared.scheduler.send(SchedulerMessage::ClientLeft(id)).await);
                 }
             }
             Event::Acknowledged(end) => self.acknowledge(end).await,
@@ -135,11 +135,11 @@
     }
 
     fn begin_read(&mut self, tag: u32, lun: u8, lba: u64, blocks: u32) {
-        let id = self.shared.context.number();
+        let id = self.shared.context.next_request_id();
         let request = request(&self.shared.context, &self.shared.iscsi, lun, lba, blocks, None);
         let task = Task { tag, is_write: false, read: Some(id), key: None };
         self.submit(task, request, |shared, request, ticket| {
-            shared.scheduler.try_send(SchedulerMessage::Take(id, request, ticket)).is_ok()
+            shared.scheduler.try_send(SchedulerMessage::Submit(id, request, ticket)).is_ok()
         });
     }
 
@@ -240,7 +240,7 @@
         for task in self.tasks.into_values() {
             // A write that has begun continues, and its result is recorded. The mailboxes are closed only at the end of the process.
             match (task.read, task.key) {
-                (Some(id), _) => drop(self.shared.scheduler.send(SchedulerMessage::Left(id)).await),
+                (Some(id), _) => drop(self.shared.scheduler.send(SchedulerMessage::ClientLeft(id)).await),
                 (None, Some(key)) => drop(self.shared.record.send(RecordMessage::SessionEnded(key)).await),
                 (None, None) => {}
             }
--- a/crates/gateway/src/iscsi/write_record.rs
+++ b/crates/gateway/src/iscsi/write_record.rs
@@ -198,9 +198,9 @@
             Wakeup::Message(Some(RecordMessage::Begin(key, request, ticket))) => {
                 if let BeginOutcome::Submit(number) = record.begin(key.clone(), ticket) {
                     let ticket = Ticket { slot: number, to: answers.clone(), class: request.class };
-                    let id = context.number();
+                    let id = context.next_request_id();
                     record.record_submission(&key, id);
-                    if scheduler.try_send(SchedulerMessage::Take(id, request, ticket)).is_err() {
+                    if scheduler.try_send(SchedulerMessage::Submit(id, request, ticket)).is_err() {
                         record.record_answer(context.clock.now(), number, Answer::Rejected(None));
                     }
                 }
--- a/crates/gateway/src/lifecycle/handover.rs
+++ b/crates/gateway/src/lifecycle/handover.rs
@@ -21,7 +21,7 @@
     if let Err(error) = lock.take() {
         crate::log::line(format_args!("handover error={error}"));
     }
-    context.lifecycle.other.set(lock.other_process());
+    context.lifecycle.other_process.set(lock.other_process());
     Some(lock)
 }
 
@@ -46,7 +46,7 @@
         });
         let (checked_lock, found, persisted) = check.await;
         lock = checked_lock;
-        let before = context.lifecycle.other.replace(found);
+        let before = context.lifecycle.other_process.replace(found);
         if std::mem::discriminant(&before) != std::mem::discriminant(&found) {
             crate::log::line(format_args!("handover other={found:?}"));
             // The mailbox is closed only at the end of the process.
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -30,11 +30,11 @@
         let (has_discovery_changed, has_static_list) =
             (new.discovery != old.discovery, new.discovery.is_none());
         let known = new.known.clone();
-        context.configure(new);
+        context.set_config(new);
         context.counters.reloads.set(context.counters.reloads.get() + 1);
         if has_static_list {
             self.apply_list(&known, |update| update).await;
-            context.lifecycle.serving.set(context.lifecycle.serving.get() || !known.targets.is_empty());
+            context.lifecycle.is_serving.set(context.lifecycle.is_serving.get() || !known.targets.is_empty());
         }
         if has_discovery_changed {
             // The mailbox is closed only at the end of the process.
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -65,7 +65,7 @@
         let context = &self.context;
         context.begin_stopping();
         let since = context.clock.now();
-        let (open, clients) = (context.counters.open.get(), context.gauges.clients.get());
+        let (open, clients) = (context.counters.open.get(), context.gauges.client_connections.get());
         crate::log::line(format_args!("stop open={open} clients={clients}"));
         self.send_to_scheduler(SchedulerMessage::Stopping).await;
         self.wait_for_answers(signals, since).await;
@@ -100,7 +100,7 @@
             }
             let now = context.clock.now();
             let elapsed = now.0 - since.0;
-            if context.gauges.clients.get() > 0 {
+            if context.gauges.client_connections.get() > 0 {
                 last_client = now;
             }
             let min_shutdown = if context.has_successor() { 0 } else { MIN_SHUTDOWN_US };
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -18,7 +18,7 @@
 use crate::messages::{SchedulerMessage, SCHEDULER_MAILBOX_CAPACITY};
 use crate::net::listeners::{self, bind, AddressSharing, ListenError};
 use crate::scatter_gather;
-use crate::scatter_gather::handle::Gathering;
+use crate::scatter_gather::handle::GatherHandle;
 use crate::scheduler_actor;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
@@ -79,7 +79,7 @@
     let Operators { context, scheduler, pool, suspensions, .. } = operators.clone();
     let config = context.config();
     let sharing = begin_handover(&operators);
-    let is_successor = context.lifecycle.other.get() != OtherProcess::None;
+    let is_successor = context.lifecycle.other_process.get() != OtherProcess::None;
     let signals = listeners::subscribe_signals().await.map_err(StartError::Signals)?;
     let (discovery, discovery_messages) = async_channel::bounded(4);
     // Suspensions of an earlier process take effect before anything is served.
@@ -98,7 +98,7 @@
     context.executor.spawn(scheduling).detach();
     let watching = endpoint_list::run(context.clone(), scheduler.clone(), pool.clone(), discovery_messages);
     context.executor.spawn(watching).detach();
-    context.lifecycle.serving.set(!config.known.targets.is_empty());
+    context.lifecycle.is_serving.set(!config.known.targets.is_empty());
     start_coordination(&mut operators, &mut signal_loop).await?;
     start_scatter_gather(&mut operators);
     let gathering = operators.gathering.clone();
@@ -114,8 +114,8 @@
         Some(address) => Some(bind("GW_LISTEN", address, sharing).await?),
         None => None,
     };
-    context.lifecycle.listening.set(true);
-    let (name, address, other) = (&config.name, config.listen, context.lifecycle.other.get());
+    context.lifecycle.is_listening.set(true);
+    let (name, address, other) = (&config.name, config.listen, context.lifecycle.other_process.get());
     crate::log::line(format_args!("start name={name} listen={address:?} other={other:?}"));
     serve_clients(&operators, resp_listener, gathering).await?;
     serve_load_balancers(&context).await?;
@@ -163,7 +163,7 @@
 /// Starts the scatter-gather actor, if the configuration has policies for it.
 fn start_scatter_gather(operators: &mut Operators) {
     let Operators { context, scheduler, pool, .. } = &*operators;
-    let Some((gathering, inbox)) = Gathering::new(&context.config()) else { return };
+    let Some((gathering, inbox)) = GatherHandle::new(&context.config()) else { return };
     let actor = scatter_gather::actor::run(
         context.clone(),
         scheduler.clone(),
@@ -180,7 +180,7 @@
 async fn wait_for_fresh_list(context: &Context) {
     let deadline = context.clock.now().0 + FRESH_LIST_TIMEOUT_US;
     while context.config().discovery.is_some()
-        && !context.lifecycle.has_heard_discovery.get()
+        && !context.lifecycle.has_discovery_data.get()
         && context.clock.now().0 < deadline
     {
         Timer::after(FRESH_LIST_CHECK).await;
@@ -191,7 +191,7 @@
 async fn serve_clients(
     operators: &Operators,
     resp_listener: Option<Async<TcpListener>>,
-    gathering: Option<Gathering>,
+    gathering: Option<GatherHandle>,
 ) -> Result<(), StartError> {
     let Operators { context, scheduler, .. } = operators;
     let slots = ConnectionSlots::new(context.clone());
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error. A line that can't be written is lost; `eprintln!` would panic when the reader of the log has gone.
+//! The log: lines on standard error. A line that can't be written is lost; `eprintln!` would panic once the reader of the log has closed the pipe.
 use std::fmt::Arguments;
 use std::io::{stderr, Write};
 
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -19,13 +19,13 @@
 /// A message to the scheduler's actor.
 pub enum SchedulerMessage {
     /// A request to be scheduled.
-    Take(RequestId, Request, Ticket),
+    Submit(RequestId, Request, Ticket),
     /// The client of a request has disconnected.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// The client of a request has disconnected, and another may still ask for its result.
     Abandoned(RequestId),
     /// An attempt has ended.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// Units that were served for a volume through other gateways, reported after a streamed value.
     RemoteUnits(Rc<str>, f64),
     /// The endpoint list has changed.
--- a/crates/gateway/src/net/dial.rs
+++ b/crates/gateway/src/net/dial.rs
@@ -47,20 +47,20 @@
     }
     let Some(address) = endpoint.address.get() else { return Err(AttemptOutcome::ConnectFailed) };
     // The gateway's own limit says nothing about the backend, so the outcome must not count as a failure of the backend.
-    while context.gauges.upstream.get() >= context.upstream_limit() {
+    while context.gauges.backend_connections.get() >= context.backend_connection_limit() {
         if !(backend.evict_idle_connection)() {
             return Err(AttemptOutcome::NotSent);
         }
         future::yield_now().await;
     }
-    let count = Count::up(&context.gauges, |gauges| &gauges.upstream);
+    let count = Count::new(&context.gauges, |gauges| &gauges.backend_connections);
     let incarnation = endpoint.incarnation.get();
     let now = context.clock.now();
     let connect_deadline = match context.config().settings.connect_timeout.0 {
         0 => attempt.deadline,
         connect_timeout => attempt.deadline.min(Micros(now.0 + connect_timeout)),
     };
-    let capacities = (context.longest_value() + REPLY_OVERHEAD_BYTES, COMMAND_BYTES);
+    let capacities = (context.max_value_bytes() + REPLY_OVERHEAD_BYTES, COMMAND_BYTES);
     let dialled = async { dial(address, capacities).await.or(Err(DialError::Failed)) };
     let given_up = async { Err(give_up(backend, attempt, incarnation, connect_deadline).await) };
     match future::or(dialled, given_up).await {
--- a/crates/gateway/src/scatter_gather/actor.rs
+++ b/crates/gateway/src/scatter_gather/actor.rs
@@ -5,10 +5,10 @@
 use crate::context::Context;
 use crate::counters::AnswerKind;
 use crate::messages::{SchedulerMailbox, SchedulerMessage, Ticket};
-use crate::scatter_gather::handle::{Begin, GatherMessage, Gathering};
+use crate::scatter_gather::handle::{GatherHandle, GatherMessage, GatherRequest};
 use crate::scatter_gather::response::{encode_answer, respond};
 use crate::scatter_gather::shard_requests::{own_zone, shard_request, shard_response, InFlight, OpenGather};
-use crate::scatter_gather::time::{micros, time};
+use crate::scatter_gather::time::{to_micros, to_time};
 use crate::scheduler_actor::MAX_REQUESTS;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -23,13 +23,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// The most gathers, including those that only wait for late responses.
+/// The maximum number of gathers, including those that only wait for late responses.
 const MAX_GATHERS: usize = 1024;
-/// The most shard requests in flight: as many as the scheduler holds requests.
+/// The maximum number of shard requests in flight: the scheduler's maximum of open requests.
 const MAX_SHARD_REQUESTS: usize = MAX_REQUESTS;
 /// How long after its deadline the response to a shard request is still awaited, in microseconds.
 const LATE_RESPONSE_US: i64 = 5_000_000;
-/// When a client that is rejected for lack of room may retry.
+/// The time after which a client may retry that was rejected because there are too many gathers.
 const FULL_RETRY_AFTER: Micros = Micros(100_000);
 
 struct GatherActor {
@@ -57,7 +57,7 @@
     context: Rc<Context>,
     scheduler: SchedulerMailbox,
     pool: Rc<BackendPool>,
-    gathering: Gathering,
+    gathering: GatherHandle,
     inbox: Receiver<GatherMessage>,
 ) {
     // Room for every answer that is awaited, and for those that were under way when their requests were cancelled.
@@ -65,7 +65,7 @@
     let mut actor = GatherActor::new(context, scheduler, pool, answers);
     let (mut inbox, mut answered) = (Box::pin(inbox), Box::pin(answered));
     loop {
-        let next_wakeup = actor.gathers.next_wakeup().map(|at| actor.context.clock.instant(micros(at)));
+        let next_wakeup = actor.gathers.next_wakeup().map(|at| actor.context.clock.instant(to_micros(at)));
         let timer = async {
             match next_wakeup {
                 Some(at) => drop(Timer::at(at).await),
@@ -77,16 +77,16 @@
         let message = async { Wakeup::Message(inbox.next().await) };
         match future::or(future::or(answer, message), timer).await {
             Wakeup::Answer(Some((number, answer))) => actor.take_answer(RequestId(number), answer),
-            Wakeup::Message(Some(GatherMessage::Begin(begin))) => actor.begin(begin),
-            Wakeup::Message(Some(GatherMessage::Left(id))) => actor.client_left(id),
+            Wakeup::Message(Some(GatherMessage::Begin(gather_request))) => actor.begin(gather_request),
+            Wakeup::Message(Some(GatherMessage::ClientLeft(id))) => actor.client_left(id),
             Wakeup::Answer(None) | Wakeup::Message(None) => return,
             Wakeup::Timer => {}
         }
-        // After every event: no gather may be answered later than it is due.
+        // After every event, so that no gather is answered late.
         actor.tick();
         gathering.counters.replace(actor.gathers.shared.counters.clone());
         actor.cancel_requests().await;
-        // Every turn is short, so that the other tasks have theirs.
+        // Yields after each event, so that other tasks can run.
         future::yield_now().await;
     }
 }
@@ -113,31 +113,31 @@
     }
 
     fn now(&self) -> Time {
-        time(self.context.clock.now())
+        to_time(self.context.clock.now())
     }
 
-    fn begin(&mut self, begin: Begin) {
+    fn begin(&mut self, gather_request: GatherRequest) {
         self.update_memory_budget();
-        let client_deadline = begin.request.deadline;
+        let client_deadline = gather_request.request.deadline;
         let deadline = self.context.answer_by().map_or(client_deadline, |by| by.min(client_deadline));
         let mut actions = Vec::new();
-        match self.gathers.start(self.now(), begin.policy.clone(), time(deadline), &mut actions) {
+        match self.gathers.start(self.now(), gather_request.policy.clone(), to_time(deadline), &mut actions) {
             Ok(id) => {
-                self.clients.insert(begin.id, id);
-                let shard_requests = vec![None; begin.policy.requests.len()];
-                self.open.insert(id, OpenGather { begin, shard_requests });
+                self.clients.insert(gather_request.id, id);
+                let shard_requests = vec![None; gather_request.policy.requests.len()];
+                self.open.insert(id, OpenGather { gather_request, shard_requests });
             }
             Err(TooManyGathers) => {
-                self.context.counters.answer(begin.request.class, AnswerKind::Rejected);
-                respond(&begin, encode(Answer::Rejected(Some(FULL_RETRY_AFTER))));
+                self.context.counters.count_answer(gather_request.request.class, AnswerKind::Rejected);
+                respond(&gather_request, encode(Answer::Rejected(Some(FULL_RETRY_AFTER))));
             }
         }
         self.carry_out(actions);
     }
 
-    /// Adapts the budget to the memory limit, whenever nothing is reserved under the budget before.
+    /// Adapts the budget to the memory limit, if nothing is reserved from the previous budget.
     fn update_memory_budget(&mut self) {
-        let limit = self.context.memory() as u64 / config::MEMORY_DIVISOR;
+        let limit = self.context.memory_limit() as u64 / config::MEMORY_DIVISOR;
         let budget = &mut self.gathers.shared.budget;
         if budget.capacity() != limit && budget.reserved() == 0 {
             *budget = MemoryBudget::new(limit);
@@ -166,7 +166,7 @@
             self.gathers.tick(now, &mut actions);
             self.carry_out(actions);
         }
-        // Answers that never arrive must not use up the limit.
+        // Shard requests whose answers never arrive must not exhaust the limit.
         let oldest_deadline = self.context.clock.now().0 - LATE_RESPONSE_US;
         while self.in_flight.first_key_value().is_some_and(|(_, oldest)| oldest.deadline.0 < oldest_deadline)
         {
@@ -186,7 +186,7 @@
         while let Some((id, action)) = pending.pop_front() {
             match action {
                 GatherAction::Send { request, deadline } => {
-                    if !self.submit(id, request, micros(deadline)) {
+                    if !self.submit(id, request, to_micros(deadline)) {
                         let rejected =
                             GatherEvent::Response { request, response: ShardResponse::Rejected(None) };
                         let mut actions = Vec::new();
@@ -196,8 +196,8 @@
                 }
                 GatherAction::Answer(answer) => {
                     if let Some(open) = self.open.remove(&id) {
-                        self.clients.remove(&open.begin.id);
-                        respond(&open.begin, encode_answer(answer));
+                        self.clients.remove(&open.gather_request.id);
+                        respond(&open.gather_request, encode_answer(answer));
                     }
                 }
                 GatherAction::Abandon { request } => self.abandon(id, request),
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Cancels a shard request whose client has left. After an answer shard requests run to their end instead, which tells whether their
-    /// zones are healthy.
+    /// Cancels a shard request whose client has disconnected. After an answer, shard requests run to their end instead, which shows
+    /// whether their zones are healthy.
     fn abandon(&mut self, id: GatherId, index: usize) {
         let shard_request = self.open.get_mut(&id).and_then(|open| open.shard_requests.get_mut(index));
         if let Some(number) = shard_request.and_then(Option::take) {
@@ -218,21 +218,21 @@
     async fn cancel_requests(&mut self) {
         for id in std::mem::take(&mut self.cancelled) {
             // The mailbox is closed only at the end of the process.
-            drop(self.scheduler.send(SchedulerMessage::Left(id)).await);
+            drop(self.scheduler.send(SchedulerMessage::ClientLeft(id)).await);
         }
     }
 
     /// Submits a shard request. Returns false where that is not possible, and nothing ran.
     fn submit(&mut self, id: GatherId, index: usize, deadline: Micros) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
-        let (number, submitted_at) = (self.context.number(), self.context.clock.now());
-        let request = shard_request(&self.context.config(), &open.begin, index, number, deadline);
-        let zone = open.begin.policy.requests.get(index).map(|request| request.zone.clone());
+        let (number, submitted_at) = (self.context.next_request_id(), self.context.clock.now());
+        let request = shard_request(&self.context.config(), &open.gather_request, index, number, deadline);
+        let zone = open.gather_request.policy.requests.get(index).map(|request| request.zone.clone());
         let (Some(request), Some(zone)) = (request, zone) else { return false };
         let ticket = Ticket { slot: number.0, to: self.answers.clone(), class: request.class };
         // The mailbox of answers has room for so many.
         if self.in_flight.len() >= MAX_SHARD_REQUESTS
-            || self.scheduler.try_send(SchedulerMessage::Take(number, request, ticket)).is_err()
+            || self.scheduler.try_send(SchedulerMessage::Submit(number, request, ticket)).is_err()
         {
             return false;
         }
--- a/crates/gateway/src/scatter_gather/handle.rs
+++ b/crates/gateway/src/scatter_gather/handle.rs
@@ -1,5 +1,5 @@
-//! The sessions' side of the scatter-gather actor. Without a table `[[gather]]` in an operator's file there is no handle, and the actor is
-//! never started.
+//! The sessions' handle to the scatter-gather actor. Without a table `[[gather]]` in the configuration file there is no handle, and the
+//! actor is not started.
 use crate::client::response::EncodedResponse;
 use async_channel::{Receiver, Sender};
 use config::Config;
@@ -16,7 +16,7 @@
 const MAILBOX_CAPACITY: usize = 4096;
 
 /// A client's request whose response is gathered from shards.
-pub struct Begin {
+pub struct GatherRequest {
     /// Its number.
     pub id: RequestId,
     /// What is gathered, and what counts as complete.
@@ -32,9 +32,9 @@
 /// A message to the actor.
 pub enum GatherMessage {
     /// A client's request.
-    Begin(Begin),
+    Begin(GatherRequest),
     /// The client of that request has disconnected.
-    Left(RequestId),
+    ClientLeft(RequestId),
 }
 
 /// Policies by volume and piece.
@@ -42,16 +42,16 @@
 
 /// A handle to the actor.
 #[derive(Clone)]
-pub struct Gathering {
+pub struct GatherHandle {
     policies: Rc<PolicyTable>,
     mailbox: Sender<GatherMessage>,
     /// The actor's counters, as it last published them.
     pub(crate) counters: Rc<RefCell<Counters>>,
 }
 
-impl Gathering {
+impl GatherHandle {
     /// A handle, and the inbox for its actor; `None` where the configuration has no policies.
-    pub fn new(config: &Config) -> Option<(Gathering, Receiver<GatherMessage>)> {
+    pub fn new(config: &Config) -> Option<(GatherHandle, Receiver<GatherMessage>)> {
         let mut policies = PolicyTable::new();
         for policy in &config.gather_policies {
             if let Ok(piece) = u64::from_str_radix(&policy.piece, 16) {
@@ -59,7 +59,7 @@
             }
         }
         let (mailbox, inbox) = async_channel::bounded(MAILBOX_CAPACITY);
-        let handle = Gathering { policies: Rc::new(policies), mailbox, counters: Rc::default() };
+        let handle = GatherHandle { policies: Rc::new(policies), mailbox, counters: Rc::default() };
         (!config.gather_policies.is_empty()).then_some((handle, inbox))
     }
 
@@ -72,14 +72,14 @@
     }
 
     /// Hands a request to the actor. Returns false where its mailbox is full.
-    pub fn begin(&self, begin: Begin) -> bool {
-        self.mailbox.try_send(GatherMessage::Begin(begin)).is_ok()
+    pub fn begin(&self, gather_request: GatherRequest) -> bool {
+        self.mailbox.try_send(GatherMessage::Begin(gather_request)).is_ok()
     }
 
     /// Tells the actor that the client of a request has disconnected.
     pub async fn left(&self, id: RequestId) {
         // The mailbox is closed only at the end of the process.
-        drop(self.mailbox.send(GatherMessage::Left(id)).await);
+        drop(self.mailbox.send(GatherMessage::ClientLeft(id)).await);
     }
 
     /// Appends the metrics, one `NAME=VALUE` a line.
@@ -105,14 +105,14 @@
 /// A session's side of the actor.
 pub struct GatherClient {
     /// The actor.
-    pub gathering: Gathering,
+    pub gathering: GatherHandle,
     /// Where gathered responses arrive.
     pub responses: (Sender<GatheredResponse>, Receiver<GatheredResponse>),
 }
 
 impl GatherClient {
     /// For a session that awaits `max_pending` responses at most.
-    pub fn new(gathering: Gathering, max_pending: usize) -> GatherClient {
+    pub fn new(gathering: GatherHandle, max_pending: usize) -> GatherClient {
         GatherClient { gathering, responses: async_channel::bounded(max_pending) }
     }
 }
--- a/crates/gateway/src/scatter_gather/response.rs
+++ b/crates/gateway/src/scatter_gather/response.rs
@@ -2,7 +2,7 @@
 //! names what is missing, and a failure as an error with its reason.
 use crate::backend::value;
 use crate::client::response::{encode, EncodedResponse};
-use crate::scatter_gather::handle::Begin;
+use crate::scatter_gather::handle::GatherRequest;
 use dispatch::Bytes;
 use scatter_gather::{Answer, Gathered, Reservation};
 use scheduler::interface::Micros;
@@ -23,7 +23,7 @@
 fn encode_gathered(gathered: Gathered<Bytes>) -> EncodedResponse {
     let status = (!gathered.is_complete()).then(|| gathered.status().to_string());
     let (values, reservations): (Vec<Bytes>, Vec<Reservation>) =
-        gathered.into_values().into_iter().flatten().map(|held| (held.value, held.reservation)).unzip();
+        gathered.into_values().into_iter().flatten().map(|part| (part.value, part.reservation)).unzip();
     let length: usize = values.iter().map(|value| value.len()).sum();
     let head = match status {
         None => format!("${length}\r\n"),
@@ -40,7 +40,7 @@
     EncodedResponse::Pieces(pieces, reservations)
 }
 
-/// Puts the response into the session's mailbox, which has room for all that it awaits; a closed one belongs to a client that has left.
-pub fn respond(begin: &Begin, response: EncodedResponse) {
-    drop(begin.to.try_send((begin.slot, response)));
+/// Puts the response into the session's mailbox, which has room for all that it awaits; a closed one belongs to a client that has disconnected.
+pub fn respond(gather_request: &GatherRequest, response: EncodedResponse) {
+    drop(gather_request.to.try_send((gather_request.slot, response)));
 }
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -2,7 +2,7 @@
 use crate::backend::pool::BackendPool;
 use crate::backend::value::{Answer, Value};
 use crate::context::Context;
-use crate::scatter_gather::handle::Begin;
+use crate::scatter_gather::handle::GatherRequest;
 use cluster_types::Zone;
 use config::Config;
 use dispatch::{Bytes, Extent, Request};
@@ -17,7 +17,7 @@
 /// A gather that is not answered yet.
 pub struct OpenGather {
     /// The client's request.
-    pub begin: Begin,
+    pub gather_request: GatherRequest,
     /// For each shard request its number, once it was submitted.
     pub shard_requests: Vec<Option<RequestId>>,
 }
@@ -39,12 +39,12 @@
 /// A shard request; `None` where the effective configuration does not have what it names.
 pub fn shard_request(
     config: &Config,
-    begin: &Begin,
+    gather_request: &GatherRequest,
     index: usize,
     number: RequestId,
     deadline: Micros,
 ) -> Option<Request> {
-    let (policy, client) = (&begin.policy, &begin.request);
+    let (policy, client) = (&gather_request.policy, &gather_request.request);
     let part = policy.requests.get(index)?;
     let volume = &policy.volume_of(part).0;
     let (piece, extent, units) = match (&part.piece, &part.blocks) {
@@ -74,7 +74,7 @@
         volume_gateways: client.volume_gateways,
         extra: client.extra.clone(),
         body: None,
-        // A streamed value could break off, and the shard has to count as missing then.
+        // A streamed value can fail midway, when its shard can no longer be reported as missing.
         accepts_stream: false,
         extent,
         deadline,
@@ -103,8 +103,8 @@
     }
 }
 
-/// Whether a backend of the shard request's zone has answered anything since that was submitted: then the zone is reachable, and the
-/// failure says nothing against it.
+/// Whether a backend of the shard request's zone has answered since the request was submitted: then the zone is reachable, and the
+/// failure is no evidence against it.
 fn is_zone_reachable(context: &Context, pool: &BackendPool, in_flight: &InFlight) -> bool {
     let config = context.config();
     pool.endpoints().iter().any(|endpoint| {
--- a/crates/gateway/src/scheduler_actor.rs
+++ b/crates/gateway/src/scheduler_actor.rs
@@ -11,7 +11,7 @@
 use scheduler::interface::{AttemptOutcome, Micros, RequestId, Settings, SettingsError};
 use std::rc::Rc;
 
-/// The most open requests.
+/// The maximum number of open requests.
 pub const MAX_REQUESTS: usize = 4096;
 /// How often the rejection rate is computed, in microseconds.
 const RATE_INTERVAL_US: i64 = 1_000_000;
@@ -78,10 +78,10 @@
     fn handle(&mut self, message: SchedulerMessage) {
         let now = self.context.clock.now();
         match message {
-            SchedulerMessage::Take(id, request, ticket) => self.submit(now, id, request, ticket),
-            SchedulerMessage::Left(id) => self.dispatcher.client_left(now, id),
+            SchedulerMessage::Submit(id, request, ticket) => self.submit(now, id, request, ticket),
+            SchedulerMessage::ClientLeft(id) => self.dispatcher.client_left(now, id),
             SchedulerMessage::Abandoned(id) => self.dispatcher.abandon(now, id),
-            SchedulerMessage::Ended(end) => self.dispatcher.attempt_ended(now, end),
+            SchedulerMessage::AttemptEnded(end) => self.dispatcher.attempt_ended(now, end),
             SchedulerMessage::RemoteUnits(volume, units) => self.dispatcher.add_remote_units(volume, units),
             SchedulerMessage::Endpoints(update) => self.dispatcher.update_endpoints(now, update),
             SchedulerMessage::Reload(None) => self.dispatcher.counters.reload_errors += 1,
@@ -104,7 +104,7 @@
     fn submit(&mut self, now: Micros, id: RequestId, mut request: Request, ticket: Ticket) {
         // During the shutdown everything has to be answered before SIGKILL. A streamed value may still be arriving then, so values are
         // held until they are complete.
-        request.accepts_stream &= self.context.lifecycle.stopping.get().is_none();
+        request.accepts_stream &= self.context.lifecycle.stopping_since.get().is_none();
         if let Some(deadline) = self.context.answer_by() {
             request.deadline = deadline.min(request.deadline);
         }
@@ -135,14 +135,14 @@
         while let Some(effect) = self.dispatcher.effects.pop_front() {
             match effect {
                 Effect::StartAttempt(attempt) => {
-                    // A full mailbox says nothing about the backend: the attempt was not sent.
+                    // A full mailbox is no failure of the backend: the attempt was not sent.
                     if !self.pool.start(attempt.clone()) {
                         let now = self.context.clock.now();
                         self.dispatcher.attempt_ended(now, attempt.ended(AttemptOutcome::NotSent));
                     }
                 }
                 Effect::Respond(ticket, answer) => self.respond(ticket, answer),
-                // A full mailbox holds the same request already.
+                // A full mailbox already contains the same request.
                 Effect::Watch => drop(self.discovery.try_send(DiscoveryMessage::Watch)),
             }
         }
@@ -154,8 +154,8 @@
             Answer::Rejected(_) => AnswerKind::Rejected,
             Answer::Failed(_) => AnswerKind::Failed,
         };
-        self.context.counters.answer(ticket.class, kind);
-        // The mailbox has room for every answer that its session awaits; a closed one belongs to a client that has left.
+        self.context.counters.count_answer(ticket.class, kind);
+        // The mailbox has room for every answer that its session awaits; a closed one belongs to a client that has disconnected.
         drop(ticket.to.try_send((ticket.slot, answer)));
     }
 
@@ -175,16 +175,16 @@
     }
 }
 
-/// An eighth of the memory for open requests; ring buffers and unsent responses have an eighth each, too.
+/// The capacity for open requests: an eighth of the memory. Ring buffers and unsent responses have an eighth each.
 fn capacity(context: &Context) -> Capacity {
-    Capacity { requests: MAX_REQUESTS, bytes: context.memory() / 8 }
+    Capacity { requests: MAX_REQUESTS, bytes: context.memory_limit() / 8 }
 }
 
 /// The settings for this process: while another process of the gateway is alive each has half of the limits and of the slow-start
 /// budgets, which apply to both together.
 pub fn shared_settings(context: &Context, settings: &Settings) -> Settings {
     let mut settings = settings.clone();
-    if context.lifecycle.other.get() != OtherProcess::None {
+    if context.lifecycle.other_process.get() != OtherProcess::None {
         settings.plans.iter_mut().for_each(|plan| plan.limit_rate /= 2.0);
         settings.slow_start.safe_units /= 2.0;
     }
--- a/crates/gateway/tests/effective_config.rs
+++ b/crates/gateway/tests/effective_config.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 use cluster_types::Index;
 use config_distribution::{Change, Class, Key, Topic};
-use gateway::config_overlay::effective::{encode, EffectiveConfig, Next, Rejection};
+use gateway::config_overlay::effective::{encode, EffectiveConfig, PreparedUpdate, Rejection};
 use scheduler::interface::BackendState;
 use serde_json::{json, Value};
 
@@ -13,7 +13,11 @@
     Change { version: Index(1), class: Class::Configuration, key, value }
 }
 
-fn next(values: &EffectiveConfig, is_snapshot: bool, changes: &[Change]) -> Result<Next, Vec<Rejection>> {
+fn next(
+    values: &EffectiveConfig,
+    is_snapshot: bool,
+    changes: &[Change],
+) -> Result<PreparedUpdate, Vec<Rejection>> {
     let config = config::read("front.toml", FILE).unwrap();
     let configure = |overlay: &[Value]| config.apply_overlay(|_| None, overlay);
     values.next(is_snapshot, changes, &config, configure)
--- a/crates/gateway/tests/json_stream.rs
+++ b/crates/gateway/tests/json_stream.rs
@@ -30,13 +30,13 @@
     let mut objects = JsonStream::default();
     objects.buffer().extend_from_slice(b"\n");
     assert_eq!(objects.next_object(), Ok(None));
-    assert!(objects.take_line_end() && objects.take_is_alive(), "a heartbeat");
+    assert!(objects.take_line_end() && objects.take_has_activity(), "a heartbeat");
     objects.buffer().extend_from_slice(b"{\n \"a\":");
     assert_eq!(objects.next_object(), Ok(None));
-    assert!(!objects.take_line_end() && objects.take_is_alive());
+    assert!(!objects.take_line_end() && objects.take_has_activity());
     objects.buffer().extend_from_slice(b"\n\n");
     assert_eq!(objects.next_object(), Ok(None));
-    assert!(!objects.take_line_end() && !objects.take_is_alive(), "a heartbeat within an object is none");
+    assert!(!objects.take_line_end() && !objects.take_has_activity(), "a heartbeat within an object is none");
 }
 
 #[test]
--- a/crates/gateway/tests/responses.rs
+++ b/crates/gateway/tests/responses.rs
@@ -19,5 +19,5 @@
     pending.drain(..2);
     assert!(is_value(&PendingResponse::new(&context, value())));
     drop(pending);
-    assert_eq!(context.gauges.unsent.get(), 0);
+    assert_eq!(context.gauges.unsent_bytes.get(), 0);
 }
