--- a/crates/gateway/src/backend/iscsi_exchange.rs
+++ b/crates/gateway/src/backend/iscsi_exchange.rs
@@ -27,8 +27,11 @@
             Some(body) => body.len().div_ceil(BLOCK_BYTES) as u32,
             None => request.units.saturating_mul(lun.unit_blocks),
         };
-        let most = (iscsi::MAX_DATA_BYTES / BLOCK_BYTES) as u32;
-        Extent { first: piece * u64::from(lun.piece_blocks), blocks: blocks.clamp(1, most.min(lun.blocks)) }
+        let max_blocks = (iscsi::MAX_DATA_BYTES / BLOCK_BYTES) as u32;
+        Extent {
+            first: piece * u64::from(lun.piece_blocks),
+            blocks: blocks.clamp(1, max_blocks.min(lun.blocks)),
+        }
     });
     Some((lun.lun, extent))
 }
--- a/crates/gateway/src/config_overlay/actor.rs
+++ b/crates/gateway/src/config_overlay/actor.rs
@@ -104,7 +104,7 @@
     /// Applies an update, or rejects it, and reports which.
     async fn take_update(&self, update: ConfigUpdate) {
         let ConfigUpdate { is_complete, changes } = &update;
-        let rejections = match self.next(*is_complete, changes) {
+        let rejections = match self.prepare_update(*is_complete, changes) {
             Ok(next) => {
                 self.apply(next).await;
                 let newest = changes.iter().map(|change| change.version.0).max().unwrap_or(0);
@@ -125,10 +125,14 @@
         self.handle.report_apply_result(reported.collect()).await;
     }
 
-    fn next(&self, is_snapshot: bool, changes: &[Change]) -> Result<PreparedUpdate, Vec<Rejection>> {
+    fn prepare_update(
+        &self,
+        is_snapshot: bool,
+        changes: &[Change],
+    ) -> Result<PreparedUpdate, Vec<Rejection>> {
         let config = self.context.config();
         let configure = |overlay: &[Value]| config.apply_overlay(|key| std::env::var(key).ok(), overlay);
-        self.values.borrow().next(is_snapshot, changes, &config, configure)
+        self.values.borrow().prepare_update(is_snapshot, changes, &config, configure)
     }
 
     async fn apply(&self, next: PreparedUpdate) {
--- a/crates/gateway/src/config_overlay/effective.rs
+++ b/crates/gateway/src/config_overlay/effective.rs
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// The rejected keys; then nothing is to be applied.
-    pub fn next(
+    pub fn prepare_update(
         &self,
         is_snapshot: bool,
         changes: &[Change],
@@ -155,7 +155,7 @@
                 Err(fault) => return Err(self.find_faulty(&values, fault, &configure)),
             }
         }
-        backends.extend(self.released(&values, config));
+        backends.extend(self.withdrawn_backends(&values, config));
         Ok(PreparedUpdate { values, config: next_config, backends, unknown_keys })
     }
 
@@ -215,12 +215,12 @@
 
     /// Backends that are no longer in the distributed configuration: as the file lists them, else marked as gone. With discovery this
     /// is left to its next update.
-    fn released(&self, values: &EffectiveConfig, config: &Config) -> Vec<Target> {
+    fn withdrawn_backends(&self, values: &EffectiveConfig, config: &Config) -> Vec<Target> {
         if config.discovery.is_some() {
             return vec![];
         }
         let (before, after) = (self.backends(), values.backends());
-        let released = before.into_iter().filter(|(backend, _)| !after.contains_key(backend));
+        let withdrawn = before.into_iter().filter(|(backend, _)| !after.contains_key(backend));
         let as_listed = |(backend, mut target): (BackendId, Target)| {
             let listed = config.known.targets.iter().find(|target| target.entry.backend == backend);
             listed.cloned().unwrap_or_else(|| {
@@ -228,7 +228,7 @@
                 target
             })
         };
-        released.map(as_listed).collect()
+        withdrawn.map(as_listed).collect()
     }
 }
 
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -21,8 +21,8 @@
         let all = self.config().limits.sockets.min(MAX_DESCRIPTORS);
         match self.lifecycle.other_process.get() {
             OtherProcess::None => all,
-            OtherProcess::Predecessor(held) | OtherProcess::Successor(held) => {
-                all.saturating_sub(held + HANDOVER_MARGIN).max(all / 4)
+            OtherProcess::Predecessor(used) | OtherProcess::Successor(used) => {
+                all.saturating_sub(used + HANDOVER_MARGIN).max(all / 4)
             }
         }
     }
--- a/crates/gateway/src/scatter_gather/shard_requests.rs
+++ b/crates/gateway/src/scatter_gather/shard_requests.rs
@@ -53,9 +53,9 @@
             // The same mapping as that of the iSCSI target.
             let lun = config.iscsi.as_ref()?.luns.iter().find(|lun| *lun.volume == **volume)?;
             let count = u32::try_from(blocks.len()).ok()?;
-            let most = (config.settings.max_request_units as u32).max(1);
+            let max_units = (config.settings.max_request_units as u32).max(1);
             let piece = format!("{:016x}", blocks.first / u64::from(lun.piece_blocks.max(1)));
-            let units = count.div_ceil(lun.unit_blocks.max(1)).clamp(1, most);
+            let units = count.div_ceil(lun.unit_blocks.max(1)).clamp(1, max_units);
             (piece.into(), Some(Extent { first: blocks.first, blocks: count }), units)
         }
         _ => return None,
--- a/crates/gateway/src/scheduler_actor.rs
+++ b/crates/gateway/src/scheduler_actor.rs
@@ -29,9 +29,9 @@
     let mut actor = SchedulerActor::new(context, pool, discovery)?;
     let mut inbox = Box::pin(inbox);
     loop {
-        let wake = actor.dispatcher.next_timer().map(|at| actor.context.clock.instant(at));
+        let next_timer = actor.dispatcher.next_timer().map(|at| actor.context.clock.instant(at));
         let timer = async {
-            match wake {
+            match next_timer {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
--- a/crates/gateway/tests/effective_config.rs
+++ b/crates/gateway/tests/effective_config.rs
@@ -20,7 +20,7 @@
 ) -> Result<PreparedUpdate, Vec<Rejection>> {
     let config = config::read("front.toml", FILE).unwrap();
     let configure = |overlay: &[Value]| config.apply_overlay(|_| None, overlay);
-    values.next(is_snapshot, changes, &config, configure)
+    values.prepare_update(is_snapshot, changes, &config, configure)
 }
 
 #[test]
