--- a/crates/coordination/src/log_thread/frames.rs
+++ b/crates/coordination/src/log_thread/frames.rs
@@ -1,8 +1,8 @@
-//! Handling frames, and sending commands to the leader.
+//! Handles frames, and sends commands to the leader.
 use crate::clock::unix_time_ms;
 use crate::frame::Frame;
-use crate::log_thread::measured::Measured;
 use crate::log_thread::pending_command::PendingCommand;
+use crate::log_thread::received_measurements::ReceivedMeasurements;
 use crate::log_thread::thread::LogThread;
 use crate::operator_call::ResponseSender;
 use crate::state_machine::{Command, Entry};
@@ -19,8 +19,9 @@
             }
             Frame::Forward { ticket, command } => self.propose(now, from, ticket, command),
             Frame::Measured { requested_at, applied_index, measurements } => {
-                let measured = Measured { received_at: now, applied_index, measurements: *measurements };
-                self.measured.insert(from.clone(), measured);
+                let measured =
+                    ReceivedMeasurements { received_at: now, applied_index, measurements: *measurements };
+                self.latest_measurements.insert(from.clone(), measured);
                 self.grant_lease(now, &from, requested_at);
             }
             Frame::Reports(reports) => self.forward_reports(reports),
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Grants a member a lease, only while no other member can lead: a leader that was cut off must not go on granting.
+    /// Grants a member a lease, but only while no other member can be leader: an isolated leader must not continue to grant
+    /// leases.
     fn grant_lease(&mut self, now: Time, to: &MemberId, requested_at: u64) {
         if self.raft.lease_expiry(now).is_none() {
             return;
@@ -41,15 +43,15 @@
         self.outboxes.send(to, &Frame::Lease { requested_at, span_us });
     }
 
-    /// Takes a lease. It runs from when it was requested, by this member's clock, and ends early by what clocks may differ.
+    /// Accepts a lease. It starts at the time of the request by this member's clock, and is shortened by the maximum clock drift.
     pub(crate) fn accept_lease(&mut self, requested_at: Time, span: Duration) {
         let span = span.min(self.settings.lease).mul_f64(1.0 - self.settings.max_clock_drift);
         let until = requested_at + span;
         let now = self.clock.now();
-        self.handle_local_event(now, maintenance::Event::LeaseRenewed { until });
+        self.handle_agent_event(now, maintenance::Event::LeaseRenewed { until });
     }
 
-    /// Proposes a command, where this member leads.
+    /// Proposes a command, if this member is the leader.
     pub(crate) fn propose(&mut self, now: Time, by: MemberId, ticket: u64, command: Command) {
         if self.raft.role() != Role::Leader {
             return;
@@ -62,7 +64,7 @@
         self.handle_raft_event(event);
     }
 
-    /// Submits a command of this member, which is sent to the leader until it is in the log or its time has run out.
+    /// Submits a command of this member, which is sent to the leader repeatedly until it is in the log or expires.
     pub(crate) fn submit(&mut self, now: Time, command: Command, respond_to: Option<ResponseSender>) {
         self.last_ticket += 1;
         let ticket = self.last_ticket;
@@ -71,11 +73,11 @@
         self.send_to_leader(now, ticket, command);
     }
 
-    /// Sends a command to the leader, where one is known.
+    /// Sends a command to the leader, if one is known.
     pub(crate) fn send_to_leader(&mut self, now: Time, ticket: u64, command: Command) {
         if self.raft.role() == Role::Leader {
-            let me = self.settings.me.clone();
-            self.propose(now, me, ticket, command);
+            let own_id = self.settings.own_id.clone();
+            self.propose(now, own_id, ticket, command);
         } else if let Some(leader) = self.raft.leader() {
             self.outboxes.send(leader, &Frame::Forward { ticket, command });
         }
--- a/crates/coordination/src/network_thread/thread.rs
+++ b/crates/coordination/src/network_thread/thread.rs
@@ -20,10 +20,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Connections that may be open beside two for each member.
+/// The number of connections that may be open in addition to two per member.
 const SPARE_CONNECTIONS: usize = 8;
 
-/// What the network thread is given.
+/// The parameters of the network thread.
 pub(crate) struct NetworkThread {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
@@ -33,23 +33,23 @@
     pub(crate) outboxes: BTreeMap<MemberId, Receiver<Vec<u8>>>,
     /// Events for membership; closed at shutdown.
     pub(crate) membership_events: Receiver<membership::Event>,
-    /// Takes the frames that arrive.
+    /// Handles received frames.
     pub(crate) frame_handler: FrameHandler,
-    /// Where the view of membership is published.
+    /// The published view of membership.
     pub(crate) view: Arc<Mutex<MembershipView>>,
     pub(crate) counters: Arc<LinkCounters>,
-    /// Writes a line of the log.
+    /// Writes a log line.
     pub(crate) log: fn(&str),
 }
 
 /// Runs until the mailbox of membership is closed.
 pub(crate) fn run(thread: NetworkThread, sockets: Sockets) {
     let executor = Rc::new(LocalExecutor::new());
-    let me = thread.settings.me.clone();
+    let own_id = thread.settings.own_id.clone();
     let keys = Keys::new(thread.settings.keys.0, thread.settings.keys.1);
-    let sealer = Sealer::new(keys.clone(), me.clone(), thread.process_incarnation);
+    let sealer = Sealer::new(keys.clone(), own_id.clone(), thread.process_incarnation);
     let sealer = Rc::new(RefCell::new(sealer.on_channel(MEMBER_CHANNEL).with_max_bytes(MAX_FRAME_BYTES)));
-    let opener = Rc::new(RefCell::new(Opener::new(keys.clone(), me).with_max_bytes(MAX_FRAME_BYTES)));
+    let opener = Rc::new(RefCell::new(Opener::new(keys.clone(), own_id).with_max_bytes(MAX_FRAME_BYTES)));
     for (member, frames) in &thread.outboxes {
         let Some(peer) = thread.settings.members.get(member) else { continue };
         let link = OutgoingLink {
--- a/crates/resharding/src/transitions/members.rs
+++ b/crates/resharding/src/transitions/members.rs
@@ -1,4 +1,4 @@
-//! Members join and leave, lose their rights and are declared dead.
+//! Transitions of members: join, leave, revocation, and the declaration as dead.
 use super::Entry;
 use crate::phase::{MemberStanding, Phase};
 use crate::state::ReshardingState;
@@ -38,7 +38,7 @@
         was_present
     }
 
-    /// Takes a member's rights to all migrating ranges away.
+    /// Revokes a member's rights to all migrating ranges.
     pub(super) fn revoke(&mut self, entry: &mut Entry, member: &MemberId, incarnation: u64) -> bool {
         self.revocations.insert(member.clone(), entry.index);
         for id in self.migration_ids() {
@@ -57,12 +57,12 @@
         let assignment = copied.map(|(_, assignment)| assignment);
         let earlier = migration.pending_acknowledgements.get(member).copied().flatten();
         migration.pending_acknowledgements.insert(member.clone(), assignment.or(earlier));
-        let is_known = match &migration.phase {
-            // A quiet member has reported all that it wrote, and writes nothing until it knows of an unfreeze.
+        let are_writes_known = match &migration.phase {
+            // A quiet member has reported all its writes, and does not write again before it has applied an unfreeze.
             Phase::HandOver { quiet, .. } => assignment.is_none() && quiet.contains(member),
             phase => !phase.is_copying(),
         };
-        if !is_known {
+        if !are_writes_known {
             self.restart_copy(entry, id, member);
         }
         self.advance(entry, id);
