--- a/crates/coordination/src/operator_call.rs
+++ b/crates/coordination/src/operator_call.rs
@@ -13,7 +13,7 @@
         name: String,
         /// The backends.
         backends: BTreeSet<BackendId>,
-        /// How long each backend may be out of service, in milliseconds.
+        /// How long work on each backend may take once it is drained, in milliseconds.
         work_ms: u64,
         /// The Unix time in milliseconds after which their maintenance may no longer begin.
         deadline_ms: Option<u64>,
--- a/crates/scale-bench/src/lib.rs
+++ b/crates/scale-bench/src/lib.rs
@@ -26,7 +26,7 @@
     clippy::match_bool,
     clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not revised yet: docs/ROADMAP.md"
+    reason = "long functions and error types still to be revised: docs/ROADMAP.md"
 )]
 pub mod backend_list;
 pub mod chart;
--- a/crates/scale-bench/src/main.rs
+++ b/crates/scale-bench/src/main.rs
@@ -1,5 +1,9 @@
 //! The tool's command line; what it measures is in the library.
-#![allow(clippy::map_err_ignore, clippy::too_many_lines, reason = "not revised yet: docs/ROADMAP.md")]
+#![allow(
+    clippy::map_err_ignore,
+    clippy::too_many_lines,
+    reason = "long functions and error types still to be revised: docs/ROADMAP.md"
+)]
 mod cli;
 
 use clap::Parser;
--- a/crates/test-cluster/examples/smoke.rs
+++ b/crates/test-cluster/examples/smoke.rs
@@ -1,7 +1,7 @@
 //! Runs five gateways, eight backends in two zones, discovery and clients through ten seconds of faults.
 //! `LICHENRUDDER` names the program. Seeds are the arguments, or `RIG_SEED`. `RIG_MORE` adds kinds of faults,
 //! `RIG_ISCSI` makes clients and backends use iSCSI, and `RIG_STORY` and `RIG_LINES` print what happens.
-#![allow(clippy::too_many_lines, reason = "not revised yet: docs/ROADMAP.md")]
+#![allow(clippy::too_many_lines, reason = "still to be split: docs/ROADMAP.md")]
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
--- a/crates/test-cluster/tests/schedules.rs
+++ b/crates/test-cluster/tests/schedules.rs
@@ -1,6 +1,6 @@
 //! Schedules are determined by their seeds, stay within their bounds, and can be reduced.
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
-#![allow(clippy::match_bool, reason = "not revised yet: docs/ROADMAP.md")]
+#![allow(clippy::match_bool, reason = "still to be rewritten: docs/ROADMAP.md")]
 use std::time::Duration;
 use test_cluster::schedule::{
     Fault, FaultKind, FaultTargets, Schedule, ADDITIONAL_FAULTS, COMMON_FAULTS, MAX_FAULTS,
